--- a/cressrail/brain.py
+++ b/cressrail/brain.py
@@ -179,7 +179,7 @@
             e.inside = False
         self.use, self.failed = [], 0
         met = []
-        for e in self.all[self.start:] + self.all[:self.start]:
+        for e in self.all[self.start :] + self.all[: self.start]:
             if len(self.use) >= self.wanted:
                 break
             met.append(e)
@@ -246,12 +246,16 @@
         self.most_hops, self.parallel = most_hops, parallel
 
     def may_hop(self, tx: Tx, now: int) -> bool:
-        return not (tx.spent or len(tx.hops) >= self.most_hops or (tx.out and not self.parallel)
-                    ) and self.may_run_again(tx, now)
+        return not (
+            tx.spent or len(tx.hops) >= self.most_hops or (tx.out and not self.parallel)
+        ) and self.may_run_again(tx, now)
 
     def may_run_again(self, tx: Tx, now: int) -> bool:
-        return tx.anchor is None or tx.profile.kind == IDEMPOTENT or (
-            tx.profile.kind == JOURNALLED and now < tx.anchor_us + tx.profile.window_us)
+        return (
+            tx.anchor is None
+            or tx.profile.kind == IDEMPOTENT
+            or (tx.profile.kind == JOURNALLED and now < tx.anchor_us + tx.profile.window_us)
+        )
 
     def may_go_to(self, tx: Tx, e: Endpoint) -> bool:
         at = tx.anchor
@@ -261,8 +265,11 @@
 
     def may_roll_back(self, tx: Tx, ran: bool = False) -> bool:
         """Now, or (`ran`) also once a hop may have run."""
-        return tx.profile.kind == IDEMPOTENT or (tx.anchor is None and not ran) or (
-            tx.profile.kind == JOURNALLED and tx.profile.group == ALL)
+        return (
+            tx.profile.kind == IDEMPOTENT
+            or (tx.anchor is None and not ran)
+            or (tx.profile.kind == JOURNALLED and tx.profile.group == ALL)
+        )
 
 
 class ColdRule:
@@ -271,8 +278,9 @@
     list bears (the members' allowances, or what is carried) is more than a warm one does; half of the
     multiple goes by each. Credit that is not used for some time lapses. docs/design.md does the sums."""
 
-    def __init__(self, cold_from: float, warm_within_us: int, now: int, even: float, multiple: float,
-                 fall_us: int) -> None:
+    def __init__(
+        self, cold_from: float, warm_within_us: int, now: int, even: float, multiple: float, fall_us: int
+    ) -> None:
         self.born_us, self.cold_from, self.warm_within_us = now, cold_from, warm_within_us
         self.even = self.most_even = even  # of what all may send, a microsecond; 0: there are no members
         self.by, self.ready_us, self.ceded = multiple / COLD_PARTS, COLD_READY * fall_us, False
@@ -380,8 +388,23 @@
 class Tx:
     """The handle of one transaction."""
 
-    __slots__ = ("anchor", "anchor_us", "closed", "coming", "end_us", "hops", "leave_us", "luck", "member",
-                 "out", "part", "profile", "side", "spent", "surplus")
+    __slots__ = (
+        "anchor",
+        "anchor_us",
+        "closed",
+        "coming",
+        "end_us",
+        "hops",
+        "leave_us",
+        "luck",
+        "member",
+        "out",
+        "part",
+        "profile",
+        "side",
+        "spent",
+        "surplus",
+    )
 
     def __init__(self, side: Sidecar, profile: Profile, member: int, now: int, remaining_us: int) -> None:
         self.side, self.member, self.profile = side, member, profile
@@ -438,11 +461,28 @@
 
 
 class Sidecar:
-    def __init__(self, *, chance: Chance, zone: int, zones: int, tiers_to_go: float, last_tier: bool,
-                 at_door: bool, round_us: int, come_back_us: int,
-                 may_cancel: bool, asking: Asking, repeat_rule: RepeatRule, cold_rule: ColdRule,
-                 shares: Shares, copies: int, number: int, now: int, beside: bool = False,
-                 links: int = NEVER_US) -> None:
+    def __init__(
+        self,
+        *,
+        chance: Chance,
+        zone: int,
+        zones: int,
+        tiers_to_go: float,
+        last_tier: bool,
+        at_door: bool,
+        round_us: int,
+        come_back_us: int,
+        may_cancel: bool,
+        asking: Asking,
+        repeat_rule: RepeatRule,
+        cold_rule: ColdRule,
+        shares: Shares,
+        copies: int,
+        number: int,
+        now: int,
+        beside: bool = False,
+        links: int = NEVER_US,
+    ) -> None:
         self.beside, self.links = beside, links  # one client process, many copies; connections it may hold
         self.chance = chance
         self.copies: float = copies  # of this sidecar, by the settings until told of those that are up
@@ -484,7 +524,7 @@
             if zone not in self.order:
                 self.order.append(zone)
             named.append(e)
-        self.groups += [Group() for _ in self.order[len(self.groups):]]
+        self.groups += [Group() for _ in self.order[len(self.groups) :]]
         kept = dict.fromkeys(named)
         for e in self.endpoints.values() if full else ():
             e.on = e.on and e in kept
@@ -540,8 +580,11 @@
             # How many copies use an endpoint, if all use so many; of the own zone only its own copies. Guards
             # against traffic that sits in one zone being held to the limits of an even spread.
             own = zone == self.order[0]
-            among, copies = (len(group.all), self.near) if own and self.near else (
-                total if own else len(group.all), self.copies)
+            among, copies = (
+                (len(group.all), self.near)
+                if own and self.near
+                else (total if own else len(group.all), self.copies)
+            )
             group.sharers = copies * group.wanted / max(1, among)
 
     def _begin_zones(self, now: int) -> None:
@@ -621,8 +664,9 @@
         self.wake_us = min(self.wake_us, now + 4 * self.round_us, tx.leave_us)
         return []
 
-    def ended(self, tx: Tx, hop: int, now: int, how: Outcome, latency_us: int,
-              complete: bool) -> list[Decision]:
+    def ended(
+        self, tx: Tx, hop: int, now: int, how: Outcome, latency_us: int, complete: bool
+    ) -> list[Decision]:
         e = tx.hops[hop]
         if tx.out.pop(hop, None) is None:
             return []
@@ -707,7 +751,7 @@
             if 0 <= luck < share:
                 drawn = zone
             luck -= share
-        return [drawn, *(z for z in self.order if z != drawn and any(self.shares_out[z:z + 1]))]
+        return [drawn, *(z for z in self.order if z != drawn and any(self.shares_out[z : z + 1]))]
 
     def _left_over(self, tx: Tx) -> bool:
         """One of those whom no zone bears: least earners first, at once. Guards against lines of them."""
@@ -717,9 +761,11 @@
     def _shuffled(self, order: list[int]) -> list[int]:
         """The own zone, then the others by chance, by size and what they admit (Efraimidis and Spirakis).
         Guards against all that overflows from one zone pouring into the one that comes next."""
+
         def luck(zone: int) -> float:
             weight = self.groups[zone].whole * self.groups[zone].admits
-            return -self.chance.part() ** (1 / weight) if weight else 0.0
+            return -(self.chance.part() ** (1 / weight)) if weight else 0.0
+
         return order[:1] + sorted(order[1:], key=luck)
 
     def _pick_in(self, group: Group, tx: Tx, now: int) -> Endpoint | None:
@@ -755,8 +801,9 @@
         if tx.anchor is not None and not self.repeat_rule.may_go_to(tx, e):
             return False
         # Only in the part in use. Guards against repeats of all copies where a part of them is to bear them.
-        return not self.cold_rule.cold(e, now) or (e.inside and self.cold_rule.credit(
-            e, now, group, e.zone == self.order[0]))
+        return not self.cold_rule.cold(e, now) or (
+            e.inside and self.cold_rule.credit(e, now, group, e.zone == self.order[0])
+        )
 
     # What is learned
 
@@ -847,11 +894,13 @@
         of lately gives nothing to compare: the overflow of full endpoints is what makes it heard."""
         means = []
         for zone in self.order:
-            heard = [e.latency for e in self.groups[zone].all
-                     if e.latency and now - e.heard_us <= BUDGET_WINDOW_US]
+            heard = [
+                e.latency for e in self.groups[zone].all if e.latency and now - e.heard_us <= BUDGET_WINDOW_US
+            ]
             means.append(sum(heard) / len(heard) if heard else 0.0)
-        best, self.next_zone = min(((m, z) for m, z in zip(means[1:], self.order[1:], strict=True) if m),
-                                   default=(0.0, -1))
+        best, self.next_zone = min(
+            ((m, z) for m, z in zip(means[1:], self.order[1:], strict=True) if m), default=(0.0, -1)
+        )
         if best and means[0] > best * SPILL_ABOVE:
             self.spill = min(SPILL_MOST, self.spill + SPILL_STEP)
         elif not best or means[0] < best * SPILL_BELOW:
--- a/cressrail/buffers/pipe.py
+++ b/cressrail/buffers/pipe.py
@@ -44,7 +44,7 @@
                 self.hi = 0
                 self.lo = self.lo if len(self.parts) > 1 else 0
             n = min(len(data), SIZE - self.hi)
-            self.parts[-1][self.hi:self.hi + n] = data[:n]
+            self.parts[-1][self.hi : self.hi + n] = data[:n]
             self.hi += n
             data = data[n:]
         self._stir_reader()
@@ -59,8 +59,10 @@
 
     def peek(self) -> list[memoryview]:
         last = len(self.parts) - 1
-        return [memoryview(part)[self.lo if k == 0 else 0:self.hi if k == last else SIZE]
-                for k, part in enumerate(self.parts)]
+        return [
+            memoryview(part)[self.lo if k == 0 else 0 : self.hi if k == last else SIZE]
+            for k, part in enumerate(self.parts)
+        ]
 
     def used(self, n: int) -> None:
         self.taken = self.taken or n > 0
@@ -102,9 +104,9 @@
 
     def add(self, data: memoryview) -> None:
         if self.rest is None:
-            fits = data[:KEPT - self.size]
+            fits = data[: KEPT - self.size]
             super().add(fits)
-            data = data[len(fits):]
+            data = data[len(fits) :]
             if not data:
                 return
             self.open()
--- a/cressrail/buffers/pool.py
+++ b/cressrail/buffers/pool.py
@@ -24,7 +24,7 @@
 
     def trim(self) -> None:
         """Gives what is free beyond the bound back to the system."""
-        del self.free[max(0, self.most - self.lent):]
+        del self.free[max(0, self.most - self.lent) :]
 
     def give(self, buffer: bytearray) -> None:
         self.lent -= 1
@@ -47,12 +47,12 @@
             if at == 0:
                 self.parts.append(self.pool.take())
             n = min(len(data), SIZE - at)
-            self.parts[-1][at:at + n] = data[:n]
+            self.parts[-1][at : at + n] = data[:n]
             self.size += n
             data = data[n:]
 
     def views(self) -> list[memoryview]:
-        return [memoryview(part)[:min(SIZE, self.size - k * SIZE)] for k, part in enumerate(self.parts)]
+        return [memoryview(part)[: min(SIZE, self.size - k * SIZE)] for k, part in enumerate(self.parts)]
 
     def give_back(self) -> None:
         parts, self.parts, self.size = self.parts, [], 0
@@ -75,15 +75,15 @@
         if self.buffer is None:
             self.buffer = self.pool.take()
         if self.lo:
-            self.buffer[:self.hi - self.lo] = self.buffer[self.lo:self.hi]
+            self.buffer[: self.hi - self.lo] = self.buffer[self.lo : self.hi]
             self.lo, self.hi = 0, self.hi - self.lo
-        return memoryview(self.buffer)[self.hi:]
+        return memoryview(self.buffer)[self.hi :]
 
     def came(self, n: int) -> None:
         self.hi += n
 
     def unread(self) -> memoryview:
-        return memoryview(self.buffer)[self.lo:self.hi] if self.buffer is not None else memoryview(b"")
+        return memoryview(self.buffer)[self.lo : self.hi] if self.buffer is not None else memoryview(b"")
 
     def use(self, n: int) -> None:
         self.lo += n
--- a/cressrail/catalog/news.py
+++ b/cressrail/catalog/news.py
@@ -69,5 +69,14 @@
     host = str(ip_address(host.strip("[]")))  # a name would have to be looked up, which may take its time
     if not (isinstance(name, str) and name and 0 < int(port) < 65536 and 0 <= scale < 1e12):
         raise ValueError(f"entry that is none: {str(entry)[:80]}")
-    return Row(name, host, int(port), str(entry.get("locality", "")), int(entry.get("cell") or 0),
-               scale, on, gone, int(entry.get("up_since_ms") or 0) * 1000)
+    return Row(
+        name,
+        host,
+        int(port),
+        str(entry.get("locality", "")),
+        int(entry.get("cell") or 0),
+        scale,
+        on,
+        gone,
+        int(entry.get("up_since_ms") or 0) * 1000,
+    )
--- a/cressrail/cli/commands.py
+++ b/cressrail/cli/commands.py
@@ -11,9 +11,14 @@
 from cressrail.cli import failover, membership, zones
 from cressrail.cli.launch import launch, look
 
-app = typer.Typer(help="A load-balancing sidecar for services that call services.", no_args_is_help=True,
-                  epilog="The rigs, with requirements-lab.txt: load, standin, experiment.",
-                  add_completion=False, rich_markup_mode=None, pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="A load-balancing sidecar for services that call services.",
+    no_args_is_help=True,
+    epilog="The rigs, with requirements-lab.txt: load, standin, experiment.",
+    add_completion=False,
+    rich_markup_mode=None,
+    pretty_exceptions_enable=False,
+)
 Path = Annotated[str, typer.Argument(envvar="BALANCER_CONFIG", help="The configuration, a JSON file.")]
 
 
--- a/cressrail/cli/launch.py
+++ b/cressrail/cli/launch.py
@@ -34,9 +34,13 @@
     except Unfit as fault:
         print(f"cressrail: {fault}", file=sys.stderr)
         return 2
-    print(f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, {len(profiles)} profiles, "
-          f"{len(members)} members, {len(start.known.rows)} endpoints known, {start.shape}")
+    print(
+        f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, {len(profiles)} profiles, "
+        f"{len(members)} members, {len(start.known.rows)} endpoints known, {start.shape}"
+    )
     if start.shape == shape.MESH:
-        print(f"{config}: a connection carries one transaction at a time here, of the "
-              f"{start.told.word('limits.multiplex')} that limits.multiplex allows")
+        print(
+            f"{config}: a connection carries one transaction at a time here, of the "
+            f"{start.told.word('limits.multiplex')} that limits.multiplex allows"
+        )
     return 0
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -18,8 +18,12 @@
 from cressrail.load.shapes import SHAPES
 from cressrail.load.trace import BadRow, write
 
-app = typer.Typer(help="Open-loop load, traces, and what a run came to.", no_args_is_help=True,
-                  rich_markup_mode=None, pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="Open-loop load, traces, and what a run came to.",
+    no_args_is_help=True,
+    rich_markup_mode=None,
+    pretty_exceptions_enable=False,
+)
 
 
 @app.command()
@@ -71,8 +75,17 @@
                 },
             }
         )
-        told = play(Job(plan, [address(text) for text in target], trace, time_scale, rate_scale, ledger,
-                        histograms=histograms))
+        told = play(
+            Job(
+                plan,
+                [address(text) for text in target],
+                trace,
+                time_scale,
+                rate_scale,
+                ledger,
+                histograms=histograms,
+            )
+        )
     except ValidationError as fault:
         fail(f"load: {reason(fault)}")
     except (BadRow, OSError, ValueError) as fault:
@@ -83,8 +96,9 @@
 
 
 @app.command()
-def ceiling(least: float = 1000.0, step: Annotated[float, typer.Option(min=1.05)] = 1.5,
-            seconds: float = 3.0) -> None:
+def ceiling(
+    least: float = 1000.0, step: Annotated[float, typer.Option(min=1.05)] = 1.5, seconds: float = 3.0
+) -> None:
     """Send to a server that answers at once, faster and faster, until this generator is late itself."""
     words = [sys.executable, "-m", "cressrail.experiment.sink", "1", os.devnull]
     with subprocess.Popen(words, stdout=subprocess.PIPE, text=True) as sink:
@@ -94,8 +108,11 @@
         try:
             while True:
                 told = play(Job(Plan(rate=rate, seconds=seconds), [at], quiet=True))
-                print(f"{rate:.0f} a second: late by {told['late_sends_us']['p999'] / 1000:.2f} ms at 99.9%"
-                      f"{', refused' if told['refused'] else ''}", flush=True)
+                print(
+                    f"{rate:.0f} a second: late by {told['late_sends_us']['p999'] / 1000:.2f} ms at 99.9%"
+                    f"{', refused' if told['refused'] else ''}",
+                    flush=True,
+                )
                 if told["refused"]:
                     break
                 rate, kept = rate * step, rate
@@ -105,9 +122,11 @@
 
 
 @app.command()
-def record(source: Annotated[Path, typer.Argument(help="A run's ledger, or a sidecar's log.")],
-           out: Annotated[Path, typer.Argument(help="The trace, JSON lines.")],
-           size: Annotated[int, typer.Option(help="Bytes, where the source does not tell.")] = 0) -> None:
+def record(
+    source: Annotated[Path, typer.Argument(help="A run's ledger, or a sidecar's log.")],
+    out: Annotated[Path, typer.Argument(help="The trace, JSON lines.")],
+    size: Annotated[int, typer.Option(help="Bytes, where the source does not tell.")] = 0,
+) -> None:
     """Write a trace from a run's ledger or a sidecar's log."""
     try:
         with open(out, "wb") as file:
--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -21,8 +21,12 @@
 from cressrail.standin.sidecars import check
 from cressrail.standin.words import World
 
-app = typer.Typer(help="Stand-in tiers with faults, and the rule checker.", no_args_is_help=True,
-                  rich_markup_mode=None, pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="Stand-in tiers with faults, and the rule checker.",
+    no_args_is_help=True,
+    rich_markup_mode=None,
+    pretty_exceptions_enable=False,
+)
 HERE = Path(__file__).resolve().parents[2]
 
 
@@ -48,8 +52,11 @@
 
 
 @app.command("judge")
-def judge_(file: Path, fleet: Annotated[Path, typer.Argument(help="fleet.jsonl of the run.")],
-           load: Annotated[Path, typer.Argument(help="The load's ledger.")]) -> None:
+def judge_(
+    file: Path,
+    fleet: Annotated[Path, typer.Argument(help="fleet.jsonl of the run.")],
+    load: Annotated[Path, typer.Argument(help="The load's ledger.")],
+) -> None:
     """Judge the four rules from a run's ledgers; exit status 3 if one is broken."""
     try:
         world = read(file, World)
@@ -63,10 +70,18 @@
 
 
 @app.command()
-def pauses(out: Annotated[Path, typer.Argument(help="Where the drawn pauses go, JSON.")],
-           port: int = 9555, seconds: float = 20.0, seed: int = 1, work_ms: float = 250.0,
-           every_s: float = 3.0, mean_ms: float = 300.0, most_ms: float = 2000.0) -> None:
+def pauses(
+    out: Annotated[Path, typer.Argument(help="Where the drawn pauses go, JSON.")],
+    port: int = 9555,
+    seconds: float = 20.0,
+    seed: int = 1,
+    work_ms: float = 250.0,
+    every_s: float = 3.0,
+    mean_ms: float = 300.0,
+    most_ms: float = 2000.0,
+) -> None:
     """A server with pauses that are known, to hold a load generator's figures against."""
+
     async def serve() -> None:
         start = now_us()
         drawn = known.draw(seed, seconds, every_s, mean_ms, most_ms)
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -91,7 +91,12 @@
     fresh = "stood by" if told["fresh"] else "not stood by any more"
     served = f"served near: zone {near['zone']:.0%}, region {near['region']:.0%}, beyond {near['beyond']:.0%}"
     table = Table(
-        "zone", "region", "state", "why", "for s", *(f"from {row['zone']}" for row in told["zones"]),
+        "zone",
+        "region",
+        "state",
+        "why",
+        "for s",
+        *(f"from {row['zone']}" for row in told["zones"]),
         title=f"epoch {told['epoch']} by {told['decided_by'] or 'nobody'}, {fresh}; {served}",
     )
     for row in told["zones"]:
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -35,7 +35,9 @@
 SOCKETS = 12_000  # the sidecar's own limit here, so that 4,000 may rest
 WORLD = {
     "fleet": {"zones": [ZONE], "doors": 1, "tiers": [{"name": "sink"}]},
-    "profiles": [{"name": "read"}], "members": [{"name": "acme"}]}
+    "profiles": [{"name": "read"}],
+    "members": [{"name": "acme"}],
+}
 
 
 @dataclass(frozen=True)
@@ -62,7 +64,7 @@
         for n in range(rounds):
             for case in cases:
                 names = list(trees)
-                for name in names[n % len(names):] + names[:n % len(names)]:
+                for name in names[n % len(names) :] + names[: n % len(names)]:
                     if name == "relay" and case is not cases[0]:
                         continue
                     us, mb, p50 = measured(trees[name], case, cores)
@@ -134,8 +136,14 @@
     mine = os.sched_getaffinity(0)
     os.sched_setaffinity(0, cores)
     try:
-        child = subprocess.Popen([sys.executable, *words], cwd=cwd, text=True, stdin=subprocess.DEVNULL,
-                                 env={**os.environ, "PYTHONPATH": str(cwd)}, **more)
+        child = subprocess.Popen(
+            [sys.executable, *words],
+            cwd=cwd,
+            text=True,
+            stdin=subprocess.DEVNULL,
+            env={**os.environ, "PYTHONPATH": str(cwd)},
+            **more,
+        )
     finally:
         os.sched_setaffinity(0, mine)
     try:
@@ -157,8 +165,9 @@
 
 
 @contextmanager
-def contender(where: Path | None, folder: Path, port: int, discovery: int,
-              cores: list[int]) -> Iterator[tuple[int, tuple[str, int]]]:
+def contender(
+    where: Path | None, folder: Path, port: int, discovery: int, cores: list[int]
+) -> Iterator[tuple[int, tuple[str, int]]]:
     at = ("127.0.0.1", 0)
     if where is None:
         with socket.socket() as free:
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -13,9 +13,23 @@
 
 DRAWS = 4000  # of the bootstrap
 # Which way is better: 1 more, -1 less.
-BETTER = {"goodput": 1, "goodput_first": 1, "revenue": 1, "worst_member": 1, "worst_due": 1,
-          "worst_profile": 1, "p50_ms": -1, "p99_ms": -1, "hops_per_tx": -1, "retry_share": -1,
-          "late_work_share": -1, "effects_after_end": -1, "breaks": -1, "goodput_harmed": 1, "recovery_s": -1}
+BETTER = {
+    "goodput": 1,
+    "goodput_first": 1,
+    "revenue": 1,
+    "worst_member": 1,
+    "worst_due": 1,
+    "worst_profile": 1,
+    "p50_ms": -1,
+    "p99_ms": -1,
+    "hops_per_tx": -1,
+    "retry_share": -1,
+    "late_work_share": -1,
+    "effects_after_end": -1,
+    "breaks": -1,
+    "goodput_harmed": 1,
+    "recovery_s": -1,
+}
 HARMFUL = ("kill", "die", "err", "slow", "stall", "cut")  # faults that take away what is there
 BACK, STAYS_S = 0.9, 3  # of the goodput before, held for so long: recovered
 
@@ -38,9 +52,14 @@
         )
         if call["id"].endswith("-1"):
             first[tx] = good
-        ends[tx] = {"good": good, "profile": call["profile"],
-                    "member": call["member"], "ended_us": call["ended_us"], "due_us": call["due_us"],
-                    "status": call["status"]}
+        ends[tx] = {
+            "good": good,
+            "profile": call["profile"],
+            "member": call["member"],
+            "ended_us": call["ended_us"],
+            "due_us": call["due_us"],
+            "status": call["status"],
+        }
     took = np.array([e["ended_us"] - e["due_us"] for e in ends.values()] or [0]) / 1000
     worth = {name: p.revenue for name, p in profiles.items()}
     offered = sum(worth[e["profile"]] for e in ends.values()) or 1.0
@@ -55,9 +74,11 @@
         "goodput": float(np.mean([e["good"] for e in ends.values()] or [0])),
         "goodput_first": float(np.mean(list(first.values()) or [False])),
         "revenue": sum(worth[e["profile"]] for e in ends.values() if e["good"]) / offered,
-        "worst_member": _worst(ends, "member"), "worst_due": _worst_due(world, ends, due or {}),
+        "worst_member": _worst(ends, "member"),
+        "worst_due": _worst_due(world, ends, due or {}),
         "worst_profile": _worst(ends, "profile"),
-        "p50_ms": float(np.percentile(took, 50)), "p99_ms": float(np.percentile(took, 99)),
+        "p50_ms": float(np.percentile(took, 50)),
+        "p99_ms": float(np.percentile(took, 99)),
         "hops_per_tx": sum(by_tx[c["id"]] for c in doors) / max(1, len(doors)),
         "retry_share": sum(max(0, by_tx[c["id"]] - 1) for c in calls) / max(1, len(calls)),
         "late_work_share": sum(h["work_us"] for h in late) / max(1, sum(h["work_us"] for h in ran)),
@@ -102,8 +123,14 @@
     found: dict[str, list[bool]] = defaultdict(list)
     for e in ends.values():
         found[e["member"]].append(e["good"])
-    return min((sum(good) / min(len(good), due[member] * world.seconds)
-                for member, good in found.items() if due.get(member)), default=0.0)
+    return min(
+        (
+            sum(good) / min(len(good), due[member] * world.seconds)
+            for member, good in found.items()
+            if due.get(member)
+        ),
+        default=0.0,
+    )
 
 
 def series(world: World, played: Played) -> dict[str, Any]:
--- a/cressrail/experiment/harm.py
+++ b/cressrail/experiment/harm.py
@@ -49,10 +49,7 @@
         "sidecars": len(seen.lives),
         "void": seen.void,
         "lag_ms": round(seen.lag_s * 1000, 1),
-        "broken": [
-            f"rule {one.rule}: {one.tx}: {one.evidence}"
-            for one in played.broken
-        ],
+        "broken": [f"rule {one.rule}: {one.tx}: {one.evidence}" for one in played.broken],
         "false_losses": [
             f"{one.by} of {one.of} at {(one.at_us - start_us) / 1e6:.1f} s"
             for one in false_losses(seen, bear_us, RETURN_BEARS * bear_us)
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -53,19 +53,36 @@
 
 
 @contextmanager
-def fleet(world: World, folder: Path, *, tree: Path = HERE, policy: str = "own",
-          broken: str = "") -> Iterator[tuple[list[tuple[str, int]], int]]:
+def fleet(
+    world: World, folder: Path, *, tree: Path = HERE, policy: str = "own", broken: str = ""
+) -> Iterator[tuple[list[tuple[str, int]], int]]:
     """Doors, and the moment of the steady clock at which the faults' time begins. Raises `RuntimeError` if
     the fleet does not come up."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / "world.toml"
     file.write_text(tomlkit.dumps(world.model_dump(by_alias=True, exclude_none=True)))
     env = {**os.environ, "PYTHONPATH": str(HERE)}
-    command = [sys.executable, "-m", "cressrail", "standin", "run", str(file), "--out", str(folder), "--wait",
-               "--tree", str(tree), "--policy", policy, "--break", broken]
+    command = [
+        sys.executable,
+        "-m",
+        "cressrail",
+        "standin",
+        "run",
+        str(file),
+        "--out",
+        str(folder),
+        "--wait",
+        "--tree",
+        str(tree),
+        "--policy",
+        policy,
+        "--break",
+        broken,
+    ]
     with open(folder / "standin.log", "wb") as log:
-        process = subprocess.Popen(command, cwd=HERE, env=env, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-                                   stderr=log)
+        process = subprocess.Popen(
+            command, cwd=HERE, env=env, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log
+        )
     assert process.stdin is not None and process.stdout is not None
     try:
         with apart(process.pid):
@@ -110,12 +127,20 @@
         os.sched_setaffinity(0, cores)
 
 
-def play_world(world: World, folder: Path, *, tree: Path = HERE, policy: str = "own", broken: str = "",
-               quiet: bool = True) -> Played:
+def play_world(
+    world: World,
+    folder: Path,
+    *,
+    tree: Path = HERE,
+    policy: str = "own",
+    broken: str = "",
+    quiet: bool = True,
+) -> Played:
     ledger = folder / "load.jsonl"
     with fleet(world, folder, tree=tree, policy=policy, broken=broken) as (doors, start_us):
-        told = play(Job(plan_of(world), doors, ledger=ledger, spool=folder / "spool", start_us=start_us,
-                        quiet=quiet))
+        told = play(
+            Job(plan_of(world), doors, ledger=ledger, spool=folder / "spool", start_us=start_us, quiet=quiet)
+        )
     seen = evidence(rows(ledger), rows(folder / "fleet.jsonl"))
     found = judge(world, seen)
     if world.fleet.membership is not None:
--- a/cressrail/experiment/report.py
+++ b/cressrail/experiment/report.py
@@ -17,10 +17,12 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-STYLE = ("body{font:15px/1.45 sans-serif;max-width:72em;margin:2em auto;padding:0 1em;color:#222}"
-         "table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .8em;text-align:right;"
-         "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}img{max-width:100%}"
-         ".good{color:#06732f}.bad{color:#a5161b}.note{color:#666}")
+STYLE = (
+    "body{font:15px/1.45 sans-serif;max-width:72em;margin:2em auto;padding:0 1em;color:#222}"
+    "table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .8em;text-align:right;"
+    "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}img{max-width:100%}"
+    ".good{color:#06732f}.bad{color:#a5161b}.note{color:#666}"
+)
 BANDS = {"die": "#c33", "cut": "#c33", "stall": "#d80", "slow": "#da0", "drain": "#38c"}
 
 
@@ -48,8 +50,10 @@
         ),
         _picture(lambda axes: _heat(axes, result, arms), len(arms), "Hops by endpoint and second", 2.6),
     ]
-    return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(result['name'])}</title>"
-            f"<style>{STYLE}</style><body>{''.join(body)}</body></html>\n")
+    return (
+        f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(result['name'])}</title>"
+        f"<style>{STYLE}</style><body>{''.join(body)}</body></html>\n"
+    )
 
 
 def mean(result: dict[str, Any], arm: str, name: str) -> float:
@@ -59,8 +63,10 @@
 def text_table(result: dict[str, Any]) -> list[list[str]]:
     """Head and rows, for a terminal as for the page."""
     arms = list(result["arms"])
-    return [["", *arms], *([name.replace("_", " "), *(f"{mean(result, arm, name):.4g}" for arm in arms)]
-                           for name in BETTER)]
+    return [
+        ["", *arms],
+        *([name.replace("_", " "), *(f"{mean(result, arm, name):.4g}" for arm in arms)] for name in BETTER),
+    ]
 
 
 def _rows(rows: list[list[str]]) -> str:
@@ -107,13 +113,15 @@
     data = BytesIO()
     figure.savefig(data, format="png", dpi=80)
     plt.close(figure)
-    return (f"<h2>{escape(title)}</h2><img alt='{escape(title)}' "
-            f"src='data:image/png;base64,{base64.b64encode(data.getvalue()).decode()}'>")
+    return (
+        f"<h2>{escape(title)}</h2><img alt='{escape(title)}' "
+        f"src='data:image/png;base64,{base64.b64encode(data.getvalue()).decode()}'>"
+    )
 
 
 def _by_second(result: dict[str, Any], arm: str, name: str) -> Any:
     """Of the seconds in which load was sent; what came after them is no dip."""
-    of = [r["series"][name][:max(1, int(result["seconds"]))] for r in result["arms"][arm]["rounds"]]
+    of = [r["series"][name][: max(1, int(result["seconds"]))] for r in result["arms"][arm]["rounds"]]
     return np.mean(of, axis=0)
 
 
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -34,16 +34,26 @@
                 world = experiment.world(arm, n)
                 with TemporaryDirectory(prefix="cressrail-") as passing:  # a run's ledgers end with it
                     folder = out / "runs" / f"{n}-{arm.name}" if keep else Path(passing)
-                    played = play_world(world, folder, tree=trees[arm.name], policy=arm.policy,
-                                        broken=arm.broken)
+                    played = play_world(
+                        world, folder, tree=trees[arm.name], policy=arm.policy, broken=arm.broken
+                    )
                 of = figures(world, played, due)
-                arms[arm.name]["rounds"].append({
-                    "seed": world.seed, "figures": of, "broken": [asdict(b) for b in played.broken],
-                    "load": played.told, "series": series(world, played), "failed": played.seen.failed})
+                arms[arm.name]["rounds"].append(
+                    {
+                        "seed": world.seed,
+                        "figures": of,
+                        "broken": [asdict(b) for b in played.broken],
+                        "load": played.told,
+                        "series": series(world, played),
+                        "failed": played.seen.failed,
+                    }
+                )
                 late = f"; {played.told['refused']}" if played.told["refused"] else ""
-                say(f"round {n + 1} of {experiment.rounds}, {arm.name}: goodput {of['goodput']:.3f}, "
+                say(
+                    f"round {n + 1} of {experiment.rounds}, {arm.name}: goodput {of['goodput']:.3f}, "
                     f"worst member {of['worst_member']:.3f}, p99 {of['p99_ms']:.0f} ms, "
-                    f"{len(played.broken)} breaks{late}")
+                    f"{len(played.broken)} breaks{late}"
+                )
     result = {
         "name": experiment.name,
         "seconds": experiment.seconds,
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -63,9 +63,7 @@
     failed = [[_ratio(of, w, "failed") for w in range(zones)] for of in by_zone]
     late = [[_ratio(of, w, "late") for w in range(zones)] for of in by_zone]
     enough = [[_enough([e.towards[w].hops for e in of]) for w in range(zones)] for of in by_zone]
-    cut = tuple(
-        tuple(enough[z][w] and unreached[z][w] >= HALF for w in range(zones)) for z in range(zones)
-    )
+    cut = tuple(tuple(enough[z][w] and unreached[z][w] >= HALF for w in range(zones)) for z in range(zones))
     failing, lost, crowded = [], [], []
     for w in range(zones):
         tried = [z for z in range(zones) if enough[z][w]]
@@ -80,10 +78,7 @@
         for z, of in enumerate(by_zone)
     ]
     good = [
-        [
-            sent[z][w] * (1 - unreached[z][w]) * max(0.0, 1 - failed[z][w] - late[z][w])
-            for w in range(zones)
-        ]
+        [sent[z][w] * (1 - unreached[z][w]) * max(0.0, 1 - failed[z][w] - late[z][w]) for w in range(zones)]
         for z in range(zones)
     ]
     return Picture(
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -52,8 +52,9 @@
             lately = towards.zones.get(zone, Ended()).less(before.get(zone, Ended()))
             if lately.committed:
                 self.latency_us[zone] = lately.took_us / lately.committed
-            told.append(Toward(lately.hops, lately.unreached, lately.failed, lately.late,
-                               self._bears(zone, sidecar)))
+            told.append(
+                Toward(lately.hops, lately.unreached, lately.failed, lately.late, self._bears(zone, sidecar))
+            )
         return Evidence(self.settings.zone, taken * SECOND / span_us, tuple(told))
 
     def _bears(self, zone: int, sidecar: Sidecar) -> float:
@@ -81,8 +82,11 @@
         told = {by: evidence for by, (evidence, _) in self.reducer.told.items()}
         told[self.reducer.own] = self.reducer.evidence
         return [
-            {"sidecar": names.get(by, f"{by:016x}"), "zone": self.settings.map.zones[evidence.zone],
-             **evidence.towards[zone]._asdict()}
+            {
+                "sidecar": names.get(by, f"{by:016x}"),
+                "zone": self.settings.map.zones[evidence.zone],
+                **evidence.towards[zone]._asdict(),
+            }
             for by, evidence in sorted(told.items())
             if zone < len(evidence.towards)
         ]
--- a/cressrail/failover/plan.py
+++ b/cressrail/failover/plan.py
@@ -189,7 +189,8 @@
         # More is sent from outside by steps, as receivers are seen to bear it.
         step = STEP * max(passed_us, self.window_us // 8) / SECOND
         room = [
-            0.0 if seen.quiet[w]  # nobody knows what it carries already
+            0.0
+            if seen.quiet[w]  # nobody knows what it carries already
             else max(0.0, min(SPARE * bears[w] - loads[w], self.standing[w].inbound + step * bears[w]))
             for w in range(n)
         ]
@@ -249,7 +250,9 @@
             open_ = [
                 w
                 for w in range(n)
-                if self.map.near(z, w) == level and not seen.cut[z][w] and room[w] > TINY
+                if self.map.near(z, w) == level
+                and not seen.cut[z][w]
+                and room[w] > TINY
                 and self.standing[w].state not in (AWAY, DRAINED)
             ]
             spare = sum(room[w] for w in open_)
--- a/cressrail/failover/reducer.py
+++ b/cressrail/failover/reducer.py
@@ -408,4 +408,3 @@
     def _done(self) -> list[Effect]:
         out, self.out = self.out, []
         return out
-
--- a/cressrail/failover/words.py
+++ b/cressrail/failover/words.py
@@ -8,7 +8,12 @@
 SERVING, REDUCED, AWAY, DRAINED, RETURNING = range(5)
 STATES = ("serving", "reduced", "away", "drained", "returning")
 WHY = (
-    "", "failing", "cannot be reached", "asked for", "more than it bears", "proves itself",
+    "",
+    "failing",
+    "cannot be reached",
+    "asked for",
+    "more than it bears",
+    "proves itself",
     "nobody to carry it",
 )
 FINE, FAILING, UNREACHED, ASKED, CROWDED, PROVING, NOWHERE = range(len(WHY))
--- a/cressrail/failover/world.py
+++ b/cressrail/failover/world.py
@@ -367,8 +367,14 @@
                 good += fine
                 near += fine * (w == copy.zone)
                 region += fine * (self.map.near(copy.zone, w) <= 1)
-                seen.append([flow, flow * (not reached), flow * (reached and self.failing[w]),
-                             flow * (1 - on_time[w]) * (reached and not self.failing[w])])
+                seen.append(
+                    [
+                        flow,
+                        flow * (not reached),
+                        flow * (reached and self.failing[w]),
+                        flow * (1 - on_time[w]) * (reached and not self.failing[w]),
+                    ]
+                )
                 self._own_judgement(copy, w, seen[-1])
             copy.window.append(seen)
             copy.reducer.saw(self._evidence(copy, demand[copy.zone] / per_zone[copy.zone], len(running)))
@@ -428,8 +434,15 @@
             default=0.0,
         )
         self.rows.append(
-            {"at_s": self.now / SECOND, "came": came, "good": good, "near": near, "region": region,
-             "best": best, "over": over}
+            {
+                "at_s": self.now / SECOND,
+                "came": came,
+                "good": good,
+                "near": near,
+                "region": region,
+                "best": best,
+                "over": over,
+            }
         )
         # How long a decision was there that one who hears whoever took it does not go by.
         for copy in self.copies.values():
--- a/cressrail/handover/estate.py
+++ b/cressrail/handover/estate.py
@@ -25,11 +25,23 @@
 
 def listed(rows: Iterable[Row], revision: int) -> dict[str, Any]:
     """The list in discovery's own form, so that it is read and checked as hers is."""
-    return {"revision": revision, "complete": True, "members": [
-        {"id": row.name, "host_port": f"{f'[{row.host}]' if ':' in row.host else row.host}:{row.port}",
-         "locality": row.zone, "cell": row.cell, "phase": WORDS[row.on, False], "size": row.scale,
-         "up_since_ms": row.started_us // 1000}
-        for row in rows if not row.gone]}
+    return {
+        "revision": revision,
+        "complete": True,
+        "members": [
+            {
+                "id": row.name,
+                "host_port": f"{f'[{row.host}]' if ':' in row.host else row.host}:{row.port}",
+                "locality": row.zone,
+                "cell": row.cell,
+                "phase": WORDS[row.on, False],
+                "size": row.scale,
+                "up_since_ms": row.started_us // 1000,
+            }
+            for row in rows
+            if not row.gone
+        ],
+    }
 
 
 def gather(sidecar: Sidecar, names: dict[int, str]) -> dict[str, Any]:
@@ -43,20 +55,32 @@
         "whole": [getattr(sidecar, name) for name in (*WHOLE_NUMBERS, *WHOLE_TIMES)],
         "budget": [list(sidecar.budget.taken), list(sidecar.budget.retried)],
         "cold": [cold.born_us, cold.carried, cold.carried_us],
-        "shares": [shares.credit, shares.filled_us, shares.clock_us, shares.seen_us, shares.short_us,
-                   shares.sends],
-        "groups": [[group.admits, group.hops, group.hops_per_s] for group in sidecar.groups]}
+        "shares": [
+            shares.credit,
+            shares.filled_us,
+            shares.clock_us,
+            shares.seen_us,
+            shares.short_us,
+            shares.sends,
+        ],
+        "groups": [[group.admits, group.hops, group.hops_per_s] for group in sidecar.groups],
+    }
 
 
 def settle(estate: dict[str, Any], sidecar: Sidecar, names: dict[int, str], now: int) -> None:
     """Raises `Foreign`, and has changed nothing then."""
     try:
-        told = {str(name): (_time(started), [_number(v) for v in rest[:len(NUMBERS)]],
-                            _times(rest[len(NUMBERS):], len(TIMES)))
-                for name, started, *rest in estate["endpoints"]}
+        told = {
+            str(name): (
+                _time(started),
+                [_number(v) for v in rest[: len(NUMBERS)]],
+                _times(rest[len(NUMBERS) :], len(TIMES)),
+            )
+            for name, started, *rest in estate["endpoints"]
+        }
         whole = estate["whole"]
-        numbers = [_number(v) for v in whole[:len(WHOLE_NUMBERS)]]
-        times = _times(whole[len(WHOLE_NUMBERS):], len(WHOLE_TIMES))
+        numbers = [_number(v) for v in whole[: len(WHOLE_NUMBERS)]]
+        times = _times(whole[len(WHOLE_NUMBERS) :], len(WHOLE_TIMES))
         taken, retried = (sorted(_times(part)) for part in estate["budget"])
         born_us, carried, carried_us = estate["cold"]
         cold = _time(born_us), _number(carried), _time(carried_us)
--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -44,8 +44,8 @@
             raise Foreign(f"version {version}")
         if len(self.text) < HEAD.size + size:
             return None
-        body = bytes(self.text[HEAD.size:HEAD.size + size])
-        del self.text[:HEAD.size + size]
+        body = bytes(self.text[HEAD.size : HEAD.size + size])
+        del self.text[: HEAD.size + size]
         if crc32(body) != check:
             raise Foreign("check sum")
         told = orjson.loads(body)
--- a/cressrail/http1/answer.py
+++ b/cressrail/http1/answer.py
@@ -9,9 +9,17 @@
 from cressrail.http1 import body as bodies
 from cressrail.http1.head import Fields, Malformed, length, split_head, words
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           408: b"Request Timeout", 413: b"Content Too Large", 431: b"Request Header Fields Too Large",
-           502: b"Bad Gateway", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 
 
 @dataclass(slots=True)
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -74,13 +74,13 @@
         while used < len(data) and not self.done:
             if self.at == "data":
                 n = min(self.left, len(data) - used)
-                self._add(data[used:used + n])
+                self._add(data[used : used + n])
                 used += n
                 self.left -= n
                 if self.left == 0:
                     self.at = "after"
                 continue
-            head = bytes(data[used:used + LINE + 2])
+            head = bytes(data[used : used + LINE + 2])
             end = head.find(b"\r\n")
             if end < 0:
                 if len(head) > LINE:
--- a/cressrail/http1/head.py
+++ b/cressrail/http1/head.py
@@ -12,8 +12,17 @@
 # back once taken (*+): guards against a head of blanks and one bad byte that is tried in all its splits.
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
 END = b"\r\n\r\n"
-BY_HOP = {b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-          b"proxy-connection", b"content-length", b"expect"}
+BY_HOP = {
+    b"connection",
+    b"keep-alive",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"proxy-connection",
+    b"content-length",
+    b"expect",
+}
 
 
 class Fields(list[tuple[bytes, bytes]]):
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -57,8 +57,11 @@
         dropped = NOT_ONWARD
         if named := words(self.fields, b"connection"):
             dropped = dropped.union(named)
-        lines = [self.method + b" " + self.target + b" HTTP/1.1", b"host: " + host.encode(),
-                 b"req-deadline: %du" % remaining_us]
+        lines = [
+            self.method + b" " + self.target + b" HTTP/1.1",
+            b"host: " + host.encode(),
+            b"req-deadline: %du" % remaining_us,
+        ]
         lines += [name + b": " + value for name, value in self.fields if name not in dropped]
         if self.chunked:
             lines.append(b"transfer-encoding: chunked")
@@ -116,6 +119,9 @@
         if codings and (size is not None or codings != [b"chunked"]):
             raise Malformed(400, "framing that may be read in two ways")
         self.begun = Request(method, target, fields, self.chain, keep, size, first.endswith(b"1"))
-        self._body = (bodies.Chunked(self.chain, bodies.MOST) if codings
-                      else bodies.Counted(self.chain, bodies.MOST, size or 0))
+        self._body = (
+            bodies.Chunked(self.chain, bodies.MOST)
+            if codings
+            else bodies.Counted(self.chain, bodies.MOST, size or 0)
+        )
         self.wants_go_on = not self._body.done and b"100-continue" in words(fields, b"expect")
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -98,8 +98,10 @@
             return None
         worst = max((end - start for start, end in pauses), default=0)
         stood = f"; it stood still {len(pauses)} times, for up to {worst // 1000} ms" if pauses else ""
-        return (f"no latencies: the generator itself was late with {late} of {n} sends "
-                f"(over {LATE_US // 1000} ms, by up to {int(self.late_us.max()) // 1000} ms){stood}")
+        return (
+            f"no latencies: the generator itself was late with {late} of {n} sends "
+            f"(over {LATE_US // 1000} ms, by up to {int(self.late_us.max()) // 1000} ms){stood}"
+        )
 
     def told(self, pauses: list[tuple[int, int]]) -> dict[str, Any]:
         why = self.lateness(pauses)
@@ -108,19 +110,34 @@
         }
         answered = int((self.rows["status"] > 0).sum())
         told: dict[str, Any] = {
-            "offered": len(self.rows), "answered": answered, "unanswered": len(self.rows) - answered,
-            "statuses": statuses, "late_sends_us": quantiles(self.late_us, self.work),
-            "latency_us": None, "closed_loop_us": None, "tries": int(self.rows["tries"].sum()),
-            "pauses_us": [list(p) for p in pauses], "refused": why}
+            "offered": len(self.rows),
+            "answered": answered,
+            "unanswered": len(self.rows) - answered,
+            "statuses": statuses,
+            "late_sends_us": quantiles(self.late_us, self.work),
+            "latency_us": None,
+            "closed_loop_us": None,
+            "tries": int(self.rows["tries"].sum()),
+            "pauses_us": [list(p) for p in pauses],
+            "refused": why,
+        }
         if why is None and len(self.rows):
             told["latency_us"] = quantiles(self.latency_us, self.work)
             told["closed_loop_workers"] = self.workers()
             told["closed_loop_us"] = quantiles(
-                closed_loop(self.rows["due_us"], self.rows["sent_us"], self.rows["ended_us"],
-                            self.workers()), self.work)
-            told["by"] = [{"profile": p, "member": m, "outcome": o, "n": len(ix),
-                           "latency_us": quantiles(self.latency_us[ix], self.work)}
-                          for (p, m, o), ix in self.groups()]
+                closed_loop(self.rows["due_us"], self.rows["sent_us"], self.rows["ended_us"], self.workers()),
+                self.work,
+            )
+            told["by"] = [
+                {
+                    "profile": p,
+                    "member": m,
+                    "outcome": o,
+                    "n": len(ix),
+                    "latency_us": quantiles(self.latency_us[ix], self.work),
+                }
+                for (p, m, o), ix in self.groups()
+            ]
         told["seconds"] = self.seconds()
         return told
 
@@ -162,5 +179,7 @@
                 for names, ix in self.groups(slice(lo, hi)):
                     of = fill(self.work, self.latency_us[lo:hi][ix])
                     tag = ".".join(names).replace(" ", "_").replace(",", "_")
-                    file.write(f"Tag={tag},{second:.3f},1.000,{of.get_max_value() / 1e6:.6f},"
-                               f"{of.encode().decode()}\n")
+                    file.write(
+                        f"Tag={tag},{second:.3f},1.000,{of.get_max_value() / 1e6:.6f},"
+                        f"{of.encode().decode()}\n"
+                    )
--- a/cressrail/load/plan.py
+++ b/cressrail/load/plan.py
@@ -99,7 +99,7 @@
     parts = np.array([p.part for p in plan.profiles])
     among = np.array([m.part for m in plan.members])
     for start in range(0, len(times), BLOCK):
-        block = times[start:start + BLOCK]
+        block = times[start : start + BLOCK]
         n = len(block)
         which = chance.choice(len(parts), n, p=parts / parts.sum())
         whose = chance.choice(len(among), n, p=among / among.sum())
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -89,8 +89,13 @@
     if job.trace is not None:
         by_profile = {p.name: n for n, p in enumerate(profiles)}
         by_member = {name: n for n, name in enumerate(names)}
-        dues = _grown(read_trace(job.trace, by_profile, by_member, job.time_scale, job.rate_scale),
-                      by_profile, by_member, profiles, names)
+        dues = _grown(
+            read_trace(job.trace, by_profile, by_member, job.time_scale, job.rate_scale),
+            by_profile,
+            by_member,
+            profiles,
+            names,
+        )
     ledger = open(job.ledger, "wb") if job.ledger else None  # noqa: SIM115 - closed below
     try:
         sender = Sender(plan, dues, profiles, names, job.targets, spool, ledger)
@@ -114,13 +119,18 @@
     return sender
 
 
-def _grown(rows: Iterator[Due], by_profile: dict[str, int], by_member: dict[str, int],
-           profiles: list[ProfileMix], names: list[str]) -> Iterator[Due]:
+def _grown(
+    rows: Iterator[Due],
+    by_profile: dict[str, int],
+    by_member: dict[str, int],
+    profiles: list[ProfileMix],
+    names: list[str],
+) -> Iterator[Due]:
     """Names that only the trace knows join the tables as they come."""
     for due in rows:
-        for name in list(by_profile)[len(profiles):]:
+        for name in list(by_profile)[len(profiles) :]:
             profiles.append(profiles[0].model_copy(update={"name": name}))
-        for name in list(by_member)[len(names):]:
+        for name in list(by_member)[len(names) :]:
             names.append(name)
         yield due
 
@@ -159,9 +169,11 @@
 
 
 def summary(told: dict[str, Any]) -> str:
-    lines = [f"offered {told['offered']}, answered {told['answered']}, unanswered {told['unanswered']}, "
-             f"held back {told['held_back']}; by status "
-             + (", ".join(f"{s}: {n}" for s, n in told["statuses"].items()) or "none")]
+    lines = [
+        f"offered {told['offered']}, answered {told['answered']}, unanswered {told['unanswered']}, "
+        f"held back {told['held_back']}; by status "
+        + (", ".join(f"{s}: {n}" for s, n in told["statuses"].items()) or "none")
+    ]
     for name, key in (
         ("latency", "latency_us"),
         ("closed loop", "closed_loop_us"),
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -66,8 +66,16 @@
 class Sender:
     """Sends what `dues` yields to `targets` in turn."""
 
-    def __init__(self, plan: Plan, dues: Iterator[Due], profiles: list[ProfileMix], members: list[str],
-                 targets: list[tuple[str, int]], spool: Spool, ledger: IO[bytes] | None = None) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        dues: Iterator[Due],
+        profiles: list[ProfileMix],
+        members: list[str],
+        targets: list[tuple[str, int]],
+        spool: Spool,
+        ledger: IO[bytes] | None = None,
+    ) -> None:
         self.plan, self.dues, self.spool, self.ledger = plan, dues, spool, ledger
         self.profiles, self.members = profiles, members
         most = max(1, plan.connections // len(targets))
@@ -176,8 +184,11 @@
         held = caller.held_back
         # Who waits to the end waits a little longer than told, so that an answer in the last moment is seen.
         more_us = LAST_US if self.plan.clients.give_up == 1 else 0
-        caller.call(text, patience_us + more_us,
-                    lambda answer: self._heard(number, tx, answer, name, at, now, patience_us))
+        caller.call(
+            text,
+            patience_us + more_us,
+            lambda answer: self._heard(number, tx, answer, name, at, now, patience_us),
+        )
         tx.held = tx.held or caller.held_back > held
 
     def _heard(
@@ -264,11 +275,13 @@
 def request(name: str, profile: ProfileMix, member: str, patience_us: int, due: Due, again: bool) -> bytes:
     safe = profile.repeat == "safe" and not due.size
     key = f"Idempotency-Key: {due.key}\r\n" if profile.repeat == "keyed" else ""
-    head = (f"{'GET' if safe else 'POST'} /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {name}\r\n"
-            f"Req-Kind: {profile.name}\r\nReq-Owner: {member}\r\nReq-Deadline: {patience_us}u\r\n{key}"
-            f"{'Req-Retry: 1' + chr(13) + chr(10) if again else ''}"
-            f"{'' if safe else f'Content-Length: {due.size}' + chr(13) + chr(10)}\r\n")
-    return head.encode("latin-1") + FILLER[:due.size]
+    head = (
+        f"{'GET' if safe else 'POST'} /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {name}\r\n"
+        f"Req-Kind: {profile.name}\r\nReq-Owner: {member}\r\nReq-Deadline: {patience_us}u\r\n{key}"
+        f"{'Req-Retry: 1' + chr(13) + chr(10) if again else ''}"
+        f"{'' if safe else f'Content-Length: {due.size}' + chr(13) + chr(10)}\r\n"
+    )
+    return head.encode("latin-1") + FILLER[: due.size]
 
 
 def _come_back_us(answer: Answer) -> int:
--- a/cressrail/load/shapes.py
+++ b/cressrail/load/shapes.py
@@ -41,8 +41,9 @@
     return Shape(lambda t: np.where((t * trains) % 1.0 < part, times, idle), max(times, idle))
 
 
-def surge(times: float = 2.4, start: float = 0.3, rise: float = 0.1, hold: float = 0.35,
-          fall: float = 0.1) -> Shape:
+def surge(
+    times: float = 2.4, start: float = 0.3, rise: float = 0.1, hold: float = 0.35, fall: float = 0.1
+) -> Shape:
     """From once to `times` the rate within `rise` of the whole, held, and back within `fall`."""
     at = [0.0, start, start + rise, start + rise + hold, start + rise + hold + fall, 1.0]
     return Shape(lambda t: np.interp(t, at, [1, 1, times, times, 1, 1]), max(times, 1.0))
@@ -62,7 +63,13 @@
 
 
 SHAPES: dict[str, Callable[..., Shape]] = {
-    "steady": steady, "wave": wave, "ramp": ramp, "bursts": bursts, "surge": surge, "snowmelt": snowmelt}
+    "steady": steady,
+    "wave": wave,
+    "ramp": ramp,
+    "bursts": bursts,
+    "surge": surge,
+    "snowmelt": snowmelt,
+}
 
 
 def draw_times(
--- a/cressrail/load/spool.py
+++ b/cressrail/load/spool.py
@@ -48,7 +48,7 @@
             self._flush()
 
     def _flush(self) -> None:
-        self.file.write(self.rows[:self.used].tobytes())
+        self.file.write(self.rows[: self.used].tobytes())
         self.used = 0
 
     def close(self) -> None:
@@ -61,4 +61,4 @@
     """Blocks of rows."""
     with open(path, "rb") as file:
         while data := file.read(ROW.itemsize * 65536):
-            yield np.frombuffer(data[:len(data) // ROW.itemsize * ROW.itemsize], ROW)
+            yield np.frombuffer(data[: len(data) // ROW.itemsize * ROW.itemsize], ROW)
--- a/cressrail/load/trace.py
+++ b/cressrail/load/trace.py
@@ -39,8 +39,13 @@
             yield n, row
 
 
-def read(path: Path, profiles: dict[str, int], members: dict[str, int], time_scale: float = 1.0,
-         rate_scale: float = 1.0) -> Iterator[Due]:
+def read(
+    path: Path,
+    profiles: dict[str, int],
+    members: dict[str, int],
+    time_scale: float = 1.0,
+    rate_scale: float = 1.0,
+) -> Iterator[Due]:
     """Transactions with their times from the first row on. Times stretch by `time_scale`; of every row
     `rate_scale` copies are sent, a fraction kept by running sum so that the same rows stay. Names that are
     not in the tables get the next index, so tables grow as names come. Raises `BadRow`."""
@@ -65,8 +70,13 @@
         owed += rate_scale
         for copy in range(int(owed)):
             key = str(row.get("key") or f"t{n:x}")
-            yield Due(int((time_us - first) * time_scale), profiles.setdefault(profile, len(profiles)),
-                      members.setdefault(member, len(members)), size, key if not copy else f"{key}.{copy}")
+            yield Due(
+                int((time_us - first) * time_scale),
+                profiles.setdefault(profile, len(profiles)),
+                members.setdefault(member, len(members)),
+                size,
+                key if not copy else f"{key}.{copy}",
+            )
         owed -= int(owed)
 
 
--- a/cressrail/log/lines.py
+++ b/cressrail/log/lines.py
@@ -32,12 +32,25 @@
         try:
             line = orjson.dumps(said, default=str, option=orjson.OPT_APPEND_NEWLINE)
         except TypeError:  # guards against a word of a peer that ends a task by the line that tells of it
-            line = orjson.dumps({"at_us": said["at_us"], "sidecar": ascii(self.name), "event": event,
-                                 "raw": ascii(what)[:MOST_BYTES // 2]}, option=orjson.OPT_APPEND_NEWLINE)
+            line = orjson.dumps(
+                {
+                    "at_us": said["at_us"],
+                    "sidecar": ascii(self.name),
+                    "event": event,
+                    "raw": ascii(what)[: MOST_BYTES // 2],
+                },
+                option=orjson.OPT_APPEND_NEWLINE,
+            )
         if len(line) > MOST_BYTES:
-            line = orjson.dumps({"at_us": said["at_us"], "sidecar": self.name, "event": event,
-                                 "cut": line[:MOST_BYTES // 2].decode("utf-8", "replace")},
-                                option=orjson.OPT_APPEND_NEWLINE)
+            line = orjson.dumps(
+                {
+                    "at_us": said["at_us"],
+                    "sidecar": self.name,
+                    "event": event,
+                    "cut": line[: MOST_BYTES // 2].decode("utf-8", "replace"),
+                },
+                option=orjson.OPT_APPEND_NEWLINE,
+            )
         self.waiting.append(line)
 
     def flush(self) -> None:
--- a/cressrail/loop/scheduler.py
+++ b/cressrail/loop/scheduler.py
@@ -68,6 +68,7 @@
     def spawn(self, work: Callable[[], None], first: bool = False, vital: bool = False) -> Task:
         """`vital`: a fault starts it again, since the process is of no use without it; where that does not
         help, the loop ends. Guards against a process that is alive and deaf."""
+
         def body(_: int) -> None:
             faults: deque[int] = deque(maxlen=MOST_FAULTS)
             again = True
@@ -99,8 +100,9 @@
         """The earliest that what the current task reads may have come."""
         return self.current.arrived_us if self.current is not None else self.since_us
 
-    def wait(self, fd: int = -1, mask: int = 0, until_us: int = NEVER, mail: bool = True,
-             rest: bool = False) -> int:
+    def wait(
+        self, fd: int = -1, mask: int = 0, until_us: int = NEVER, mail: bool = True, rest: bool = False
+    ) -> int:
         """Until the descriptor is ready, the time has come or, if asked for, a message is there. `rest`:
         nothing is expected of the descriptor soon."""
         task = self.current
--- a/cressrail/membership/hearing.py
+++ b/cressrail/membership/hearing.py
@@ -31,8 +31,11 @@
         words = [(WEIGHT, 0, int(taken / span_us * 1e9))]
         names = roster.names()
         # By own outcomes: what was left out on others' word is not said on.
-        fails = [e.ix for e in sidecar.endpoints.values()
-                 if e.on and not e.succeeds(now) and e.heard_us != e.told_us]
+        fails = [
+            e.ix
+            for e in sidecar.endpoints.values()
+            if e.on and not e.succeeds(now) and e.heard_us != e.told_us
+        ]
         words += [(FAILING, self.number(names[ix]), 1) for ix in fails[:MOST_FAILING]]
         before, self.given = self.given, {}
         passed_us = now - self.looked_us if self.looked_us >= 0 else 0
--- a/cressrail/outfit/failover.py
+++ b/cressrail/outfit/failover.py
@@ -50,5 +50,9 @@
     way = Told.nested({"way_ms": part.get("way_ms", 0)}).whole("way_ms", 0)
     map_ = Map(tuple(zones), tuple(of[name] for name in zones), way * 1000)
     return Settings(
-        map_, zones.index(settings.word("zone")), settings.real("contract.cold_from", 0, 1),
-        settings.whole("contract.warm_within_us", 1), bear_us)
+        map_,
+        zones.index(settings.word("zone")),
+        settings.real("contract.cold_from", 0, 1),
+        settings.whole("contract.warm_within_us", 1),
+        bear_us,
+    )
--- a/cressrail/outfit/membership.py
+++ b/cressrail/outfit/membership.py
@@ -73,8 +73,7 @@
         if word not in USES:
             raise Unfit(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
     keys = _keys(os.path.join(folder, told.word("keys")))
-    return Part(listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies,
-                                 tuple(use)))
+    return Part(listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use)))
 
 
 def _list(part: dict[str, Any], path: str) -> list[str]:
--- a/cressrail/outfit/parts.py
+++ b/cressrail/outfit/parts.py
@@ -31,9 +31,12 @@
     found = {}
     count = told.whole("profiles.count", 1)
     by_work = told.one_of("revenue_basis", {"work": "1", "request": ""}) == "1"
-    earns = earnings([told.real(f"profiles.{n}.revenue", 0, 1e12) for n in range(count)],
-                     [told.whole(f"profiles.{n}.service_goal_us", 1) for n in range(count)],
-                     by_work, told.real("goal.worst_class", 0, 1, absent=0.0))
+    earns = earnings(
+        [told.real(f"profiles.{n}.revenue", 0, 1e12) for n in range(count)],
+        [told.whole(f"profiles.{n}.service_goal_us", 1) for n in range(count)],
+        by_work,
+        told.real("goal.worst_class", 0, 1, absent=0.0),
+    )
     for n in range(count):
         at = f"profiles.{n}."
         kind = told.one_of(at + "repeat", KINDS)
@@ -42,15 +45,22 @@
             group = told.one_of(at + "key_scope", GROUPS)
             window_us = told.whole(at + "window_us", 1)
         found[told.word(at + "name")] = Profile(
-            kind, group, window_us,
-            told.whole(at + "service_goal_us", 1), told.whole(at + "hard_limit_us", 1), earns[n],
-            told.real(at + "overdue_revenue", 0, 1, absent=1.0))
+            kind,
+            group,
+            window_us,
+            told.whole(at + "service_goal_us", 1),
+            told.whole(at + "hard_limit_us", 1),
+            earns[n],
+            told.real(at + "overdue_revenue", 0, 1, absent=1.0),
+        )
     return found
 
 
 def members(told: Told) -> dict[str, float]:
-    return {told.word(f"tenants.{n}.name"): told.real(f"tenants.{n}.allowance_per_s", 0, 1e12)
-            for n in range(told.whole("tenants.count", 0, absent=0))}
+    return {
+        told.word(f"tenants.{n}.name"): told.real(f"tenants.{n}.allowance_per_s", 0, 1e12)
+        for n in range(told.whole("tenants.count", 0, absent=0))
+    }
 
 
 def waits(told: Told) -> tuple[int, int]:
@@ -66,8 +76,9 @@
     return profiles(told), allowances
 
 
-def sidecar(told: Told, seed: int, now: int, zones: list[str], allowances: list[float],
-            links: int = NEVER_US) -> Sidecar:
+def sidecar(
+    told: Told, seed: int, now: int, zones: list[str], allowances: list[float], links: int = NEVER_US
+) -> Sidecar:
     if told.word("zone") not in zones:
         raise Unfit(f"zone is not one of dcs: {told.word('zone')[:40]}")
     tiers, stage = told.names("tiers"), told.whole("stage", 0)
@@ -78,16 +89,29 @@
     copies = told.whole("n_instances", 1)
     shares = Shares(allowances, copies, told.real("surplus_revenue", 0, 1) if allowances else 1.0)
     return Sidecar(
-        chance=chance, zone=zones.index(told.word("zone")), zones=len(zones),
-        tiers_to_go=(len(tiers) - stage) / len(tiers), last_tier=stage == len(tiers) - 1, at_door=stage == 0,
+        chance=chance,
+        zone=zones.index(told.word("zone")),
+        zones=len(zones),
+        tiers_to_go=(len(tiers) - stage) / len(tiers),
+        last_tier=stage == len(tiers) - 1,
+        at_door=stage == 0,
         round_us=told.whole("round_us", 1),
         come_back_us=told.whole("limits.max_retry_after_us", 0) if told.yes("limits.retry_after") else 0,
         may_cancel=told.yes("limits.may_cancel"),
         asking=Asking(subscribes, told.whole("contract.ask_every_us", 1) if subscribes else 0, chance),
         repeat_rule=RepeatRule(told.whole("limits.most_hops", 1), told.yes("limits.parallel_tries")),
-        cold_rule=ColdRule(told.real("contract.cold_from", 0, 1), told.whole("contract.warm_within_us", 1),
-                           now, shares.total, told.real("contract.fall_multiple", 0.1, 1e6, absent=1.0),
-                           told.whole("contract.fall_us", 1, absent=SECOND_US)),
+        cold_rule=ColdRule(
+            told.real("contract.cold_from", 0, 1),
+            told.whole("contract.warm_within_us", 1),
+            now,
+            shares.total,
+            told.real("contract.fall_multiple", 0.1, 1e6, absent=1.0),
+            told.whole("contract.fall_us", 1, absent=SECOND_US),
+        ),
         shares=shares,
-        copies=copies, number=told.whole("slot_no", 0, absent=0), now=now,
-        beside=beside(told), links=links)
+        copies=copies,
+        number=told.whole("slot_no", 0, absent=0),
+        now=now,
+        beside=beside(told),
+        links=links,
+    )
--- a/cressrail/outfit/shape.py
+++ b/cressrail/outfit/shape.py
@@ -29,8 +29,9 @@
     CHAIN: Shape(CHAIN, {"limits.multiplex": (1, 1)}),
     MESH: Shape(MESH, {"limits.multiplex": (2, MOST_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)),
 }
-PERMITS = tuple(f"limits.{name}" for name in (
-    "probes", "peers", "may_cancel", "parallel_tries", "retry_after"))
+PERMITS = tuple(
+    f"limits.{name}" for name in ("probes", "peers", "may_cancel", "parallel_tries", "retry_after")
+)
 
 
 def beside(told: Told) -> bool:
--- a/cressrail/outfit/start.py
+++ b/cressrail/outfit/start.py
@@ -51,8 +51,12 @@
         from cressrail.outfit.membership import read_part  # nothing of it is loaded where it is off
 
         start.membership = read_part(
-            config["membership"], path, start.name, start.told.word("zone"),
-            start.told.whole("n_instances", 1))
+            config["membership"],
+            path,
+            start.name,
+            start.told.word("zone"),
+            start.told.whole("n_instances", 1),
+        )
     if config.get("failover") is not None:
         if start.membership is None:
             raise Unfit(f"{path}: failover needs the part membership, by which sidecars talk")
@@ -62,7 +66,8 @@
         start.membership = replace(
             start.membership,
             settings=replace(start.membership.settings, words=True),
-            failover=failover.read_part(config["failover"], path, start.told, bear_us))
+            failover=failover.read_part(config["failover"], path, start.told, bear_us),
+        )
     return start
 
 
@@ -108,12 +113,19 @@
     if ops is not None and _address("ops", ops) == listen:
         raise Unfit(f"ops is the same as listen: {ops[:60]}")
     return Start(
-        name=env.get("BALANCER_NAME") or told.word("name"), listen=listen,
+        name=env.get("BALANCER_NAME") or told.word("name"),
+        listen=listen,
         ops=None if ops is None else _address("ops", ops),
         discovery=_address("discovery", env.get("BALANCER_DISCOVERY") or told.word("discovery")),
-        seed=number, memory_mb=told.real("limits.memory_mb", 32, 1e9),
-        sockets=told.whole("limits.sockets", 32), known=known, told=unfolded, around=told,
-        filed=told.pairs.get("discovery", ""), shape=formed.name)
+        seed=number,
+        memory_mb=told.real("limits.memory_mb", 32, 1e9),
+        sockets=told.whole("limits.sockets", 32),
+        known=known,
+        told=unfolded,
+        around=told,
+        filed=told.pairs.get("discovery", ""),
+        shape=formed.name,
+    )
 
 
 def _address(path: str, text: str) -> tuple[str, int]:
--- a/cressrail/peers/server.py
+++ b/cressrail/peers/server.py
@@ -33,8 +33,12 @@
 class Served(asyncio.Protocol):
     """One connection that was taken in. `on_asked` is told of each whole request, `on_left` of its end."""
 
-    def __init__(self, on_asked: Callable[[Asked], None], on_left: Callable[[Served], None],
-                 on_came: Callable[[Served], None] | None = None) -> None:
+    def __init__(
+        self,
+        on_asked: Callable[[Asked], None],
+        on_left: Callable[[Served], None],
+        on_came: Callable[[Served], None] | None = None,
+    ) -> None:
         self.on_asked, self.on_left, self.on_came = on_asked, on_left, on_came
         self.parser: Any = httptools.HttpRequestParser(self)
         self.transport: Any = None
@@ -87,8 +91,9 @@
     def answer(self, status: int, body: bytes = b"", more: bytes = b"") -> None:
         """`more`: further header lines, each ended by CRLF."""
         if self.open:
-            self.transport.write(b"HTTP/1.1 %d X\r\ncontent-length: %d\r\n%b\r\n%b"
-                                 % (status, len(body), more, body))
+            self.transport.write(
+                b"HTTP/1.1 %d X\r\ncontent-length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
+            )
 
     def raw(self, data: bytes) -> None:
         if self.open:
--- a/cressrail/sockets/client.py
+++ b/cressrail/sockets/client.py
@@ -155,8 +155,11 @@
                     return self._begin(reader, reader.begun)
                 if reader.whole is not None:
                     self.body, self.fresh = None, False  # the body is the reducer's from here on
-                    self.net.tell(self.net.reducer.request_came(
-                        self.net.now(), self.number, reader.whole, stream.arrived_us))
+                    self.net.tell(
+                        self.net.reducer.request_came(
+                            self.net.now(), self.number, reader.whole, stream.arrived_us
+                        )
+                    )
                     return True
                 moved_us = self.net.now()
                 self.net.tell(self.net.reducer.request_goes_on(moved_us, self.number))
@@ -221,8 +224,10 @@
         head = memoryview(answer.head(not message.last, message.modern))
         try:
             kept = body.views() if body else []
-            self.stream.send([head, *(chunk(kept, body.size) if chunked and body else kept)],
-                             self.net.now() + self.net.patience_us)
+            self.stream.send(
+                [head, *(chunk(kept, body.size) if chunked and body else kept)],
+                self.net.now() + self.net.patience_us,
+            )
             if isinstance(body, Kept) and body.rest is not None:
                 body.give_kept_back()
                 self._pass_on(body.rest, chunked, answer.length is None and not message.modern)
@@ -238,8 +243,9 @@
         while True:
             if parts := rest.peek():
                 size = sum(map(len, parts))
-                self.stream.send(chunk(parts, size) if chunked else list(parts),
-                                 self.net.now() + self.net.patience_us)
+                self.stream.send(
+                    chunk(parts, size) if chunked else list(parts), self.net.now() + self.net.patience_us
+                )
                 del parts
                 rest.used(size)
             elif rest.failed:
--- a/cressrail/sockets/elder.py
+++ b/cressrail/sockets/elder.py
@@ -133,7 +133,10 @@
                 return self.elder.sock.recv(PIECE)
             except BlockingIOError:
                 sock = self.elder.sock.fileno()
-                why = (self.net.loop.wait(sock, READ, mail=False) if until_us is None else
-                       self.net.loop.wait(sock, READ, until_us, mail=False))
+                why = (
+                    self.net.loop.wait(sock, READ, mail=False)
+                    if until_us is None
+                    else self.net.loop.wait(sock, READ, until_us, mail=False)
+                )
                 if why == 0:
                     return b""
--- a/cressrail/sockets/heir.py
+++ b/cressrail/sockets/heir.py
@@ -108,8 +108,9 @@
         reducer.room.links = max(len(reducer.links), reducer.room.links // KEPT_PART)
         return [len(reducer.clients) + FIXED, reducer.room.links, pool.most]
 
-    def _next(self, sock: socket.socket, frames: Frames,
-              until_us: int | None) -> tuple[str, dict[str, object]] | None:
+    def _next(
+        self, sock: socket.socket, frames: Frames, until_us: int | None
+    ) -> tuple[str, dict[str, object]] | None:
         while (got := frames.next()) is None:
             try:
                 data = sock.recv(PIECE)
@@ -129,7 +130,7 @@
         until_us = self.net.now() + SPAN_US
         while left:
             try:
-                left = left[sock.send(left):]
+                left = left[sock.send(left) :]
             except BlockingIOError:
                 if self.net.loop.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
                     raise Foreign("does not read") from None
--- a/cressrail/sockets/link.py
+++ b/cressrail/sockets/link.py
@@ -86,9 +86,18 @@
                 body.give_back()
             if not end.keep:
                 self._close()
-            self.net.tell(self.net.reducer.hop_ended(
-                self.net.now(), job.hop, end.how, end.keep,
-                body if whole and not self.passed else None, kind, end.why, end.refused))
+            self.net.tell(
+                self.net.reducer.hop_ended(
+                    self.net.now(),
+                    job.hop,
+                    end.how,
+                    end.keep,
+                    body if whole and not self.passed else None,
+                    kind,
+                    end.why,
+                    end.refused,
+                )
+            )
         return end.keep
 
     def _attempt(self, job: Carry, reader: AnswerReader, body: Kept) -> End:
@@ -98,8 +107,11 @@
             if isinstance(fault, OSError) and fault.errno in SHORT:
                 self.net.tell(self.net.reducer.short(self.net.now()))
                 return End(Outcome.NEVER_SENT, str(fault))
-            return End(Outcome.UNREACHED, str(fault) or "no connection in time",
-                       refused=isinstance(fault, ConnectionRefusedError))
+            return End(
+                Outcome.UNREACHED,
+                str(fault) or "no connection in time",
+                refused=isinstance(fault, ConnectionRefusedError),
+            )
         except Called:
             return End(Outcome.CALLED_OFF)
         stream = self.stream
@@ -197,8 +209,11 @@
         return True
 
     def _prepare(self, job: Carry) -> None:
-        if self.stream is not None and self.net.now() < job.from_us and self.net.loop.wait(
-                self.stream.fd, READ, job.from_us) == MAIL:
+        if (
+            self.stream is not None
+            and self.net.now() < job.from_us
+            and self.net.loop.wait(self.stream.fd, READ, job.from_us) == MAIL
+        ):
             raise Called
         self._check()
         if self.stream is None:
@@ -223,8 +238,9 @@
                     reader.ended()
                 elif n < 0:
                     # One that is passed on has no limit but silence: its client waits for its end.
-                    stream.await_(READ, self.net.now() + self.net.patience_us if self.passed else until_us,
-                                  mail=True)
+                    stream.await_(
+                        READ, self.net.now() + self.net.patience_us if self.passed else until_us, mail=True
+                    )
                 else:
                     stream.inlet.use(reader.feed(stream.inlet.unread()))
                     if reader.begun and not self.passed and not self._pass_on(job, reader, body):
@@ -249,8 +265,9 @@
         if reader.status != 200:
             return False
         body.open()
-        effects = self.net.reducer.hop_streams(self.net.now(), job.hop, Answer(
-            200, body, reader.get(b"content-type"), length=reader.length))
+        effects = self.net.reducer.hop_streams(
+            self.net.now(), job.hop, Answer(200, body, reader.get(b"content-type"), length=reader.length)
+        )
         self.passed = any(isinstance(effect, Write) for effect in effects)
         self.net.tell(effects)
         return self.passed
@@ -275,7 +292,7 @@
         declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
         # Guards against endpoints left out, and retries spent, for what bad clients send.
         rejected = 400 <= reader.status < 500 and reader.status not in (408, 429)
-        how = (Outcome.TURNED_AWAY if declined else Outcome.REJECTED if rejected else Outcome.ERROR)
+        how = Outcome.TURNED_AWAY if declined else Outcome.REJECTED if rejected else Outcome.ERROR
         return End(how, f"status {reader.status}", keep)
 
     def _close(self) -> None:
--- a/cressrail/sockets/net.py
+++ b/cressrail/sockets/net.py
@@ -28,8 +28,17 @@
 
 
 class Net:
-    def __init__(self, loop: Scheduler, pool: Pool, reducer: Reducer, log: Lines, *, connect_us: int,
-                 idle_us: int, patience_us: int) -> None:
+    def __init__(
+        self,
+        loop: Scheduler,
+        pool: Pool,
+        reducer: Reducer,
+        log: Lines,
+        *,
+        connect_us: int,
+        idle_us: int,
+        patience_us: int,
+    ) -> None:
         self.loop = loop
         self.now = loop.now
         self.pool = pool
--- a/cressrail/sockets/ops.py
+++ b/cressrail/sockets/ops.py
@@ -105,8 +105,11 @@
             except Malformed as fault:
                 return Told(400, f"{fault}\n".encode())
             if target == PAGE and self.net.gossip is not None:
-                return (Told(200, self.net.gossip.page(), JSON) if method == b"GET"
-                        else Told(405, b"not by this method\n", allow=b"GET"))
+                return (
+                    Told(200, self.net.gossip.page(), JSON)
+                    if method == b"GET"
+                    else Told(405, b"not by this method\n", allow=b"GET")
+                )
             if target.startswith(ZONES) and self.net.gossip is not None:
                 return _of_zones(*self.net.gossip.asked(method, target))
             told, effects = self.net.reducer.control(self.net.now(), method, target.partition(b"?")[0])
@@ -122,16 +125,20 @@
                     return b""
 
     def _say(self, told: Told) -> None:
-        lines = [b"HTTP/1.1 %d %s" % (told.status, REASONS.get(told.status, b"-")),
-                 b"content-type: " + told.kind, b"content-length: %d" % len(told.body),
-                 b"cache-control: no-store", b"connection: close"]
+        lines = [
+            b"HTTP/1.1 %d %s" % (told.status, REASONS.get(told.status, b"-")),
+            b"content-type: " + told.kind,
+            b"content-length: %d" % len(told.body),
+            b"cache-control: no-store",
+            b"connection: close",
+        ]
         if told.allow:
             lines.append(b"allow: " + told.allow)
         left = memoryview(b"\r\n".join(lines) + b"\r\n\r\n" + told.body)
         until_us = self.net.now() + UNFINISHED_US
         while left:
             try:
-                left = left[self.sock.send(left):]
+                left = left[self.sock.send(left) :]
             except BlockingIOError:
                 if self.net.loop.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, 0):
                     return
--- a/cressrail/sockets/reread.py
+++ b/cressrail/sockets/reread.py
@@ -26,8 +26,14 @@
             net.log.note("config_kept", {"why": str(fault)})
             return
         waiting = differing(self.start, start)
-        net.log.note("config", {"discovery": ":".join(map(str, start.discovery)),
-                                "needs_restart": waiting[:NAMED], "more": len(waiting[NAMED:])})
+        net.log.note(
+            "config",
+            {
+                "discovery": ":".join(map(str, start.discovery)),
+                "needs_restart": waiting[:NAMED],
+                "more": len(waiting[NAMED:]),
+            },
+        )
         # What takes a new start stays named at each reading until there was one.
         self.start.discovery, self.start.filed = start.discovery, start.filed
         if net.gossip is not None and start.membership is not None:
--- a/cressrail/sockets/serve.py
+++ b/cressrail/sockets/serve.py
@@ -52,12 +52,21 @@
     now = clock.now()
     aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.ops else 0) + (start.membership is not None)
     rooms = room(start.sockets, aside)
-    sidecar = parts.sidecar(start.told, start.seed, now, list(roster.zones), list(members.values()),
-                            rooms.links)
-    reducer = Reducer(sidecar, profiles, {member: n for n, member in enumerate(members)}, roster,
-                      rooms, Chance(start.seed ^ 1), now,
-                      longest_us := max(p.hard_limit_us for p in profiles.values()), start.discovery,
-                      start.told.whole("contract.stop_sending_within_us", 0, absent=0))
+    sidecar = parts.sidecar(
+        start.told, start.seed, now, list(roster.zones), list(members.values()), rooms.links
+    )
+    reducer = Reducer(
+        sidecar,
+        profiles,
+        {member: n for n, member in enumerate(members)},
+        roster,
+        rooms,
+        Chance(start.seed ^ 1),
+        now,
+        longest_us := max(p.hard_limit_us for p in profiles.values()),
+        start.discovery,
+        start.told.whole("contract.stop_sending_within_us", 0, absent=0),
+    )
     pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
     connect_us, idle_us = parts.waits(start.told)
     net = Net(loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us)
@@ -65,8 +74,10 @@
     path = meeting(start.listen, os.environ.get("TMPDIR")) if start.ops else None
     elder = seek(path, start.listen) if path else None
     door = listener.ListenerTask(
-        net, elder.listening if elder else listener.bind(*start.listen, shared=start.ops is not None),
-        None if elder else now)
+        net,
+        elder.listening if elder else listener.bind(*start.listen, shared=start.ops is not None),
+        None if elder else now,
+    )
     if start.ops:
         loop.spawn(ops.OpsTask(net, listener.bind(*start.ops)).run, first=True)
     if start.membership is not None:
@@ -77,12 +88,19 @@
     net.watch = loop.spawn(WatchTask(net).run, first=True, vital=True)
     net.listener = loop.spawn(door.run, vital=True)
     net.waker = loop.spawn(lambda: wake_task(net), vital=True)
-    log.note("start", {"listen": ":".join(map(str, start.listen)),
-                       "ops": ":".join(map(str, start.ops)) if start.ops else None,
-                       "discovery": ":".join(map(str, start.discovery)),
-                       "shape": start.shape, "stage": start.told.whole("stage", 0),
-                       "known": len(start.known.rows), "clients": reducer.room.clients,
-                       "links": reducer.room.links})
+    log.note(
+        "start",
+        {
+            "listen": ":".join(map(str, start.listen)),
+            "ops": ":".join(map(str, start.ops)) if start.ops else None,
+            "discovery": ":".join(map(str, start.discovery)),
+            "shape": start.shape,
+            "stage": start.told.whole("stage", 0),
+            "known": len(start.known.rows),
+            "clients": reducer.room.clients,
+            "links": reducer.room.links,
+        },
+    )
     if path:
         successor = HeirTask(net, path, door.sock, start.listen)
         net.relay = loop.spawn(lambda: _relay(net, elder, successor), first=True)
--- a/cressrail/sockets/watch.py
+++ b/cressrail/sockets/watch.py
@@ -85,8 +85,14 @@
                 # Guards against news told late: one time for the way there and the first word.
                 patience_us = min(SILENT_US, ANSWER_US << min(message.fails, 2))
                 until_us = self.net.now() + patience_us
-                stream = Stream.connect(self.net.loop, self.net.pool, message.source[0], message.source[1],
-                                        min(until_us, self.net.now() + self.net.connect_us), mail=True)
+                stream = Stream.connect(
+                    self.net.loop,
+                    self.net.pool,
+                    message.source[0],
+                    message.source[1],
+                    min(until_us, self.net.now() + self.net.connect_us),
+                    mail=True,
+                )
                 after = message.after
                 if after < 0:
                     after = self._whole(task, stream, message.source, until_us)
@@ -105,8 +111,10 @@
             self.net.tell(self.net.reducer.watch_ended(self.net.now(), why))
 
     def _ask(self, stream: Stream, source: tuple[str, int], query: str, until_us: int) -> None:
-        asked = (f"GET /catalog/members{query} HTTP/1.1\r\n"
-                 f"host: {source[0]}:{source[1]}\r\naccept: application/json\r\n\r\n")
+        asked = (
+            f"GET /catalog/members{query} HTTP/1.1\r\n"
+            f"host: {source[0]}:{source[1]}\r\naccept: application/json\r\n\r\n"
+        )
         stream.send([memoryview(asked.encode())], until_us)
 
     def _whole(self, task: Task, stream: Stream, source: tuple[str, int], until_us: int) -> int:
--- a/cressrail/sockets/zones.py
+++ b/cressrail/sockets/zones.py
@@ -93,4 +93,3 @@
         view = self.host.view(now, self.towards)
         names = {f"{ident:016x}": name for ident, name in {copy.id: copy.name, **copy.names()}.items()}
         return {**view, "decided_by": names.get(view["decided_by"], view["decided_by"])}
-
--- a/cressrail/standin/discovery.py
+++ b/cressrail/standin/discovery.py
@@ -28,8 +28,16 @@
 
     def entry(self, zone: str) -> dict[str, Any]:
         host, port = self.hosts[zone]
-        return {"id": self.name, "host_port": f"{host}:{port}", "locality": self.zone, "flavor": "standin",
-                "cell": self.cell, "phase": self.phase, "size": 1.0, "up_since_ms": self.up_since_ms}
+        return {
+            "id": self.name,
+            "host_port": f"{host}:{port}",
+            "locality": self.zone,
+            "flavor": "standin",
+            "cell": self.cell,
+            "phase": self.phase,
+            "size": 1.0,
+            "up_since_ms": self.up_since_ms,
+        }
 
 
 class Agent:
@@ -132,8 +140,11 @@
     def _line(self, after: int) -> bytes:
         """What changed after that revision; the whole list, without those that have gone, for -1 and 0."""
         full = after <= 0
-        entries = [m for name, m in self.members.items()
-                   if (m["phase"] != "removed" if full else self.changed[name] > after)]
+        entries = [
+            m
+            for name, m in self.members.items()
+            if (m["phase"] != "removed" if full else self.changed[name] > after)
+        ]
         now = now_us()
         named = {m["id"] for m in entries}
         gone = [m for name, m in self.members.items() if full and name not in named]
--- a/cressrail/standin/endpoint.py
+++ b/cressrail/standin/endpoint.py
@@ -113,7 +113,11 @@
                 continue
             server = await loop.create_server(
                 lambda zone=zone: Served(self._asked, self._left, lambda s: self._came(s, zone)),  # type: ignore[misc]
-                host, port, backlog=BACKLOG, reuse_address=True)
+                host,
+                port,
+                backlog=BACKLOG,
+                reuse_address=True,
+            )
             self.servers[zone] = server
             self.hosts[zone] = (host, server.sockets[0].getsockname()[1])
         self.up = True
@@ -204,9 +208,20 @@
         span = asked.text(b"req-deadline").rstrip("u")
         limit_us = now + (int(span) if span.isdigit() else int(profile.limit_ms * 1000))
         key = asked.text(b"idempotency-key")
-        row = {"endpoint": self.name, "tier": self.tier_no, "zone": self.zone, "cell": self.cell, "id": name,
-               "profile": profile.name, "key": key, "came_us": now, "limit_us": limit_us, "ran": False,
-               "cold": self.machine.capacity(now), "work_us": 0}
+        row = {
+            "endpoint": self.name,
+            "tier": self.tier_no,
+            "zone": self.zone,
+            "cell": self.cell,
+            "id": name,
+            "profile": profile.name,
+            "key": key,
+            "came_us": now,
+            "limit_us": limit_us,
+            "ran": False,
+            "cold": self.machine.capacity(now),
+            "work_us": 0,
+        }
         work = Work(asked, name, profile, now, limit_us, row)
         work.job = Job(work, 0.0)
         if self.draining or self._strikes("refuse"):
--- a/cressrail/standin/fleet.py
+++ b/cressrail/standin/fleet.py
@@ -65,9 +65,18 @@
                 at = n % len(zones)
                 name = f"{tier.name}{n}"
                 endpoint = Endpoint(
-                    name, tier_no, tier, self.world.fleet.contract, zones[at],
-                    1 + at * CELLS + n // len(zones) % CELLS, self.profiles, self._journal, self.ledger,
-                    crc32(f"{self.world.seed}.{name}".encode()), {zone: ("127.0.0.1", 0) for zone in zones})
+                    name,
+                    tier_no,
+                    tier,
+                    self.world.fleet.contract,
+                    zones[at],
+                    1 + at * CELLS + n // len(zones) % CELLS,
+                    self.profiles,
+                    self._journal,
+                    self.ledger,
+                    crc32(f"{self.world.seed}.{name}".encode()),
+                    {zone: ("127.0.0.1", 0) for zone in zones},
+                )
                 self.tiers[-1].append(endpoint)
                 await endpoint.listen()
                 self.listed[name] = Listed(name, endpoint.hosts, endpoint.zone, endpoint.cell)
@@ -83,7 +92,7 @@
         for sidecar in sidecars if talk is not None else []:
             assert talk is not None
             pool = [other for other in sidecars if other.tier_no == sidecar.tier_no]
-            sidecar.seeds = [other.advertise for other in pool[:talk.seeds]]
+            sidecar.seeds = [other.advertise for other in pool[: talk.seeds]]
             sidecar.seeds += [(loopback(LAST - n), RELAY_PORT) for n in range(talk.dead_seeds)]
             self.relay.post(sidecar.name, sidecar.gossip, sidecar.advertise)
         if talk is not None and talk.late_seed_ms:
@@ -101,8 +110,13 @@
             self._join(endpoint, sidecar)
 
     async def _sidecar(self, name: str, tier_no: int, number: int, zone: str) -> Sidecar:
-        agent = Agent(name, zone, tier_no, [self.listed[e.name] for e in self.tiers[tier_no]]
-                      if tier_no < len(self.tiers) else [], self.ledger)
+        agent = Agent(
+            name,
+            zone,
+            tier_no,
+            [self.listed[e.name] for e in self.tiers[tier_no]] if tier_no < len(self.tiers) else [],
+            self.ledger,
+        )
         self.agents[name] = agent
         discovery = await agent.listen("127.0.0.1")
         if self.world.fleet.membership is not None:
@@ -119,8 +133,13 @@
         copies = len(self.doors) if sidecar.tier_no == 0 else len(self.tiers[sidecar.tier_no - 1])
         seed = crc32(f"{self.world.seed}.{sidecar.name}".encode()) + 1
         self.sidecars.start(sidecar, copies, seed + anew, older)
-        self.ledger.note(sidecar=sidecar.name, target=sidecar.target, tier=sidecar.tier_no, zone=sidecar.zone,
-                         at_us=now_us())
+        self.ledger.note(
+            sidecar=sidecar.name,
+            target=sidecar.target,
+            tier=sidecar.tier_no,
+            zone=sidecar.zone,
+            at_us=now_us(),
+        )
 
     def _join(self, endpoint: Endpoint, sidecar: Sidecar) -> None:
         endpoint.below = Caller(*sidecar.listen, most=CONNECTIONS)
@@ -163,8 +182,13 @@
             (self._end if over else self._begin)(fault)
 
     async def _harm(self, number: int, fault: Fault, over: bool) -> None:
-        self.ledger.note(harm=fault.kind, number=number, over=over, at_us=now_us(),
-                         words=fault.model_dump(by_alias=True, exclude_defaults=True))
+        self.ledger.note(
+            harm=fault.kind,
+            number=number,
+            over=over,
+            at_us=now_us(),
+            words=fault.model_dump(by_alias=True, exclude_defaults=True),
+        )
         if over:
             await self.harm.end(number, fault)
         else:
@@ -175,8 +199,11 @@
         tier = self.tiers[fault.tier]
         if fault.kind == "cut":
             return [e for endpoints in self.tiers for e in endpoints]
-        return [e for n, e in enumerate(tier) if (not fault.endpoints or n in fault.endpoints)
-                and (not fault.zone or e.zone == fault.zone)]
+        return [
+            e
+            for n, e in enumerate(tier)
+            if (not fault.endpoints or n in fault.endpoints) and (not fault.zone or e.zone == fault.zone)
+        ]
 
     def _begin(self, fault: Fault) -> None:
         if fault.kind in OF_LIST:
@@ -250,6 +277,7 @@
             await asyncio.sleep(seconds)
             if not e.up:
                 self._phase(e, phase)
+
         self.spawn(tell())
 
     def _cut(self, zones: set[str]) -> None:
@@ -290,8 +318,11 @@
             self._spent()
 
     def _spent(self) -> None:
-        self.ledger.note(spent_s={s.name: self.sidecars.spent_s(s) for s in self.sidecars.all},
-                         wires=dict(self.wires.counts), at_us=now_us())
+        self.ledger.note(
+            spent_s={s.name: self.sidecars.spent_s(s) for s in self.sidecars.all},
+            wires=dict(self.wires.counts),
+            at_us=now_us(),
+        )
 
     async def close(self) -> None:
         for task in list(self.tasks):
--- a/cressrail/standin/flood.py
+++ b/cressrail/standin/flood.py
@@ -24,8 +24,15 @@
     sound = codec.wrap(codec.NEWS, 1, own)
     replayed, forged = seal(key, sound), seal(os.urandom(32), sound)
     chance = random.Random(seed)
-    return [replayed, forged, replayed[: len(replayed) // 2], replayed[:-1], chance.randbytes(1400),
-            chance.randbytes(20), chance.randbytes(2000)]
+    return [
+        replayed,
+        forged,
+        replayed[: len(replayed) // 2],
+        replayed[:-1],
+        chance.randbytes(1400),
+        chance.randbytes(20),
+        chance.randbytes(2000),
+    ]
 
 
 def flood(at: tuple[str, int], rate: float, told: list[bytes]) -> None:
--- a/cressrail/standin/harm.py
+++ b/cressrail/standin/harm.py
@@ -63,8 +63,12 @@
             )
             self.wires.rules = list(self.rules.values())
             if fault.share >= 1.0:
-                self.ledger.note(cut=number, on=True, at_us=now_us(), ways=[
-                    sorted(self.rules[number].from_), sorted(self.rules[number].to)])
+                self.ledger.note(
+                    cut=number,
+                    on=True,
+                    at_us=now_us(),
+                    ways=[sorted(self.rules[number].from_), sorted(self.rules[number].to)],
+                )
             return sorted(self.rules[number].from_ | self.rules[number].to)
         chosen = self.among(fault.who)
         if fault.share < 1.0:
--- a/cressrail/standin/judge.py
+++ b/cressrail/standin/judge.py
@@ -80,8 +80,10 @@
         broken += _no_effect_twice(
             world, profiles[call["profile"]], call, by_tx.get(call["id"], []), seen.faults
         )
-    broken += [Break(1, "", f"{row['surplus']} bytes after a final answer on a connection of {row['target']}")
-               for row in seen.surplus]
+    broken += [
+        Break(1, "", f"{row['surplus']} bytes after a final answer on a connection of {row['target']}")
+        for row in seen.surplus
+    ]
     return broken + _drains_kept(world, seen) + _cold_kept(world, seen) + _budget_kept(seen, by_tx)
 
 
@@ -145,8 +147,14 @@
         for later in (h for h in hops if h["came_us"] > first["came_us"] and h is not first):
             apart = later["came_us"] - first["came_us"]
             if profile.repeat == "unsafe":
-                broken.append(Break(2, call["id"], f"non-idempotent, ran on {where} and was sent to "
-                                                   f"{later['endpoint']} {_ms(apart)} later"))
+                broken.append(
+                    Break(
+                        2,
+                        call["id"],
+                        f"non-idempotent, ran on {where} and was sent to "
+                        f"{later['endpoint']} {_ms(apart)} later",
+                    )
+                )
             elif not call["key"]:
                 broken.append(
                     Break(2, call["id"], f"no key, ran on {where}, sent again to {later['endpoint']}")
@@ -174,8 +182,14 @@
     cuts = any(f["fault"] == "cut" for f in faults)
     for a, b in pairwise(hops):
         if not cuts and b["came_us"] < a["left_us"] - TOGETHER_US:
-            broken.append(Break(2, call["id"], f"two hops out: {a['endpoint']} until {a['left_us']}, "
-                                               f"{b['endpoint']} from {b['came_us']}"))
+            broken.append(
+                Break(
+                    2,
+                    call["id"],
+                    f"two hops out: {a['endpoint']} until {a['left_us']}, "
+                    f"{b['endpoint']} from {b['came_us']}",
+                )
+            )
     return broken
 
 
--- a/cressrail/standin/known.py
+++ b/cressrail/standin/known.py
@@ -27,7 +27,7 @@
         k = bisect_right(self.spans, (at, 1 << 62)) - 1
         if k >= 0 and at < self.spans[k][1]:
             at = self.spans[k][1]
-        for start, end in self.spans[k + 1:]:
+        for start, end in self.spans[k + 1 :]:
             if at + left <= start:
                 break
             left -= start - at
--- a/cressrail/standin/launch.py
+++ b/cressrail/standin/launch.py
@@ -68,8 +68,12 @@
     again = True
 
 
-POLICIES = {"random": Baseline, "round-robin": RoundRobin, "least-in-flight": LeastInFlight,
-            "retry-always": RetryAlways}
+POLICIES = {
+    "random": Baseline,
+    "round-robin": RoundRobin,
+    "least-in-flight": LeastInFlight,
+    "retry-always": RetryAlways,
+}
 
 
 def answers_twice() -> None:
--- a/cressrail/standin/machine.py
+++ b/cressrail/standin/machine.py
@@ -148,6 +148,5 @@
         return mean
     if service.kind == "pareto":  # alpha, with the mean kept: x_min = mean (alpha - 1) / alpha
         return mean * (service.cv - 1) / service.cv * chance.paretovariate(service.cv)
-    sigma2 = log1p(service.cv ** 2)
-    return mean * chance.lognormvariate(-sigma2 / 2, sigma2 ** 0.5)
-
+    sigma2 = log1p(service.cv**2)
+    return mean * chance.lognormvariate(-sigma2 / 2, sigma2**0.5)
--- a/cressrail/standin/sidecars.py
+++ b/cressrail/standin/sidecars.py
@@ -24,8 +24,15 @@
 
 
 class Sidecar:
-    def __init__(self, name: str, tier_no: int, number: int, zone: str, listen: tuple[str, int],
-                 discovery: tuple[str, int]) -> None:
+    def __init__(
+        self,
+        name: str,
+        tier_no: int,
+        number: int,
+        zone: str,
+        listen: tuple[str, int],
+        discovery: tuple[str, int],
+    ) -> None:
         self.name, self.tier_no, self.number, self.zone = name, tier_no, number, zone
         self.listen, self.discovery = listen, discovery
         self.seeds: list[tuple[str, int]] = []  # of its tier, as they advertise themselves
@@ -110,10 +117,14 @@
     if talk is not None:
         config["ops"] = "{}:{}".format(*sidecar.ops)
         config["membership"] = {
-            "listen": "{}:{}".format(*sidecar.gossip), "advertise": "{}:{}".format(*sidecar.advertise),
-            "seeds": ["{}:{}".format(*seed) for seed in sidecar.seeds], "keys": KEYS,
-            "bear_pause_ms": talk.bear_pause_ms, "most_bytes": talk.most_bytes,
-            "use": talk.use}
+            "listen": "{}:{}".format(*sidecar.gossip),
+            "advertise": "{}:{}".format(*sidecar.advertise),
+            "seeds": ["{}:{}".format(*seed) for seed in sidecar.seeds],
+            "keys": KEYS,
+            "bear_pause_ms": talk.bear_pause_ms,
+            "most_bytes": talk.most_bytes,
+            "use": talk.use,
+        }
     if world.fleet.failover is not None:
         shared = world.fleet.failover
         regions = {"regions": shared.regions} if shared.regions else {}
@@ -220,7 +231,10 @@
         words = [*map(str, sidecar.gossip), str(rate), str(self.folder / KEYS)]
         self.floods[sidecar.name] = subprocess.Popen(
             [sys.executable, "-m", "cressrail.standin.flood", *words],
-            cwd=self.tree, stdin=subprocess.DEVNULL, env={**os.environ, "PYTHONPATH": str(self.tree)})
+            cwd=self.tree,
+            stdin=subprocess.DEVNULL,
+            env={**os.environ, "PYTHONPATH": str(self.tree)},
+        )
 
     def dry(self, sidecar: Sidecar) -> None:
         if (process := self.floods.pop(sidecar.name, None)) is not None:
--- a/cressrail/standin/watchers.py
+++ b/cressrail/standin/watchers.py
@@ -45,8 +45,13 @@
                 if b'"event":"copy_' in line or b'"event":"membership_junk"' in line:
                     with suppress(orjson.JSONDecodeError):  # one that was cut off by a kill
                         told = orjson.loads(line)
-                        self.ledger.note(said=name, event=told["event"], copy=told.get("copy", ""),
-                                         for_ms=told.get("for_ms", 0), at_us=told["at_us"] - apart_us)
+                        self.ledger.note(
+                            said=name,
+                            event=told["event"],
+                            copy=told.get("copy", ""),
+                            for_ms=told.get("for_ms", 0),
+                            at_us=told["at_us"] - apart_us,
+                        )
 
     def _note(self, name: str, text: bytes) -> None:
         told = orjson.loads(text)
--- a/cressrail/standin/wires.py
+++ b/cressrail/standin/wires.py
@@ -43,13 +43,17 @@
 
     def cuts(self, name: str) -> bool:
         """Whether some way to or from that one is cut. No refusal comes over such a way."""
-        return self.share >= 1.0 and LIST not in self.from_ | self.to and (
-            not self.from_ or not self.to or name in self.from_ or name in self.to)
+        return (
+            self.share >= 1.0
+            and LIST not in self.from_ | self.to
+            and (not self.from_ or not self.to or name in self.from_ or name in self.to)
+        )
 
     def meets(self, a: str, b: str) -> bool:
         if LIST in (a, b):  # the list service is met only where it is named
             return (a in self.from_ if a == LIST else not self.from_ or a in self.from_) and (
-                b in self.to if b == LIST else not self.to or b in self.to)
+                b in self.to if b == LIST else not self.to or b in self.to
+            )
         return (not self.from_ or a in self.from_) and (not self.to or b in self.to)
 
 
--- a/cressrail/standin/words.py
+++ b/cressrail/standin/words.py
@@ -9,9 +9,27 @@
 
 from cressrail.load.plan import Behaviour, MemberMix, ProfileMix, Strict
 
-FaultKind = Literal["die", "stall", "slow", "refuse", "reset", "err", "spoil", "drain", "cut",
-                    "late", "silent", "tear", "anew",
-                    "wire", "stall-process", "kill", "stop", "restart", "flood"]
+FaultKind = Literal[
+    "die",
+    "stall",
+    "slow",
+    "refuse",
+    "reset",
+    "err",
+    "spoil",
+    "drain",
+    "cut",
+    "late",
+    "silent",
+    "tear",
+    "anew",
+    "wire",
+    "stall-process",
+    "kill",
+    "stop",
+    "restart",
+    "flood",
+]
 OF_LIST = ("late", "silent", "tear", "anew")  # faults of discovery
 # between them, and of their processes
 OF_SIDECARS = ("wire", "stall-process", "kill", "stop", "restart", "flood")
@@ -136,7 +154,8 @@
     faults: int = Field(8, ge=1, le=200)
     longest_s: float = Field(2.5, gt=0)
     kinds: list[Literal["wire", "stall-process", "kill", "restart"]] = Field(
-        default=["wire", "stall-process", "kill", "restart"], min_length=1)
+        default=["wire", "stall-process", "kill", "restart"], min_length=1
+    )
 
 
 class Rules(Strict):
@@ -178,8 +197,10 @@
             if fault.zone and fault.zone not in self.fleet.zones:
                 raise ValueError(f"faults.{n}.zone: none of {', '.join(self.fleet.zones)}: {fault.zone}")
             if any(not 0 <= e < self.fleet.tiers[fault.tier].endpoints for e in fault.endpoints):
-                raise ValueError(f"faults.{n}.endpoints: tier {fault.tier} has "
-                                 f"{self.fleet.tiers[fault.tier].endpoints}")
+                raise ValueError(
+                    f"faults.{n}.endpoints: tier {fault.tier} has "
+                    f"{self.fleet.tiers[fault.tier].endpoints}"
+                )
             if fault.kind in ("wire", "flood") and self.fleet.membership is None:
                 raise ValueError(f"faults.{n}.kind: it is between sidecars that talk: fleet.membership")
             for word in (*fault.from_, *fault.to, *fault.who):
@@ -200,4 +221,5 @@
     def sidecars(self) -> list[str]:
         """Names of all of them: those at the door, and of each endpoint that calls on."""
         return [f"door{n}" for n in range(self.fleet.doors)] + [
-            f"{tier.name}{n}-calls" for tier in self.fleet.tiers[:-1] for n in range(tier.endpoints)]
+            f"{tier.name}{n}-calls" for tier in self.fleet.tiers[:-1] for n in range(tier.endpoints)
+        ]
--- a/cressrail/traffic/effects.py
+++ b/cressrail/traffic/effects.py
@@ -92,5 +92,6 @@
     """All is done; the process may end."""
 
 
-Effect = (Listen | Read | Write | Shut | Carry | CallOff | Drop | GiveBack | Watch | Wake | TakeOver |
-          Note | Leave)
+Effect = (
+    Listen | Read | Write | Shut | Carry | CallOff | Drop | GiveBack | Watch | Wake | TakeOver | Note | Leave
+)
--- a/cressrail/traffic/reducer.py
+++ b/cressrail/traffic/reducer.py
@@ -97,9 +97,19 @@
 
 
 class Reducer:
-    def __init__(self, sidecar: Sidecar, profiles: dict[str, Profile], members: dict[str, int],
-                 roster: Roster, room: Room, chance: Chance, now: int, longest_us: int,
-                 discovery: tuple[str, int], grace_us: int = AGAIN_US) -> None:
+    def __init__(
+        self,
+        sidecar: Sidecar,
+        profiles: dict[str, Profile],
+        members: dict[str, int],
+        roster: Roster,
+        room: Room,
+        chance: Chance,
+        now: int,
+        longest_us: int,
+        discovery: tuple[str, int],
+        grace_us: int = AGAIN_US,
+    ) -> None:
         self.sidecar = sidecar
         self.profiles = profiles
         self.members = members
@@ -156,15 +166,19 @@
         if not news.full and not self.anew and news.revision < self.revision:
             # Guards against drains unheard where discovery has begun to count anew.
             self.anew = True
-            return [*out, do.Note("list", {"revision": news.revision, "older_than": self.revision}),
-                    self._watch(now + AGAIN_US)]  # not at once: it may go on telling such news
+            return [
+                *out,
+                do.Note("list", {"revision": news.revision, "older_than": self.revision}),
+                self._watch(now + AGAIN_US),
+            ]  # not at once: it may go on telling such news
         self.anew = self.anew and not news.full
         self.revision = news.revision
         entries, stale, gone = self.roster.heard(news)
         if entries or news.full or first:
             self.sidecar.hear_list(now, entries, full=news.full)
-            out.append(do.Note("list", {"revision": news.revision, "full": news.full,
-                                        "entries": len(entries)}))
+            out.append(
+                do.Note("list", {"revision": news.revision, "full": news.full, "entries": len(entries)})
+            )
         out += [do.Drop(link) for link in stale if self._claim(link)]
         for ix in gone:
             self._forget(ix)
@@ -172,14 +186,16 @@
 
     def watch_ended(self, now: int, why: str) -> list[Effect]:
         self.sidecar.list_failed(now)
-        pause = min(AGAIN_US << min(self.watch_fails, AGAIN_DOUBLINGS),
-                    max(AGAIN_US, self.grace_us // AGAIN_PART))
+        pause = min(
+            AGAIN_US << min(self.watch_fails, AGAIN_DOUBLINGS), max(AGAIN_US, self.grace_us // AGAIN_PART)
+        )
         pause = pause // 2 + self.chance.below(pause)
         if not self.watch_fails and now - self.watched_us >= LASTED_US:
             pause = 0
         self.watch_fails += 1
-        return self._out(now, [do.Note("watch_lost", {"why": why, "again_in_us": pause}),
-                               self._watch(now + pause)])
+        return self._out(
+            now, [do.Note("watch_lost", {"why": why, "again_in_us": pause}), self._watch(now + pause)]
+        )
 
     def copies(self, now: int, all_: float, near: float) -> list[Effect]:
         """So many sidecars of this kind are up, and so many of them in the own zone."""
@@ -262,8 +278,10 @@
             return self._reply(now, client, 400, request.body, counted)
         limit_us = min(limit_us, profile.hard_limit_us, self._answer_all_us() - now)
         if held.surplus:
-            return [do.Note("no_room", {"side": "clients", "open": len(self.clients)}),
-                    *self._reply(now, client, 503, request.body, counted)]
+            return [
+                do.Note("no_room", {"side": "clients", "open": len(self.clients)}),
+                *self._reply(now, client, 503, request.body, counted),
+            ]
         if profile.kind == brain.JOURNALLED and not request.get(b"idempotency-key"):
             # Guards against a repeat that nothing marks as one.
             profile = replace(profile, kind=NON_IDEMPOTENT)
@@ -355,8 +373,11 @@
         at, link = self.roster.addresses[held.endpoint], self.links[held.link]
         if held.tx.closed:  # answered, or its client has left: also where what runs may not be called off
             return Outcome.CALLED_OFF, "nobody waits for it"
-        if not self.sidecar.endpoints[held.endpoint].on or (
-                at.host, at.port, at.row.started_us) != (link.host, link.port, link.started_us):
+        if not self.sidecar.endpoints[held.endpoint].on or (at.host, at.port, at.row.started_us) != (
+            link.host,
+            link.port,
+            link.started_us,
+        ):
             return Outcome.TURNED_AWAY, "drains, has left or was started anew"
         if not held.tx.may_send(held.number, now):
             return Outcome.NEVER_SENT, "out of its group or its window by now"
@@ -383,11 +404,25 @@
         # To the module it has ended: the endpoint's work is done. Guards against places that slow readers
         # hold while endpoints have nothing to do.
         decided = tx.ended(held.number, now, Outcome.COMMITTED, now - held.sent_us, True)
-        return self._out(now, [*self._decided(now, decided),
-                               do.Write(of.client, answer, self._last(client), of.request.modern)])
-
-    def hop_ended(self, now: int, hop: int, how: Outcome, keep: bool, body: Chain | None = None,
-                  kind: bytes = b"", why: str = "", refused: bool = False) -> list[Effect]:
+        return self._out(
+            now,
+            [
+                *self._decided(now, decided),
+                do.Write(of.client, answer, self._last(client), of.request.modern),
+            ],
+        )
+
+    def hop_ended(
+        self,
+        now: int,
+        hop: int,
+        how: Outcome,
+        keep: bool,
+        body: Chain | None = None,
+        kind: bytes = b"",
+        why: str = "",
+        refused: bool = False,
+    ) -> list[Effect]:
         """`keep`: the link it went over may carry another. `refused`: its endpoint let none come up."""
         ended = self.hops.pop(hop)
         tx = ended.tx
@@ -406,9 +441,18 @@
         elif body is not None:
             out.append(do.GiveBack(body))
         if how is not Outcome.COMMITTED:
-            out.append(do.Note("hop", {"tx": held.request.get(b"req-id"), "how": how.value, "why": why,
-                                       "endpoint": self.roster.addresses[ended.endpoint].name,
-                                       "us": now - ended.sent_us}))
+            out.append(
+                do.Note(
+                    "hop",
+                    {
+                        "tx": held.request.get(b"req-id"),
+                        "how": how.value,
+                        "why": why,
+                        "endpoint": self.roster.addresses[ended.endpoint].name,
+                        "us": now - ended.sent_us,
+                    },
+                )
+            )
         held.rejected = how is Outcome.REJECTED
         if self.towards is not None:
             took_us = now - ended.sent_us
@@ -432,8 +476,9 @@
 
     def short(self, now: int) -> list[Effect]:
         """The system has no descriptor left: those that nobody needs go, the longest idle first."""
-        out: list[Effect] = [do.Note("no_descriptors", {"clients": len(self.clients),
-                                                        "links": len(self.links)})]
+        out: list[Effect] = [
+            do.Note("no_descriptors", {"clients": len(self.clients), "links": len(self.links)})
+        ]
         if self.idle_links:
             oldest = next(iter(self.idle_links))
             self._claim(oldest)
@@ -470,8 +515,9 @@
         if self.drain_us >= 0:
             return []
         self.drain_us = now
-        return self._out(now, [do.Note("out_of_service", {"clients": len(self.clients),
-                                                          "txs": len(self.txs)})])
+        return self._out(
+            now, [do.Note("out_of_service", {"clients": len(self.clients), "txs": len(self.txs)})]
+        )
 
     def _in_service(self, now: int) -> list[Effect]:
         if self.drain_us < 0:
@@ -511,12 +557,16 @@
     def hand_over(self, now: int) -> tuple[dict[str, Any], list[Effect]]:
         """Another process serves from here on. No idle client is closed for it: each answer is the last on
         its connection, so no close crosses a request, and those who ask again go there."""
-        told = {**estate.gather(self.sidecar, self.roster.names()), "open": list(self.open_ids),
-                "drained": self.drain_us >= 0}
+        told = {
+            **estate.gather(self.sidecar, self.roster.names()),
+            "open": list(self.open_ids),
+            "drained": self.drain_us >= 0,
+        }
         self.sidecar.cede(True)
         self.heir_us = now
-        return told, self._out(now, [do.Note("handed_over", {"clients": len(self.clients),
-                                                             "txs": len(self.txs)})])
+        return told, self._out(
+            now, [do.Note("handed_over", {"clients": len(self.clients), "txs": len(self.txs)})]
+        )
 
     def heir_died(self, now: int) -> list[Effect]:
         """It never served, or does so no more: this process goes on, unless it was told to stop."""
@@ -621,8 +671,9 @@
     def _last(self, held: Client) -> bool:
         return self.closing or self.drain_us >= 0 or self.heir_us >= 0 or held.surplus or not held.keep
 
-    def _reply(self, now: int, client: int, status: int, body: Chain | None,
-               counted: str | None = None) -> list[Effect]:
+    def _reply(
+        self, now: int, client: int, status: int, body: Chain | None, counted: str | None = None
+    ) -> list[Effect]:
         """Without a transaction; `counted` is the profile that it stands under in the figures."""
         held = self.clients[client]
         if counted is not None:
@@ -663,8 +714,18 @@
                 at = self.roster.addresses[which]
                 held.hops[number] = hop
                 self.hops[hop] = Hop(tx, number, which, link, now)
-                out.append(do.Carry(link, fresh, hop, at.host, at.port, held.request, now + us,
-                                    self.links[link].settled_us))
+                out.append(
+                    do.Carry(
+                        link,
+                        fresh,
+                        hop,
+                        at.host,
+                        at.port,
+                        held.request,
+                        now + us,
+                        self.links[link].settled_us,
+                    )
+                )
             elif what == brain.CALL_OFF:
                 hop = held.hops[which]
                 if hop in self.hops:
@@ -672,9 +733,18 @@
             else:
                 status = 400 if held.rejected else 503 if what == brain.ROLLED_BACK else 502
                 out += self._answer(tx, Answer(status, come_back_us=us))
-                out.append(do.Note(what.replace(" ", "_"), {
-                    "tx": held.request.get(b"req-id"), "profile": held.request.get(b"req-kind"),
-                    "member": held.request.get(b"req-owner"), "hops": held.sent, "left_us": tx.end_us - now}))
+                out.append(
+                    do.Note(
+                        what.replace(" ", "_"),
+                        {
+                            "tx": held.request.get(b"req-id"),
+                            "profile": held.request.get(b"req-kind"),
+                            "member": held.request.get(b"req-owner"),
+                            "hops": held.sent,
+                            "left_us": tx.end_us - now,
+                        },
+                    )
+                )
                 out += self._release(tx)
         return out
 
@@ -750,8 +820,12 @@
             most = self.room.clients + self.room.surplus
             # Not before the list has come, if it comes: who asks meanwhile waits in the system's queue.
             # Guards against requests sent, by a list from before the start, to what has begun to drain since.
-            on = not self.elder and self.heir_us < 0 and self._informed(now) and (
-                len(self.clients) < most or self._spare_client(now) is not None)
+            on = (
+                not self.elder
+                and self.heir_us < 0
+                and self._informed(now)
+                and (len(self.clients) < most or self._spare_client(now) is not None)
+            )
             if on is not self.listening:
                 self.listening = on
                 out.append(do.Listen(on))
@@ -764,8 +838,9 @@
             else:
                 wake_us = min(wake_us, self.born_us + READY_WITHOUT_NEWS_US)
         if self.stop_us >= 0:
-            wake_us = min(wake_us, self._close_us() if self.door else
-                          self.end_us if self.closing else self.hang_up_us)
+            wake_us = min(
+                wake_us, self._close_us() if self.door else self.end_us if self.closing else self.hang_up_us
+            )
             if any(held.tx is not None and not self.txs[held.tx].passed for held in self.clients.values()):
                 wake_us = min(wake_us, self._answer_all_us())
         if self.drain_us >= 0 and not self.drained:
--- a/cressrail/traffic/tally.py
+++ b/cressrail/traffic/tally.py
@@ -21,11 +21,20 @@
 
     def text(self, current: int, listed: int, avoided: int) -> bytes:
         """In the text exposition format, a figure a line."""
-        lines = [f'{PREFIX}{how}{{group="{_escaped(name)}"}} {counts[how]}'
-                 for how in FINAL for name, counts in self.final.items()]
-        lines += [f"{PREFIX}{name} {value}" for name, value in (
-            ("sends", self.sends), ("current", current), ("cluster_size", listed),
-            ("cluster_unhealthy", avoided))]
+        lines = [
+            f'{PREFIX}{how}{{group="{_escaped(name)}"}} {counts[how]}'
+            for how in FINAL
+            for name, counts in self.final.items()
+        ]
+        lines += [
+            f"{PREFIX}{name} {value}"
+            for name, value in (
+                ("sends", self.sends),
+                ("current", current),
+                ("cluster_size", listed),
+                ("cluster_unhealthy", avoided),
+            )
+        ]
         return ("\n".join(lines) + "\n").encode()
 
 
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -11,8 +11,14 @@
 Message = tuple[int, str, Fields]  # line number, name, fields
 
 ENDINGS = {
-    "200": Outcome.COMMITTED, "500": Outcome.ERROR, "503": Outcome.TURNED_AWAY, "504": Outcome.TIMED_OUT,
-    "502": Outcome.UNREACHED, "598": Outcome.DROPPED, "499": Outcome.CALLED_OFF, "410": Outcome.NEVER_SENT,
+    "200": Outcome.COMMITTED,
+    "500": Outcome.ERROR,
+    "503": Outcome.TURNED_AWAY,
+    "504": Outcome.TIMED_OUT,
+    "502": Outcome.UNREACHED,
+    "598": Outcome.DROPPED,
+    "499": Outcome.CALLED_OFF,
+    "410": Outcome.NEVER_SENT,
 }
 
 
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -149,8 +149,12 @@
 
 Handler = Callable[[Instance, int, Fields, int], list[brain.Decision]]
 HANDLERS: dict[str, Handler] = {
-    "DEMAND": Instance.demand, "VERDICT": Instance.verdict, "ALARM": Instance.alarm,
-    "UNDER_WAY": Instance.under_way, "VANISHED": Instance.vanished, "HEALTH_RESULT": Instance.health,
+    "DEMAND": Instance.demand,
+    "VERDICT": Instance.verdict,
+    "ALARM": Instance.alarm,
+    "UNDER_WAY": Instance.under_way,
+    "VANISHED": Instance.vanished,
+    "HEALTH_RESULT": Instance.health,
     "PEER": Instance.peer,
 }
 
@@ -209,7 +213,7 @@
     def _inventory(self, line: int, fields: Fields, events: list[Message], k: int) -> int:
         slot, count = codec.number(line, fields, "slot"), codec.number(line, fields, "nodes_list")
         rows: list[Row] = []
-        for at, kind, item in events[k:k + count]:
+        for at, kind, item in events[k : k + count]:
             if kind != "ITEM":
                 break
             state = codec.text(at, item, "condition")
@@ -217,10 +221,18 @@
                 raise Unreadable(at, f"condition is none of on, fading, off: '{state[:40]}'")
             on, gone = STATES[state]
             address = codec.text(at, item, "endpoint")
-            rows.append((address, item.get("failure_domain", ""),
-                         codec.number(at, item, "unit_group", absent=0),
-                         codec.ratio(at, item, "scale", 1.0), on, gone,
-                         codec.number(at, item, "boot_time_us", absent=0), crc32(address.encode())))
+            rows.append(
+                (
+                    address,
+                    item.get("failure_domain", ""),
+                    codec.number(at, item, "unit_group", absent=0),
+                    codec.ratio(at, item, "scale", 1.0),
+                    on,
+                    gone,
+                    codec.number(at, item, "boot_time_us", absent=0),
+                    crc32(address.encode()),
+                )
+            )
         if len(rows) != count:
             raise Unreadable(line, f"INVENTORY names {count} entries, {len(rows)} ITEM lines follow")
         self.book[slot] = rows
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -36,9 +36,20 @@
         # What a sidecar knows from a run of its own is no use after a restart of this toy: tell it all.
         full = revision <= 0 or revision > self.revision
         phases = {name: phase for at, name, phase in self.changes if full or at > revision}
-        members = [{"id": f"toy-{name}", "host_port": f"127.0.0.1:{PORTS[name]}", "locality": "here",
-                    "flavor": "toy", "cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0}
-                   for name, phase in phases.items() if not (full and phase == "removed")]
+        members = [
+            {
+                "id": f"toy-{name}",
+                "host_port": f"127.0.0.1:{PORTS[name]}",
+                "locality": "here",
+                "flavor": "toy",
+                "cell": 1,
+                "phase": phase,
+                "size": 1.0,
+                "up_since_ms": 0,
+            }
+            for name, phase in phases.items()
+            if not (full and phase == "removed")
+        ]
         return json.dumps({"revision": self.revision, "complete": full, "members": members}).encode() + b"\n"
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -41,8 +41,12 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     listed = known(LIST)
     by_id = {item.nodeid: item for item in items}
-    whole = not config.option.keyword and not config.option.markexpr and not config.option.deselect and all(
-        Path(arg).is_dir() for arg in config.args)
+    whole = (
+        not config.option.keyword
+        and not config.option.markexpr
+        and not config.option.deselect
+        and all(Path(arg).is_dir() for arg in config.args)
+    )
     for one in listed:
         if one.test in by_id:
             # Strict: one that passes is to leave the list.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,10 +47,23 @@
 def sidecar(fleet: list[Entry], **parts: Any) -> Sidecar:
     chance = Chance(7)
     told: dict[str, Any] = dict(
-        chance=chance, zone=0, zones=2, tiers_to_go=1.0, last_tier=True, at_door=True, round_us=5000,
-        come_back_us=0, may_cancel=True, asking=Asking(False, 0, chance),
-        repeat_rule=RepeatRule(3, False), cold_rule=cold_rule(), shares=Shares([], 1, 0.1),
-        copies=1, number=0, now=0)
+        chance=chance,
+        zone=0,
+        zones=2,
+        tiers_to_go=1.0,
+        last_tier=True,
+        at_door=True,
+        round_us=5000,
+        come_back_us=0,
+        may_cancel=True,
+        asking=Asking(False, 0, chance),
+        repeat_rule=RepeatRule(3, False),
+        cold_rule=cold_rule(),
+        shares=Shares([], 1, 0.1),
+        copies=1,
+        number=0,
+        now=0,
+    )
     side = Sidecar(**{**told, **parts})
     side.hear_list(0, fleet, True)
     return side
@@ -67,29 +80,66 @@
 
 # For the real sidecar
 
+
 def member(name: str, port: int, **change: Any) -> dict[str, Any]:
-    return {"id": name, "host_port": f"127.0.0.1:{port}", "locality": "a", "flavor": "m", "cell": 1,
-            "phase": "up", "size": 1.0, "up_since_ms": 0, **change}
+    return {
+        "id": name,
+        "host_port": f"127.0.0.1:{port}",
+        "locality": "a",
+        "flavor": "m",
+        "cell": 1,
+        "phase": "up",
+        "size": 1.0,
+        "up_since_ms": 0,
+        **change,
+    }
 
 
 def _profile(name: str, repeat: str, **more: Any) -> dict[str, Any]:
-    return {"name": name, "repeat": repeat, "revenue": 1.0, "service_goal_us": SECOND,
-            "hard_limit_us": 3 * SECOND, **more}
+    return {
+        "name": name,
+        "repeat": repeat,
+        "revenue": 1.0,
+        "service_goal_us": SECOND,
+        "hard_limit_us": 3 * SECOND,
+        **more,
+    }
 
 
 CONFIG: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "5be9",
+    "name": "n1",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "5be9",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {"revision": 4, "complete": True, "members": []},
     "settings": {
-        "contract": {"cold_from": 0.2, "warm_within_us": 10 * SECOND}, "dcs": ["a", "b"], "zone": "a",
-        "limits": {"connect_timeout_us": 250_000, "conn_idle_us": 10 * SECOND, "may_cancel": True,
-                   "most_hops": 3, "parallel_tries": False, "retry_after": False},
-        "membership_mode": "automatic", "n_instances": 1, "revenue_basis": "request", "round_us": 5000,
-        "profiles": [_profile("read", "safe"), _profile("write", "keyed", key_scope="cell", window_us=SECOND),
-                     _profile("note", "keyed", key_scope="all", window_us=SECOND)],
-        "stage": 0, "surplus_revenue": 0.1, "tiers": ["x"],
-        "tenants": [{"name": "acme", "allowance_per_s": 100.0, "share": 1.0}]}}
+        "contract": {"cold_from": 0.2, "warm_within_us": 10 * SECOND},
+        "dcs": ["a", "b"],
+        "zone": "a",
+        "limits": {
+            "connect_timeout_us": 250_000,
+            "conn_idle_us": 10 * SECOND,
+            "may_cancel": True,
+            "most_hops": 3,
+            "parallel_tries": False,
+            "retry_after": False,
+        },
+        "membership_mode": "automatic",
+        "n_instances": 1,
+        "revenue_basis": "request",
+        "round_us": 5000,
+        "profiles": [
+            _profile("read", "safe"),
+            _profile("write", "keyed", key_scope="cell", window_us=SECOND),
+            _profile("note", "keyed", key_scope="all", window_us=SECOND),
+        ],
+        "stage": 0,
+        "surplus_revenue": 0.1,
+        "tiers": ["x"],
+        "tenants": [{"name": "acme", "allowance_per_s": 100.0, "share": 1.0}],
+    },
+}
 
 
 def mesh(config: dict[str, Any] = CONFIG) -> dict[str, Any]:
@@ -113,7 +163,7 @@
         view = memoryview(data)
         while view:
             try:
-                view = view[self.sock.send(view):]
+                view = view[self.sock.send(view) :]
             except BlockingIOError:
                 self._wait(WRITE)
 
@@ -166,16 +216,21 @@
     """A sidecar on loopback amid scripted endpoints, clients and discovery, all on one scheduler. It ends
     when all clients' scripts have, and then checks that everything lent was given back."""
 
-    def __init__(self, endpoints: list[Script], watch: Script | None = None, known: int | None = None,
-                 log: int | None = None, shaped: Callable[..., dict[str, Any]] = copy.deepcopy,
-                 **limits: Any) -> None:
+    def __init__(
+        self,
+        endpoints: list[Script],
+        watch: Script | None = None,
+        known: int | None = None,
+        log: int | None = None,
+        shaped: Callable[..., dict[str, Any]] = copy.deepcopy,
+        **limits: Any,
+    ) -> None:
         config = shaped(CONFIG)
         config["settings"]["limits"].update(limits)
         self.socks = [listener.bind("127.0.0.1", 0) for _ in [*endpoints, None]]
         self.ports = [sock.getsockname()[1] for sock in self.socks]
         config["discovery"] = f"127.0.0.1:{self.ports[-1]}"
-        config["known"]["members"] = [
-            member(f"s{n}", port) for n, port in enumerate(self.ports[:-1][:known])]
+        config["known"]["members"] = [member(f"s{n}", port) for n, port in enumerate(self.ports[:-1][:known])]
         self.list = json.dumps(config["known"]).encode()
         start = read_config(config, {})
         start.listen = ("127.0.0.1", 0)
@@ -217,6 +272,7 @@
                 self.clients -= 1
                 if not self.clients and self.hang_up:
                     self.loop.spawn(self._end)
+
         self.clients += 1
         self.loop.spawn(run)
 
@@ -249,9 +305,13 @@
 
 
 def ask(kind: str = "read", body: bytes = b"", path: str = "/api", **fields: str) -> bytes:
-    told = {"Req-Id": f"r{next(IDS)}", "Req-Kind": kind, "Idempotency-Key": "k",
-            "Content-Length": str(len(body)),
-            **{name.replace("_", "-"): value for name, value in fields.items()}}
+    told = {
+        "Req-Id": f"r{next(IDS)}",
+        "Req-Kind": kind,
+        "Idempotency-Key": "k",
+        "Content-Length": str(len(body)),
+        **{name.replace("_", "-"): value for name, value in fields.items()},
+    }
     lines = "".join(f"{name}: {value}\r\n" for name, value in told.items() if value)
     return f"POST {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -27,8 +27,13 @@
     return side
 
 
-def send(side: Sidecar, now: int, how: Outcome = Outcome.COMMITTED, took_us: int = 50_000,
-         of: Profile | None = None) -> tuple[Tx, list[Decision], list[Decision]]:
+def send(
+    side: Sidecar,
+    now: int,
+    how: Outcome = Outcome.COMMITTED,
+    took_us: int = 50_000,
+    of: Profile | None = None,
+) -> tuple[Tx, list[Decision], list[Decision]]:
     """One transaction whose first hop, if it gets one, ends so; with what was decided at first and then."""
     tx = side.take(now, of or profile(), -1, 4 * SECOND)
     first = tx.route(now)
@@ -36,18 +41,22 @@
     return tx, first, tx.ended(0, now + took_us, how, took_us, done) if first[0][1] == "hop" else []
 
 
-@pytest.mark.parametrize("sizes, admits", [((3, 3), (1.0, 1.0)), ((1, 3), (0.5, 1.5)), ((1, 9), (0.2, 1.8)),
-                                           ((0, 3), (0.0, 2.0))])
+@pytest.mark.parametrize(
+    "sizes, admits", [((3, 3), (1.0, 1.0)), ((1, 3), (0.5, 1.5)), ((1, 9), (0.2, 1.8)), ((0, 3), (0.0, 2.0))]
+)
 def test_a_zone_starts_with_what_its_endpoints_carry_of_an_even_load(
-        sizes: tuple[int, int], admits: tuple[float, float]) -> None:
+    sizes: tuple[int, int], admits: tuple[float, float]
+) -> None:
     side = beside([entry(10 * zone + n, zone) for zone in (0, 1) for n in range(sizes[zone])], admits=0)
     assert [group.admits for group in side.groups] == pytest.approx(list(admits))
 
 
-@pytest.mark.parametrize("per_s, over, by", [
-    (0.0, 1, 1.0), (0.0, 0.5, 1.55), (0.0, 4, 0.5), (10.0, 0.5, 1.055), (10.0, 4, 0.889)])
+@pytest.mark.parametrize(
+    "per_s, over, by", [(0.0, 1, 1.0), (0.0, 0.5, 1.55), (0.0, 4, 0.5), (10.0, 0.5, 1.055), (10.0, 4, 0.889)]
+)
 def test_a_latency_moves_what_a_zone_admits_more_where_hops_are_few(
-        per_s: float, over: float, by: float) -> None:
+    per_s: float, over: float, by: float
+) -> None:
     group = beside().groups[0]
     group.hops_per_s, group.admits = per_s, 0.5
     group.weigh(over * ADMIT_AIM)
@@ -78,8 +87,9 @@
 
 
 def test_what_overflows_goes_to_all_other_zones_by_their_size() -> None:
-    side = beside([entry(0, 0), *[entry(10 + n, 1) for n in range(2)], *[entry(20 + n, 2) for n in range(6)]],
-                  zones=3)
+    side = beside(
+        [entry(0, 0), *[entry(10 + n, 1) for n in range(2)], *[entry(20 + n, 2) for n in range(6)]], zones=3
+    )
     side.groups[0].admits = 0.0
     first = [side._shuffled([0, 1, 2])[:2] for _ in range(400)]
     assert {zones[0] for zones in first} == {0} and 40 < sum(zones[1] == 1 for zones in first) < 110
@@ -97,7 +107,7 @@
 def test_a_hop_that_is_overdue_tells_before_it_ends_and_only_once() -> None:
     side = beside()
     tx = side.take(0, profile(), -1, 4 * SECOND)
-    (_, _, ix, _), = tx.route(0)
+    ((_, _, ix, _),) = tx.route(0)
     before = side.groups[0].admits
     side.take(SECOND // 2 - 1, profile(), -1, SECOND)
     assert side.groups[0].admits == before
@@ -124,19 +134,27 @@
 def test_an_endpoint_without_a_connection_is_left_out_for_a_while_and_says_nothing_of_crowding() -> None:
     side = beside([entry(0), entry(1)])
     before = side.groups[0].admits
-    (_, _, ix, _), = send(side, 0, Outcome.UNREACHED, 1000)[1]
+    ((_, _, ix, _),) = send(side, 0, Outcome.UNREACHED, 1000)[1]
     e = side.endpoints[ix]
     assert e.dead_us == 1000 + LEFT_OUT_US and not e.inside and side.groups[0].admits == before
     side.wake(e.dead_us + SECOND)
     assert e.inside
 
 
-@pytest.mark.parametrize("kind, group, overdue, own, ends_us", [
-    ("idempotent", "all", 0.0, True, 980_000), ("journalled", "all", 0.0, True, 980_000),
-    ("idempotent", "all", 0.3, True, 3_990_000), ("non-idempotent", "all", 0.0, True, 3_990_000),
-    ("journalled", "cell", 0.0, True, 3_990_000), ("idempotent", "all", 0.0, False, 3_990_000)])
+@pytest.mark.parametrize(
+    "kind, group, overdue, own, ends_us",
+    [
+        ("idempotent", "all", 0.0, True, 980_000),
+        ("journalled", "all", 0.0, True, 980_000),
+        ("idempotent", "all", 0.3, True, 3_990_000),
+        ("non-idempotent", "all", 0.0, True, 3_990_000),
+        ("journalled", "cell", 0.0, True, 3_990_000),
+        ("idempotent", "all", 0.0, False, 3_990_000),
+    ],
+)
 def test_a_hop_ends_at_the_goal_where_later_earns_nothing_and_a_rollback_is_allowed(
-        kind: str, group: str, overdue: float, own: bool, ends_us: int) -> None:
+    kind: str, group: str, overdue: float, own: bool, ends_us: int
+) -> None:
     side = beside(beside=own, copies=1)
     of = Profile(kind, group, 5 * SECOND, SECOND, 4 * SECOND, 1.0, overdue)
     tx, first, then = send(side, 0, Outcome.TIMED_OUT, ends_us, of)
@@ -154,7 +172,8 @@
 
 @pytest.mark.parametrize("calm, lately, surge", [(80, 10, 1.0), (80, 100, 2.78), (0, 1, 1.0), (0, 30, 5.0)])
 def test_a_surge_of_a_copys_own_transactions_cuts_what_zones_admit_at_once(
-        calm: int, lately: int, surge: float) -> None:
+    calm: int, lately: int, surge: float
+) -> None:
     side = beside(cold_rule=cold_rule(now=-SECOND))
     for n in range(calm):
         side.take(n * SECOND // 10, profile(), -1, SECOND)
@@ -163,6 +182,9 @@
     side.wake(10 * SECOND)
     assert side.surge == pytest.approx(surge, rel=0.01)
     side.groups[0].admits, side.groups[1].admits = 1.0, 0.0
-    sent = sum(d[1] == "hop" for n in range(400)
-               for d in side.take(10 * SECOND, profile(), -1, SECOND).route(10 * SECOND))
+    sent = sum(
+        d[1] == "hop"
+        for n in range(400)
+        for d in side.take(10 * SECOND, profile(), -1, SECOND).route(10 * SECOND)
+    )
     assert sent == pytest.approx(400 / surge, rel=0.2)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -57,8 +57,16 @@
     def born(self, number: int, now: int) -> Sidecar:
         of = self.story
         shares = Shares([0.85 * EACH * of.endpoints] if of.members else [], of.copies, 0.1)
-        side = sidecar([], zones=of.zones, zone=number % of.zones, copies=of.copies, number=number, now=now,
-                       shares=shares, cold_rule=ColdRule(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL))
+        side = sidecar(
+            [],
+            zones=of.zones,
+            zone=number % of.zones,
+            copies=of.copies,
+            number=number,
+            now=now,
+            shares=shares,
+            cold_rule=ColdRule(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL),
+        )
         side.chance.state += number * 7919 + now
         side.hear_list(now, [self.entry(ix) for ix in range(of.endpoints)], True)
         return side
@@ -67,8 +75,11 @@
         of, order = self.story, count()
         events: list[Any] = []
         zone, back_at = 1, lost_at + int(of.lost_s * SECOND)
-        starts = {ix: back_at + int(of.pieces_s * SECOND * self.part())
-                  for ix in range(of.endpoints) if ix % of.zones == zone}
+        starts = {
+            ix: back_at + int(of.pieces_s * SECOND * self.part())
+            for ix in range(of.endpoints)
+            if ix % of.zones == zone
+        }
         self.sides = [self.born(n, 0) for n in range(of.copies)]
         loud = [1 + (of.skew - 1) * self.part() for _ in range(of.copies)]
         busy: dict[int, deque[int]] = {ix: deque() for ix in range(of.endpoints)}
@@ -145,43 +156,57 @@
             self.fell.append(f"{ix} at the age of {(now - start) / SECOND:.2f} s: {within:.1f} of {may:.1f}")
 
 
-@pytest.mark.parametrize("story, least", [
-    (Story(3), 0.5),
-    (Story(33), 0.5),
-    (Story(230), 0.4),
-    (Story(1024), 0.15),
-    (Story(33, skew=10.0), 0.5),
-    (Story(230, skew=10.0, pieces_s=3.0), 0.4),
-    (Story(33, pieces_s=3.0, removed=True), 0.5),
-    (Story(33, zones=6, endpoints=60, pieces_s=2.0, removed=True, skew=4.0), 0.4),
-    (Story(230, pieces_s=3.0, removed=True), 0.4),
-    (Story(33, restarted=True), 0.4),
-    (Story(33, zones=5, endpoints=100, restarted=True, removed=True, pieces_s=2.0), 0.4),
-    (Story(1024, restarted=True, removed=True), 0.1),
-    (Story(33, wave=3.0), 0.6),
-    (Story(230, wave=3.0, skew=10.0, zones=6), 0.3),
-    (Story(33, heavy=0.2, wave=3.0), 0.6),
-    (Story(230, heavy=0.2, zones=8), 0.3),
-    (Story(33, members=False), 0.15),
-    (Story(33, late_s=0.8), 0.3),
-    (Story(33, late_s=1.6, zones=2, pieces_s=2.0), 0.3),
-    (Story(230, late_s=1.6, skew=4.0), 0.2),
-    (Story(230, zones=8, endpoints=40, wave=3.0, removed=True, pieces_s=3.0), 0.2),
-], ids=str)
+@pytest.mark.parametrize(
+    "story, least",
+    [
+        (Story(3), 0.5),
+        (Story(33), 0.5),
+        (Story(230), 0.4),
+        (Story(1024), 0.15),
+        (Story(33, skew=10.0), 0.5),
+        (Story(230, skew=10.0, pieces_s=3.0), 0.4),
+        (Story(33, pieces_s=3.0, removed=True), 0.5),
+        (Story(33, zones=6, endpoints=60, pieces_s=2.0, removed=True, skew=4.0), 0.4),
+        (Story(230, pieces_s=3.0, removed=True), 0.4),
+        (Story(33, restarted=True), 0.4),
+        (Story(33, zones=5, endpoints=100, restarted=True, removed=True, pieces_s=2.0), 0.4),
+        (Story(1024, restarted=True, removed=True), 0.1),
+        (Story(33, wave=3.0), 0.6),
+        (Story(230, wave=3.0, skew=10.0, zones=6), 0.3),
+        (Story(33, heavy=0.2, wave=3.0), 0.6),
+        (Story(230, heavy=0.2, zones=8), 0.3),
+        (Story(33, members=False), 0.15),
+        (Story(33, late_s=0.8), 0.3),
+        (Story(33, late_s=1.6, zones=2, pieces_s=2.0), 0.3),
+        (Story(230, late_s=1.6, skew=4.0), 0.2),
+        (Story(230, zones=8, endpoints=40, wave=3.0, removed=True, pieces_s=3.0), 0.2),
+    ],
+    ids=str,
+)
 def test_all_copies_together_push_no_cold_endpoint_over_and_yet_it_comes_back(
-        story: Story, least: float) -> None:
+    story: Story, least: float
+) -> None:
     fleet = Fleet(story)
     fleet.play()
     assert not fleet.fell, fleet.fell[:3]
     assert fleet.cold_given > least * fleet.cold_may, fleet.cold_given / fleet.cold_may
 
 
-@pytest.mark.parametrize("busy_s, starved_s, even, least, most", [
-    # 10 a second at each, 0.2 to 0.6 of that for 5 s, times at most 4, which is the multiple: 80
-    (20, 0, 0.0, 40, 65), (20, 5, 0.0, 25, 45),
-    (20, 200, 0.0, 0, 3), (0, 20, 40.0, 28, 48), (20, 5, 40.0, 38, 60), (0, 0, 0.0, 0, 3)])
+@pytest.mark.parametrize(
+    "busy_s, starved_s, even, least, most",
+    [
+        # 10 a second at each, 0.2 to 0.6 of that for 5 s, times at most 4, which is the multiple: 80
+        (20, 0, 0.0, 40, 65),
+        (20, 5, 0.0, 25, 45),
+        (20, 200, 0.0, 0, 3),
+        (0, 20, 40.0, 28, 48),
+        (20, 5, 40.0, 38, 60),
+        (0, 0, 0.0, 0, 3),
+    ],
+)
 def test_what_cold_endpoints_get_does_not_shrink_with_what_a_cold_fleet_carries(
-        busy_s: int, starved_s: int, even: float, least: int, most: int) -> None:
+    busy_s: int, starved_s: int, even: float, least: int, most: int
+) -> None:
     rule, end = cold_rule(even / SECOND), (busy_s + starved_s) * SECOND
     side = sidecar([entry(ix) for ix in range(4)], cold_rule=rule, zones=1)
     e, group = side.endpoints[0], side.groups[0]
@@ -197,10 +222,13 @@
     assert least <= hops <= most
 
 
-@pytest.mark.parametrize("missed, answers, cold", [
-    (1, 0, True), (1, 1, True), (1, 2, False), (20, 3, True), (20, 4, False), (0, 0, False)])
+@pytest.mark.parametrize(
+    "missed, answers, cold",
+    [(1, 0, True), (1, 1, True), (1, 2, False), (20, 3, True), (20, 4, False), (0, 0, False)],
+)
 def test_one_whose_connections_never_came_up_counts_as_cold_until_it_has_answered(
-        missed: int, answers: int, cold: bool) -> None:
+    missed: int, answers: int, cold: bool
+) -> None:
     side = sidecar([entry(0)], zones=1)
     e = side.endpoints[0]
     for how in [Outcome.UNREACHED] * missed + [Outcome.ERROR] + [Outcome.COMMITTED] * answers:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -66,8 +66,9 @@
     """Connections to a port come up only once the gate holds something. Returns where dials are counted."""
     connect, dials = Stream.connect.__func__, list[int]()  # type: ignore[attr-defined]
 
-    def late(cls: type[Stream], loop: Scheduler, pool: Any, host: str, to: int, until_us: int,
-             mail: bool) -> Stream:
+    def late(
+        cls: type[Stream], loop: Scheduler, pool: Any, host: str, to: int, until_us: int, mail: bool
+    ) -> Stream:
         if to == port():
             dials.append(to)
             while not gate:
@@ -87,11 +88,13 @@
 
 # A hop against the client that leaves
 
+
 @pytest.mark.parametrize("rests", [True, False])
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("many", [1, 10])
 def test_what_came_together_with_its_clients_end_is_not_sent(
-        rests: bool, may_cancel: bool, many: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    rests: bool, may_cancel: bool, many: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """As where it lay unread for long: one that came just now may go, and its client is not looked at."""
     monkeypatch.setattr(reducer, "LOOK_US", 0)
     endpoint = Seen()
@@ -115,7 +118,8 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_client_that_leaves_while_a_connection_comes_up_is_not_sent_for(
-        may_cancel: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     endpoint, gate = Seen(), list[int]()
     play = Play([endpoint], may_cancel=may_cancel)
     dials = held_dial(monkeypatch, lambda: play.ports[0], gate)
@@ -163,10 +167,13 @@
 
 # A hop against news, and against its window
 
-@pytest.mark.parametrize("change", [
-    {"phase": "draining"}, {"phase": "removed"}, {"host_port": "127.0.0.1:9"}, {"up_since_ms": 77}])
+
+@pytest.mark.parametrize(
+    "change", [{"phase": "draining"}, {"phase": "removed"}, {"host_port": "127.0.0.1:9"}, {"up_since_ms": 77}]
+)
 def test_news_that_comes_while_a_connection_does_holds_for_its_hop(
-        change: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    change: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     endpoint, agent, gate = Seen(), Agent(), list[int]()
     play = Play([endpoint], agent)
     agent.first = json.loads(play.list)
@@ -186,11 +193,18 @@
     assert not endpoint.heads and heard == [b"503"]  # it never ran, so it may be rolled back
 
 
-@pytest.mark.parametrize("kind, late, answer, sent", [
-    ("write", "in time", b"200", 1), ("write", "window over", b"502", 0),
-    ("write", "another group", b"502", 0), ("read", "window over", b"200", 1)])
+@pytest.mark.parametrize(
+    "kind, late, answer, sent",
+    [
+        ("write", "in time", b"200", 1),
+        ("write", "window over", b"502", 0),
+        ("write", "another group", b"502", 0),
+        ("read", "window over", b"200", 1),
+    ],
+)
 def test_a_repeat_is_judged_again_when_its_connection_is_up(
-        kind: str, late: str, answer: bytes, sent: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind: str, late: str, answer: bytes, sent: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def drops(peer: Peer) -> None:
         peer.hear()
         peer.until(lambda: play.reducer.revision == 5)  # so that the second hop has somewhere to go
@@ -228,7 +242,8 @@
 
 @pytest.mark.parametrize("phase, sent", [("draining", 0), ("up", 1)])
 def test_nothing_goes_by_the_list_of_before_the_start_while_discovery_is_about_to_answer(
-        phase: str, sent: int) -> None:
+    phase: str, sent: int
+) -> None:
     endpoint, other, agent = Seen(), Seen(), Agent()
 
     def slowly(peer: Peer) -> None:
@@ -277,12 +292,12 @@
 
     def client(peer: Peer) -> None:
         text = ask("write", body=BIG * 3)
-        peer.say(text[:-len(BIG)])
+        peer.say(text[: -len(BIG)])
         peer.until(lambda: play.reducer.hops)
         peer.sleep(20_000)
         agent.rows.append(member("s0", play.ports[0], phase="removed"))
         peer.until(lambda: play.reducer.revision == 5)
-        peer.say(text[-len(BIG):])
+        peer.say(text[-len(BIG) :])
         heard.append(status(peer))
 
     play.client(client)
@@ -292,8 +307,10 @@
 
 # Answers
 
+
 def test_a_second_answer_some_milliseconds_late_is_not_the_next_clients(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(reducer, "SETTLE_US", SECOND)  # in place of some milliseconds: a machine may be slow
 
     def twice(peer: Peer) -> None:
@@ -320,17 +337,23 @@
     assert heard == [b"answer 0", b"answer 0"] and len(play.open) > 3  # each over a connection of its own
 
 
-@pytest.mark.parametrize("text, reset, kind, answer", [
-    (HEAD + b"\r\nhello", True, "write", b"502"), (HEAD + b"\r\nhello", False, "write", b"200"),
-    (HEAD + b"\r\nhello", True, "read", b"503"),
-    (HEAD + CHUNKED + chunk(b"hello")[:-3], True, "write", b"502"),
-    (HEAD + CHUNKED + chunk(b"hello")[:-3], False, "write", b"502"),
-    (HEAD + HEAD + b"content-length: 0\r\n\r\n", False, "write", b"502"),
-    (HEAD + b"x: " + b"a" * 20_000, False, "write", b"502"),
-    (b"HTTP/1.1 102 X\r\n\r\n" * 3 + reply(b"hello"), False, "write", b"200"),
-    (b"HTTP/1.1 102 X\r\n\r\n", True, "write", b"502")])
+@pytest.mark.parametrize(
+    "text, reset, kind, answer",
+    [
+        (HEAD + b"\r\nhello", True, "write", b"502"),
+        (HEAD + b"\r\nhello", False, "write", b"200"),
+        (HEAD + b"\r\nhello", True, "read", b"503"),
+        (HEAD + CHUNKED + chunk(b"hello")[:-3], True, "write", b"502"),
+        (HEAD + CHUNKED + chunk(b"hello")[:-3], False, "write", b"502"),
+        (HEAD + HEAD + b"content-length: 0\r\n\r\n", False, "write", b"502"),
+        (HEAD + b"x: " + b"a" * 20_000, False, "write", b"502"),
+        (b"HTTP/1.1 102 X\r\n\r\n" * 3 + reply(b"hello"), False, "write", b"200"),
+        (b"HTTP/1.1 102 X\r\n\r\n", True, "write", b"502"),
+    ],
+)
 def test_an_answer_counts_if_it_is_whole_by_its_own_framing(
-        text: bytes, reset: bool, kind: str, answer: bytes) -> None:
+    text: bytes, reset: bool, kind: str, answer: bytes
+) -> None:
     def ends(peer: Peer) -> None:
         peer.hear()
         peer.say(text)
@@ -403,6 +426,7 @@
 
 # Closes
 
+
 def crossing(sock: socket.socket, late: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes of a client come right after a look at its connection that found none."""
     read = Stream.read
@@ -419,7 +443,8 @@
 
 
 def test_a_request_that_crosses_an_idle_close_meets_an_end_and_no_reset(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     endpoint = Seen()
     play = Play([endpoint])
     heard: list[bytes] = []
@@ -456,7 +481,8 @@
 
 @pytest.mark.parametrize("full", [True, False])
 def test_a_last_answer_arrives_whole_though_more_bytes_come(
-        full: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    full: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The answer waits in the system's buffers for a client that reads late, and a reset would drop it."""
     play = Play([Seen(reply(BIG * 8))])
     heard: list[bytes] = []
@@ -561,6 +587,7 @@
 
 # The watch
 
+
 def test_a_watch_has_one_budget_for_silence_on_the_whole_way() -> None:
     """News counts as told six seconds after a watch fell silent, four after a new address was told. A
     connection that says nothing either may come between."""
@@ -571,11 +598,16 @@
 
 @pytest.mark.parametrize("what", ["nothing", "head alone", "half a line", "an indented half"])
 def test_a_watch_that_says_less_than_a_line_is_opened_again(
-        what: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    what: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(watch, "ANSWER_US", 30_000)
     monkeypatch.setattr(watch, "SILENT_US", 60_000)
-    words = {"nothing": b"", "head alone": HEAD + CHUNKED, "half a line": HEAD + CHUNKED + chunk(b'{"revis'),
-             "an indented half": HEAD + CHUNKED + chunk(b'{\n  "revision": 5,\n\n')}
+    words = {
+        "nothing": b"",
+        "head alone": HEAD + CHUNKED,
+        "half a line": HEAD + CHUNKED + chunk(b'{"revis'),
+        "an indented half": HEAD + CHUNKED + chunk(b'{\n  "revision": 5,\n\n'),
+    }
     asks: list[bytes] = []
     play = Play([Seen()], lambda peer: agent(peer))
     first = reply(play.list)
@@ -620,7 +652,8 @@
 
 
 def test_a_line_that_dribbles_is_as_good_as_silence_and_a_long_list_is_not(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(watch, "SILENT_US", 100_000)
     monkeypatch.setattr(watch, "PACE_BYTES_PER_S", 100_000)
     dribbled: list[int] = []
@@ -630,7 +663,7 @@
     def agent(peer: Peer) -> None:
         if b"watch" not in peer.hear():
             for at in range(0, len(text), 3_000):  # a tenth of a second long in all, and more
-                peer.say(text[at:at + 3_000])
+                peer.say(text[at : at + 3_000])
                 peer.sleep(15_000)
             peer.hear()
         peer.say(HEAD + CHUNKED)
@@ -654,15 +687,24 @@
 @pytest.mark.parametrize("indent", [None, 1, 4])
 def test_news_may_come_indented_and_several_in_a_piece(indent: int | None) -> None:
     play = Play([Seen()], lambda peer: agent(peer))
-    told = [{"revision": n, "complete": False, "members": [member("s0", play.ports[0], phase=phase)]}
-            for n, phase in ((5, "draining"), (6, "up"), (7, "draining"))]
+    told = [
+        {"revision": n, "complete": False, "members": [member("s0", play.ports[0], phase=phase)]}
+        for n, phase in ((5, "draining"), (6, "up"), (7, "draining"))
+    ]
 
     def agent(peer: Peer) -> None:
         peer.hear()
         peer.say(reply(json.dumps(json.loads(play.list), indent=indent).encode()))
         peer.hear()
-        peer.say(HEAD + CHUNKED + chunk(b"\n" + b"\n".join(
-            json.dumps(news, indent=indent).encode() for news in told) + b'\n\n{"revision": 8, "comp'))
+        peer.say(
+            HEAD
+            + CHUNKED
+            + chunk(
+                b"\n"
+                + b"\n".join(json.dumps(news, indent=indent).encode() for news in told)
+                + b'\n\n{"revision": 8, "comp'
+            )
+        )
 
     def client(peer: Peer) -> None:
         peer.until(lambda: play.reducer.revision == 7)
@@ -675,9 +717,9 @@
 
 # What the process can't do without
 
+
 @pytest.mark.parametrize("of", ["woke", "news", "client_came", "watch_ended"])
-def test_a_fault_in_what_the_process_needs_starts_it_again(
-        of: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_fault_in_what_the_process_needs_starts_it_again(of: str, monkeypatch: pytest.MonkeyPatch) -> None:
     endpoint = Seen()
     play = Play([endpoint], lambda peer: agent(peer))
     right, faults, rounds = getattr(Reducer, of), [1], list[int]()
@@ -732,6 +774,7 @@
 
 # Clients in a crowd
 
+
 def test_nothing_is_sent_on_long_after_its_client_left(capsys: pytest.CaptureFixture[str]) -> None:
     """Clients who leave at every step of their way, in a crowd before one slow endpoint: what is sent on
     after they left, and how much later. The worst case is printed."""
@@ -781,6 +824,7 @@
 
 # What tasks are told
 
+
 def test_clients_and_tasks_are_told_nothing_they_cannot_take() -> None:
     """What the tasks' handling of their mail rests on: who is told what, by the effect's kind."""
     play = Play([Seen()])
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -45,8 +45,14 @@
     call("5-3-1", "note", member="umea", ended_us=40_000),
     call("5-4-1", member="umea", status=0, how="gave up"),
 ]
-FLEET: list[dict[str, Any]] = [DOOR, {"start_us": 0}, hop("5-1-1"), hop("5-1-1", "x1", 300), hop("5-2-2"),
-         hop("5-3-1", late_us=9, profile="note")]
+FLEET: list[dict[str, Any]] = [
+    DOOR,
+    {"start_us": 0},
+    hop("5-1-1"),
+    hop("5-1-1", "x1", 300),
+    hop("5-2-2"),
+    hop("5-3-1", late_us=9, profile="note"),
+]
 
 
 def played() -> Played:
@@ -98,8 +104,11 @@
 
 def test_the_page_holds_tables_plots_and_breaks_and_nothing_from_elsewhere() -> None:
     experiment = Experiment.model_validate(FILE)
-    round_ = {"figures": figures(experiment, played(), {}), "series": series(experiment, played()),
-              "broken": [{"rule": 2, "tx": "5-3-1", "evidence": "<twice>"}]}
+    round_ = {
+        "figures": figures(experiment, played(), {}),
+        "series": series(experiment, played()),
+        "broken": [{"rule": 2, "tx": "5-3-1", "evidence": "<twice>"}],
+    }
     arms: dict[str, Any] = {"own": {"rounds": [round_, round_]}, "other": {"rounds": [round_, round_]}}
     result = {
         "name": "<x>",
@@ -193,7 +202,12 @@
 
 def test_an_arm_may_judge_zones_for_itself() -> None:
     shared = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
-    told = Experiment.model_validate({
-        "fleet": shared, "profiles": [{"name": "read"}], "members": [{"name": "m"}],
-        "arms": [{"name": "one", "failover": False}, {"name": "two"}]})
+    told = Experiment.model_validate(
+        {
+            "fleet": shared,
+            "profiles": [{"name": "read"}],
+            "members": [{"name": "m"}],
+            "arms": [{"name": "one", "failover": False}, {"name": "two"}],
+        }
+    )
     assert [told.world(arm, 0).fleet.failover is None for arm in told.arms] == [True, False]
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -105,18 +105,23 @@
 FLOATS = some.floats(0, 200, allow_nan=False)
 TOWARDS = some.builds(
     lambda hops, a, b, c, bears: Toward(hops, hops * a // 9, hops * b // 9, hops * c // 9, bears),
-    some.integers(0, 300), some.integers(0, 3), some.integers(0, 3), some.integers(0, 3), FLOATS,
+    some.integers(0, 300),
+    some.integers(0, 3),
+    some.integers(0, 3),
+    some.integers(0, 3),
+    FLOATS,
 )
 PICTURES = some.lists(
     some.builds(Evidence, some.integers(0, 2), FLOATS, some.tuples(TOWARDS, TOWARDS, TOWARDS)),
-    min_size=1, max_size=6,
+    min_size=1,
+    max_size=6,
 )
 
 
 @effort(max_examples=300)
 @given(some.lists(some.tuples(PICTURES, some.frozensets(some.integers(0, 2))), min_size=1, max_size=8))
 def test_shares_are_parts_of_a_whole_and_no_receiver_gets_more_than_it_bears(
-    turns: list[tuple[list[Evidence], frozenset[int]]]
+    turns: list[tuple[list[Evidence], frozenset[int]]],
 ) -> None:
     planner, now = Planner(MAP, 0.2, 10 * SECOND, WINDOW, 0), 0
     for evidence, drained in turns:
@@ -128,8 +133,11 @@
             for w, share in enumerate(row):
                 standing = planner.standing[w]
                 if w != z and share and planner.demand[z] and standing.state in (AWAY, DRAINED):
-                    assert standing.state == AWAY and share * planner.demand[z] <= max(
-                        2.0, 0.01 * sum(planner.demand)) + planner.demand[z] / PARTS
+                    assert (
+                        standing.state == AWAY
+                        and share * planner.demand[z]
+                        <= max(2.0, 0.01 * sum(planner.demand)) + planner.demand[z] / PARTS
+                    )
                 if w != z and seen.cut[z][w] and planner.demand[z]:
                     assert share == 0 or standing.state == AWAY
         for w, load in enumerate(plan.loads):
@@ -318,6 +326,7 @@
     net.carry(2, net.copies[2].wish(net.now, 1, net.now + 20 * SECOND))
     for _ in range(300):
         net.step(0.1)
+
     def drained() -> set[tuple[str, ...]]:
         views = [copy.view(net.now)["zones"] for copy in net.copies.values()]
         return {tuple(zone["zone"] for zone in view if zone["state"] == "drained") for view in views}
@@ -385,17 +394,26 @@
     parts = some.integers(0, PARTS // n)
     now = 10_000 * SECOND
     zones = tuple(
-        Zone(data.draw(some.integers(0, len(STATES) - 1)), data.draw(some.integers(0, len(WHY) - 1)),
-             now - data.draw(some.integers(0, 9000)) * SECOND)
+        Zone(
+            data.draw(some.integers(0, len(STATES) - 1)),
+            data.draw(some.integers(0, len(WHY) - 1)),
+            now - data.draw(some.integers(0, 9000)) * SECOND,
+        )
         for _ in range(n)
     )
     rows = tuple(tuple(data.draw(parts) / PARTS for _ in range(n)) for _ in range(n))
     drains = tuple((w, now + 60 * SECOND) for w in range(data.draw(some.integers(0, n))))
     towards = tuple(Toward(100 + w, 1, 2, 3, 4.5) for w in range(n))
     for one in (
-        Decision(epoch, 7, zones, rows, drains), codec.Report(3, epoch, Evidence(n - 1, 2.5, towards)),
-        codec.Ack(9, epoch), codec.Ask(epoch.term, epoch, 2), codec.Vote(epoch.term, 2),
-        codec.No(epoch.term, epoch), codec.Beat(epoch, 8, 4), Wish(n - 1, now + 9 * SECOND, 5), Wish(0, 0, 6),
+        Decision(epoch, 7, zones, rows, drains),
+        codec.Report(3, epoch, Evidence(n - 1, 2.5, towards)),
+        codec.Ack(9, epoch),
+        codec.Ask(epoch.term, epoch, 2),
+        codec.Vote(epoch.term, 2),
+        codec.No(epoch.term, epoch),
+        codec.Beat(epoch, 8, 4),
+        Wish(n - 1, now + 9 * SECOND, 5),
+        Wish(0, 0, 6),
     ):
         text = codec.pack(one, now)
         assert codec.unpack(text, now) == one and len(text) <= codec.LONGEST
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,16 +32,22 @@
     frames, text = Frames(), wrap("hello", {"n": 1}) + wrap("take", {})
     found = []
     for n in range(len(text)):
-        frames.add(text[n:n + 1])
+        frames.add(text[n : n + 1])
         while (got := frames.next()) is not None:
             found.append(got[0])
     assert found == ["hello", "take"]
 
 
-@pytest.mark.parametrize("text", [
-    b"GET / HTTP/1.1\r\n\r\n", HEAD.pack(MARK, VERSION + 1, 2, 0) + b"{}",
-    HEAD.pack(MARK, VERSION, 2, 1) + b"{}",
-    HEAD.pack(MARK, VERSION, 1 << 30, 0), wrap("take", {})[:-2] + b"x}"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        HEAD.pack(MARK, VERSION + 1, 2, 0) + b"{}",
+        HEAD.pack(MARK, VERSION, 2, 1) + b"{}",
+        HEAD.pack(MARK, VERSION, 1 << 30, 0),
+        wrap("take", {})[:-2] + b"x}",
+    ],
+)
 def test_a_torn_old_or_foreign_frame_is_refused(text: bytes) -> None:
     frames = Frames()
     frames.add(text)
@@ -96,10 +102,17 @@
         assert heir.late == pytest.approx(before)
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda e: e.pop("budget"), lambda e: e["whole"].pop(), lambda e: e["endpoints"][0].pop(),
-    lambda e: e.update(cold=[1, "x", 2]), lambda e: e["budget"][0].append(1.5),
-    lambda e: e.update(shares=[])])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda e: e.pop("budget"),
+        lambda e: e["whole"].pop(),
+        lambda e: e["endpoints"][0].pop(),
+        lambda e: e.update(cold=[1, "x", 2]),
+        lambda e: e["budget"][0].append(1.5),
+        lambda e: e.update(shares=[]),
+    ],
+)
 def test_half_an_estate_is_none(spoil: Any) -> None:
     old, new = Front(), beside()
     warm_up(old.reducer.sidecar)
@@ -215,13 +228,17 @@
 
 # Whole processes
 
+
 class Fleet:
     """Processes of one sidecar in one $TMPDIR, an endpoint and a discovery that never speaks."""
 
     def __init__(self, tmp: Path, tmpdir: str | None) -> None:
         self.tmp = tmp
-        self.env = {**os.environ, "TMPDIR": tmpdir} if tmpdir is not None else {
-            name: value for name, value in os.environ.items() if name != "TMPDIR"}
+        self.env = (
+            {**os.environ, "TMPDIR": tmpdir}
+            if tmpdir is not None
+            else {name: value for name, value in os.environ.items() if name != "TMPDIR"}
+        )
         self.endpoint = socket.create_server(("127.0.0.1", 0))
         with socket.create_server(("127.0.0.1", 0)) as server:
             self.port = server.getsockname()[1]
@@ -236,8 +253,9 @@
         config |= {"listen": f"127.0.0.1:{self.port}", "ops": f"{ops[0]}:{ops[1]}"}
         path = self.tmp / f"config{len(self.started)}.json"
         path.write_text(json.dumps(config))
-        process = subprocess.Popen([sys.executable, "-m", "cressrail", "serve", str(path)], env=self.env,
-                                   stdout=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "cressrail", "serve", str(path)], env=self.env, stdout=subprocess.DEVNULL
+        )
         self.started.append(process)
         until = time.monotonic() + 20
         while not self.say(ops, b"GET /control/ready").startswith(b"HTTP/1.1 200"):
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -301,8 +301,15 @@
 
 
 def test_the_list_service_is_met_only_where_it_is_named() -> None:
-    met = [(r.meets("a", "list"), r.meets("list", "a"), r.meets("a", "b")) for r in (
-        Rule(), Rule(frozenset("a"), frozenset(["list"])), Rule(frozenset(["list"])), Rule(frozenset("b")))]
+    met = [
+        (r.meets("a", "list"), r.meets("list", "a"), r.meets("a", "b"))
+        for r in (
+            Rule(),
+            Rule(frozenset("a"), frozenset(["list"])),
+            Rule(frozenset(["list"])),
+            Rule(frozenset("b")),
+        )
+    ]
     assert met == [(False, False, True), (True, False, False), (False, True, False), (False, False, False)]
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -16,8 +16,11 @@
     (GET, b""),
     (b"\r\n" + GET, b""),
     (b"POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello", b"hello"),
-    (b"POST /api HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"
-     b"3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nA: b\r\n\r\n", b"hello"),
+    (
+        b"POST /api HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"
+        b"3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nA: b\r\n\r\n",
+        b"hello",
+    ),
     (b"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + BIG, BIG),
 ]
 ANSWERS = [
@@ -37,10 +40,10 @@
     inlet = Inlet(pool)
     done = False
     for at in range(0, len(text), step):
-        for part in (text[at:at + step][k:k + SIZE // 2] for k in range(0, step, SIZE // 2)):
+        for part in (text[at : at + step][k : k + SIZE // 2] for k in range(0, step, SIZE // 2)):
             if not part:
                 continue
-            inlet.room()[:len(part)] = part
+            inlet.room()[: len(part)] = part
             inlet.came(len(part))
             while inlet.unread() and not done and (used := reader.feed(inlet.unread())):
                 inlet.use(used)
@@ -91,24 +94,34 @@
             reader.ended()
 
 
-@pytest.mark.parametrize("text, status", [
-    (b"GET /api\r\n\r\n", 400), (b"GET /api HTTP/2.0\r\n\r\n", 400), (b"G ET /api HTTP/1.1\r\n\r\n", 400),
-    (b"GET /a\x01 HTTP/1.1\r\n\r\n", 400), (b"GET /a HTTP/1.1\r\nno colon\r\n\r\n", 400),
-    (b"GET /a HTTP/1.1\r\n folded: x\r\n\r\n", 400), (b"GET /a HTTP/1.1\r\nname : x\r\n\r\n", 400),
-    (b"GET /a HTTP/1.1\r\na: b\x00c\r\n\r\n", 400), (b"GET /a HTTP/1.1\r\na: b\nc: d\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ncontent-length: x\r\n\r\n", 400),
-    (b"GET /a HTTP/1.1\r\nreq-id: 1\r\nReq-Id: 2\r\n\r\n", 400),
-    (b"GET /a HTTP/1.1\r\nreq-id: 1\r\nconnection: keep-alive, Req-Id\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ncontent-length: -1\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ntransfer-encoding: gzip, chunked\r\n\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\nxyz\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n1\r\nab\r\n", 400),
-    (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n" + b"1" * 2000, 400),
-    (b"POST /a HTTP/1.1\r\ncontent-length: 1073741825\r\n\r\n", 413),
-    (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n123456789\r\n", 400),
-    (b"GET /a HTTP/1.1\r\na: " + b"b" * 9000 + b"\r\n\r\n", 431), (b"x" * 9000, 431)])
+@pytest.mark.parametrize(
+    "text, status",
+    [
+        (b"GET /api\r\n\r\n", 400),
+        (b"GET /api HTTP/2.0\r\n\r\n", 400),
+        (b"G ET /api HTTP/1.1\r\n\r\n", 400),
+        (b"GET /a\x01 HTTP/1.1\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\nno colon\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\n folded: x\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\nname : x\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\na: b\x00c\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\na: b\nc: d\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ncontent-length: x\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\nreq-id: 1\r\nReq-Id: 2\r\n\r\n", 400),
+        (b"GET /a HTTP/1.1\r\nreq-id: 1\r\nconnection: keep-alive, Req-Id\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ncontent-length: -1\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ntransfer-encoding: gzip, chunked\r\n\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\nxyz\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n1\r\nab\r\n", 400),
+        (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n" + b"1" * 2000, 400),
+        (b"POST /a HTTP/1.1\r\ncontent-length: 1073741825\r\n\r\n", 413),
+        (b"POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n123456789\r\n", 400),
+        (b"GET /a HTTP/1.1\r\na: " + b"b" * 9000 + b"\r\n\r\n", 431),
+        (b"x" * 9000, 431),
+    ],
+)
 def test_what_is_no_request(text: bytes, status: int) -> None:
     pool = Pool(100)
     with pytest.raises(Malformed) as fault:
@@ -116,11 +129,19 @@
     assert fault.value.status == status
 
 
-@pytest.mark.parametrize("text", [
-    b"nonsense\r\n\r\n", b"HTTP/1.1 abc OK\r\n\r\n", b"HTTP/1.1 2000 OK\r\n\r\n", b"ICY 200 OK\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\ncontent-length: 70000\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * 70000,
-    b"\x16\x03\x01" * 4000])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"nonsense\r\n\r\n",
+        b"HTTP/1.1 abc OK\r\n\r\n",
+        b"HTTP/1.1 2000 OK\r\n\r\n",
+        b"ICY 200 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 70000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * 70000,
+        b"\x16\x03\x01" * 4000,
+    ],
+)
 def test_what_is_no_answer(text: bytes) -> None:
     pool = Pool(100)
     with pytest.raises(Malformed):
@@ -129,27 +150,65 @@
 
 def test_what_goes_on_to_an_endpoint() -> None:
     chain = Chain(Pool(4))
-    request = Request(b"POST", b"/api?x=1", Fields([
-        (b"host", b"app.svc"), (b"req-id", b"r1"), (b"idempotency-key", b"k"), (b"req-deadline", b"480m"),
-        (b"connection", b"close, x-mine"), (b"x-mine", b"1"), (b"content-length", b"9"), (b"x-else", b"2")]),
-        chain, True)
+    request = Request(
+        b"POST",
+        b"/api?x=1",
+        Fields(
+            [
+                (b"host", b"app.svc"),
+                (b"req-id", b"r1"),
+                (b"idempotency-key", b"k"),
+                (b"req-deadline", b"480m"),
+                (b"connection", b"close, x-mine"),
+                (b"x-mine", b"1"),
+                (b"content-length", b"9"),
+                (b"x-else", b"2"),
+            ]
+        ),
+        chain,
+        True,
+    )
     assert request.onward("10.0.0.1:80", 1500) == (
         b"POST /api?x=1 HTTP/1.1\r\nhost: 10.0.0.1:80\r\nreq-deadline: 1500u\r\nreq-id: r1\r\n"
-        b"idempotency-key: k\r\nx-else: 2\r\ncontent-length: 0\r\n\r\n")
-
-
-@pytest.mark.parametrize("answer, keep, head", [
-    (Answer(200, kind=b"text/plain"), True,
-     b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\ncontent-type: text/plain\r\n\r\n"),
-    (Answer(503, come_back_us=250_000), False, b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n"
-     b"retry-after: 0.250\r\nconnection: close\r\n\r\n")])
+        b"idempotency-key: k\r\nx-else: 2\r\ncontent-length: 0\r\n\r\n"
+    )
+
+
+@pytest.mark.parametrize(
+    "answer, keep, head",
+    [
+        (
+            Answer(200, kind=b"text/plain"),
+            True,
+            b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\ncontent-type: text/plain\r\n\r\n",
+        ),
+        (
+            Answer(503, come_back_us=250_000),
+            False,
+            b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n"
+            b"retry-after: 0.250\r\nconnection: close\r\n\r\n",
+        ),
+    ],
+)
 def test_what_goes_out_to_a_client(answer: Answer, keep: bool, head: bytes) -> None:
     assert answer.head(keep) == head
 
 
-@pytest.mark.parametrize("text, us", [
-    ("480m", 480_000), ("480u", 480), ("0m", 0), (" 5m ", 5000), ("480", None), ("-1m", None), ("1.5m", None),
-    ("m", None), ("9" * 13 + "m", None), ("5s", None)])
+@pytest.mark.parametrize(
+    "text, us",
+    [
+        ("480m", 480_000),
+        ("480u", 480),
+        ("0m", 0),
+        (" 5m ", 5000),
+        ("480", None),
+        ("-1m", None),
+        ("1.5m", None),
+        ("m", None),
+        ("9" * 13 + "m", None),
+        ("5s", None),
+    ],
+)
 def test_spans(text: str, us: int | None) -> None:
     assert span_us(text) == us
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -27,29 +27,39 @@
     (tests / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     if text is not None:
         (tmp / "KNOWN-RED.txt").write_text(text)
-    return subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider",
-                           *(words or ["tests"])],
-                          cwd=tmp, capture_output=True, text=True, check=False, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *(words or ["tests"])],
+        cwd=tmp,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
 
 
 def line(name: str) -> str:
     return f"tests/test_suite.py::{name} | its cause | issue 7\n"
 
 
-@pytest.mark.parametrize("text, words, code, says", [
-    (None, [], 1, "2 failed, 1 passed"),
-    ("# nothing\n\n", [], 1, "2 failed, 1 passed"),
-    (line("test_bad"), [], 1, "1 failed, 1 passed, 1 xfailed"),
-    (line("test_bad") + line("test_worse"), [], 0, "1 passed, 2 xfailed"),
-    (line("test_bad") + line("test_worse"), [], 0, "known red: tests/test_suite.py::test_bad: its cause"),
-    (line("test_bad") + line("test_worse"), ["tests/test_suite.py::test_good"], 0, "1 passed"),
-    (line("test_bad") + line("test_good"), [], 1, "XPASS(strict)"),
-    (line("test_gone"), [], 4, "KNOWN-RED.txt: no test is tests/test_suite.py::test_gone"),
-    (line("test_bad") * 2, [], 4, "a test stands there twice"),
-    (line("a") + line("b") + line("c") + line("d"), [], 4, "4 tests, 3 at most"),
-    ("tests/test_suite.py::test_bad | its cause\n", [], 4, "line 1: not a test, a cause and an issue"),
-    ("tests/test_suite.py::test_bad || 7\n", [], 4, "line 1: not a test, a cause and an issue")])
+@pytest.mark.parametrize(
+    "text, words, code, says",
+    [
+        (None, [], 1, "2 failed, 1 passed"),
+        ("# nothing\n\n", [], 1, "2 failed, 1 passed"),
+        (line("test_bad"), [], 1, "1 failed, 1 passed, 1 xfailed"),
+        (line("test_bad") + line("test_worse"), [], 0, "1 passed, 2 xfailed"),
+        (line("test_bad") + line("test_worse"), [], 0, "known red: tests/test_suite.py::test_bad: its cause"),
+        (line("test_bad") + line("test_worse"), ["tests/test_suite.py::test_good"], 0, "1 passed"),
+        (line("test_bad") + line("test_good"), [], 1, "XPASS(strict)"),
+        (line("test_gone"), [], 4, "KNOWN-RED.txt: no test is tests/test_suite.py::test_gone"),
+        (line("test_bad") * 2, [], 4, "a test stands there twice"),
+        (line("a") + line("b") + line("c") + line("d"), [], 4, "4 tests, 3 at most"),
+        ("tests/test_suite.py::test_bad | its cause\n", [], 4, "line 1: not a test, a cause and an issue"),
+        ("tests/test_suite.py::test_bad || 7\n", [], 4, "line 1: not a test, a cause and an issue"),
+    ],
+)
 def test_ci_passes_over_what_is_listed_and_nothing_else(
-        tmp_path: Path, text: str | None, words: list[str], code: int, says: str) -> None:
+    tmp_path: Path, text: str | None, words: list[str], code: int, says: str
+) -> None:
     ended = run(tmp_path, text, *words)
     assert ended.returncode == code and says in ended.stdout + ended.stderr, (ended.stdout, ended.stderr)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -29,9 +29,14 @@
 
 
 def listed(first: int, n: int, revision: int = 5, complete: bool = True, **change: Any) -> dict[str, Any]:
-    return {"revision": revision, "complete": complete, "members": [
-        member(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
-        for k in range(first, first + n)]}
+    return {
+        "revision": revision,
+        "complete": complete,
+        "members": [
+            member(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
+            for k in range(first, first + n)
+        ],
+    }
 
 
 def at_work(front: Front) -> list[int]:
@@ -42,14 +47,19 @@
 def test_a_long_list_comes_in_pieces_changes_by_half_and_is_handed_over(n: int) -> None:
     text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", LinesSink(), []
     for at in range(0, len(text), 1000):
-        sink.add(memoryview(text[at:at + 1000]))
+        sink.add(memoryview(text[at : at + 1000]))
         lines += sink.lines()
     front = Front(0)
     front.told += front.reducer.news(0, read_line(lines[0]))
     assert sum(at_work(front)) == n == len(front.reducer.roster.addresses)
     half = n // 2
-    for k, change in enumerate((listed(0, half, 6, False, phase="draining"), listed(n, half, 7, False),
-                                listed(0, half, 8, False, phase="removed"))):
+    for k, change in enumerate(
+        (
+            listed(0, half, 6, False, phase="draining"),
+            listed(n, half, 7, False),
+            listed(0, half, 8, False, phase="removed"),
+        )
+    ):
         front.told += front.reducer.news(k, read(change))
         assert sum(at_work(front)) == (n - half, n, n)[k]
     side = front.reducer.sidecar
@@ -87,7 +97,8 @@
 
 @pytest.mark.parametrize("endpoints, links, dearest", [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)])
 def test_fewer_connections_than_endpoints_are_not_closed_and_opened_by_turns(
-        endpoints: int, links: int, dearest: int) -> None:
+    endpoints: int, links: int, dearest: int
+) -> None:
     front = Front(0, clients=40, links=links)
     side = front.reducer.sidecar
     side.links, side.copies, front.pool = links, 33.0, Pool(10_000)
@@ -106,9 +117,16 @@
     assert len(front.reducer.links) <= links
 
 
-@pytest.mark.parametrize("copies, wrong", [
-    (1024, ""), (4096, ""), (0, "n_instances is below 1: 0"), (-3, "n_instances is below 1: -3"),
-    (1.5, "n_instances is not a whole number: 1.5")])
+@pytest.mark.parametrize(
+    "copies, wrong",
+    [
+        (1024, ""),
+        (4096, ""),
+        (0, "n_instances is below 1: 0"),
+        (-3, "n_instances is below 1: -3"),
+        (1.5, "n_instances is not a whole number: 1.5"),
+    ],
+)
 def test_as_many_copies_as_there_are(copies: float, wrong: str) -> None:
     config = copy.deepcopy(CONFIG)
     config["known"] = listed(0, 1024)
@@ -135,7 +153,8 @@
 
 
 def test_the_adapter_takes_such_a_list() -> None:
-    rows = "".join(f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n"
-                   for n in range(3000))
+    rows = "".join(
+        f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
+    )
     said = on_the_wire(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{HEARD}", TX)
     assert said[0].startswith("ISSUE i=sidecar/0 xid=t1")
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -140,9 +140,7 @@
 def liar(nth: int, names: list[str], key: bytes) -> bytes:
     """A datagram with a valid key that says that all of these are up, at an address where nobody is."""
     own = codec.record(Record("liar", "a", ("127.99.0.1", 9), nth + 1, 7, ALIVE))
-    lies = b"".join(
-        codec.record(Record(name, "a", ("127.99.0.2", 9), nth + 1, 8, ALIVE)) for name in names
-    )
+    lies = b"".join(codec.record(Record(name, "a", ("127.99.0.2", 9), nth + 1, 8, ALIVE)) for name in names)
     return seal(key, codec.wrap(codec.NEWS, nth + 1, own + lies))
 
 
@@ -190,8 +188,14 @@
 WORDS = some.tuples(
     some.integers(1, 3),  # by
     some.integers(0, 2),  # incarnation
-    some.builds(Hint, some.sampled_from(KINDS), some.integers(0, 2), some.integers(0, 9), some.integers(0, 3),
-                some.integers(0, 3000)),
+    some.builds(
+        Hint,
+        some.sampled_from(KINDS),
+        some.integers(0, 2),
+        some.integers(0, 9),
+        some.integers(0, 3),
+        some.integers(0, 3000),
+    ),
 )
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -52,17 +52,30 @@
 
 
 def test_a_plan_is_drawn_the_same_each_time() -> None:
-    plan = Plan.model_validate({"rate": 300, "seconds": 3, "seed": 5, "members": [
-        {"name": "a", "part": 9}, {"name": "b", "part": 1}]})
+    plan = Plan.model_validate(
+        {
+            "rate": 300,
+            "seconds": 3,
+            "seed": 5,
+            "members": [{"name": "a", "part": 9}, {"name": "b", "part": 1}],
+        }
+    )
     first = list(drawn(plan))
     assert first == list(drawn(plan)) != list(drawn(plan.model_copy(update={"seed": 6})))
     assert 0.8 < sum(due.member == 0 for due in first) / len(first) < 0.97
     assert len({due.key for due in first}) == len(first)
 
 
-@pytest.mark.parametrize(("backoff", "told_us", "honour", "least", "most"), [
-    ("none", 0, 1.0, 0, 0), ("fixed", 0, 1.0, 50_000, 50_000), ("exp", 0, 1.0, 100_000, 300_000),
-    ("exp", 700_000, 1.0, 700_000, 700_000), ("fixed", 700_000, 0.0, 50_000, 50_000)])
+@pytest.mark.parametrize(
+    ("backoff", "told_us", "honour", "least", "most"),
+    [
+        ("none", 0, 1.0, 0, 0),
+        ("fixed", 0, 1.0, 50_000, 50_000),
+        ("exp", 0, 1.0, 100_000, 300_000),
+        ("exp", 700_000, 1.0, 700_000, 700_000),
+        ("fixed", 700_000, 0.0, 50_000, 50_000),
+    ],
+)
 def test_clients_wait_as_they_are_told_to(
     backoff: str, told_us: int, honour: float, least: int, most: int
 ) -> None:
@@ -75,14 +88,27 @@
 GOOD = {"time_us": 5, "profile": "read", "member": "acme", "size": 10}
 
 
-@pytest.mark.parametrize(("name", "text", "why"), [
-    ("t.csv", "time_us,profile,member\n", "row 1: no column size"),
-    ("t.csv", "time_us,profile,member,size\n1,read,acme,0\nx,read,acme,0\n", "row 3: invalid literal"),
-    ("t.csv", "time_us,profile,member,size\n5,read,a,0\n4,read,a,0\n", "row 3: time_us goes back: 4 after 5"),
-    ("t.csv", "time_us,profile,member,size\n5,read,a,-1\n", "row 2: size is not within 0 and 65536: -1"),
-    ("t.jsonl", '{"time_us":1,"profile":"read","member":"a"}\n', "row 1: no size"),
-    ("t.jsonl", '{"time_us":1,"profile":"","member":"a","size":0}\n', "row 1: profile or member is no name"),
-    ("t.jsonl", "[]\n", "row 1: no JSON object"), ("t.jsonl", "{\n", "row 1: not JSON")])
+@pytest.mark.parametrize(
+    ("name", "text", "why"),
+    [
+        ("t.csv", "time_us,profile,member\n", "row 1: no column size"),
+        ("t.csv", "time_us,profile,member,size\n1,read,acme,0\nx,read,acme,0\n", "row 3: invalid literal"),
+        (
+            "t.csv",
+            "time_us,profile,member,size\n5,read,a,0\n4,read,a,0\n",
+            "row 3: time_us goes back: 4 after 5",
+        ),
+        ("t.csv", "time_us,profile,member,size\n5,read,a,-1\n", "row 2: size is not within 0 and 65536: -1"),
+        ("t.jsonl", '{"time_us":1,"profile":"read","member":"a"}\n', "row 1: no size"),
+        (
+            "t.jsonl",
+            '{"time_us":1,"profile":"","member":"a","size":0}\n',
+            "row 1: profile or member is no name",
+        ),
+        ("t.jsonl", "[]\n", "row 1: no JSON object"),
+        ("t.jsonl", "{\n", "row 1: not JSON"),
+    ],
+)
 def test_a_faulty_row_is_named(tmp_path: Path, name: str, text: str, why: str) -> None:
     path = tmp_path / name
     path.write_text(text)
@@ -120,7 +146,8 @@
         {"id": "1-1-1", "due_us": 500, "profile": "note", "member": "b", "size": 0, "key": "j"},
         {"id": "1-1-2", "due_us": 500, "profile": "note", "member": "b", "size": 0, "key": "j"},
         {"event": "rolled_back", "at_us": 700, "profile": "read", "member": None},
-        {"event": "hop", "at_us": 701}]
+        {"event": "hop", "at_us": 701},
+    ]
     source, out = tmp_path / "ledger", tmp_path / "t.jsonl"
     source.write_bytes(b"".join(orjson.dumps(row) + b"\n" for row in rows))
     with open(out, "wb") as file:
@@ -132,6 +159,7 @@
 
 # What it tells
 
+
 def spooled(path: Path, rows: list[tuple[int, int, int, int]]) -> Figures:
     """Rows as (due, taken, ended, status), in milliseconds."""
     spool = Spool(path)
@@ -236,12 +264,16 @@
         async def serve() -> None:
             loop = asyncio.get_running_loop()
             server = await loop.create_server(
-                lambda: Served(deed or (lambda asked: None), lambda served: None, came), "127.0.0.1", 0,
-                backlog=1000)
+                lambda: Served(deed or (lambda asked: None), lambda served: None, came),
+                "127.0.0.1",
+                0,
+                backlog=1000,
+            )
             at.extend([server.sockets[0].getsockname()[:2], loop, asyncio.Event()])
             ready.set()
             await at[2].wait()
             server.close()
+
         asyncio.run(serve())
 
     thread = threading.Thread(target=run)
@@ -259,9 +291,16 @@
     return figures, [orjson.loads(line) for line in ledger.read_bytes().splitlines()]
 
 
-@pytest.mark.parametrize(("deed", "how"), [(None, "gave up"), (halves, "gave up"), (drips, "gave up"),
-                                           (lambda asked: asked.server.close(), "reset"),
-                                           (lambda asked: asked.server.raw(b"what?\r\n\r\n"), "not http")])
+@pytest.mark.parametrize(
+    ("deed", "how"),
+    [
+        (None, "gave up"),
+        (halves, "gave up"),
+        (drips, "gave up"),
+        (lambda asked: asked.server.close(), "reset"),
+        (lambda asked: asked.server.raw(b"what?\r\n\r\n"), "not http"),
+    ],
+)
 def test_what_is_not_answered_is_counted_and_timed(tmp_path: Path, deed: Deed | None, how: str) -> None:
     with target(deed) as to:
         told, tries = load(to, tmp_path)
@@ -285,8 +324,15 @@
         asked.server.answer(status, more=b"Retry-After: 0.01\r\n")
 
     with target(turns_away) as to:
-        told, tries = load(to, tmp_path, clients={"repeats": 2}, profiles=[
-            {"name": "read", "limit_ms": 400}, {"name": "number", "repeat": "unsafe", "limit_ms": 400}])
+        told, tries = load(
+            to,
+            tmp_path,
+            clients={"repeats": 2},
+            profiles=[
+                {"name": "read", "limit_ms": 400},
+                {"name": "number", "repeat": "unsafe", "limit_ms": 400},
+            ],
+        )
     unsafe = sum(row["profile"] == "number" for row in tries)
     assert told["statuses"]["502"] == unsafe and len(tries) - unsafe == 3 * told["statuses"]["503"]
     assert seen.count("1") == 2 * told["statuses"]["503"]
@@ -302,8 +348,10 @@
 
 def test_where_descriptors_run_out_the_rest_waits(tmp_path: Path) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    code = ("import resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (120, 120)); "
-            "from cressrail.cli.load import app; app()")
+    code = (
+        "import resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (120, 120)); "
+        "from cressrail.cli.load import app; app()"
+    )
     with target(None) as to:
         done = subprocess.run(
             [
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -37,6 +37,7 @@
 
     def work(self, rounds: int, step_us: int) -> None:
         """A task that wakes at every step, so there is work all the time."""
+
         def works() -> None:
             for _ in range(rounds):
                 self.now += step_us
@@ -66,7 +67,8 @@
 
 
 def test_one_that_rested_is_heard_timed_from_the_look_before_and_at_work_again(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     rest = Resting(10, monkeypatch)
     rest.work(80, 1000)
     looked = rest.loop.every_us
@@ -95,7 +97,8 @@
 
 @pytest.mark.parametrize("rounds", [3, 80])
 def test_what_is_closed_is_taken_out_and_its_number_serves_again(
-        monkeypatch: pytest.MonkeyPatch, rounds: int) -> None:
+    monkeypatch: pytest.MonkeyPatch, rounds: int
+) -> None:
     rest = Resting(10, monkeypatch)
     rest.work(rounds, 1000)
     numbers = {near.fileno() for near, _ in rest.pairs[:6]}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -417,7 +417,17 @@
     told = codec.read(codec.wrap(codec.PAGE, 5, fields))
     rows = [brief._replace(by=0) for brief in briefs]
     assert told == codec.Datagram(
-        codec.PAGE, 5, own, [call], [span], records, briefs, edges, rows, hints, words,
+        codec.PAGE,
+        5,
+        own,
+        [call],
+        [span],
+        records,
+        briefs,
+        edges,
+        rows,
+        hints,
+        words,
         [(7, word) for word in words],
     )
     assert len(codec.pad(padding)) in ((padding, padding - 1) if padding else (0,))
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -19,12 +19,14 @@
 
 def named(name: str) -> Any:
     """The usual configuration with this name for a profile, a member and a zone."""
+
     def shaped(config: dict[str, Any] = CONFIG) -> dict[str, Any]:
         config = copy.deepcopy(config)
         settings = config["settings"]
         settings["profiles"][0]["name"] = settings["tenants"][0]["name"] = settings["zone"] = name
         settings["dcs"] = [name, "b"]
         return config
+
     return shaped
 
 
@@ -33,15 +35,21 @@
     endpoint: Script = serving(reply(b"hello"))
     play = Play([endpoint], shaped=named(name))
     word = name.encode()
-    text = (b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word))
+    text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
     assert asked(play, text) == [b"200 hello"]
     assert play.reducer.sidecar.shares.credit[0] < play.reducer.sidecar.shares.most[0]  # counted as its own
     assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.tally.text(0, 0, 0)
 
 
-@pytest.mark.parametrize("value, text", [
-    ("histórico".encode(), "histórico"), (b"a-b", "a-b"), (b"hist\xf3rico", "histórico"),
-    (b"\xff\xfe", "ÿþ")])
+@pytest.mark.parametrize(
+    "value, text",
+    [
+        ("histórico".encode(), "histórico"),
+        (b"a-b", "a-b"),
+        (b"hist\xf3rico", "histórico"),
+        (b"\xff\xfe", "ÿþ"),
+    ],
+)
 def test_a_field_is_read_as_utf_8_and_byte_by_byte_where_it_is_none(value: bytes, text: str) -> None:
     request = Request(b"GET", b"/api", Fields([(b"req-kind", value)]), Chain(Pool(1)), True)
     assert request.get(b"req-kind") == text
