--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -30,8 +30,10 @@
 
 def figures(front: Front, now: int = 0) -> dict[str, int]:
     told, _ = front.reducer.control(now, b"GET", control.COUNTERS)
-    return {name: int(value) for name, _, value in
-            (line.partition(" ") for line in told.body.decode().splitlines())}
+    return {
+        name: int(value)
+        for name, _, value in (line.partition(" ") for line in told.body.decode().splitlines())
+    }
 
 
 def call(front: Front, path: bytes, now: int = 0) -> int:
@@ -42,14 +44,28 @@
 
 def test_every_figure_stands_there_from_the_start() -> None:
     told = figures(Front())
-    assert told == {**{f'app_{how}{{group="{name}"}}': 0 for how in ("answered", "deferred", "errored")
-                       for name in ("read", "write", "note")},
-                    "app_sends": 0, "app_current": 0, "app_cluster_size": 2, "app_cluster_unhealthy": 0}
-
-
-@pytest.mark.parametrize("kind, how, counted", [
-    ("read", Outcome.COMMITTED, "answered"), ("read", Outcome.TIMED_OUT, "deferred"),
-    ("write", Outcome.ERROR, "errored"), ("write", Outcome.REJECTED, "errored")])
+    assert told == {
+        **{
+            f'app_{how}{{group="{name}"}}': 0
+            for how in ("answered", "deferred", "errored")
+            for name in ("read", "write", "note")
+        },
+        "app_sends": 0,
+        "app_current": 0,
+        "app_cluster_size": 2,
+        "app_cluster_unhealthy": 0,
+    }
+
+
+@pytest.mark.parametrize(
+    "kind, how, counted",
+    [
+        ("read", Outcome.COMMITTED, "answered"),
+        ("read", Outcome.TIMED_OUT, "deferred"),
+        ("write", Outcome.ERROR, "errored"),
+        ("write", Outcome.REJECTED, "errored"),
+    ],
+)
 def test_each_transaction_counts_once_when_it_is_final(kind: str, how: Outcome, counted: str) -> None:
     front = Front()
     front.came(1)
@@ -88,10 +104,16 @@
     assert side.avoids(0) == [1, 2] and side.avoids(3 * SECOND) == [2]
 
 
-@pytest.mark.parametrize("method, path, status, allow", [
-    (b"GET", b"/control/ready", 200, b""), (b"POST", b"/control/ready", 405, b"GET"),
-    (b"GET", b"/control/out-of-service", 405, b"POST"), (b"GET", b"/", 404, b""),
-    (b"POST", b"/control/in-service", 200, b"")])
+@pytest.mark.parametrize(
+    "method, path, status, allow",
+    [
+        (b"GET", b"/control/ready", 200, b""),
+        (b"POST", b"/control/ready", 405, b"GET"),
+        (b"GET", b"/control/out-of-service", 405, b"POST"),
+        (b"GET", b"/", 404, b""),
+        (b"POST", b"/control/in-service", 200, b""),
+    ],
+)
 def test_wrong_calls_are_told_apart(method: bytes, path: bytes, status: int, allow: bytes) -> None:
     told, _ = Front().reducer.control(SECOND, method, path)
     assert (told.status, told.allow) == (status, allow)
@@ -135,8 +157,10 @@
     assert front.all(do.Leave)
 
 
-@pytest.mark.parametrize("value, says", [
-    ("here", "ops is no host:port: here"), ("127.0.0.1:9000", "ops is the same as listen: 127.0.0.1:9000")])
+@pytest.mark.parametrize(
+    "value, says",
+    [("here", "ops is no host:port: here"), ("127.0.0.1:9000", "ops is the same as listen: 127.0.0.1:9000")],
+)
 @pytest.mark.parametrize("by", ["file", "environment"])
 def test_an_address_that_cannot_be_the_operators_is_named(value: str, says: str, by: str) -> None:
     config, env = copy.deepcopy(CONFIG), {}
@@ -153,14 +177,16 @@
     taken = listener.bind("127.0.0.1", 0)
     path, (host, port) = tmp_path / "config.json", taken.getsockname()
     path.write_bytes(orjson.dumps({**CONFIG, "listen": "127.0.0.1:1", "ops": f"{host}:{port}"}))
-    ended = subprocess.run([sys.executable, "-m", "cressrail", "serve", str(path)], capture_output=True,
-                           timeout=20, check=False)
+    ended = subprocess.run(
+        [sys.executable, "-m", "cressrail", "serve", str(path)], capture_output=True, timeout=20, check=False
+    )
     taken.close()
     assert ended.returncode == 1 and b"cannot listen on" in ended.stderr
 
 
 # On sockets
 
+
 def play() -> tuple[Play, tuple[str, int]]:
     made, _, at = opened()
     return made, at
@@ -175,6 +201,7 @@
 
 def calling(at: tuple[str, int], script: Callable[[Peer], None]) -> Callable[[Peer], None]:
     """A client's script whose peer talks to the operators' door."""
+
     def run(peer: Peer) -> None:
         peer.sock.close()
         sock = socket.create_connection(at)
@@ -183,6 +210,7 @@
             script(other)
         finally:
             sock.close()
+
     return run
 
 
@@ -190,11 +218,17 @@
     return f"{method} {path} HTTP/1.1\r\nhost: x\r\n\r\n".encode()
 
 
-@pytest.mark.parametrize("sent, heard", [
-    ([get("/control/ready")], b"HTTP/1.1 200 "),
-    ([b"GE", b"T /control/ready HTTP/1.1\r\n\r", b"\n"], b"HTTP/1.1 200 "),
-    ([b"nonsense\r\n\r\n"], b"HTTP/1.1 400 "), ([get("/control/ready", "PUT")], b"HTTP/1.1 405 "),
-    ([b"x" * 9000], b"HTTP/1.1 400 "), ([get("/elsewhere")], b"HTTP/1.1 404 ")])
+@pytest.mark.parametrize(
+    "sent, heard",
+    [
+        ([get("/control/ready")], b"HTTP/1.1 200 "),
+        ([b"GE", b"T /control/ready HTTP/1.1\r\n\r", b"\n"], b"HTTP/1.1 200 "),
+        ([b"nonsense\r\n\r\n"], b"HTTP/1.1 400 "),
+        ([get("/control/ready", "PUT")], b"HTTP/1.1 405 "),
+        ([b"x" * 9000], b"HTTP/1.1 400 "),
+        ([get("/elsewhere")], b"HTTP/1.1 404 "),
+    ],
+)
 def test_a_call_is_answered_whole_and_its_connection_ends(sent: list[bytes], heard: bytes) -> None:
     made, at = play()
     got: list[bytes] = []
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -8,13 +8,22 @@
 from tests.helpers import SECOND, entry, profile, sidecar, warm_up
 
 
-@pytest.mark.parametrize("how, last, others_fail, claimed", [
-    (Outcome.TURNED_AWAY, False, True, True), (Outcome.UNREACHED, False, True, True),
-    (Outcome.DROPPED, False, True, True), (Outcome.CALLED_OFF, True, False, False),
-    (Outcome.NEVER_SENT, True, False, False), (Outcome.ERROR, True, True, True),
-    (Outcome.TIMED_OUT, True, True, True), (Outcome.ERROR, False, False, True),
-    (Outcome.TIMED_OUT, False, False, True), (Outcome.ERROR, False, True, False),
-    (Outcome.TIMED_OUT, False, True, False)])
+@pytest.mark.parametrize(
+    "how, last, others_fail, claimed",
+    [
+        (Outcome.TURNED_AWAY, False, True, True),
+        (Outcome.UNREACHED, False, True, True),
+        (Outcome.DROPPED, False, True, True),
+        (Outcome.CALLED_OFF, True, False, False),
+        (Outcome.NEVER_SENT, True, False, False),
+        (Outcome.ERROR, True, True, True),
+        (Outcome.TIMED_OUT, True, True, True),
+        (Outcome.ERROR, False, False, True),
+        (Outcome.TIMED_OUT, False, False, True),
+        (Outcome.ERROR, False, True, False),
+        (Outcome.TIMED_OUT, False, True, False),
+    ],
+)
 def test_only_claimed_errors_are_retried(how: Outcome, last: bool, others_fail: bool, claimed: bool) -> None:
     side = sidecar([entry(n) for n in range(4)], last_tier=last)
     warm_up(side)
@@ -30,17 +39,21 @@
 @pytest.mark.parametrize("taken, retries", [(0, 0), (9, 0), (10, 1), (19, 1), (20, 2), (1000, 100)])
 @pytest.mark.parametrize("age_us, kept", [(0, True), (10 * SECOND - 1, True), (10 * SECOND, False)])
 def test_the_budget_is_a_tenth_of_the_window_rounded_down(
-        taken: int, retries: int, age_us: int, kept: bool) -> None:
+    taken: int, retries: int, age_us: int, kept: bool
+) -> None:
     budget = RetryBudget()
     for _ in range(taken):
         budget.take(0)
     assert sum(budget.spend(age_us) for _ in range(taken + 1)) == (retries if kept else 0)
 
 
-@pytest.mark.parametrize("failing, heard_us, zone", [
-    ([], 0, 0), ([0], 0, 0), ([0, 1], 0, 1), ([0, 1], -60 * SECOND, 0), ([0, 1, 2, 3, 4], 0, 0)])
+@pytest.mark.parametrize(
+    "failing, heard_us, zone",
+    [([], 0, 0), ([0], 0, 0), ([0, 1], 0, 1), ([0, 1], -60 * SECOND, 0), ([0, 1, 2, 3, 4], 0, 0)],
+)
 def test_traffic_moves_when_under_half_of_the_own_group_succeed(
-        failing: list[int], heard_us: int, zone: int) -> None:
+    failing: list[int], heard_us: int, zone: int
+) -> None:
     side = sidecar([entry(0), entry(1), entry(2), entry(3, 1), entry(4, 1)])
     for ix in failing:
         side.endpoints[ix].good, side.endpoints[ix].heard_us = 0.0, heard_us
@@ -49,10 +62,12 @@
     assert {side.endpoints[ix].zone for ix in sent} == {zone}
 
 
-@pytest.mark.parametrize("then, after_us, in_use", [
-    (None, 0, False), (None, 3 * SECOND, True), ("starts", 0, True)])
+@pytest.mark.parametrize(
+    "then, after_us, in_use", [(None, 0, False), (None, 3 * SECOND, True), ("starts", 0, True)]
+)
 def test_an_endpoint_that_died_is_left_out_until_the_list_tells_or_for_a_while(
-        then: str | None, after_us: int, in_use: bool) -> None:
+    then: str | None, after_us: int, in_use: bool
+) -> None:
     side = sidecar([entry(0), entry(1), entry(2)])
     out = side.take(0, profile(), -1, SECOND)
     ix = out.route(0)[0][2]
@@ -70,10 +85,13 @@
     assert set(sent) == {1} and side.line
 
 
-@pytest.mark.parametrize("flying, latency, picked", [
-    ((3, 0), (1.0, 1.0), 1), ((0, 3), (1.0, 1.0), 0), ((1, 1), (0.9, 0.1), 1), ((0, 1), (0.9, 0.1), 0)])
+@pytest.mark.parametrize(
+    "flying, latency, picked",
+    [((3, 0), (1.0, 1.0), 1), ((0, 3), (1.0, 1.0), 0), ((1, 1), (0.9, 0.1), 1), ((0, 1), (0.9, 0.1), 0)],
+)
 def test_the_one_with_fewer_own_hops_wins(
-        flying: tuple[int, int], latency: tuple[float, float], picked: int) -> None:
+    flying: tuple[int, int], latency: tuple[float, float], picked: int
+) -> None:
     side = sidecar([entry(0), entry(1)])
     for ix in (0, 1):
         side.endpoints[ix].in_flight, side.endpoints[ix].latency = flying[ix], latency[ix]
@@ -82,7 +100,8 @@
 
 @pytest.mark.parametrize("local, away, spills", [(0.2, 0.2, False), (0.5, 0.2, True), (0.2, 0.0, False)])
 def test_a_rising_share_spills_while_local_latency_stands_above(
-        local: float, away: float, spills: bool) -> None:
+    local: float, away: float, spills: bool
+) -> None:
     side = sidecar([entry(0), entry(1, 1)])
     side.endpoints[0].latency, side.endpoints[1].latency = local, away
     side.endpoints[0].heard_us = side.endpoints[1].heard_us = 0
@@ -93,9 +112,16 @@
     assert (sorted(set(shares)) == shares) is spills and (shares[-1] > 0) is spills
 
 
-@pytest.mark.parametrize("how, took_us, change", [
-    (Outcome.COMMITTED, SECOND // 10, 1), (Outcome.COMMITTED, SECOND * 9 // 10, -1),
-    (Outcome.TURNED_AWAY, 1000, -1), (Outcome.TIMED_OUT, SECOND, -1), (Outcome.CALLED_OFF, SECOND, 0)])
+@pytest.mark.parametrize(
+    "how, took_us, change",
+    [
+        (Outcome.COMMITTED, SECOND // 10, 1),
+        (Outcome.COMMITTED, SECOND * 9 // 10, -1),
+        (Outcome.TURNED_AWAY, 1000, -1),
+        (Outcome.TIMED_OUT, SECOND, -1),
+        (Outcome.CALLED_OFF, SECOND, 0),
+    ],
+)
 def test_a_limit_grows_by_one_and_is_cut_by_a_share(how: Outcome, took_us: int, change: int) -> None:
     side = sidecar([entry(0)])
     e = side.endpoints[0]
@@ -109,7 +135,8 @@
 
 @pytest.mark.parametrize("later_took_us, cut", [(SECOND // 10, False), (SECOND * 2, True), (None, True)])
 def test_a_hop_without_answer_that_later_ones_have_overtaken_cuts_no_limit(
-        later_took_us: int | None, cut: bool) -> None:
+    later_took_us: int | None, cut: bool
+) -> None:
     side = sidecar([entry(0)])
     tx, later = (side.take(at, profile(), -1, 4 * SECOND) for at in (0, 1000))
     tx.route(0)
@@ -150,8 +177,9 @@
     assert (side.endpoints[0].limit < 6.0) is cut
 
 
-@pytest.mark.parametrize("rate, sent, surplus", [
-    (5, True, 0), (10, True, 0), (20, True, 100), (90, False, 0)])
+@pytest.mark.parametrize(
+    "rate, sent, surplus", [(5, True, 0), (10, True, 0), (20, True, 100), (90, False, 0)]
+)
 def test_what_a_member_has_sent_beyond_its_share_is_marked(rate: int, sent: bool, surplus: int) -> None:
     shares = Shares([20.0], 2, 0.1)
     marked = 0
@@ -225,12 +253,20 @@
     assert side.endpoints[0].limit == own and (other is None or side.endpoints[1].limit == other)
 
 
-@pytest.mark.parametrize("how, took_us, limit, told", [
-    (Outcome.TIMED_OUT, SECOND, 2.0, 0.0), (Outcome.TIMED_OUT, SECOND, 1.0, 0.0),
-    (Outcome.TIMED_OUT, SECOND, 0.5, 0.5), (Outcome.TIMED_OUT, SECOND, 0.1, 0.9),
-    (Outcome.COMMITTED, 1000, 0.5, 0.5), (Outcome.COMMITTED, 1000, 0.1, 0.9)])
+@pytest.mark.parametrize(
+    "how, took_us, limit, told",
+    [
+        (Outcome.TIMED_OUT, SECOND, 2.0, 0.0),
+        (Outcome.TIMED_OUT, SECOND, 1.0, 0.0),
+        (Outcome.TIMED_OUT, SECOND, 0.5, 0.5),
+        (Outcome.TIMED_OUT, SECOND, 0.1, 0.9),
+        (Outcome.COMMITTED, 1000, 0.5, 0.5),
+        (Outcome.COMMITTED, 1000, 0.1, 0.9),
+    ],
+)
 def test_what_a_hop_tells_goes_to_all_in_use_where_limits_are_thin(
-        how: Outcome, took_us: int, limit: float, told: float) -> None:
+    how: Outcome, took_us: int, limit: float, told: float
+) -> None:
     side = sidecar([entry(n) for n in range(4)], copies=300)
     for e in side.endpoints.values():
         e.limit = limit
@@ -283,10 +319,13 @@
         assert asking.due(now)
 
 
-@pytest.mark.parametrize("earns, at_door, leaves_first", [
-    ((0.1, 1.0), True, 1), ((1.0, 0.1), True, 0), ((0.5, 0.5), True, 0), ((0.1, 1.0), False, 0)])
+@pytest.mark.parametrize(
+    "earns, at_door, leaves_first",
+    [((0.1, 1.0), True, 1), ((1.0, 0.1), True, 0), ((0.5, 0.5), True, 0), ((0.1, 1.0), False, 0)],
+)
 def test_the_line_serves_best_earners_first_at_the_door(
-        earns: tuple[float, float], at_door: bool, leaves_first: int) -> None:
+    earns: tuple[float, float], at_door: bool, leaves_first: int
+) -> None:
     side = sidecar([entry(0)], at_door=at_door)
     warm_up(side)
     side.endpoints[0].limit = 1.0
@@ -298,10 +337,13 @@
     assert sent[0] is waiting[leaves_first]
 
 
-@pytest.mark.parametrize("by_work, worst_weight, earns", [
-    (False, 0.0, [1.0, 1 / 6]), (True, 0.0, [1.0, 0.25]), (False, 0.4, [1.0, 0.5]), (True, 1.0, [1.0, 1.0])])
+@pytest.mark.parametrize(
+    "by_work, worst_weight, earns",
+    [(False, 0.0, [1.0, 1 / 6]), (True, 0.0, [1.0, 0.25]), (False, 0.4, [1.0, 0.5]), (True, 1.0, [1.0, 1.0])],
+)
 def test_the_poorest_profile_is_not_starved_outright(
-        by_work: bool, worst_weight: float, earns: list[float]) -> None:
+    by_work: bool, worst_weight: float, earns: list[float]
+) -> None:
     assert earnings([8.0, 2.0], [2 * SECOND, 3 * SECOND], by_work, worst_weight) == pytest.approx(earns)
 
 
@@ -326,11 +368,19 @@
     assert side.endpoints[0].limit == pytest.approx(6 * 0.75**cuts)
 
 
-@pytest.mark.parametrize("usual, crowded, late", [
-    ([0.2], [], 0.2), ([0.1, 0.3], [], 0.4), ([0.1, 0.3], [0.05, 1.2], 0.4),  # wider swings move nothing
-    ([0.4, 0.6], [], 0.5), ([0.9], [], 0.5)])
+@pytest.mark.parametrize(
+    "usual, crowded, late",
+    [
+        ([0.2], [], 0.2),
+        ([0.1, 0.3], [], 0.4),
+        ([0.1, 0.3], [0.05, 1.2], 0.4),  # wider swings move nothing
+        ([0.4, 0.6], [], 0.5),
+        ([0.9], [], 0.5),
+    ],
+)
 def test_late_is_told_by_the_swings_of_what_is_usual_and_by_half_the_goal(
-        usual: list[float], crowded: list[float], late: float) -> None:
+    usual: list[float], crowded: list[float], late: float
+) -> None:
     side = sidecar([entry(0)])
     for took in 400 * usual + 200 * crowded:
         side._learn_usual(0, took)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -43,9 +43,19 @@
     (folder / "config.json").write_text(json.dumps(config))
     run = tomllib.loads(Path("deploy/balancer.toml").read_text())["run"]
     return subprocess.Popen(
-        ["/bin/sh", "-c", run], stdout=subprocess.PIPE, stderr=subprocess.PIPE, start_new_session=True,
-        env={"PATH": os.environ["PATH"], "PYTHONPATH": str(folder), "TRY": tries, "TMPDIR": str(folder),
-             "PYTHONDONTWRITEBYTECODE": "1", "BALANCER_CONFIG": str(folder / "config.json")})
+        ["/bin/sh", "-c", run],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        start_new_session=True,
+        env={
+            "PATH": os.environ["PATH"],
+            "PYTHONPATH": str(folder),
+            "TRY": tries,
+            "TMPDIR": str(folder),
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "BALANCER_CONFIG": str(folder / "config.json"),
+        },
+    )
 
 
 def test_run_is_one_process_that_asks_for_nothing_the_platform_refuses(tmp_path: Path) -> None:
@@ -69,10 +79,16 @@
         program.kill()
 
 
-@pytest.mark.parametrize("tries", [
-    "import subprocess; subprocess.Popen(['true'])", "os.execv('/bin/true', ['true'])",
-    "import socket; socket.socket(socket.AF_UNIX).bind('\\0there')", "open('there', 'w')",
-    "os.system('true')"])
+@pytest.mark.parametrize(
+    "tries",
+    [
+        "import subprocess; subprocess.Popen(['true'])",
+        "os.execv('/bin/true', ['true'])",
+        "import socket; socket.socket(socket.AF_UNIX).bind('\\0there')",
+        "open('there', 'w')",
+        "os.system('true')",
+    ],
+)
 def test_what_is_refused_would_show(tmp_path: Path, tries: str) -> None:
     program = start(tmp_path, tries)
     _, said = program.communicate(timeout=60)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,13 @@
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar, warm_up
 
 RAN = [how for how in Outcome if how not in (*NEVER_RAN, Outcome.COMMITTED)]
-KINDS = [("idempotent", "all"), ("journalled", "all"), ("journalled", "zone"), ("journalled", "cell"),
-         ("non-idempotent", "all")]
+KINDS = [
+    ("idempotent", "all"),
+    ("journalled", "all"),
+    ("journalled", "zone"),
+    ("journalled", "cell"),
+    ("non-idempotent", "all"),
+]
 
 
 def after(kind: str, group: str, how: Outcome, parallel: bool = False) -> Tx:
@@ -25,7 +30,8 @@
 @pytest.mark.parametrize("zone, cell", [(0, 0), (0, 1), (1, 1)])
 @pytest.mark.parametrize("now", [0, 5 * SECOND])
 def test_a_further_hop_needs_proof_or_its_group_and_window(
-        kind: str, group: str, how: Outcome, zone: int, cell: int, now: int) -> None:
+    kind: str, group: str, how: Outcome, zone: int, cell: int, now: int
+) -> None:
     tx = after(kind, group, how)
     rule = tx.side.repeat_rule
     other = sidecar([entry(1, zone, cell)]).endpoints[1]
@@ -41,8 +47,16 @@
     assert RepeatRule(3, False).may_roll_back(after(kind, group, how)) is may
 
 
-@pytest.mark.parametrize("parallel, out, hops, may", [
-    (False, 0, 1, True), (False, 1, 1, False), (True, 1, 1, True), (True, 0, 3, False), (False, 0, 3, False)])
+@pytest.mark.parametrize(
+    "parallel, out, hops, may",
+    [
+        (False, 0, 1, True),
+        (False, 1, 1, False),
+        (True, 1, 1, True),
+        (True, 0, 3, False),
+        (False, 0, 3, False),
+    ],
+)
 def test_hops_out_together_and_in_all(parallel: bool, out: int, hops: int, may: bool) -> None:
     side = sidecar([entry(0)])
     tx = side.take(0, profile(), -1, 4 * SECOND)
@@ -89,8 +103,16 @@
 
 
 @pytest.mark.parametrize("how", list(Outcome))
-@pytest.mark.parametrize("told", [[], [entry(0, on=False)], [entry(0, on=False, started_us=9)],
-                                  [entry(0, 1), entry(1)], [entry(0, started_us=9)]])
+@pytest.mark.parametrize(
+    "told",
+    [
+        [],
+        [entry(0, on=False)],
+        [entry(0, on=False, started_us=9)],
+        [entry(0, 1), entry(1)],
+        [entry(0, started_us=9)],
+    ],
+)
 def test_a_hop_may_end_after_its_endpoint_has_left_or_moved(how: Outcome, told: list[Entry]) -> None:
     side = sidecar([entry(0)], copies=50)
     tx = side.take(0, profile(), -1, 4 * SECOND)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -36,15 +36,17 @@
 
 def serving(text: bytes, close: bool = False, step: int = 0) -> Script:
     """An endpoint that answers all requests with this."""
+
     def script(peer: Peer) -> None:
         while peer.hear():
             for at in range(0, len(text), step or len(text)):
-                peer.say(text[at:at + (step or len(text))])
+                peer.say(text[at : at + (step or len(text))])
                 if step:
                     peer.sleep(0)
             if close:
                 peer.sock.close()
                 return
+
     return script
 
 
@@ -64,9 +66,16 @@
     return heard
 
 
-@pytest.mark.parametrize("text, close, step", [
-    (reply(b"hello"), False, 0), (reply(b"hello"), False, 1), (reply(b"hello"), True, 0),
-    (HEAD + b"\r\nhello", True, 0), (HEAD + CHUNKED + chunk(b"hello") + chunk(b""), False, 3)])
+@pytest.mark.parametrize(
+    "text, close, step",
+    [
+        (reply(b"hello"), False, 0),
+        (reply(b"hello"), False, 1),
+        (reply(b"hello"), True, 0),
+        (HEAD + b"\r\nhello", True, 0),
+        (HEAD + CHUNKED + chunk(b"hello") + chunk(b""), False, 3),
+    ],
+)
 def test_a_body_goes_through_unchanged_in_any_framing(text: bytes, close: bool, step: int) -> None:
     assert asked(Play([serving(text, close, step)]), ask(), ask()) == [b"200 hello"] * 2
 
@@ -98,15 +107,24 @@
     assert asked(Play([serving(reply(BIG * 5))]), ask()) == [b"200 " + BIG * 5]
 
 
-@pytest.mark.parametrize("kind, text, status", [
-    ("write", CUT, b"502 "), ("read", CUT, b"503 "),
-    ("write", HEAD + CHUNKED + chunk(b"hello"), b"502 "), ("write", HEAD, b"502 "),
-    ("write", b"nonsense\r\n\r\n", b"502 "),
-    ("write", HEAD + b"content-length: 3000000000\r\n\r\na", b"502 "),
-    ("write", reply(status=500), b"502 "), ("note", reply(status=500), b"503 "),
-    ("write", reply(status=503), b"502 "), ("write", reply(status=503, more=AWAY), b"503 "),
-    ("write", reply(status=504, more=AWAY.title()), b"503 "), ("write", reply(status=404), b"400 "),
-    ("read", reply(status=429), b"503 ")])
+@pytest.mark.parametrize(
+    "kind, text, status",
+    [
+        ("write", CUT, b"502 "),
+        ("read", CUT, b"503 "),
+        ("write", HEAD + CHUNKED + chunk(b"hello"), b"502 "),
+        ("write", HEAD, b"502 "),
+        ("write", b"nonsense\r\n\r\n", b"502 "),
+        ("write", HEAD + b"content-length: 3000000000\r\n\r\na", b"502 "),
+        ("write", reply(status=500), b"502 "),
+        ("note", reply(status=500), b"503 "),
+        ("write", reply(status=503), b"502 "),
+        ("write", reply(status=503, more=AWAY), b"503 "),
+        ("write", reply(status=504, more=AWAY.title()), b"503 "),
+        ("write", reply(status=404), b"400 "),
+        ("read", reply(status=429), b"503 "),
+    ],
+)
 def test_a_failed_hop_is_told_apart_by_whether_it_may_have_run(kind: str, text: bytes, status: bytes) -> None:
     assert asked(Play([serving(text, close=True)]), ask(kind)) == [status]
 
@@ -192,9 +210,16 @@
     assert ends == [b""]
 
 
-@pytest.mark.parametrize("request_text, heard", [
-    (b"nonsense\r\n\r\n", b"400"), (b"GET / HTTP/1.1\r\n\r\n", b"404"), (ask("unknown"), b"400"),
-    (ask(path="/" + "a" * 9000), b"431"), (ask(Content_Length="9000000000"), b"413")])
+@pytest.mark.parametrize(
+    "request_text, heard",
+    [
+        (b"nonsense\r\n\r\n", b"400"),
+        (b"GET / HTTP/1.1\r\n\r\n", b"404"),
+        (ask("unknown"), b"400"),
+        (ask(path="/" + "a" * 9000), b"431"),
+        (ask(Content_Length="9000000000"), b"413"),
+    ],
+)
 def test_malformed_oversized_and_unknown_requests(request_text: bytes, heard: bytes) -> None:
     assert asked(Play([serving(reply())]), request_text)[0][:3] == heard
 
@@ -385,7 +410,8 @@
 
 
 def test_one_that_sends_slowly_but_steadily_is_not_taken_for_one_that_halts(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(reducer, "SILENT_US", 100_000)
     monkeypatch.setattr(client, "FRESH_US", 100_000)
     heard: list[bytes] = []
@@ -393,7 +419,7 @@
     def slow(peer: Peer) -> None:
         text = ask()
         for at in range(0, len(text), 8):
-            peer.say(text[at:at + 8])
+            peer.say(text[at : at + 8])
             peer.sleep(10_000)
         heard.append(peer.hear()[9:12])
 
@@ -526,8 +552,9 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**CONFIG, "listen": address}))
     for _ in range(2):
-        program = subprocess.Popen([sys.executable, "-m", "cressrail", "serve", str(path)],
-                                   stdout=subprocess.PIPE)
+        program = subprocess.Popen(
+            [sys.executable, "-m", "cressrail", "serve", str(path)], stdout=subprocess.PIPE
+        )
         assert program.stdout is not None
         assert json.loads(program.stdout.readline())["event"] == "start"
         with socket.create_connection(("127.0.0.1", int(address.split(":")[1]))) as sock:
@@ -569,8 +596,9 @@
         return sock
 
     env = {**os.environ, "BALANCER_DISCOVERY": at["old"]}  # stands above the file until that changes
-    with subprocess.Popen([sys.executable, "-m", "cressrail", "serve", str(path)], env=env,
-                          stdout=subprocess.PIPE) as program:
+    with subprocess.Popen(
+        [sys.executable, "-m", "cressrail", "serve", str(path)], env=env, stdout=subprocess.PIPE
+    ) as program:
         assert program.stdout is not None
         said = (json.loads(line) for line in program.stdout)
 
@@ -606,15 +634,25 @@
         address = f"127.0.0.1:{server.getsockname()[1]}"
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**CONFIG, "listen": address}))
-        done = subprocess.run([sys.executable, "-m", "cressrail", "serve"], capture_output=True, text=True,
-                              env={**os.environ, "BALANCER_CONFIG": str(path)})
+        done = subprocess.run(
+            [sys.executable, "-m", "cressrail", "serve"],
+            capture_output=True,
+            text=True,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+        )
     assert done.returncode == 1
     assert done.stderr == f"cressrail: cannot listen on {address}: Address already in use\n"
 
 
-@pytest.mark.parametrize("words, code, says", [
-    (["version"], 0, "cressrail 0."), (["check", "/nowhere"], 2, "cressrail: /nowhere: No such file"),
-    (["serve", "/nowhere"], 2, "cressrail: /nowhere: No such file"), (["nonsense"], 2, "No such command")])
+@pytest.mark.parametrize(
+    "words, code, says",
+    [
+        (["version"], 0, "cressrail 0."),
+        (["check", "/nowhere"], 2, "cressrail: /nowhere: No such file"),
+        (["serve", "/nowhere"], 2, "cressrail: /nowhere: No such file"),
+        (["nonsense"], 2, "No such command"),
+    ],
+)
 def test_the_command_line(words: list[str], code: int, says: str) -> None:
     done = subprocess.run([sys.executable, "-m", "cressrail", *words], capture_output=True, text=True)
     assert done.returncode == code and says in done.stdout + done.stderr
@@ -628,6 +666,7 @@
         def script(peer: Peer) -> None:
             met.add(n)
             serving(reply(b"hello"))(peer)
+
         return script
 
     heard: list[bytes] = []
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -39,6 +39,7 @@
 
 # Machines
 
+
 def finished(machine: Machine, until: int) -> dict[object, int]:
     """When each job that is there ends, each leaving at once."""
     ends: dict[object, int] = {}
@@ -49,17 +50,27 @@
     return ends
 
 
-@pytest.mark.parametrize(("tier", "set_", "jobs", "ends"), [
-    ({"cores": 2}, {}, [10, 10], [10, 10]),
-    ({"cores": 1}, {}, [10, 10], [20, 20]),  # shared evenly
-    ({"cores": 1}, {}, [10, 20], [20, 30]),  # the second has the core to itself for its last ten
-    ({"cores": 1, "slots": 1, "thrash": 0.0}, {}, [10, 10], [10, 20]),  # waits for the slot
-    ({"cores": 2}, {"slowness": 3.0}, [10], [30]),
-    ({"cores": 8, "slots": 4, "thrash_from": 0.5, "thrash": 1.0}, {}, [10, 10, 10, 10], [20, 20, 20, 20]),
-    ({"cores": 8, "slots": 4, "choke_at": 1.0, "choke_speed": 0.5, "thrash": 0.0}, {}, [10] * 4, [20] * 4),
-    ({"cores": 1}, {"stalled": True}, [10], [])])
+@pytest.mark.parametrize(
+    ("tier", "set_", "jobs", "ends"),
+    [
+        ({"cores": 2}, {}, [10, 10], [10, 10]),
+        ({"cores": 1}, {}, [10, 10], [20, 20]),  # shared evenly
+        ({"cores": 1}, {}, [10, 20], [20, 30]),  # the second has the core to itself for its last ten
+        ({"cores": 1, "slots": 1, "thrash": 0.0}, {}, [10, 10], [10, 20]),  # waits for the slot
+        ({"cores": 2}, {"slowness": 3.0}, [10], [30]),
+        ({"cores": 8, "slots": 4, "thrash_from": 0.5, "thrash": 1.0}, {}, [10, 10, 10, 10], [20, 20, 20, 20]),
+        (
+            {"cores": 8, "slots": 4, "choke_at": 1.0, "choke_speed": 0.5, "thrash": 0.0},
+            {},
+            [10] * 4,
+            [20] * 4,
+        ),
+        ({"cores": 1}, {"stalled": True}, [10], []),
+    ],
+)
 def test_work_ends_when_its_share_of_the_cores_says(
-        tier: dict[str, Any], set_: dict[str, Any], jobs: list[int], ends: list[int]) -> None:
+    tier: dict[str, Any], set_: dict[str, Any], jobs: list[int], ends: list[int]
+) -> None:
     machine = Machine(Tier(name="x", **tier), Contract())
     for name, value in set_.items():
         setattr(machine, name, value)
@@ -145,6 +156,7 @@
 
 # Discovery
 
+
 def test_discovery_tells_what_changed_and_the_whole_without_those_gone(tmp_path: Path) -> None:
     listed = [Listed(name, {"a": ("127.0.0.1", 1)}, "a", 1) for name in "xyz"]
     ledger = Ledger(tmp_path / "l")
@@ -164,13 +176,20 @@
 
 # Files
 
-@pytest.mark.parametrize(("change", "why"), [
-    ('seconds = -1', "seconds: Input should be greater than 0"), ('colour = 1', "colour: Extra inputs"),
-    ('faults = [{at_s=1, kind="die", tier=4}]', "faults.0.tier: there are 1 tiers"),
-    ('faults = [{at_s=1, kind="cut"}]', "faults.0.zone: a cut names the zone"),
-    ('faults = [{at_s=1, kind="die", zone="q"}]', "faults.0.zone: none of a, b: q"),
-    ('faults = [{at_s=1, kind="die", endpoints=[9]}]', "faults.0.endpoints: tier 0 has 4"),
-    ('faults = [{at_s=1, kind="burn"}]', "faults.0.kind: Input should be"), ("seed = ", "not TOML: ")])
+
+@pytest.mark.parametrize(
+    ("change", "why"),
+    [
+        ("seconds = -1", "seconds: Input should be greater than 0"),
+        ("colour = 1", "colour: Extra inputs"),
+        ('faults = [{at_s=1, kind="die", tier=4}]', "faults.0.tier: there are 1 tiers"),
+        ('faults = [{at_s=1, kind="cut"}]', "faults.0.zone: a cut names the zone"),
+        ('faults = [{at_s=1, kind="die", zone="q"}]', "faults.0.zone: none of a, b: q"),
+        ('faults = [{at_s=1, kind="die", endpoints=[9]}]', "faults.0.endpoints: tier 0 has 4"),
+        ('faults = [{at_s=1, kind="burn"}]', "faults.0.kind: Input should be"),
+        ("seed = ", "not TOML: "),
+    ],
+)
 def test_a_file_that_cannot_be_used_is_one_line(tmp_path: Path, change: str, why: str) -> None:
     path = tmp_path / "w.toml"
     path.write_text(
@@ -185,6 +204,7 @@
 
 # The checker
 
+
 def call(name: str, profile: str = "read", **more: Any) -> dict[str, Any]:
     return {
         "id": name,
@@ -232,8 +252,9 @@
     return {"told": "door0", "endpoint": "x0", "phase": phase, "at_us": at_us}
 
 
-WORLD = World.model_validate({
-    **ONE_TIER, "profiles": [*ONE_TIER["profiles"], {"name": "keyed", "repeat": "keyed", "window_ms": 1000}]})
+WORLD = World.model_validate(
+    {**ONE_TIER, "profiles": [*ONE_TIER["profiles"], {"name": "keyed", "repeat": "keyed", "window_ms": 1000}]}
+)
 SOUND: list[tuple[list[dict[str, Any]], list[dict[str, Any]]]] = [
     ([call("a")], [hop("a")]),
     ([call("a", sent_us=0, how="reset", status=0)], []),  # never taken
@@ -306,7 +327,8 @@
 
 @pytest.mark.parametrize(("rule", "why", "load", "fleet"), BROKEN)
 def test_each_break_is_named_with_its_evidence(
-        rule: int, why: str, load: list[dict[str, Any]], fleet: list[dict[str, Any]]) -> None:
+    rule: int, why: str, load: list[dict[str, Any]], fleet: list[dict[str, Any]]
+) -> None:
     found = judge(WORLD, evidence(load, [DOOR, *fleet]))
     assert [b.rule for b in found] == [rule] and why in found[0].evidence
     assert judge(WORLD, Evidence()) == []
@@ -338,8 +360,15 @@
     # A machine that stands still for a moment is no fault of the sidecar's: limits are judged loosely here.
     told: dict[str, Any] = {**ONE_TIER, "faults": FAULTS[broken], "rules": {"late_ms": 200}}
     if not broken:  # two tiers, two zones, sidecars that come and go with their endpoints
-        told["fleet"] = {**ONE_TIER["fleet"], "zones": ["a", "b"], "doors": 2, "tiers": [
-            {"name": "x", "endpoints": 2, "service": {"mean_ms": 3}}, {"name": "y", "endpoints": 2}]}
+        told["fleet"] = {
+            **ONE_TIER["fleet"],
+            "zones": ["a", "b"],
+            "doors": 2,
+            "tiers": [
+                {"name": "x", "endpoints": 2, "service": {"mean_ms": 3}},
+                {"name": "y", "endpoints": 2},
+            ],
+        }
         told["load"] = {"rate": 60}
     if broken == "rushes":  # what a cold one may get is soon reached where there is work enough
         told["load"] = {"rate": 400}
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -24,7 +24,7 @@
     pipe, text, got, at = Pipe(pool), LARGE[:100_000], b"", 0
     while len(got) < len(text):
         while pipe.roomy() and at < len(text):
-            pipe.add(memoryview(text[at:at + 5000]))
+            pipe.add(memoryview(text[at : at + 5000]))
             at += 5000
         assert pool.lent <= MOST + 1
         view = b"".join(bytes(part) for part in pipe.peek())
@@ -56,9 +56,11 @@
 
 def hung_up_on(script: Script) -> Script:
     """The same, by a peer that may find its connection closed."""
+
     def run(peer: Peer) -> None:
         with suppress(OSError):
             script(peer)
+
     return run
 
 
@@ -67,9 +69,15 @@
 
 
 def in_chunks(body: bytes, step: int = 30_000, ended: bool = True) -> bytes:
-    return HEAD + CHUNKED + b"".join(
-        b"%x;x=y\r\n%b\r\n" % (len(part), part) for part in
-        (body[at:at + step] for at in range(0, len(body), step))) + (b"0\r\nt: u\r\n\r\n" if ended else b"")
+    return (
+        HEAD
+        + CHUNKED
+        + b"".join(
+            b"%x;x=y\r\n%b\r\n" % (len(part), part)
+            for part in (body[at : at + step] for at in range(0, len(body), step))
+        )
+        + (b"0\r\nt: u\r\n\r\n" if ended else b"")
+    )
 
 
 def whole(peer: Peer) -> tuple[bytes, bytes]:
@@ -100,11 +108,18 @@
     return heard
 
 
-@pytest.mark.parametrize("text, close", [
-    (sized(LARGE), False), (in_chunks(LARGE), False), (HEAD + b"\r\n" + LARGE, True),
-    (in_chunks(LARGE[:KEPT + 1], 1000), False), (sized(LARGE[:KEPT]), False)])
+@pytest.mark.parametrize(
+    "text, close",
+    [
+        (sized(LARGE), False),
+        (in_chunks(LARGE), False),
+        (HEAD + b"\r\n" + LARGE, True),
+        (in_chunks(LARGE[: KEPT + 1], 1000), False),
+        (sized(LARGE[:KEPT]), False),
+    ],
+)
 def test_a_large_answer_goes_through_unchanged_in_any_framing(text: bytes, close: bool) -> None:
-    body = LARGE if len(text) >= len(LARGE) else LARGE[:KEPT + 1] if CHUNKED in text else LARGE[:KEPT]
+    body = LARGE if len(text) >= len(LARGE) else LARGE[: KEPT + 1] if CHUNKED in text else LARGE[:KEPT]
     play = Play([serving(text, close)])
     heard = heard_by_one(play, ask() if close else b"", 1)
     assert heard == [(b"200", body)]
@@ -227,28 +242,34 @@
         if framing == "length":
             text = ask(Content_Length=str(len(body)), body=b"") + body
         else:
-            text = ask(Content_Length="", Transfer_Encoding="chunked") + b"".join(
-                chunk(body[at:at + 9000]) for at in range(0, len(body), 9000)) + chunk(b"")
+            text = (
+                ask(Content_Length="", Transfer_Encoding="chunked")
+                + b"".join(chunk(body[at : at + 9000]) for at in range(0, len(body), 9000))
+                + chunk(b"")
+            )
         for at in range(0, len(text), step):
-            peer.say(text[at:at + step])
+            peer.say(text[at : at + step])
             if pause:
                 peer.sleep(pause)
+
     return script
 
 
 def taking(seen: list[tuple[bytes, bytes]], answer: bytes) -> Script:
     """An endpoint that reads requests of any framing, and answers each."""
+
     def script(peer: Peer) -> None:
         while head := peer.hear():
             if b"chunked" in head:
                 body = b""
-                while (size := int(peer.hear(b"\r\n") or b"0", 16)):
+                while size := int(peer.hear(b"\r\n") or b"0", 16):
                     body += peer.take(size + 2)[:-2]
                 peer.take(2)
             else:
                 body = peer.take(int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0]))
             seen.append((head, body))
             peer.say(answer)
+
     return script
 
 
@@ -277,7 +298,7 @@
     def script(peer: Peer) -> None:
         text = ask(Content_Length=str(len(LARGE)), Req_Deadline="300m") + LARGE
         for at in range(0, len(text), 200_000):
-            peer.say(text[at:at + 200_000])
+            peer.say(text[at : at + 200_000])
             peer.sleep(100_000)
         heard.append(whole(peer))
 
@@ -291,17 +312,20 @@
     view = memoryview(text)
     while view:
         try:
-            view = view[peer.sock.send(view):]
+            view = view[peer.sock.send(view) :]
         except BlockingIOError:
             peer.sleep(1000)
         except OSError:
             break
 
 
-@pytest.mark.parametrize("answer, status", [
-    (reply(status=503, more=AWAY), b"503"), (reply(status=500), b"503"), (reply(status=413), b"400")])
+@pytest.mark.parametrize(
+    "answer, status",
+    [(reply(status=503, more=AWAY), b"503"), (reply(status=500), b"503"), (reply(status=413), b"400")],
+)
 def test_an_answer_before_the_request_is_whole_is_told_and_the_rest_is_read_off(
-        answer: bytes, status: bytes) -> None:
+    answer: bytes, status: bytes
+) -> None:
     def endpoint(peer: Peer) -> None:
         peer.hear()
         peer.take(KEPT + 1000)
@@ -340,16 +364,16 @@
         for _ in range(4):
             other = Peer(peer.loop, socket.create_connection(play.at))
             with other.sock:
-                text = ask("write", Content_Length=str(KEPT * 2)) + LARGE[:KEPT * 2]
-                other.say(text[:KEPT + 3000])
+                text = ask("write", Content_Length=str(KEPT * 2)) + LARGE[: KEPT * 2]
+                other.say(text[: KEPT + 3000])
                 other.sleep(20_000)
-                other.say(text[KEPT + 3000:])
+                other.say(text[KEPT + 3000 :])
                 heard.append(whole(other))
 
     play.client(script)
     play.run()
     assert {status for status, _ in heard} <= {b"200", b"503"}
-    assert all(body in (b"", LARGE[:KEPT * 2]) for _, body in seen)  # whole, or not at all
+    assert all(body in (b"", LARGE[: KEPT * 2]) for _, body in seen)  # whole, or not at all
 
 
 def test_a_client_that_leaves_amid_a_large_request_ends_its_hop() -> None:
@@ -360,7 +384,7 @@
         ends.append(peer.take(len(LARGE))[:0] + peer.hear(b"\0never\0"))
 
     def script(peer: Peer) -> None:
-        peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[:KEPT + 50_000])
+        peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[: KEPT + 50_000])
         peer.sleep(50_000)
 
     play = Play([endpoint])
@@ -371,14 +395,15 @@
 
 @pytest.mark.parametrize("tail, status", [(b"", b"408"), (b"xyz\r\n", b"400")])
 def test_a_large_request_that_halts_or_turns_to_junk_is_told(
-        tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(client, "PACE_US", 100_000)
     seen: list[tuple[bytes, bytes]] = []
     play = Play([hung_up_on(taking(seen, reply(b"hello")))])
     heard: list[bytes] = []
 
     def script(peer: Peer) -> None:
-        peer.say(ask(Content_Length="", Transfer_Encoding="chunked") + chunk(LARGE[:KEPT * 2]) + tail)
+        peer.say(ask(Content_Length="", Transfer_Encoding="chunked") + chunk(LARGE[: KEPT * 2]) + tail)
         heard.append(peer.hear()[9:12])
 
     play.client(script)
@@ -443,7 +468,8 @@
 
 
 def test_a_lull_is_made_good_by_a_faster_pace_before_and_a_slow_request_ends(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(client, "PACE_US", 400_000)
     monkeypatch.setattr(client, "PACE_BYTES_PER_S", 100_000)
     seen: list[tuple[bytes, bytes]] = []
@@ -452,13 +478,14 @@
 
     def sending(step: int, pause_us: int) -> Script:
         def script(peer: Peer) -> None:
-            text = ask(Content_Length=str(KEPT * 2)) + LARGE[:KEPT * 2]
-            peer.say(text[:KEPT + 5000])
+            text = ask(Content_Length=str(KEPT * 2)) + LARGE[: KEPT * 2]
+            peer.say(text[: KEPT + 5000])
             for at in range(KEPT + 5000, len(text), step):
                 peer.sleep(pause_us)
                 with suppress(OSError):
-                    peer.say(text[at:at + step])
+                    peer.say(text[at : at + step])
             heard[step] = peer.hear()[9:12]
+
         return script
 
     play.client(sending(30_000, 250_000))  # 120 kB a second, and silent for most of its grace
@@ -478,7 +505,7 @@
         peer.say(reply(b"hello"))
 
     def script(peer: Peer) -> None:
-        peer.say(ask("write", Content_Length=str(KEPT * 3)) + LARGE[:KEPT * 3])
+        peer.say(ask("write", Content_Length=str(KEPT * 3)) + LARGE[: KEPT * 3])
         heard.append(whole(peer))
 
     play = Play([endpoint])
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -27,17 +27,31 @@
 class Front:
     """A reducer, and what it has asked for so far."""
 
-    def __init__(self, endpoints: int = 2, clients: int = 8, links: int = 8, heard: bool = False,
-                 grace_us: int = 2 * SECOND) -> None:
+    def __init__(
+        self,
+        endpoints: int = 2,
+        clients: int = 8,
+        links: int = 8,
+        heard: bool = False,
+        grace_us: int = 2 * SECOND,
+    ) -> None:
         """`heard`: discovery has told the list that the configuration holds."""
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = read_config(config, {})
         roster, members = Roster(["a", "b"]), parts.members(start.told)
         self.reducer = Reducer(
-            parts.sidecar(start.told, 5, 0, ["a", "b"], list(members.values())), parts.profiles(start.told),
-            dict.fromkeys(members, 0), roster, Room(clients, 2, links), Chance(5), 0, SECOND,
-            start.discovery, grace_us)
+            parts.sidecar(start.told, 5, 0, ["a", "b"], list(members.values())),
+            parts.profiles(start.told),
+            dict.fromkeys(members, 0),
+            roster,
+            Room(clients, 2, links),
+            Chance(5),
+            0,
+            SECOND,
+            start.discovery,
+            grace_us,
+        )
         self.pool = Pool(100)
         self.told: list[Effect] = self.reducer.start(0, start.known)
         if heard:
@@ -58,14 +72,30 @@
         self.told += self.reducer.written(now, client)
         self.all(do.Write)
 
-    def ask(self, client: int, kind: str = "read", now: int = 0, arrived_us: int | None = None,
-            began: bool = True, **fields: str | None) -> None:
-        told = {"req-id": f"r{client}", "req-kind": kind, "idempotency-key": "k", **{
-            name.replace("_", "-"): value for name, value in fields.items()}}
+    def ask(
+        self,
+        client: int,
+        kind: str = "read",
+        now: int = 0,
+        arrived_us: int | None = None,
+        began: bool = True,
+        **fields: str | None,
+    ) -> None:
+        told = {
+            "req-id": f"r{client}",
+            "req-kind": kind,
+            "idempotency-key": "k",
+            **{name.replace("_", "-"): value for name, value in fields.items()},
+        }
         body = Chain(self.pool)
         body.add(memoryview(b"x"))
-        request = Request(b"POST", (told.pop("path", None) or "/api").encode(),
-                          Fields((n.encode(), v.encode()) for n, v in told.items() if v), body, True)
+        request = Request(
+            b"POST",
+            (told.pop("path", None) or "/api").encode(),
+            Fields((n.encode(), v.encode()) for n, v in told.items() if v),
+            body,
+            True,
+        )
         if began:
             self.reducer.request_began(now, client)
         arrived_us = now if arrived_us is None else arrived_us
@@ -95,10 +125,20 @@
     return read({"revision": revision, "complete": full, "members": list(members)})
 
 
-@pytest.mark.parametrize("kind, how, status", [
-    ("read", Outcome.COMMITTED, 200), ("read", Outcome.TIMED_OUT, 503), ("write", Outcome.TIMED_OUT, 502),
-    ("write", Outcome.UNREACHED, 503), ("write", Outcome.DROPPED, 502), ("note", Outcome.DROPPED, 503),
-    ("read", Outcome.ERROR, 503), ("write", Outcome.NEVER_SENT, 503), ("write", Outcome.CALLED_OFF, 502)])
+@pytest.mark.parametrize(
+    "kind, how, status",
+    [
+        ("read", Outcome.COMMITTED, 200),
+        ("read", Outcome.TIMED_OUT, 503),
+        ("write", Outcome.TIMED_OUT, 502),
+        ("write", Outcome.UNREACHED, 503),
+        ("write", Outcome.DROPPED, 502),
+        ("note", Outcome.DROPPED, 503),
+        ("read", Outcome.ERROR, 503),
+        ("write", Outcome.NEVER_SENT, 503),
+        ("write", Outcome.CALLED_OFF, 502),
+    ],
+)
 def test_each_transaction_has_one_answer_and_gives_all_back(kind: str, how: Outcome, status: int) -> None:
     front = Front()
     front.came(1)
@@ -109,10 +149,19 @@
     assert front.pool.lent == 0 and not front.reducer.txs and not front.reducer.hops
 
 
-@pytest.mark.parametrize("fields, status", [
-    ({"path": "/"}, None), ({"path": "/", "req_kind": None}, 404), ({"req_kind": None}, 400),
-    ({"req_kind": "nonsense"}, 400), ({"req_id": None}, 400), ({"req_deadline": "soon"}, 400),
-    ({"path": "/_health"}, 200), ({"path": "/_health?x=1"}, 200)])
+@pytest.mark.parametrize(
+    "fields, status",
+    [
+        ({"path": "/"}, None),
+        ({"path": "/", "req_kind": None}, 404),
+        ({"req_kind": None}, 400),
+        ({"req_kind": "nonsense"}, 400),
+        ({"req_id": None}, 400),
+        ({"req_deadline": "soon"}, 400),
+        ({"path": "/_health"}, 200),
+        ({"path": "/_health?x=1"}, 200),
+    ],
+)
 def test_what_is_answered_without_a_hop(fields: dict[str, str | None], status: int | None) -> None:
     front = Front()
     front.told += front.reducer.news(0, news(5, False))
@@ -158,11 +207,20 @@
     assert all(e.good == 1 for e in front.reducer.sidecar.endpoints.values())
 
 
-@pytest.mark.parametrize("endpoints, heard, after_us, stopping, ready", [
-    (2, False, 0, False, False), (2, False, SECOND, False, True), (0, False, SECOND, False, False),
-    (2, True, 0, False, True), (0, True, 0, False, True), (2, True, SECOND, True, False)])
+@pytest.mark.parametrize(
+    "endpoints, heard, after_us, stopping, ready",
+    [
+        (2, False, 0, False, False),
+        (2, False, SECOND, False, True),
+        (0, False, SECOND, False, False),
+        (2, True, 0, False, True),
+        (0, True, 0, False, True),
+        (2, True, SECOND, True, False),
+    ],
+)
 def test_health_is_good_only_once_able_to_serve(
-        endpoints: int, heard: bool, after_us: int, stopping: bool, ready: bool) -> None:
+    endpoints: int, heard: bool, after_us: int, stopping: bool, ready: bool
+) -> None:
     front = Front(endpoints)
     if heard:
         front.reducer.news(0, news(5, False))
@@ -171,8 +229,10 @@
     assert front.reducer.ready(after_us) is ready
 
 
-@pytest.mark.parametrize("deadline, waited_us, left_us", [
-    ("100m", 0, 98_438), ("100m", 60_000, 39_375), ("100m", 200_000, None), (None, 0, 2_990_000)])
+@pytest.mark.parametrize(
+    "deadline, waited_us, left_us",
+    [("100m", 0, 98_438), ("100m", 60_000, 39_375), ("100m", 200_000, None), (None, 0, 2_990_000)],
+)
 def test_time_runs_from_the_last_byte(deadline: str | None, waited_us: int, left_us: int | None) -> None:
     front = Front()
     front.came(1)
@@ -189,9 +249,16 @@
     assert [write.answer.status for write in front.all(do.Write)] == [502]
 
 
-@pytest.mark.parametrize("change, wanted", [
-    ({}, True), ({"phase": "draining"}, False), ({"phase": "removed"}, False),
-    ({"host_port": "127.0.0.1:9999"}, False), ({"up_since_ms": 5}, False)])
+@pytest.mark.parametrize(
+    "change, wanted",
+    [
+        ({}, True),
+        ({"phase": "draining"}, False),
+        ({"phase": "removed"}, False),
+        ({"host_port": "127.0.0.1:9999"}, False),
+        ({"up_since_ms": 5}, False),
+    ],
+)
 def test_a_hop_goes_only_to_what_its_endpoint_still_is(change: dict[str, Any], wanted: bool) -> None:
     front = Front(1)
     front.came(1)
@@ -202,12 +269,17 @@
     assert how is (None if wanted else Outcome.TURNED_AWAY)
 
 
-@pytest.mark.parametrize("update, entries", [
-    (news(5, False, member("s0", 9000, phase="draining")), [1]), (news(5, True, member("s1", 9001)), [1]),
-    (news(5, True, {**member("s0", 9000), "phase": "asleep"}), [0]),
-    (news(3, False, member("s0", 9000, phase="draining")), [0, 1]),
-    (news(5, False, member("s0", 9000, phase="removed"), member("s9", 9009, phase="removed")), [1]),
-    (news(3, True), [])])
+@pytest.mark.parametrize(
+    "update, entries",
+    [
+        (news(5, False, member("s0", 9000, phase="draining")), [1]),
+        (news(5, True, member("s1", 9001)), [1]),
+        (news(5, True, {**member("s0", 9000), "phase": "asleep"}), [0]),
+        (news(3, False, member("s0", 9000, phase="draining")), [0, 1]),
+        (news(5, False, member("s0", 9000, phase="removed"), member("s9", 9009, phase="removed")), [1]),
+        (news(3, True), []),
+    ],
+)
 def test_the_list_is_kept_and_changed(update: News, entries: list[int]) -> None:
     front = Front(2)
     front.reducer.news(0, news(4, True, member("s0", 9000), member("s1", 9001)))
@@ -250,8 +322,15 @@
         later = front.hop()
         assert later.fresh
         front.end(later, Outcome.COMMITTED)
-        front.told += front.reducer.news(0, news(k, k % 2 == 0, member(f"t{k}", 9000), *(
-            [member(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else [])))
+        front.told += front.reducer.news(
+            0,
+            news(
+                k,
+                k % 2 == 0,
+                member(f"t{k}", 9000),
+                *([member(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
+            ),
+        )
         assert front.all(do.Drop) == [do.Drop(later.link)]
         front.told += front.reducer.client_left(0, k)
         front.told += front.reducer.link_left(later.link)
@@ -262,10 +341,12 @@
     assert len(reducer.links) == len(reducer.open_ids) == len(reducer.txs) == len(reducer.hops) == 0
 
 
-@pytest.mark.parametrize("change, died", [
-    ({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)])
+@pytest.mark.parametrize(
+    "change, died", [({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)]
+)
 def test_a_reset_at_rest_tells_of_the_process_that_the_link_was_made_to(
-        change: dict[str, Any], died: bool) -> None:
+    change: dict[str, Any], died: bool
+) -> None:
     front = Front(1)
     front.came(1)
     front.ask(1)
@@ -342,7 +423,8 @@
 @pytest.mark.parametrize("began", [False, True])
 @pytest.mark.parametrize("silent_us, closed", [(0, []), (SECOND, [do.Shut(1, True)])])
 def test_a_new_client_is_not_closed_before_it_had_time_to_send(
-        silent_us: int, closed: list[Effect], began: bool) -> None:
+    silent_us: int, closed: list[Effect], began: bool
+) -> None:
     front = Front(clients=1)
     front.came(1)
     if began:
@@ -367,7 +449,8 @@
 
 @pytest.mark.parametrize("began_us", [None, 0, SECOND])
 def test_one_that_says_nothing_or_half_a_request_is_closed_also_where_there_is_room(
-        began_us: int | None) -> None:
+    began_us: int | None,
+) -> None:
     front = Front()
     front.rest(1)
     front.came(2)
@@ -454,7 +537,8 @@
 
 @pytest.mark.parametrize("waited_us, looked", [(0, False), (99_999, False), (100_000, True), (900_000, True)])
 def test_a_client_is_looked_at_before_a_first_byte_only_where_it_may_have_left_long_ago(
-        waited_us: int, looked: bool) -> None:
+    waited_us: int, looked: bool
+) -> None:
     front = Front(heard=True)
     front.came(1)
     front.ask(1, now=SECOND, arrived_us=SECOND - waited_us)
@@ -464,11 +548,20 @@
     assert front.reducer.asker(SECOND, hop.hop) == 0 and front.reducer.unsent(SECOND, hop.hop)
 
 
-@pytest.mark.parametrize("kind, sent, answer", [
-    ("read", True, 503), ("write", True, 502), ("note", True, 503), ("once", True, 502), ("once", False, 503),
-    ("write", False, 503)])
+@pytest.mark.parametrize(
+    "kind, sent, answer",
+    [
+        ("read", True, 503),
+        ("write", True, 502),
+        ("note", True, 503),
+        ("once", True, 502),
+        ("once", False, 503),
+        ("write", False, 503),
+    ],
+)
 def test_all_that_is_taken_has_its_answer_before_a_stop_ends_in_a_kill_and_not_sooner(
-        kind: str, sent: bool, answer: int) -> None:
+    kind: str, sent: bool, answer: int
+) -> None:
     """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
     front = Front(heard=True)
     if kind == "once":
@@ -501,19 +594,22 @@
 
 
 def _calls() -> dict[str, Any]:
-    return {"stop": lambda front, now: front.reducer.stop(now),
-            "sighup": lambda front, now: front.reducer.discovery_moved(now, ("127.0.0.1", 7)),
-            "drain": lambda front, now: front.reducer.control(now, b"POST", control.OUT)[1],
-            "undrain": lambda front, now: front.reducer.control(now, b"POST", control.IN)[1],
-            "hand over": lambda front, now: front.reducer.hand_over(now)[1],
-            "heir died": lambda front, now: front.reducer.heir_died(now)}
+    return {
+        "stop": lambda front, now: front.reducer.stop(now),
+        "sighup": lambda front, now: front.reducer.discovery_moved(now, ("127.0.0.1", 7)),
+        "drain": lambda front, now: front.reducer.control(now, b"POST", control.OUT)[1],
+        "undrain": lambda front, now: front.reducer.control(now, b"POST", control.IN)[1],
+        "hand over": lambda front, now: front.reducer.hand_over(now)[1],
+        "heir died": lambda front, now: front.reducer.heir_died(now),
+    }
 
 
 @pytest.mark.parametrize("second", _calls())
 @pytest.mark.parametrize("first", _calls())
 @pytest.mark.parametrize("apart_us", [0, 100_000, 650_000, 900_000])
 def test_of_what_ends_and_moves_a_process_any_two_cross_with_all_answered(
-        first: str, second: str, apart_us: int) -> None:
+    first: str, second: str, apart_us: int
+) -> None:
     front = Front(heard=True)
     front.rest(1)  # one at rest, one that waits for an answer, one amid its request
     front.came(2)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -133,9 +133,14 @@
 def test_counts_by_zone_tell_what_never_came_from_what_failed_and_was_late() -> None:
     towards = Towards()
     for how, late in (
-        (Outcome.COMMITTED, False), (Outcome.COMMITTED, True), (Outcome.UNREACHED, False),
-        (Outcome.ERROR, False), (Outcome.TIMED_OUT, False), (Outcome.TURNED_AWAY, False),
-        (Outcome.CALLED_OFF, False)):
+        (Outcome.COMMITTED, False),
+        (Outcome.COMMITTED, True),
+        (Outcome.UNREACHED, False),
+        (Outcome.ERROR, False),
+        (Outcome.TIMED_OUT, False),
+        (Outcome.TURNED_AWAY, False),
+        (Outcome.CALLED_OFF, False),
+    ):
         towards.ended(1, how, 1000, late)
     assert towards.zones == {1: Ended(6, 1, 2, 2, 2, 2000)}
 
@@ -167,9 +172,7 @@
         ((0.3, 0.2), 1.0, 0.25, 0.35, 0.5),  # what is left over is rolled back at once
     ],
 )
-def test_the_module_goes_by_shares(
-    shares: Any, part: float, low: float, high: float, turned: float
-) -> None:
+def test_the_module_goes_by_shares(shares: Any, part: float, low: float, high: float, turned: float) -> None:
     side = sidecar([entry(n, n % 2) for n in range(8)])
     side.hear_shares(shares, part)
     went, back = [0, 0], 0
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -41,8 +41,15 @@
         return self.recorded is not None and self.found < self.recorded - margin
 
     def row(self, margin: float) -> str:
-        said = self.gate or ("rule broken" if self.broken else "no figure" if self.found is None else
-                             "fell" if self.fell(margin) else "")
+        said = self.gate or (
+            "rule broken"
+            if self.broken
+            else "no figure"
+            if self.found is None
+            else "fell"
+            if self.fell(margin)
+            else ""
+        )
         return f"{self.name:38} {_shown(self.recorded):>8} {_shown(self.found):>8}  {said}".rstrip()
 
 
@@ -80,8 +87,15 @@
         if not (isinstance(seeds, list) and seeds and all(isinstance(seed, int) for seed in seeds)):
             raise Unusable(f"{path}: whole.days.{n}.seeds is no list of whole numbers")
     for n, row in enumerate(told.get("panels", [])):
-        for key, kind in (("name", str), ("bench", str), ("sites", list), ("arguments", list), ("quick", int),
-                          ("full", int), ("seeds", list)):
+        for key, kind in (
+            ("name", str),
+            ("bench", str),
+            ("sites", list),
+            ("arguments", list),
+            ("quick", int),
+            ("full", int),
+            ("seeds", list),
+        ):
             if not isinstance(row.get(key, [] if key == "seeds" else None), kind):
                 raise Unusable(f"{path}: panels.{n}.{key} is missing, or not what it should be")
     return told
@@ -89,22 +103,38 @@
 
 def play(kit: Path, day: dict[str, Any], size: str) -> Played:
     before = {entry.name for entry in JOURNAL.glob("*.json")}
-    words = [str(kit / day["bench"]), "score", str(kit / day["site"]), *day.get("arguments", []),
-             *(["--quick"] if size == "quick" else []),
-             "--why", f"A regression over all days: {day['name']}, {size}."]
+    words = [
+        str(kit / day["bench"]),
+        "score",
+        str(kit / day["site"]),
+        *day.get("arguments", []),
+        *(["--quick"] if size == "quick" else []),
+        "--why",
+        f"A regression over all days: {day['name']}, {size}.",
+    ]
     ended = subprocess.run(words, capture_output=True, text=True, check=False)
     print(ended.stdout, ended.stderr, sep="", end="", flush=True)
     site = Path(day["site"]).stem
     new = [path for path in sorted(JOURNAL.glob("*.json")) if path.name not in before]
     entries = [json.loads(path.read_text()) for path in new]
     # The simulator's entries name it score, those of real sidecars real_score, among other figures.
-    scores = [score for entry in entries if Path(str(entry.get("site"))).stem == site
-              for score in (entry.get("score"), (entry.get("figures") or {}).get("real_score"))
-              if isinstance(score, int | float)]
+    scores = [
+        score
+        for entry in entries
+        if Path(str(entry.get("site"))).stem == site
+        for score in (entry.get("score"), (entry.get("figures") or {}).get("real_score"))
+        if isinstance(score, int | float)
+    ]
     broken = "BROKEN" in ended.stdout or any(
-        (entry.get("figures") or {}).get("rule_days_broken") for entry in entries)
-    return Played(day["name"], day.get(size), float(scores[-1]) if scores and not ended.returncode else None,
-                  broken, gate(ended.stdout.splitlines(), ended.returncode) if day.get("gate") else "")
+        (entry.get("figures") or {}).get("rule_days_broken") for entry in entries
+    )
+    return Played(
+        day["name"],
+        day.get(size),
+        float(scores[-1]) if scores and not ended.returncode else None,
+        broken,
+        gate(ended.stdout.splitlines(), ended.returncode) if day.get("gate") else "",
+    )
 
 
 def main(words: list[str]) -> int:
--- a/tools/whole.py
+++ b/tools/whole.py
@@ -30,7 +30,8 @@
 
     def rows(self) -> Iterator[str]:
         yield f"{f'{self.day} of seed {self.seed}':38} {'-':>8} {self.score:>8}" + (
-            "  rule broken" if self.broken else f"  {len(self.fell)} fell" if self.fell else "")
+            "  rule broken" if self.broken else f"  {len(self.fell)} fell" if self.fell else ""
+        )
         for what in (*self.broken, *self.fell):
             yield f"  {self.day} of seed {self.seed}: {what}"
 
@@ -52,18 +53,35 @@
     if not broken and (ended or "rules kept, no fault" not in lines):
         broken = [f"not told that rules were kept; ended with {ended}: {lines[-1] if lines else 'no word'}"]
     scores = [found for line in lines if line.startswith(day) for found in SCORE.findall(line)]
-    return Seen(day, seed, scores[-1] if scores else "-", broken,
-                [line for line in lines if "fell over" in line and not line.startswith("RULE BROKEN")])
+    return Seen(
+        day,
+        seed,
+        scores[-1] if scores else "-",
+        broken,
+        [line for line in lines if "fell over" in line and not line.startswith("RULE BROKEN")],
+    )
 
 
 def play(kit: Path, told: dict[str, Any], size: str, journal: Path) -> list[Seen]:
-    drawn = [(row["day"], row["seeds"][(first + n) % len(row["seeds"])])
-             for row in told["days"] for first in [played(journal, row["day"])] for n in range(row[size])]
+    drawn = [
+        (row["day"], row["seeds"][(first + n) % len(row["seeds"])])
+        for row in told["days"]
+        for first in [played(journal, row["day"])]
+        for n in range(row[size])
+    ]
 
     def one(what: tuple[str, int]) -> Seen:
         day, seed = what
-        words = [str(kit / told["bench"]), str(kit / told["site"]), "--rough", day, "--seed", str(seed),
-                 "--why", f"A regression over whole days: {day} of seed {seed}."]
+        words = [
+            str(kit / told["bench"]),
+            str(kit / told["site"]),
+            "--rough",
+            day,
+            "--seed",
+            str(seed),
+            "--why",
+            f"A regression over whole days: {day} of seed {seed}.",
+        ]
         ended = subprocess.run(words, capture_output=True, text=True, check=False)
         return seen(day, seed, ended.stdout + ended.stderr, ended.returncode)
 
