--- a/Makefile
+++ b/Makefile
@@ -19,10 +19,10 @@
 	$(PY) -m cressrail experiment run example/experiments/try.toml --out try-out
 
 test: lint
-	$(PY) -m pytest -q
+	$(PY) -m pytest -q -n auto --dist loadfile
 
 lint: dev
-	.venv/bin/ruff check . && .venv/bin/mypy
+	.venv/bin/ruff format --check . && .venv/bin/ruff check . && .venv/bin/mypy
 
 bench: lab
 	$(PY) -m cressrail experiment cost --against $(AGAINST)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,60 +1,89 @@
-"""The list of known faults: tests that are expected to fail, each for a cause and with an issue."""
+"""The list of known faults: tests that are expected to fail, each with what was seen and an issue."""
 
 from __future__ import annotations
 
+from collections.abc import Container
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-MOST = 3
-LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
 @dataclass(frozen=True)
-class Known:
+class KnownFailure:
+    """One line of the list."""
+
     test: str
-    cause: str
+    command: str  # with its seed
+    observed: str
     issue: str
 
+    def __str__(self) -> str:
+        return f"{self.observed} ({self.command}; {self.issue})"
+
 
-def known(path: Path) -> list[Known]:
+def read_known_failures(path: Path) -> list[KnownFailure]:
     """Raises `pytest.UsageError` with one line: file, line and reason."""
     if not path.is_file():
         return []
-    found = []
-    for n, line in enumerate(path.read_text().splitlines(), 1):
+    failures = []
+    for number, line in enumerate(path.read_text().splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"{path}: line {n}: not a test, a cause and an issue")
-        found.append(Known(*parts))
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{path}: {len(found)} tests, {MOST} at most")
-    if len({one.test for one in found}) < len(found):
-        raise pytest.UsageError(f"{path}: a test stands there twice")
-    return found
+        columns = [column.strip() for column in line.split("|")]
+        if len(columns) != 4 or not all(columns):
+            raise pytest.UsageError(
+                f"{path}: line {number}: expected a test, a command, what was seen and an issue"
+            )
+        failures.append(KnownFailure(*columns))
+    if len(failures) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"{path}: {len(failures)} tests, {MAX_KNOWN_FAILURES} at most")
+    if len({failure.test for failure in failures}) < len(failures):
+        raise pytest.UsageError(f"{path}: a test is listed twice")
+    return failures
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    """Reports a malformed list once, before any worker starts."""
+    read_known_failures(KNOWN_FAILURES_FILE)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    listed = known(LIST)
-    by_id = {item.nodeid: item for item in items}
-    whole = (
+    """Marks the listed tests as expected failures."""
+    items_by_id = {item.nodeid: item for item in items}
+    for failure in read_known_failures(KNOWN_FAILURES_FILE):
+        if failure.test in items_by_id:
+            # Strict: a listed test that passes has to leave the list.
+            marker = pytest.mark.xfail(reason=str(failure), strict=True)
+            items_by_id[failure.test].add_marker(marker)
+    if not hasattr(config, "workerinput"):  # with workers the controller checks what they collected
+        check_listed_tests_exist(config, items_by_id)
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_xdist_node_collection_finished(node: Any, ids: list[str]) -> None:
+    """Checks the list in the controller process, which collects nothing itself."""
+    check_listed_tests_exist(node.config, ids)
+
+
+def check_listed_tests_exist(config: pytest.Config, collected_ids: Container[str]) -> None:
+    """Raises `pytest.UsageError` for a listed test that does not exist, where all tests were collected."""
+    selects_all_tests = (
         not config.option.keyword
         and not config.option.markexpr
         and not config.option.deselect
         and all(Path(arg).is_dir() for arg in config.args)
     )
-    for one in listed:
-        if one.test in by_id:
-            # Strict: one that passes is to leave the list.
-            by_id[one.test].add_marker(pytest.mark.xfail(reason=f"{one.cause} ({one.issue})", strict=True))
-        elif whole:
-            raise pytest.UsageError(f"{LIST}: no test is {one.test}")
+    for failure in read_known_failures(KNOWN_FAILURES_FILE) if selects_all_tests else []:
+        if failure.test not in collected_ids:
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: no test is {failure.test}")
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    for one in known(LIST):
-        terminalreporter.write_line(f"known red: {one.test}: {one.cause} ({one.issue})")
+    """Lists the expected failures below the results."""
+    for failure in read_known_failures(KNOWN_FAILURES_FILE):
+        terminalreporter.write_line(f"known red: {failure.test}: {failure}")
--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -246,11 +246,13 @@
     [
         ('[[panels]]\nname = "x"\nbench = "bench"\nsites = "s.toml"\n', "panels.0.sites is missing, or"),
         (
-            '[[panels]]\nname = "x"\nbench = "bench"\nsites = ["s.toml"]\narguments = []\nquick = "1"\nfull = 1\n',
+            '[[panels]]\nname = "x"\nbench = "bench"\nsites = ["s.toml"]\n'
+            'arguments = []\nquick = "1"\nfull = 1\n',
             "panels.0.quick is missing, or",
         ),
         (
-            '[[panels]]\nname = "x"\nbench = "bench"\nsites = ["none.toml"]\narguments = []\nquick = 1\nfull = 1\n',
+            '[[panels]]\nname = "x"\nbench = "bench"\nsites = ["none.toml"]\n'
+            "arguments = []\nquick = 1\nfull = 1\n",
             "none.toml: no such file",
         ),
     ],
