--- /dev/null
+++ b/tests/golden/test_adapter.py
@@ -0,0 +1,52 @@
+"""The simulator's adapter answers a recorded input with the recorded bytes, for a chain and for a mesh."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from hashlib import sha256
+from pathlib import Path
+
+import pytest
+
+HERE = Path(__file__).parent
+INPUTS = {  # SHA-256
+    "chain": "d443a2f4f2224f949998dfe2788bd5aef56a108d89427266ac1a6de08c2e2559",
+    "mesh": "d226a7120411c44ed77ff19900c97b14bda1720b646bfdc9d5032d13567cfccb",
+}
+
+
+def recorded(name: str) -> tuple[bytes, bytes]:
+    return (HERE / f"adapter-{name}.in.txt").read_bytes(), (HERE / f"adapter-{name}.out.txt").read_bytes()
+
+
+@pytest.mark.parametrize("name", INPUTS)
+def test_the_recorded_input_is_unchanged(name: str) -> None:
+    assert sha256(recorded(name)[0]).hexdigest() == INPUTS[name]
+
+
+@pytest.mark.parametrize("name", INPUTS)
+def test_the_adapter_answers_as_recorded(name: str) -> None:
+    given, wanted = recorded(name)
+    run = subprocess.run(
+        [sys.executable, "-m", "cressrail.wirehost"], input=given, capture_output=True, timeout=120
+    )
+    assert (run.returncode, run.stderr) == (0, b"")
+    for n, (line, meant) in enumerate(
+        zip(run.stdout.split(b"\n"), wanted.split(b"\n"), strict=False), start=1
+    ):
+        assert line == meant, f"line {n} of the reply"
+    assert run.stdout == wanted
+
+
+@pytest.mark.parametrize(
+    "name, least",
+    [
+        ("chain", {b"ISSUE": 1000, b"NOT_NOW": 100, b"REPORT_FAILURE": 50, b"ABANDON": 20, b"LISTEN": 4}),
+        ("mesh", {b"ISSUE": 800, b"NOT_NOW": 200, b"REPORT_FAILURE": 40, b"ABANDON": 20, b"LISTEN": 4}),
+    ],
+)
+def test_the_recording_covers_each_action(name: str, least: dict[bytes, int]) -> None:
+    lines = recorded(name)[1].split(b"\n")
+    for action, count in least.items():
+        assert sum(line.startswith(action + b" ") for line in lines) >= count, action
