--- /dev/null
+++ b/tests/golden/test_failover_datagrams.py
@@ -0,0 +1,71 @@
+"""Every kind of failover message: stored values give the stored bytes, and those are read back as the stored
+values at a later time."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from cressrail.failover import codec
+from cressrail.failover.words import Decision, Epoch, Evidence, Toward, Wish, Zone
+from tests.golden.neutral import neutral, stored, tuples
+
+FILE = "failover-datagrams.json"
+STORED = stored(FILE)
+KINDS: dict[str, type] = {
+    "report": codec.Report,
+    "ack": codec.Ack,
+    "ask": codec.Ask,
+    "vote": codec.Vote,
+    "no": codec.No,
+    "beat": codec.Beat,
+    "decision": Decision,
+    "wish": Wish,
+}
+
+
+def message(kind: str, value: list[Any]) -> Any:
+    """From the stored name and values, in order."""
+    told = list(tuples(value))
+    if kind == "report":
+        zone, demand, towards = told[2]
+        told[1:] = Epoch(*told[1]), Evidence(zone, demand, tuple(Toward(*row) for row in towards))
+    elif kind in ("ack", "ask", "no"):
+        told[1] = Epoch(*told[1])
+    elif kind in ("beat", "decision"):
+        told[0] = Epoch(*told[0])
+    if kind == "decision":
+        told[2] = tuple(Zone(*zone) for zone in told[2])
+    return KINDS[kind](*told)
+
+
+def encoded(kind: str, value: list[Any], now: int) -> bytes:
+    return codec.pack(message(kind, value), now)
+
+
+def decoded(data: bytes, now: int) -> Any:
+    """The name and the values, or nothing."""
+    told = codec.unpack(data, now)
+    if told is None:
+        return None
+    [kind] = [name for name, of in KINDS.items() if type(told) is of]
+    return [kind, neutral(told)]
+
+
+@pytest.mark.parametrize("case", STORED["messages"], ids=lambda case: str(case[0]))
+def test_a_message_has_the_stored_bytes_and_is_read_back(case: list[Any]) -> None:
+    kind, value, now, data, later, read = case
+    assert encoded(kind, value, now).hex() == data
+    assert decoded(bytes.fromhex(data), later) == [kind, read]
+
+
+@pytest.mark.parametrize("case", STORED["odd"])
+def test_odd_bytes_are_read_as_they_were(case: list[Any]) -> None:
+    data, later, read = case
+    assert decoded(bytes.fromhex(data), later) == read
+
+
+def test_every_kind_is_stored() -> None:
+    assert {case[0] for case in STORED["messages"]} == set(KINDS)
+    assert {bytes.fromhex(case[3])[0] for case in STORED["messages"]} == set(range(1, 9))
