--- /dev/null
+++ b/tests/golden/record_handover.py
@@ -0,0 +1,18 @@
+"""Writes handover-frames.json: `python -m tests.golden.record_handover`, by hand, only when a change of the
+frames is meant."""
+
+from __future__ import annotations
+
+from tests.golden.neutral import store
+from tests.golden.test_handover_frames import ESTATES, FILE, FRAMES, frames, read_back, went_on
+
+
+def main() -> None:
+    made = frames()
+    after = [[shape, went_on(shape, read_back(made[3 + n])[0][1])] for n, shape in enumerate(ESTATES)]
+    cases = [[name, data[:14].hex(), data[14:].decode()] for name, data in zip(FRAMES, made, strict=True)]
+    store(FILE, {"frames": cases, "after": after})
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/golden/test_handover_frames.py
@@ -0,0 +1,175 @@
+"""Every hand-over frame between two processes: a fixed state gives the stored bytes. They are read back from
+any pieces, and a sidecar that is settled from them tells the same again and goes on as stored."""
+
+from __future__ import annotations
+
+import socket
+import threading
+from pathlib import Path
+from random import Random
+from typing import Any
+
+import orjson
+import pytest
+
+from cressrail.brain import HOP, Entry, Outcome, Sidecar
+from cressrail.catalog.news import read
+from cressrail.handover.estate import gather, listed, settle
+from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
+from cressrail.outfit import parts
+from cressrail.outfit.told import Told
+from cressrail.sockets.elder import seek
+from tests.golden.neutral import stored
+from tests.helpers import CONFIG, SECOND, member, mesh
+
+FILE = "handover-frames.json"
+NAMES = {ix: f"s{ix}" for ix in range(6)}
+CONFIGS = {"chain": CONFIG, "mesh": mesh()}
+LISTEN = ("127.0.0.1", 9000)
+UNTIL = 20 * SECOND
+
+
+def fleet() -> list[Entry]:
+    starts = (0, 0, 3 * SECOND, 0, 0, 9 * SECOND)
+    return [(ix, ix % 2, ix // 3, (1.0, 1.5)[ix == 1], ix != 3, starts[ix], 1000 - 7 * ix) for ix in range(6)]
+
+
+def sidecar(shape: str, now: int) -> Sidecar:
+    told = Told.nested(CONFIGS[shape]["settings"])
+    side = parts.sidecar(told, 5, 0, ["a", "b"], list(parts.members(told).values()))
+    side.hear_list(now, fleet(), True)
+    return side
+
+
+def work(side: Sidecar, shape: str, since: int, until: int) -> None:
+    """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
+    random = Random(since)
+    profiles = list(parts.profiles(Told.nested(CONFIGS[shape]["settings"])).values())
+    endings = [Outcome.COMMITTED] * 16 + list(Outcome)
+    for now in range(since, until, 70_000):
+        tx = side.take(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
+        hops = sum(what == HOP for _, what, *_ in tx.route(now))
+        done, at = 0, now
+        while done < hops:
+            how, took = random.choice(endings), random.randrange(20_000, 500_000)
+            at += took // 8
+            hops += sum(
+                of is tx and what == HOP
+                for of, what, *_ in tx.ended(done, at, how, took, how is Outcome.COMMITTED)
+            )
+            done += 1
+        if side.wake_us <= now:
+            side.wake(now)
+
+
+def estate(shape: str) -> dict[str, Any]:
+    side = sidecar(shape, 10 * SECOND)
+    work(side, shape, 10 * SECOND, UNTIL)
+    side.died(UNTIL, 0)
+    return gather(side, NAMES)
+
+
+def rows() -> dict[str, Any]:
+    told = [
+        member("s0", 9001),
+        member("s1", 9002, locality="b", cell=7, size=1.5, phase="draining", up_since_ms=1234),
+        member("s2", 9003, host_port="[2001:db8::7]:9003"),
+    ]
+    return {"revision": 41, "complete": True, "members": told}
+
+
+def frames() -> list[bytes]:
+    """Every frame, in the order of `FRAMES`."""
+    more = {"open": ["r1", "ö2"], "drained": False, "held": [24, 8, 25]}
+    return [
+        wrap(HELLO, {"listen": list(LISTEN)}),
+        wrap(HERE, {"list": listed(read(rows()).rows, 41)}),
+        wrap(TAKE, {}),
+        wrap(ESTATE, {**estate("chain"), **more}),
+        wrap(ESTATE, {**estate("mesh"), **more, "drained": True}),
+        wrap(BYE, {}),
+    ]
+
+
+FRAMES = ("hello", "here", "take", "estate chain", "estate mesh", "bye")
+ESTATES = ("chain", "mesh")
+
+
+def went_on(shape: str, told: dict[str, Any]) -> str:
+    """What is known in the end of a process that goes on from there."""
+    side = sidecar(shape, UNTIL)
+    settle(told, side, NAMES, UNTIL)
+    work(side, shape, UNTIL, UNTIL + 5 * SECOND)
+    return orjson.dumps(gather(side, NAMES)).decode()
+
+
+def case(name: str) -> list[Any]:
+    [found] = [case for case in stored(FILE)["frames"] if case[0] == name]
+    assert isinstance(found, list)
+    return found
+
+
+def read_back(data: bytes, piece: int = 1 << 20) -> list[tuple[str, dict[str, Any]]]:
+    taken, found = Frames(), []
+    for n in range(0, len(data), piece):
+        taken.add(data[n : n + piece])
+        while (got := taken.next()) is not None:
+            found.append(got)
+    return found
+
+
+@pytest.mark.parametrize("name, data", zip(FRAMES, frames(), strict=True), ids=FRAMES)
+def test_a_frame_has_the_stored_bytes_and_is_read_back(name: str, data: bytes) -> None:
+    _, head, body = case(name)
+    assert data[:14].hex() == head
+    assert data[14:].decode() == body
+    for piece in (1, 13, 1 << 20):
+        [(kind, told)] = read_back(bytes.fromhex(head) + body.encode(), piece)
+        assert kind == name.split(" ")[0]
+        assert told == orjson.loads(body)
+
+
+@pytest.mark.parametrize("shape", ESTATES)
+def test_a_stored_estate_is_settled_with_the_same_effect(shape: str) -> None:
+    _, head, body = case(f"estate {shape}")
+    [(_, told)] = read_back(bytes.fromhex(head) + body.encode())
+    side = sidecar(shape, UNTIL)
+    settle(told, side, NAMES, UNTIL)
+    again = orjson.loads(orjson.dumps(gather(side, NAMES)))
+    assert again == {name: told[name] for name in again}
+    [(_, after)] = [case for case in stored(FILE)["after"] if case[0] == shape]
+    assert went_on(shape, told) == after
+
+
+def test_a_stored_list_is_read_and_told_again() -> None:
+    told = orjson.loads(case("here")[2])["list"]
+    assert listed(read(told).rows, told["revision"]) == told
+
+
+def test_the_new_process_says_the_stored_hello_and_reads_the_stored_list(tmp_path: Path) -> None:
+    at, heard = str(tmp_path / "s"), []
+    with socket.socket(socket.AF_UNIX) as place, socket.socket() as listening:
+        place.bind(at)
+        place.listen()
+        place.settimeout(5)
+        listening.bind(("127.0.0.1", 0))
+        listen: tuple[str, int] = listening.getsockname()
+
+        def answer() -> None:
+            other = place.accept()[0]
+            heard.append(other.recv(4096))
+            _, head, body = case("here")
+            socket.send_fds(other, [bytes.fromhex(head) + body.encode()], [listening.fileno()])
+            other.close()
+
+        elder = threading.Thread(target=answer)
+        elder.start()
+        found = seek(at, listen)
+        elder.join()
+    assert found is not None
+    found.sock.close()
+    found.listening.close()
+    [(kind, told)] = read_back(heard[0])
+    assert (kind, list(told)) == ("hello", list(orjson.loads(case("hello")[2])))
+    assert told["listen"] == list(listen)
+    assert listed(found.known.rows, 41) == orjson.loads(case("here")[2])["list"]
