--- /dev/null
+++ b/tests/golden_edges/test_http_bytes.py
@@ -0,0 +1,253 @@
+"""Pins of the bytes that go to clients and to endpoints, of the encoders and of a sidecar on loopback."""
+
+from __future__ import annotations
+
+import re
+import socket
+from typing import Any
+
+from cressrail.buffers.pipe import KEPT, Kept
+from cressrail.buffers.pool import Chain, Pool
+from cressrail.http1.answer import REASONS, Answer
+from cressrail.http1.body import chunk as encoded_chunk
+from cressrail.http1.request import RequestReader
+from tests.golden_edges.stored import hold
+from tests.helpers import Peer, Play, Script, ask, chunk, reply
+from tests.test_sockets import AWAY, CUT, serving
+
+LARGE = bytes(range(251)) * 400
+FIELDS = (
+    b"Host: app.svc\r\nReq-Id: r1\r\nReq-Kind: write\r\nReq-Owner: acme\r\nIdempotency-Key: k 1\r\n"
+    b"Req-Deadline: 900000u\r\nReq-Retry: 2\r\nX-Own: a\r\nX-Own: b\r\nAccept:  */* \r\nX-Empty:\r\n"
+    b"X-Hop: gone\r\nTE: trailers\r\nKeep-Alive: 5\r\nUpgrade: h2c\r\nProxy-Connection: x\r\n"
+)
+
+
+def test_heads_of_answers() -> None:
+    pool, found = Pool(100), {}
+    small, kept, open_ = Chain(pool), Kept(pool), Kept(pool)
+    small.add(memoryview(b"hello"))
+    kept.add(memoryview(b"hello, kept"))
+    open_.open()
+    bodies: dict[str, tuple[Any, int | None]] = {
+        "no body": (None, None),
+        "body": (small, None),
+        "kept body": (kept, None),
+        "streamed": (open_, None),
+        "streamed, length stated": (open_, 123456),
+    }
+    for status in sorted({*REASONS, 204, 418, 500, 504}):
+        for name, (body, length) in bodies.items():
+            whole = status in (200, 503)
+            for kind in (b"", b"text/x; a=b") if whole else (b"",):
+                for back_us in (0, 400, 1_500_000) if whole else (0,):
+                    for keep in (True, False):
+                        for modern in (True, False):
+                            made = Answer(status, body, kind, back_us, length)
+                            key = f"{status}, {name}, kind {kind.decode()!r}, back {back_us}, "
+                            key += f"{'stays' if keep else 'last'}, 1.{int(modern)}"
+                            told = made.head(keep, modern).decode("latin-1")
+                            found[key] = [made.chunked(modern), told]
+    hold(found, "answer_heads.json")
+
+
+def test_chunks() -> None:
+    found = {
+        str(size): b"".join(encoded_chunk([memoryview(b"x" * size)], size)).decode() if size else ""
+        for size in (0, 1, 9, 10, 15, 16, 255, 256, 4096)
+    }
+    assert encoded_chunk([], 0) == []
+    hold(found, "chunks.json")
+
+
+def test_heads_of_requests_as_forwarded() -> None:
+    ways: dict[str, bytes] = {
+        "no body": b"\r\n",
+        "body": b"Content-Length: 5\r\n\r\nhello",
+        "body of none": b"Content-Length: 0\r\n\r\n",
+        "chunked": b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nt: u\r\n\r\n",
+        "expects": b"Expect: 100-continue\r\nContent-Length: 5\r\n\r\nhello",
+        "named by connection": b"Connection: X-Hop, close\r\n\r\n",
+    }
+    found = {}
+    for method in ("GET", "HEAD", "DELETE", "OPTIONS", "POST", "PUT", "PATCH", "X-OWN"):
+        for version in ("1.0", "1.1"):
+            for name, rest in ways.items():
+                for left_us in (1, 2_999_999):
+                    reader = RequestReader(Chain(Pool(10)))
+                    first = f"{method} /api/a%20b?x=1&y HTTP/{version}\r\n".encode()
+                    reader.feed(memoryview(first + FIELDS + rest))
+                    assert reader.whole is not None
+                    told = reader.whole.onward("10.0.0.7:9100", left_us).decode("latin-1")
+                    found[f"{method}, {version}, {name}, {left_us}"] = [reader.whole.keep, told]
+    hold(found, "request_heads.json")
+
+
+def test_heads_of_streamed_uploads() -> None:
+    found = {}
+    for name, rest in (
+        ("length", b"Content-Length: 100400\r\n\r\n"),
+        ("chunked", b"Transfer-Encoding: chunked\r\n\r\n"),
+    ):
+        body = Kept(Pool(10))
+        reader = RequestReader(body)
+        reader.feed(memoryview(b"POST /up HTTP/1.1\r\n" + FIELDS + rest))
+        body.open()
+        assert reader.begun is not None
+        found[name] = reader.begun.onward("10.0.0.7:9100", 5).decode("latin-1")
+    hold(found, "upload_heads.json")
+
+
+# A sidecar on loopback
+
+
+def neutral(heard: bytes, play: Play) -> str:
+    """Without what differs from run to run: ports and the time that is left."""
+    for port in play.ports:
+        heard = heard.replace(b"127.0.0.1:%d" % port, b"127.0.0.1:PORT")
+    heard = re.sub(rb"(req-deadline: )\d+u", rb"\1LEFTu", heard)
+    return heard.decode("latin-1")
+
+
+def exchanged(endpoint: Script | None, sent: list[bytes], **limits: Any) -> dict[str, str]:
+    """All bytes that a client hears until it has shut down its side and the connection ends, and those that
+    an endpoint hears."""
+    at_client, at_endpoint = [], bytearray()
+
+    def recorded(peer: Peer) -> None:
+        hear = peer.hear
+
+        def kept(end: bytes = b"\r\n\r\n") -> bytes:
+            got = hear(end)
+            at_endpoint.extend(got)
+            return got
+
+        peer.hear = kept  # type: ignore[method-assign]
+        assert endpoint is not None
+        endpoint(peer)
+
+    play = Play([recorded] if endpoint else [], **limits)
+
+    def script(peer: Peer) -> None:
+        for text in sent:
+            peer.say(text)
+            at_client.append(peer.hear())
+            size = re.search(rb"content-length: (\d+)", at_client[-1])
+            at_client.append(peer.take(int(size[1])) if size else b"")
+        peer.sock.shutdown(socket.SHUT_WR)
+        at_client.append(peer.hear(b"never"))
+
+    play.client(script)
+    play.run()
+    return {
+        "client": neutral(b"".join(at_client), play),
+        "endpoint": neutral(bytes(at_endpoint), play),
+    }
+
+
+def answering(text: bytes) -> Script:
+    """Reads requests with bodies of a stated length."""
+
+    def script(peer: Peer) -> None:
+        while head := peer.hear():
+            size = re.search(rb"content-length: (\d+)", head)
+            if size and int(size[1]):
+                peer.hear(b"hello")
+            peer.say(text)
+
+    return script
+
+
+def asking(*change: tuple[bytes, bytes], kind: str = "read", body: bytes = b"", **fields: str) -> bytes:
+    text = ask(kind, body, **{"Req_Id": "r1", **fields})
+    for old, new in change:
+        text = text.replace(old, new)
+    return text
+
+
+OLD = (b"HTTP/1.1", b"HTTP/1.0")
+HELLO = reply(b"hello", more=b"content-type: a/b\r\nx-own: c\r\n")
+
+
+def test_exchanges() -> None:
+    own = answering(HELLO)
+    cases: dict[str, tuple[Script | None, list[bytes], dict[str, Any]]] = {
+        "200": (own, [asking(), asking()], {}),
+        "200, body sent": (own, [asking(body=b"hello")], {}),
+        "200, last": (own, [asking(Connection="close")], {}),
+        "200, 1.0": (own, [asking(OLD)], {}),
+        "200, 1.0 kept": (own, [asking(OLD, Connection="keep-alive")], {}),
+        "200, keyed": (own, [asking(kind="write", body=b"hello", Idempotency_Key="k 7")], {}),
+        "200, endpoint chunks": (
+            answering(
+                b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + chunk(b"hello") + chunk(b"")
+            ),
+            [asking()],
+            {},
+        ),
+        "200, upload in chunks": (
+            own,
+            [
+                asking(Content_Length="", Transfer_Encoding="chunked")
+                + chunk(b"hel")
+                + chunk(b"lo")
+                + chunk(b"")
+            ],
+            {},
+        ),
+        "go on": (
+            own,
+            [asking((b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n"), Content_Length="5"), b"hello"],
+            {},
+        ),
+        "health": (own, [b"GET /_health HTTP/1.1\r\n\r\n"], {}),
+        "health, 1.0": (own, [b"GET /_health HTTP/1.0\r\n\r\n"], {}),
+        "400": (own, [b"nonsense\r\n\r\n"], {}),
+        "400, no kind": (own, [asking(kind="none")], {}),
+        "400, deadline": (own, [asking(Req_Deadline="soon")], {}),
+        "400, told by endpoint": (serving(reply(status=404)), [asking()], {}),
+        "413": (own, [asking(Content_Length="9999999999")], {}),
+        "431": (own, [asking(X_Long="x" * 9000)], {}),
+        "502": (serving(CUT, close=True), [asking(kind="write")], {}),
+        "503": (serving(reply(status=503, more=AWAY)), [asking()], {}),
+        "503, come back": (
+            serving(reply(status=503, more=AWAY)),
+            [asking()],
+            {"retry_after": True, "max_retry_after_us": 2_000_000},
+        ),
+    }
+    found: dict[str, Any] = {name: exchanged(*case[:2], **case[2]) for name, case in cases.items()}
+    hold(found, "exchanges.json")
+
+
+def test_a_request_that_stalls_is_told_408() -> None:
+    found = exchanged(answering(HELLO), [asking(Content_Length="5")])
+    hold({"408": found}, "exchange_408.json")
+
+
+def test_a_large_answer_is_streamed() -> None:
+    """Sizes of chunks go by what has come at a time; the head, the body and the last chunk do not."""
+    assert len(LARGE) > KEPT
+    found: dict[str, Any] = {}
+    for name, head in (
+        ("length", b"content-length: %d\r\n" % len(LARGE)),
+        ("until close", b""),
+    ):
+        for version in (b"HTTP/1.1", b"HTTP/1.0"):
+            got = exchanged(
+                serving(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + LARGE, close=True),
+                [asking((b"HTTP/1.1", version))],
+            )["client"].encode("latin-1")
+            top, _, rest = got.partition(b"\r\n\r\n")
+            end = b""
+            if b"chunked" in top:
+                body = b""
+                while not rest.startswith(b"0\r\n"):
+                    size, _, rest = rest.partition(b"\r\n")
+                    n = int(size, 16)
+                    assert size == b"%x" % n and rest[n : n + 2] == b"\r\n"
+                    body, rest = body + rest[:n], rest[n + 2 :]
+                end, rest = rest, body
+            assert rest == LARGE
+            found[f"{name}, {version.decode()}"] = [top.decode(), end.decode()]
+    hold(found, "streamed.json")
