--- /dev/null
+++ b/tests/golden_edges/processes.py
@@ -0,0 +1,78 @@
+"""Whole processes of the program, and calls to them as they come from outside."""
+
+from __future__ import annotations
+
+import copy
+import json
+import os
+import socket
+import subprocess
+import sys
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from tests.helpers import CONFIG, member
+
+
+def free_port(kind: int = socket.SOCK_STREAM) -> int:
+    with socket.socket(socket.AF_INET, kind) as sock:
+        sock.bind(("127.0.0.1", 0))
+        return int(sock.getsockname()[1])
+
+
+def configured(**more: Any) -> dict[str, Any]:
+    """The tests' configuration, on free ports, with one endpoint that nobody asks and a silent discovery."""
+    config = copy.deepcopy(CONFIG)
+    config["known"]["members"] = [member("s0", free_port())]
+    config |= {name: f"127.0.0.1:{free_port()}" for name in ("listen", "ops", "discovery")}
+    return {**config, **more}
+
+
+class Process:
+    def __init__(self, folder: Path, config: dict[str, Any]) -> None:
+        self.config, name = config, config["name"]
+        path = folder / f"{name}.json"
+        path.write_text(json.dumps(config))
+        env = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
+        with open(folder / f"{name}.log", "wb") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "cressrail", "serve", str(path)],
+                env={**env, "TMPDIR": str(folder)},
+                stdout=log,
+                stderr=log,
+            )
+
+    def said(self, text: bytes, at: str = "ops") -> bytes:
+        """All that is answered to these bytes; nothing while nobody listens."""
+        host, _, port = self.config[at].rpartition(":")
+        try:
+            with socket.create_connection((host, int(port)), timeout=10) as sock:
+                sock.sendall(text)
+                heard = b""
+                while data := sock.recv(65536):
+                    heard += data
+                return heard
+        except OSError:
+            return b""
+
+    def call(self, method: str, target: str, at: str = "ops") -> bytes:
+        return self.said(f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode(), at)
+
+    def told(self, target: str) -> Any:
+        body = self.call("GET", target).partition(b"\r\n\r\n")[2]
+        return json.loads(body) if body else None
+
+    def until(self, met: Callable[[], object], over_s: float = 30.0) -> None:
+        until = time.monotonic() + over_s
+        while not met():
+            assert self.process.poll() is None and time.monotonic() < until
+            time.sleep(0.05)
+
+    def ready(self) -> bool:
+        return self.call("GET", "/control/ready").startswith(b"HTTP/1.1 200 ")
+
+    def end(self) -> None:
+        self.process.kill()
+        self.process.wait()
