--- a/Makefile
+++ b/Makefile
@@ -28,7 +28,7 @@
 	$(PY) -m cressrail experiment cost --against $(AGAINST)
 
 fleet: lab
-	$(PY) -m cressrail.experiment.harm $(or $(SCENARIO),$(filter-out %-200.toml %-230.toml,$(wildcard example/fleets/*.toml)))
+	$(PY) -m cressrail.experiment.fleet_faults $(or $(SCENARIO),$(filter-out %-200.toml %-230.toml,$(wildcard example/fleets/*.toml)))
 
 regress: build
 	$(PY) tools/regress.py $(KIT) $(if $(FULL),--full)
--- a/cressrail/cli/door.py
+++ b/cressrail/cli/admin_client.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from cressrail.cli.words import address, fail
-from cressrail.outfit.start import read_start
-from cressrail.outfit.told import Unfit
+from cressrail.cli.output import address, fail
+from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.startup import read_start
 
 if TYPE_CHECKING:
     from rich.table import (
--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -11,13 +11,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from cressrail.cli.words import fail
+from cressrail.cli.output import fail
+from cressrail.experiment.checkouts import NoRevision
 from cressrail.experiment.cost import cost, table
+from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import run as play
-from cressrail.experiment.trees import NoRevision
-from cressrail.experiment.words import Experiment
-from cressrail.standin.file import Unusable, named, read
-from cressrail.standin.sidecars import check
+from cressrail.testbed.scenario_file import Unusable, named, read
+from cressrail.testbed.sidecars import check
 
 app = typer.Typer(
     help="Experiments on real sidecars amid stand-ins.",
--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from cressrail.cli.words import fail, tell
+from cressrail.cli.output import fail, tell
 
 app = typer.Typer(
     help="Which part of each zone's traffic goes where.",
@@ -29,9 +29,9 @@
     json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
 ) -> None:
     """Play a scenario in virtual time, by the same reducer as in service."""
-    from cressrail.failover.world import Scenario
-    from cressrail.failover.world import simulate as play
-    from cressrail.standin.file import Unusable, read
+    from cressrail.failover.simulation import Scenario
+    from cressrail.failover.simulation import simulate as play
+    from cressrail.testbed.scenario_file import Unusable, read
 
     try:
         told = play(read(scenario, Scenario), seed)
--- a/cressrail/cli/launch.py
+++ b/cressrail/cli/launch.py
@@ -4,14 +4,15 @@
 
 import sys
 
-from cressrail.outfit import parts, shape
-from cressrail.outfit.start import read_start
-from cressrail.outfit.told import Unfit, under
+from cressrail.configuration import deployment_type as shape
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Unfit, under
+from cressrail.configuration.startup import read_start
 
 
 def launch(config: str) -> int:
-    from cressrail.sockets.reread import Reread
-    from cressrail.sockets.serve import assemble, run
+    from cressrail.network.configuration_reload import Reread
+    from cressrail.network.server import assemble, run
 
     try:
         start = read_start(config)
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -11,7 +11,7 @@
 import typer
 from pydantic import ValidationError
 
-from cressrail.cli.words import address, fail
+from cressrail.cli.output import address, fail
 from cressrail.load.plan import MemberMix, Plan, ProfileMix, reason
 from cressrail.load.record import recorded
 from cressrail.load.run import Job, play, summary, write_json
--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -7,8 +7,8 @@
 
 import typer
 
-from cressrail.cli.door import show
-from cressrail.cli.words import fail, tell
+from cressrail.cli.admin_client import show
+from cressrail.cli.output import fail, tell
 
 if TYPE_CHECKING:
     from rich.table import Table  # loaded where a table is shown only: `serve` passes by here
@@ -44,8 +44,8 @@
     json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
 ) -> None:
     """Play a fleet's start, calm, one death and seven deaths in ten, in virtual time."""
-    from cressrail.membership.simulate import TAKEN_OUT
-    from cressrail.membership.simulate import simulate as play
+    from cressrail.membership.scenarios import TAKEN_OUT
+    from cressrail.membership.scenarios import simulate as play
 
     for word in without or []:
         if word not in TAKEN_OUT:
--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -11,15 +11,15 @@
 import typer
 import uvloop
 
-from cressrail.cli.words import fail
-from cressrail.peers.caller import now_us
-from cressrail.standin import known
-from cressrail.standin.file import Unusable, named, read
-from cressrail.standin.judge import evidence, judge
-from cressrail.standin.ledger import rows
-from cressrail.standin.run import run as run_fleet
-from cressrail.standin.sidecars import check
-from cressrail.standin.words import World
+from cressrail.cli.output import fail
+from cressrail.http_testing.client import now_us
+from cressrail.testbed import pauses as known
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.rule_checker import evidence, judge
+from cressrail.testbed.run import run as run_fleet
+from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario_file import Unusable, named, read
+from cressrail.testbed.sidecars import check
 
 app = typer.Typer(
     help="Stand-in tiers with faults, and the rule checker.",
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from cressrail.cli.door import asked, door, show
+from cressrail.cli.admin_client import asked, door, show
 
 if TYPE_CHECKING:
     from rich.table import Table  # loaded where a table is shown only: `serve` passes by here
--- a/cressrail/outfit/shape.py
+++ b/cressrail/configuration/deployment_type.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from cressrail.outfit.told import Told, Unfit
+from cressrail.configuration.settings_reader import Told, Unfit
 
 CHAIN, MESH = "chain", "mesh"
 MOST_STREAMS = 1 << 20
--- a/cressrail/outfit/failover.py
+++ b/cressrail/configuration/failover.py
@@ -5,9 +5,9 @@
 import os
 from typing import Any
 
-from cressrail.failover.words import MOST_ZONES, Map, Settings
-from cressrail.outfit.files import part_of_file
-from cressrail.outfit.told import Told, Unfit, under
+from cressrail.configuration.files import part_of_file
+from cressrail.configuration.settings_reader import Told, Unfit, under
+from cressrail.failover.messages import MOST_ZONES, Map, Settings
 
 KNOWN = ("regions", "way_ms")
 
--- a/cressrail/outfit/files.py
+++ b/cressrail/configuration/files.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from cressrail.outfit.told import Unfit
+from cressrail.configuration.settings_reader import Unfit
 
 
 def part_of_file(path: str) -> dict[str, Any]:
--- a/cressrail/outfit/membership.py
+++ b/cressrail/configuration/membership.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrail.membership.words import (
+from cressrail.configuration.files import part_of_file
+from cressrail.configuration.settings_reader import Told, Unfit, under
+from cressrail.membership.messages import (
     LEAST_BYTES,
     LONGEST_NAME,
     LONGEST_ZONE,
@@ -17,8 +19,6 @@
     Address,
     Settings,
 )
-from cressrail.outfit.files import part_of_file
-from cressrail.outfit.told import Told, Unfit, under
 
 MOST_KEYS = 2
 KNOWN = ("listen", "advertise", "seeds", "keys", "zone", "bear_pause_ms", "most_bytes", "use")
--- a/cressrail/outfit/parts.py
+++ b/cressrail/configuration/policy_factory.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from cressrail.brain import (
+from cressrail.configuration.deployment_type import beside
+from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.policy.load_balancer import (
     ALL,
     CELL,
     IDEMPOTENT,
@@ -19,8 +21,6 @@
     Sidecar,
     earnings,
 )
-from cressrail.outfit.shape import beside
-from cressrail.outfit.told import Told, Unfit
 
 SECOND_US = 1_000_000
 KINDS = {"safe": IDEMPOTENT, "keyed": JOURNALLED, "unsafe": NON_IDEMPOTENT}
--- a/cressrail/outfit/start.py
+++ b/cressrail/configuration/startup.py
@@ -9,12 +9,12 @@
 
 import orjson
 
-from cressrail.catalog.news import Junk, News, read
-from cressrail.outfit import shape
-from cressrail.outfit.told import Told, Unfit, under
+from cressrail.configuration import deployment_type as shape
+from cressrail.configuration.settings_reader import Told, Unfit, under
+from cressrail.discovery.endpoint_list import Junk, News, read
 
 if TYPE_CHECKING:
-    from cressrail.outfit.membership import Part
+    from cressrail.configuration.membership import Part
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     with under(f"{path}: "):
         start = read_config(config, env)
     if config.get("membership") is not None:
-        from cressrail.outfit.membership import read_part  # nothing of it is loaded where it is off
+        from cressrail.configuration.membership import read_part  # nothing of it is loaded where it is off
 
         start.membership = read_part(
             config["membership"],
@@ -60,7 +60,7 @@
     if config.get("failover") is not None:
         if start.membership is None:
             raise Unfit(f"{path}: failover needs the part membership, by which sidecars talk")
-        from cressrail.outfit import failover
+        from cressrail.configuration import failover
 
         bear_us = start.membership.settings.bear_us
         start.membership = replace(
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -20,13 +20,13 @@
 
 import orjson
 
+from cressrail.experiment.checkouts import HERE, tree
 from cressrail.experiment.sink import ZONE
-from cressrail.experiment.trees import HERE, tree
 from cressrail.load.plan import Plan
 from cressrail.load.run import Job, play
-from cressrail.standin.fleet import loopback
-from cressrail.standin.sidecars import Sidecar, put, told
-from cressrail.standin.words import World
+from cressrail.testbed.fleet import loopback
+from cressrail.testbed.scenario import World
+from cressrail.testbed.sidecars import Sidecar, put, told
 
 RATE, SLICE_S, SLICES = 1500.0, 1.0, 5
 READY_S = 15.0
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -9,7 +9,7 @@
 import numpy.typing as npt
 
 from cressrail.experiment.play import Played
-from cressrail.standin.words import World
+from cressrail.testbed.scenario import World
 
 DRAWS = 4000  # of the bootstrap
 # Which way is better: 1 more, -1 less.
--- a/cressrail/experiment/harm.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -1,5 +1,5 @@
-"""python -m cressrail.experiment.harm FILE ... [--out DIR]: fleets with harm between their sidecars, with
-load on, and what became of the sidecars' views of each other.
+"""python -m cressrail.experiment.fleet_faults FILE ... [--out DIR]: fleets with harm between their sidecars,
+with load on, and what became of the sidecars' views of each other.
 
 Exits 3 where a rule broke or a living copy was told to be lost, 4 where the machine lagged and the run says
 nothing."""
@@ -14,10 +14,10 @@
 import orjson
 
 from cressrail.experiment.play import Played, play_world
-from cressrail.standin.file import Unusable, read
-from cressrail.standin.ledger import rows
-from cressrail.standin.views import agreed, false_losses, joined, known, live_error, views
-from cressrail.standin.words import World
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
+from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario_file import Unusable, read
 
 RETURN_BEARS = 3  # in which a return has got round, in units of the pause that is borne
 
--- a/cressrail/experiment/words.py
+++ b/cressrail/experiment/plan.py
@@ -7,7 +7,7 @@
 from pydantic import Field, model_validator
 
 from cressrail.load.plan import Strict
-from cressrail.standin.words import Broken, Policy, World
+from cressrail.testbed.scenario import Broken, Policy, World
 
 
 class Arm(Strict):
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -14,13 +14,13 @@
 import orjson
 import tomlkit
 
+from cressrail.http_testing.client import now_us
 from cressrail.load.plan import MemberMix, Plan, ProfileMix
 from cressrail.load.run import Job, play
-from cressrail.peers.caller import now_us
-from cressrail.standin.judge import Break, Evidence, evidence, judge
-from cressrail.standin.ledger import rows
-from cressrail.standin.views import Views, views
-from cressrail.standin.words import World
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.membership_verdicts import Views, views
+from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
+from cressrail.testbed.scenario import World
 
 HERE = Path(__file__).resolve().parents[2]
 LEAD_US = 400_000  # from the word to begin to the first that can be due
--- a/cressrail/experiment/relay.py
+++ b/cressrail/experiment/relay.py
@@ -9,9 +9,9 @@
 import socket
 import sys
 
-from cressrail.loop.clock import Clock
-from cressrail.loop.scheduler import READ, Scheduler
-from cressrail.sockets.listener import bind
+from cressrail.event_loop.clock import Clock
+from cressrail.event_loop.scheduler import READ, Scheduler
+from cressrail.network.listener import bind
 
 MOST = 65536
 
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -12,10 +12,10 @@
 
 import orjson
 
+from cressrail.experiment.checkouts import tree
 from cressrail.experiment.figures import compared, figures, series
+from cressrail.experiment.plan import Experiment
 from cressrail.experiment.play import play_world
-from cressrail.experiment.trees import tree
-from cressrail.experiment.words import Experiment
 
 
 def run(experiment: Experiment, out: Path, say: Callable[[str], None], keep: bool = False) -> dict[str, Any]:
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -11,9 +11,9 @@
 
 import uvloop
 
-from cressrail.peers.server import Asked, Served
-from cressrail.standin.discovery import Agent, Listed
-from cressrail.standin.ledger import Ledger
+from cressrail.http_testing.server import Asked, Served
+from cressrail.testbed.discovery import Agent, Listed
+from cressrail.testbed.event_record import Ledger
 
 ZONE = "here"
 
--- a/cressrail/failover/codec.py
+++ b/cressrail/failover/codec.py
@@ -6,7 +6,7 @@
 import struct
 from typing import NamedTuple
 
-from cressrail.failover.words import (
+from cressrail.failover.messages import (
     MOST_ZONES,
     PARTS,
     STATES,
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from cressrail.failover.words import Evidence
+from cressrail.failover.messages import Evidence
 
 HALF = 0.5  # of hops: from there on a zone fails, or can't be reached
 LEAST_HOPS = 5  # over the window, from all copies of a zone together, to say anything
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from cressrail.brain import Chance, Sidecar
-from cressrail.failover.reducer import WINDOW, Failover, Fleet
-from cressrail.failover.words import Effect, Evidence, Settings, Toward
-from cressrail.membership.reducer import Membership
-from cressrail.traffic.towards import Ended, Towards
+from cressrail.failover.messages import Effect, Evidence, Settings, Toward
+from cressrail.failover.state_machine import WINDOW, Failover, Fleet
+from cressrail.membership.state_machine import Membership
+from cressrail.policy.load_balancer import Chance, Sidecar
+from cressrail.proxy.zone_statistics import Ended, Towards
 
 SECOND = 1_000_000
 
--- a/cressrail/failover/plan.py
+++ b/cressrail/failover/planner.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from cressrail.failover.evidence import Picture
-from cressrail.failover.words import (
+from cressrail.failover.messages import (
     ASKED,
     AWAY,
     CROWDED,
--- a/cressrail/failover/world.py
+++ b/cressrail/failover/simulation.py
@@ -14,9 +14,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from cressrail.brain import Chance
-from cressrail.failover.reducer import Failover, Fleet
-from cressrail.failover.words import (
+from cressrail.failover.messages import (
     AWAY,
     Adopted,
     Effect,
@@ -29,6 +27,8 @@
     Spread,
     Toward,
 )
+from cressrail.failover.state_machine import Failover, Fleet
+from cressrail.policy.load_balancer import Chance
 
 SECOND = 1_000_000
 TICK_US = 100_000
--- a/cressrail/failover/reducer.py
+++ b/cressrail/failover/state_machine.py
@@ -12,12 +12,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrail.brain import Chance
 from cressrail.failover import codec
 from cressrail.failover.codec import Ack, Ask, Beat, No, Report, Vote
 from cressrail.failover.evidence import picture
-from cressrail.failover.plan import Planner
-from cressrail.failover.words import (
+from cressrail.failover.messages import (
     STATES,
     WHY,
     Adopted,
@@ -31,6 +29,8 @@
     Spread,
     Wish,
 )
+from cressrail.failover.planner import Planner
+from cressrail.policy.load_balancer import Chance
 
 NEVER = 1 << 62
 WINDOW = 3  # periods over which evidence is summed
--- a/cressrail/handover/estate.py
+++ b/cressrail/handover/state.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from cressrail.brain import Sidecar
-from cressrail.catalog.news import PHASES, Row
+from cressrail.discovery.endpoint_list import PHASES, Row
 from cressrail.handover.frame import Foreign
+from cressrail.policy.load_balancer import Sidecar
 
 # Of an endpoint and of the whole, by the module's own names.
 NUMBERS = ("limit", "latency", "good", "cold_credit")
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -14,10 +14,10 @@
 
 import orjson
 
+from cressrail.http_testing.client import ANSWERED as WHOLE
+from cressrail.http_testing.client import GAVE_UP, Answer, Caller, now_us
 from cressrail.load.plan import Due, Plan, ProfileMix, pause_us
 from cressrail.load.spool import ANSWERED, HELD, Spool
-from cressrail.peers.caller import ANSWERED as WHOLE
-from cressrail.peers.caller import GAVE_UP, Answer, Caller, now_us
 
 LEAD_US = 200_000  # between the end of preparing and the first that can be due
 TICK_S = 0.005
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -12,9 +12,9 @@
 import struct
 from typing import NamedTuple
 
-from cressrail.membership.hints import FORM, Hint, pack, unpack
-from cressrail.membership.seal import CODE
-from cressrail.membership.words import (
+from cressrail.membership.authentication import CODE
+from cressrail.membership.load_reports import FORM, Hint, pack, unpack
+from cressrail.membership.messages import (
     LEFT,
     LONGEST_NAME,
     LONGEST_ZONE,
--- a/cressrail/membership/live.py
+++ b/cressrail/membership/live_count.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from cressrail.membership.words import Copies
+from cressrail.membership.messages import Copies
 
 BOUND = 4.0  # times the settings' figure, up and down: what is believed whatever is told
 YOUNG = 4  # pauses that are borne: so long a copy that has just begun believes in no fewer
--- a/cressrail/membership/table.py
+++ b/cressrail/membership/member_table.py
@@ -11,7 +11,7 @@
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterator
 
-from cressrail.membership.words import LEFT, LOST, Address, Brief, Record, order
+from cressrail.membership.messages import LEFT, LOST, Address, Brief, Record, order
 
 MAPPED = bytes(10) + b"\xff\xff"  # before an address of IPv4 among those of IPv6
 
--- a/cressrail/membership/words.py
+++ b/cressrail/membership/messages.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from cressrail.membership.hints import Hearsay
+from cressrail.membership.load_reports import Hearsay
 
 ALIVE, SUSPECTED, LOST, LEFT = range(4)  # in the order in which one stands above another at one incarnation
 STATES = ("alive", "suspected", "lost", "left")
--- a/cressrail/membership/hearing.py
+++ b/cressrail/membership/peer_reports.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from cressrail.brain import Sidecar
-from cressrail.membership.hints import COLD, FAILING, WEIGHT, Hearsay
-from cressrail.membership.words import id_of
-from cressrail.traffic.roster import Roster
+from cressrail.membership.load_reports import COLD, FAILING, WEIGHT, Hearsay
+from cressrail.membership.messages import id_of
+from cressrail.policy.load_balancer import Sidecar
+from cressrail.proxy.endpoint_registry import Roster
 
 MOST_COLD, MOST_FAILING = 64, 32  # endpoints that are spoken of at once
 SPAN_US = 2_000_000  # that a rate of work looks back on
--- a/cressrail/membership/edges.py
+++ b/cressrail/membership/reachability.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from cressrail.membership.words import Edge
+from cressrail.membership.messages import Edge
 
 MARK_AFTER = 5  # calls in a row: at 30% loss both ways three tries of each fail one time in eight
 CLEAR_AFTER = 2
--- a/cressrail/membership/simulate.py
+++ b/cressrail/membership/scenarios.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from cressrail.membership.words import LOST, Settings
-from cressrail.membership.world import SECOND, World
+from cressrail.membership.messages import LOST, Settings
+from cressrail.membership.simulation import SECOND, World
 
 READY_S, CALM_S, DEATH_S, MANY_S = 120, 30, 30, 40
 TAKEN_OUT = ("aware", "indirect", "shrinks")  # by an ablation
--- a/cressrail/membership/world.py
+++ b/cressrail/membership/simulation.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field, replace
 from heapq import heappop, heappush
 
-from cressrail.brain import Chance
-from cressrail.membership.reducer import Membership
-from cressrail.membership.words import LOST, Address, Effect, Note, Send, Settings
+from cressrail.membership.messages import LOST, Address, Effect, Note, Send, Settings
+from cressrail.membership.state_machine import Membership
+from cressrail.policy.load_balancer import Chance
 
 SECOND = 1_000_000
 QUEUE = 250  # datagrams that a socket holds for a process that does not read
--- a/cressrail/membership/reducer.py
+++ b/cressrail/membership/state_machine.py
@@ -11,17 +11,15 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from cressrail.brain import Chance
 from cressrail.membership import codec
-from cressrail.membership.awareness import Awareness, Suspicion
+from cressrail.membership.authentication import CODE, fresh, opened, seal
 from cressrail.membership.codec import ACK, ASK, NACK, NEWS, PAGE, PAGED, PING, Call, Datagram, Junk
-from cressrail.membership.edges import Edges
-from cressrail.membership.hints import Hearsay, Hints
-from cressrail.membership.live import Live, Seen
-from cressrail.membership.rumours import Rumours
-from cressrail.membership.seal import CODE, fresh, opened, seal
-from cressrail.membership.table import Table
-from cressrail.membership.words import (
+from cressrail.membership.gossip import Rumours
+from cressrail.membership.live_count import Live, Seen
+from cressrail.membership.load_reports import Hearsay, Hints
+from cressrail.membership.local_health import Awareness, Suspicion
+from cressrail.membership.member_table import Table
+from cressrail.membership.messages import (
     ALIVE,
     COLD,
     COPIES,
@@ -47,6 +45,8 @@
     id_of,
     order,
 )
+from cressrail.membership.reachability import Edges
+from cressrail.policy.load_balancer import Chance
 
 THROUGH = 3  # copies that are asked to call in one's place, as published
 FAN = 3  # copies that hear news at once
--- a/cressrail/sockets/ops.py
+++ b/cressrail/network/admin_server.py
@@ -9,14 +9,14 @@
 
 import orjson
 
+from cressrail.event_loop.scheduler import MAIL, READ, WRITE, Task
 from cressrail.http1.answer import REASONS
 from cressrail.http1.head import Malformed, split_head
 from cressrail.http1.request import parts_of
-from cressrail.loop.scheduler import MAIL, READ, WRITE, Task
-from cressrail.sockets.listener import SHORT_PAUSE_US
-from cressrail.sockets.net import Net
-from cressrail.sockets.stream import SHORT
-from cressrail.traffic.control import Told
+from cressrail.network.dispatcher import Net
+from cressrail.network.listener import SHORT_PAUSE_US
+from cressrail.network.socket_stream import SHORT
+from cressrail.proxy.admin import Told
 
 CALLS = 8  # at once; the oldest that is unfinished makes room for one more
 DESCRIPTORS = CALLS + 2  # the listening one, and one amid being taken in
--- a/cressrail/sockets/client.py
+++ b/cressrail/network/client_connection.py
@@ -8,14 +8,14 @@
 
 from cressrail.buffers.pipe import Kept, Pipe
 from cressrail.buffers.pool import Exhausted
+from cressrail.event_loop.scheduler import LEFT, MAIL, NEVER, READ, TIMED_OUT
 from cressrail.http1.body import chunk
 from cressrail.http1.head import Malformed
 from cressrail.http1.request import Request, RequestReader
-from cressrail.loop.scheduler import LEFT, MAIL, NEVER, READ, TIMED_OUT
-from cressrail.sockets.net import SHORT_US, STIR, Net, purge
-from cressrail.sockets.stream import Called, Late, Stream
-from cressrail.traffic.effects import Read, Shut, Write
-from cressrail.traffic.reducer import FRESH_US
+from cressrail.network.dispatcher import SHORT_US, STIR, Net, purge
+from cressrail.network.socket_stream import Called, Late, Stream
+from cressrail.proxy.commands import Read, Shut, Write
+from cressrail.proxy.state_machine import FRESH_US
 
 LINGER_US = 500_000
 UPLOAD_LINGER_US = 2_000_000  # the rest of a request that is answered before it is whole
--- a/cressrail/sockets/reread.py
+++ b/cressrail/network/configuration_reload.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from cressrail.outfit import parts
-from cressrail.outfit.start import Start, differing, read_again
-from cressrail.outfit.told import Unfit, under
-from cressrail.sockets.net import Net
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Unfit, under
+from cressrail.configuration.startup import Start, differing, read_again
+from cressrail.network.dispatcher import Net
 
 NAMED = 8  # of the paths that a new start would follow
 
--- a/cressrail/sockets/watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from cressrail.buffers.pool import Exhausted
-from cressrail.catalog.news import Junk, read_line
+from cressrail.discovery.endpoint_list import Junk, read_line
+from cressrail.event_loop.scheduler import MAIL, READ, Task
 from cressrail.http1.answer import AnswerReader
 from cressrail.http1.head import Malformed
-from cressrail.loop.scheduler import MAIL, READ, Task
-from cressrail.sockets.net import Net
-from cressrail.sockets.stream import Called, Late, Stream
-from cressrail.traffic.effects import Watch
+from cressrail.network.dispatcher import Net
+from cressrail.network.socket_stream import Called, Late, Stream
+from cressrail.proxy.commands import Watch
 
 BEAT_US = 2_000_000  # an empty line comes so often while all is well
 SILENT_US = 2 * BEAT_US  # a watch with no whole line for so long has fallen silent
--- a/cressrail/sockets/net.py
+++ b/cressrail/network/dispatcher.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Any
 
 from cressrail.buffers.pool import Pool
-from cressrail.log.lines import Lines
-from cressrail.loop.scheduler import LEFT, Scheduler, Task
-from cressrail.traffic import effects as do
-from cressrail.traffic.effects import Effect
-from cressrail.traffic.reducer import Reducer
+from cressrail.event_loop.scheduler import LEFT, Scheduler, Task
+from cressrail.logs.log_writer import Lines
+from cressrail.proxy import commands as do
+from cressrail.proxy.commands import Effect
+from cressrail.proxy.state_machine import Reducer
 
 if TYPE_CHECKING:
-    from cressrail.sockets.gossip import GossipTask
+    from cressrail.network.membership_transport import GossipTask
 
 STIR = "stir"  # the other side of a pipe has done something
 SHORT_US = 5_000  # a look again where the pool is short
--- a/cressrail/sockets/link.py
+++ b/cressrail/network/endpoint_connection.py
@@ -5,17 +5,17 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from cressrail.brain import Outcome
 from cressrail.buffers.pipe import KEPT, Kept, Pipe
 from cressrail.buffers.pool import Exhausted
+from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE
 from cressrail.http1.answer import Answer, AnswerReader
 from cressrail.http1.body import MOST, chunk
 from cressrail.http1.head import Malformed
 from cressrail.http1.request import Request
-from cressrail.loop.scheduler import MAIL, READ, TIMED_OUT, WRITE
-from cressrail.sockets.net import SHORT_US, STIR, Net, purge
-from cressrail.sockets.stream import SHORT, Called, Late, Rest, Stream
-from cressrail.traffic.effects import CallOff, Carry, Write
+from cressrail.network.dispatcher import SHORT_US, STIR, Net, purge
+from cressrail.network.socket_stream import SHORT, Called, Late, Rest, Stream
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy.commands import CallOff, Carry, Write
 
 REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
 
--- a/cressrail/sockets/zones.py
+++ b/cressrail/network/failover_driver.py
@@ -6,13 +6,13 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from cressrail.brain import Chance
 from cressrail.failover.host import Host
-from cressrail.failover.words import Adopted, Effect, Note, Post, Settings, Spread
-from cressrail.membership import words as membership
-from cressrail.membership.reducer import Membership
-from cressrail.sockets.net import Net
-from cressrail.traffic.towards import Towards
+from cressrail.failover.messages import Adopted, Effect, Note, Post, Settings, Spread
+from cressrail.membership import messages as membership
+from cressrail.membership.state_machine import Membership
+from cressrail.network.dispatcher import Net
+from cressrail.policy.load_balancer import Chance
+from cressrail.proxy.zone_statistics import Towards
 
 SECOND = 1_000_000
 LONGEST_S = 43_200  # of a drain; what is told of one holds no more than 65,535
--- a/cressrail/sockets/elder.py
+++ b/cressrail/network/handover_client.py
@@ -7,10 +7,10 @@
 from contextlib import suppress
 from typing import Any
 
-from cressrail.catalog.news import Junk, News, read
+from cressrail.discovery.endpoint_list import Junk, News, read
+from cressrail.event_loop.scheduler import READ
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Foreign, Frames, wrap
-from cressrail.loop.scheduler import READ
-from cressrail.sockets.net import Net
+from cressrail.network.dispatcher import Net
 
 SPAN_S = 1.0  # for the first answer; a process that serves gives it within a round of its loop
 SPAN_US = 1_000_000  # for the estate
--- a/cressrail/sockets/heir.py
+++ b/cressrail/network/handover_server.py
@@ -7,9 +7,9 @@
 import struct
 from contextlib import suppress
 
+from cressrail.event_loop.scheduler import MAIL, READ, WRITE
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Foreign, Frames, wrap
-from cressrail.loop.scheduler import MAIL, READ, WRITE
-from cressrail.sockets.net import Net
+from cressrail.network.dispatcher import Net
 
 DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
 SPAN_US = 1_000_000  # to say who it is
--- a/cressrail/sockets/listener.py
+++ b/cressrail/network/listener.py
@@ -5,11 +5,11 @@
 import errno
 import socket
 
-from cressrail.loop.scheduler import MAIL, READ
-from cressrail.sockets.client import ClientTask
-from cressrail.sockets.net import Net
-from cressrail.sockets.stream import SHORT
-from cressrail.traffic.effects import Listen
+from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.network.client_connection import ClientTask
+from cressrail.network.dispatcher import Net
+from cressrail.network.socket_stream import SHORT
+from cressrail.proxy.commands import Listen
 
 BACKLOG = 1024
 AT_ONCE = 64  # connections taken in before other work gets its turn
--- a/cressrail/sockets/gossip.py
+++ b/cressrail/network/membership_transport.py
@@ -15,17 +15,17 @@
 
 import orjson
 
-from cressrail.brain import Chance
-from cressrail.loop.scheduler import MAIL, READ
-from cressrail.membership.hearing import Hearing
-from cressrail.membership.hints import Hearsay
-from cressrail.membership.reducer import Membership
-from cressrail.membership.words import Copies, Effect, Report, Send, Word
-from cressrail.outfit.membership import Part
-from cressrail.sockets.net import Net
+from cressrail.configuration.membership import Part
+from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.membership.load_reports import Hearsay
+from cressrail.membership.messages import Copies, Effect, Report, Send, Word
+from cressrail.membership.peer_reports import Hearing
+from cressrail.membership.state_machine import Membership
+from cressrail.network.dispatcher import Net
+from cressrail.policy.load_balancer import Chance
 
 if TYPE_CHECKING:
-    from cressrail.sockets.zones import Zones
+    from cressrail.network.failover_driver import Zones
 
 AT_ONCE = 32  # datagrams read before others get their turn: guards against a flood that holds up transactions
 PIECE = 2048  # more than any datagram of a copy: a longer one shows as such
@@ -72,7 +72,7 @@
     def _zones(self) -> Zones | None:
         if self.part.failover is None:
             return None
-        from cressrail.sockets.zones import Zones  # nothing of it is loaded where it is off
+        from cressrail.network.failover_driver import Zones  # nothing of it is loaded where it is off
 
         return Zones(self.net, self.part.failover, self.copy)
 
--- a/cressrail/sockets/serve.py
+++ b/cressrail/network/server.py
@@ -6,24 +6,26 @@
 import os
 import resource
 
-from cressrail.brain import Chance
 from cressrail.buffers.pool import SIZE, Pool
-from cressrail.log.lines import Lines
-from cressrail.loop.clock import Clock
-from cressrail.loop.scheduler import Scheduler
-from cressrail.outfit import parts
-from cressrail.outfit.start import Start
-from cressrail.sockets import heir, listener, ops
-from cressrail.sockets.elder import Elder, ElderTask, meeting, seek
-from cressrail.sockets.heir import HeirTask
-from cressrail.sockets.link import LinkTask
-from cressrail.sockets.net import Net
-from cressrail.sockets.reread import Reread
-from cressrail.sockets.signals import heed_signals
-from cressrail.sockets.waker import wake_task
-from cressrail.sockets.watch import WatchTask
-from cressrail.traffic.reducer import Reducer, Room
-from cressrail.traffic.roster import Roster
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.startup import Start
+from cressrail.event_loop.clock import Clock
+from cressrail.event_loop.scheduler import Scheduler
+from cressrail.logs.log_writer import Lines
+from cressrail.network import admin_server as ops
+from cressrail.network import handover_server as heir
+from cressrail.network import listener
+from cressrail.network.configuration_reload import Reread
+from cressrail.network.discovery_watch import WatchTask
+from cressrail.network.dispatcher import Net
+from cressrail.network.endpoint_connection import LinkTask
+from cressrail.network.handover_client import Elder, ElderTask, meeting, seek
+from cressrail.network.handover_server import HeirTask
+from cressrail.network.signals import heed_signals
+from cressrail.network.timer_task import wake_task
+from cressrail.policy.load_balancer import Chance
+from cressrail.proxy.endpoint_registry import Roster
+from cressrail.proxy.state_machine import Reducer, Room
 
 SPARE = 16  # descriptors for all that is neither client nor endpoint, and for those on their way out
 LINKS_SHARE = 3 / 8  # of the descriptors; a link carries one hop after another, clients come in crowds
@@ -81,7 +83,9 @@
     if start.ops:
         loop.spawn(ops.OpsTask(net, listener.bind(*start.ops)).run, first=True)
     if start.membership is not None:
-        from cressrail.sockets.gossip import GossipTask  # nothing of it is loaded where it is off
+        from cressrail.network.membership_transport import (
+            GossipTask,  # nothing of it is loaded where it is off
+        )
 
         net.gossip = GossipTask(net, start.membership, waits=elder is not None)
     net.start_link = lambda number: LinkTask(net, number).run
--- a/cressrail/sockets/signals.py
+++ b/cressrail/network/signals.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from cressrail.loop.scheduler import READ
-from cressrail.sockets.net import Net
-from cressrail.sockets.reread import Reread
+from cressrail.event_loop.scheduler import READ
+from cressrail.network.configuration_reload import Reread
+from cressrail.network.dispatcher import Net
 
 
 @contextmanager
--- a/cressrail/sockets/stream.py
+++ b/cressrail/network/socket_stream.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from cressrail.buffers.pool import Exhausted, Inlet, Pool
-from cressrail.loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
+from cressrail.event_loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
 
 PARTS = 64  # of a write
 SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # own lack, nobody else's fault
--- a/cressrail/sockets/waker.py
+++ b/cressrail/network/timer_task.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cressrail.sockets.net import Net
-from cressrail.traffic.effects import Wake
+from cressrail.network.dispatcher import Net
+from cressrail.proxy.commands import Wake
 
 LATEST_US = 1_000_000  # unless the reducer says otherwise
 
--- a/cressrail/traffic/roster.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field, replace
 from zlib import crc32
 
-from cressrail.brain import Entry
-from cressrail.catalog.news import News, Row
+from cressrail.discovery.endpoint_list import News, Row
+from cressrail.policy.load_balancer import Entry
 
 
 @dataclass(slots=True)
--- a/cressrail/traffic/reducer.py
+++ b/cressrail/proxy/state_machine.py
@@ -10,23 +10,23 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any
 
-from cressrail import brain
-from cressrail.brain import NON_IDEMPOTENT, Chance, Decision, Outcome, Profile, Sidecar, Tx
 from cressrail.buffers.pool import Chain
-from cressrail.catalog.news import News
-from cressrail.handover import estate
+from cressrail.discovery.endpoint_list import News
+from cressrail.handover import state as estate
 from cressrail.handover.frame import Foreign
 from cressrail.http1.answer import Answer
 from cressrail.http1.figures import span_us
 from cressrail.http1.request import Request
-from cressrail.traffic import control
-from cressrail.traffic import effects as do
-from cressrail.traffic.effects import Effect
-from cressrail.traffic.roster import Address, Roster
-from cressrail.traffic.tally import Tally
+from cressrail.policy import load_balancer as brain
+from cressrail.policy.load_balancer import NON_IDEMPOTENT, Chance, Decision, Outcome, Profile, Sidecar, Tx
+from cressrail.proxy import admin as control
+from cressrail.proxy import commands as do
+from cressrail.proxy.commands import Effect
+from cressrail.proxy.endpoint_registry import Address, Roster
+from cressrail.proxy.request_counters import Tally
 
 if TYPE_CHECKING:
-    from cressrail.traffic.towards import Towards
+    from cressrail.proxy.zone_statistics import Towards
 
 READY_WITHOUT_NEWS_US = 500_000  # a start whose discovery is silent goes by the list it was given
 STOP_LEAST_US = 600_000  # clients still come so long after a stop was asked for,
--- a/cressrail/traffic/towards.py
+++ b/cressrail/proxy/zone_statistics.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from cressrail.brain import SILENT, Outcome
+from cressrail.policy.load_balancer import SILENT, Outcome
 
 
 class Ended(NamedTuple):
--- a/cressrail/standin/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from cressrail.peers.caller import now_us
-from cressrail.peers.server import Asked, Served
-from cressrail.standin.ledger import Ledger
+from cressrail.http_testing.client import now_us
+from cressrail.http_testing.server import Asked, Served
+from cressrail.testbed.event_record import Ledger
 
 EMPTY_S = 2.0  # between empty lines while nothing changes
 
--- a/cressrail/standin/harm.py
+++ b/cressrail/testbed/fault_injection.py
@@ -8,11 +8,11 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from cressrail.peers.caller import now_us
-from cressrail.standin.ledger import Ledger
-from cressrail.standin.sidecars import Sidecar, Sidecars
-from cressrail.standin.wires import LIST, Rule, Wires
-from cressrail.standin.words import Fault, Schedule
+from cressrail.http_testing.client import now_us
+from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.network_emulation import LIST, Rule, Wires
+from cressrail.testbed.scenario import Fault, Schedule
+from cressrail.testbed.sidecars import Sidecar, Sidecars
 
 DRAWN_PART = 0.8  # of a run, in which drawn faults fall; the rest shows whether all find together again
 AT_ONCE = 4  # sidecars that are started together
--- a/cressrail/standin/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 from zlib import crc32
 
-from cressrail.peers.caller import Caller, now_us
-from cressrail.standin.discovery import Agent, Listed
-from cressrail.standin.endpoint import CONNECTIONS, FAULTS, Endpoint, Journal
-from cressrail.standin.harm import Harm, drawn
-from cressrail.standin.ledger import Ledger
-from cressrail.standin.sidecars import RELAY_PORT, Sidecar, Sidecars
-from cressrail.standin.watchers import Watchers
-from cressrail.standin.ways import Ways
-from cressrail.standin.wires import Relay, Rule, Wires
-from cressrail.standin.words import OF_LIST, OF_SIDECARS, Fault, Profile, World
+from cressrail.http_testing.client import Caller, now_us
+from cressrail.testbed.discovery import Agent, Listed
+from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.fault_injection import Harm, drawn
+from cressrail.testbed.network_emulation import Relay, Rule, Wires
+from cressrail.testbed.scenario import OF_LIST, OF_SIDECARS, Fault, Profile, World
+from cressrail.testbed.sidecars import RELAY_PORT, Sidecar, Sidecars
+from cressrail.testbed.simulated_service import CONNECTIONS, FAULTS, Endpoint, Journal
+from cressrail.testbed.tcp_relay import Ways
+from cressrail.testbed.watchers import Watchers
 
 SIDECAR_PORT = 9000
 LOOKS_A_S = 100  # at views, over all sidecars
--- a/cressrail/standin/flood.py
+++ b/cressrail/testbed/flood.py
@@ -1,4 +1,4 @@
-"""python -m cressrail.standin.flood HOST PORT RATE KEYS: datagrams to one sidecar, so many a second, until it
+"""python -m cressrail.testbed.flood HOST PORT RATE KEYS: datagrams to one sidecar, so many a second, until it
 is ended: forged, cut short, replayed, and noise. A process of its own, so that the relay is not held up."""
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from cressrail.membership import codec
-from cressrail.membership.seal import seal
-from cressrail.membership.words import ALIVE, Record
+from cressrail.membership.authentication import seal
+from cressrail.membership.messages import ALIVE, Record
 
 TURN_S = 0.002  # between two bursts
 
--- a/cressrail/standin/known.py
+++ b/cressrail/testbed/pauses.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cressrail.peers.caller import now_us
-from cressrail.peers.server import Asked, Served
+from cressrail.http_testing.client import now_us
+from cressrail.http_testing.server import Asked, Served
 
 BACKLOG = 4096
 
--- a/cressrail/standin/launch.py
+++ b/cressrail/testbed/policy_variants.py
@@ -1,7 +1,7 @@
 """Starts a sidecar with another policy, as a baseline, or broken on purpose, to prove that the rule checker
 sees it. Switches of the rig only: the product has none of them.
 
-python -m cressrail.standin.launch --policy NAME --break NAME CONFIG
+python -m cressrail.testbed.policy_variants --policy NAME --break NAME CONFIG
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 import sys
 from typing import Any
 
-from cressrail import brain
-from cressrail.brain import Decision, Endpoint, Outcome, Tx
-from cressrail.catalog.news import News
 from cressrail.cli.launch import launch
+from cressrail.configuration import policy_factory as parts
+from cressrail.discovery.endpoint_list import News
 from cressrail.http1.answer import Answer
-from cressrail.outfit import parts
-from cressrail.sockets.client import ClientTask
-from cressrail.traffic.effects import Write
-from cressrail.traffic.roster import Roster
+from cressrail.network.client_connection import ClientTask
+from cressrail.policy import load_balancer as brain
+from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, Tx
+from cressrail.proxy.commands import Write
+from cressrail.proxy.endpoint_registry import Roster
 
 
 class Baseline(brain.Sidecar):
--- a/cressrail/standin/machine.py
+++ b/cressrail/testbed/processor_sharing.py
@@ -12,7 +12,7 @@
 from heapq import heapify, heappop, heappush
 from math import log1p
 
-from cressrail.standin.words import Contract, Service, Tier
+from cressrail.testbed.scenario import Contract, Service, Tier
 
 GRAIN_US = 20_000  # while cold, the rate is looked at so often
 CLEAR = 0.1  # of the slots: one that is choked recovers at that
--- a/cressrail/standin/judge.py
+++ b/cressrail/testbed/rule_checker.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from cressrail.standin.words import Profile, World
+from cressrail.testbed.scenario import Profile, World
 
 Row = dict[str, Any]
 TOGETHER_US = 50_000  # hops that overlap by less may be a close that was under way
--- a/cressrail/standin/run.py
+++ b/cressrail/testbed/run.py
@@ -11,9 +11,9 @@
 import orjson
 import uvloop
 
-from cressrail.peers.caller import now_us
-from cressrail.standin.fleet import Fleet
-from cressrail.standin.words import World
+from cressrail.http_testing.client import now_us
+from cressrail.testbed.fleet import Fleet
+from cressrail.testbed.scenario import World
 
 
 def run(world: World, folder: Path, tree: Path, policy: str, broken: str, at_once: bool) -> int:
--- a/cressrail/standin/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -13,9 +13,9 @@
 
 import orjson
 
-from cressrail.peers.caller import Answer, Caller
-from cressrail.standin.file import Unusable
-from cressrail.standin.words import World
+from cressrail.http_testing.client import Answer, Caller
+from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario_file import Unusable
 
 READY_S = 60.0
 OPS_PORT, GOSSIP_PORT, RELAY_PORT = 9001, 7946, 7947
@@ -174,7 +174,7 @@
         if self.policy != "own" or self.broken:
             words = [
                 "-m",
-                "cressrail.standin.launch",
+                "cressrail.testbed.policy_variants",
                 "--policy",
                 self.policy,
                 "--break",
@@ -230,7 +230,7 @@
         self.dry(sidecar)
         words = [*map(str, sidecar.gossip), str(rate), str(self.folder / KEYS)]
         self.floods[sidecar.name] = subprocess.Popen(
-            [sys.executable, "-m", "cressrail.standin.flood", *words],
+            [sys.executable, "-m", "cressrail.testbed.flood", *words],
             cwd=self.tree,
             stdin=subprocess.DEVNULL,
             env={**os.environ, "PYTHONPATH": str(self.tree)},
--- a/cressrail/standin/endpoint.py
+++ b/cressrail/testbed/simulated_service.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cressrail.peers.caller import ANSWERED, Answer, Caller, now_us
-from cressrail.peers.server import Asked, Served
-from cressrail.standin.ledger import Ledger
-from cressrail.standin.machine import Job, Machine, draw_us
-from cressrail.standin.words import Contract, Profile, Tier
+from cressrail.http_testing.client import ANSWERED, Answer, Caller, now_us
+from cressrail.http_testing.server import Asked, Served
+from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.processor_sharing import Job, Machine, draw_us
+from cressrail.testbed.scenario import Contract, Profile, Tier
 
 BACKLOG = 1024
 FAULTS = ("refuse", "reset", "err", "spoil")
--- a/cressrail/standin/ways.py
+++ b/cressrail/testbed/tcp_relay.py
@@ -9,7 +9,7 @@
 import asyncio
 from contextlib import suppress
 
-from cressrail.standin.wires import LIST, Wires
+from cressrail.testbed.network_emulation import LIST, Wires
 
 PIECE = 65536
 AGAIN_S = 0.2  # until what was lost is sent again, as TCP does at the least
--- a/cressrail/standin/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from cressrail.peers.caller import Answer, Caller, now_us
-from cressrail.standin.ledger import Ledger
-from cressrail.standin.sidecars import Sidecar
+from cressrail.http_testing.client import Answer, Caller, now_us
+from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.sidecars import Sidecar
 
 ASK = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
 SPAN_US = 1_000_000
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from cressrail.brain import Outcome
+from cressrail.policy.load_balancer import Outcome
 
 Fields = dict[str, str]
 Message = tuple[int, str, Fields]  # line number, name, fields
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -6,9 +6,9 @@
 from typing import TextIO
 from zlib import crc32
 
-from cressrail import brain
-from cressrail.outfit import parts
-from cressrail.outfit.told import Told
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Told
+from cressrail.policy import load_balancer as brain
 from cressrail.wirehost import codec
 from cressrail.wirehost.codec import Fields, Message, Unreadable
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -10,11 +10,11 @@
 import orjson
 import pytest
 
-from cressrail.standin.fleet import Fleet
-from cressrail.standin.ledger import rows
-from cressrail.standin.views import views
-from cressrail.standin.wires import Rule
-from cressrail.standin.words import World
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.fleet import Fleet
+from cressrail.testbed.membership_verdicts import views
+from cressrail.testbed.network_emulation import Rule
+from cressrail.testbed.scenario import World
 
 HERE = Path(__file__).resolve().parents[1]
 SECOND = 1_000_000
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.failover import codec
-from cressrail.failover.words import Decision, Epoch, Evidence, Toward, Wish, Zone
+from cressrail.failover.messages import Decision, Epoch, Evidence, Toward, Wish, Zone
 from tests.golden.neutral import neutral, stored, tuples
 
 FILE = "failover-datagrams.json"
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -12,13 +12,13 @@
 import orjson
 import pytest
 
-from cressrail.brain import HOP, Entry, Outcome, Sidecar
-from cressrail.catalog.news import read
-from cressrail.handover.estate import gather, listed, settle
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Told
+from cressrail.discovery.endpoint_list import read
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
-from cressrail.outfit import parts
-from cressrail.outfit.told import Told
-from cressrail.sockets.elder import seek
+from cressrail.handover.state import gather, listed, settle
+from cressrail.network.handover_client import seek
+from cressrail.policy.load_balancer import HOP, Entry, Outcome, Sidecar
 from tests.golden.neutral import stored
 from tests.helpers import CONFIG, SECOND, member, mesh
 
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -8,9 +8,9 @@
 import pytest
 
 from cressrail.membership import codec
-from cressrail.membership.hints import Hint
-from cressrail.membership.seal import opened, seal
-from cressrail.membership.words import Brief, Edge, Record, Span
+from cressrail.membership.authentication import opened, seal
+from cressrail.membership.load_reports import Hint
+from cressrail.membership.messages import Brief, Edge, Record, Span
 from tests.golden.neutral import neutral, stored, tuples
 
 FILE = "membership-datagrams.json"
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -17,13 +17,13 @@
 import pytest
 from pydantic import BaseModel
 
-from cressrail.experiment.words import Experiment
-from cressrail.failover.world import Scenario
+from cressrail.experiment.plan import Experiment
+from cressrail.failover.simulation import Scenario
 from cressrail.load.trace import read as read_trace
-from cressrail.standin.file import read as read_words
-from cressrail.standin.ledger import Ledger, rows
-from cressrail.standin.views import views
-from cressrail.standin.words import World
+from cressrail.testbed.event_record import Ledger, rows
+from cressrail.testbed.membership_verdicts import views
+from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario_file import read as read_words
 from tests.golden_edges.stored import DATA, hold, text_of
 from tests.helpers import CONFIG
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,11 @@
 from itertools import count
 from typing import Any
 
-from cressrail.brain import (
+from cressrail.configuration.startup import read_config
+from cressrail.event_loop.scheduler import READ, WRITE, Scheduler
+from cressrail.network import listener
+from cressrail.network.server import assemble
+from cressrail.policy.load_balancer import (
     ALL,
     Asking,
     Chance,
@@ -23,10 +27,6 @@
     Shares,
     Sidecar,
 )
-from cressrail.loop.scheduler import READ, WRITE, Scheduler
-from cressrail.outfit.start import read_config
-from cressrail.sockets import listener
-from cressrail.sockets.serve import assemble
 
 SECOND = 1_000_000
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cressrail.brain import (
+from cressrail.policy.load_balancer import (
     ADMIT_AIM,
     LEFT_OUT_US,
     Decision,
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cressrail.brain import ColdRule, Entry, Outcome, Shares, Sidecar
+from cressrail.policy.load_balancer import ColdRule, Entry, Outcome, Shares, Sidecar
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar
 
 COLD_FROM, WARM, MULTIPLE, FALL = 0.15, 24 * SECOND, 2.5, SECOND
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from cressrail.loop.scheduler import MAIL, READ, Scheduler
-from cressrail.sockets import watch
-from cressrail.sockets.stream import Called, Stream
-from cressrail.traffic import effects as do
-from cressrail.traffic import reducer
-from cressrail.traffic.reducer import Reducer
+from cressrail.event_loop.scheduler import MAIL, READ, Scheduler
+from cressrail.network import discovery_watch as watch
+from cressrail.network.socket_stream import Called, Stream
+from cressrail.proxy import commands as do
+from cressrail.proxy import state_machine as reducer
+from cressrail.proxy.state_machine import Reducer
 from tests.helpers import SECOND, Peer, Play, ask, chunk, member, reply
 
 HEAD, CHUNKED = b"HTTP/1.1 200 OK\r\n", b"transfer-encoding: chunked\r\n\r\n"
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -10,15 +10,15 @@
 import pytest
 import tomlkit
 
+from cressrail.experiment.checkouts import HERE, NoRevision, tree
 from cressrail.experiment.figures import compared, figures, paired, recovered, series
+from cressrail.experiment.plan import Experiment
 from cressrail.experiment.play import Played, excused, plan_of
 from cressrail.experiment.report import page, text_table
-from cressrail.experiment.trees import HERE, NoRevision, tree
-from cressrail.experiment.words import Experiment
-from cressrail.standin.file import Unusable, read
-from cressrail.standin.judge import Break, Evidence, evidence
-from cressrail.standin.sidecars import Sidecar, check, put, told
-from cressrail.standin.views import Life, Views
+from cressrail.testbed.membership_verdicts import Life, Views
+from cressrail.testbed.rule_checker import Break, Evidence, evidence
+from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.sidecars import Sidecar, check, put, told
 from tests.test_standin import DOOR, call, hop
 
 FILE: dict[str, Any] = {
@@ -179,7 +179,7 @@
     with tree("") as here:
         assert here == HERE
     with tree("HEAD") as there:
-        assert (there / "cressrail" / "brain.py").exists()
+        assert (there / "cressrail" / "__main__.py").exists()
     assert not there.exists()
     with pytest.raises(NoRevision, match="no-such-thing"), tree("no-such-thing"):
         pass
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,13 +12,10 @@
 from hypothesis import strategies as some
 from typer.testing import CliRunner
 
-from cressrail.brain import Chance
 from cressrail.cli.commands import app
 from cressrail.failover import codec
 from cressrail.failover.evidence import picture
-from cressrail.failover.plan import SPARE, STEP, Planner
-from cressrail.failover.reducer import Failover, Fleet
-from cressrail.failover.words import (
+from cressrail.failover.messages import (
     AWAY,
     DRAINED,
     MOST_ZONES,
@@ -40,8 +37,11 @@
     Wish,
     Zone,
 )
-from cressrail.failover.world import Scenario, World
-from cressrail.standin.file import read
+from cressrail.failover.planner import SPARE, STEP, Planner
+from cressrail.failover.simulation import Scenario, World
+from cressrail.failover.state_machine import Failover, Fleet
+from cressrail.policy.load_balancer import Chance
+from cressrail.testbed.scenario_file import read
 
 SECOND = 1_000_000
 HERE = Path(__file__).resolve().parents[1]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,13 +16,13 @@
 
 import pytest
 
-from cressrail.brain import Outcome
-from cressrail.catalog.news import read
-from cressrail.handover import estate
+from cressrail.discovery.endpoint_list import read
+from cressrail.handover import state as estate
 from cressrail.handover.frame import HEAD, MARK, VERSION, Foreign, Frames, wrap
-from cressrail.sockets.elder import MOST_PATH, meeting, seek
-from cressrail.traffic import control
-from cressrail.traffic import effects as do
+from cressrail.network.handover_client import MOST_PATH, meeting, seek
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import admin as control
+from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, ask, member, reply, warm_up
 from tests.test_ops import call
 from tests.test_traffic import Front, news
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -23,14 +23,14 @@
 from typer.testing import CliRunner
 
 from cressrail.cli.commands import app
-from cressrail.experiment.harm import figures, main
+from cressrail.experiment.fleet_faults import figures, main
 from cressrail.experiment.play import play_world
-from cressrail.standin.file import Unusable, read
-from cressrail.standin.harm import drawn
-from cressrail.standin.sidecars import Sidecar, Sidecars
-from cressrail.standin.views import agreed, false_losses, joined, known, live_error, views
-from cressrail.standin.wires import Rule, Wires
-from cressrail.standin.words import Fault, Schedule, World
+from cressrail.testbed.fault_injection import drawn
+from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
+from cressrail.testbed.network_emulation import Rule, Wires
+from cressrail.testbed.scenario import Fault, Schedule, World
+from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.sidecars import Sidecar, Sidecars
 from tests.fleets import BEAR_MS, HERE, SECOND, Play, played, world
 
 # Processes
@@ -240,7 +240,12 @@
                 program.kill()
         loads = (tmp_path / "loads").read_bytes()
         assert (opened, b"cressrail.membership" in loads) == (on, on)
-        for library in (b"import 'rich", b"import 'http.client'", b"cressrail.failover", b"traffic.towards"):
+        for library in (
+            b"import 'rich",
+            b"import 'http.client'",
+            b"cressrail.failover",
+            b"proxy.zone_statistics",
+        ):
             assert library not in loads
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from cressrail.brain import Outcome
 from cressrail.buffers.pool import Pool
-from cressrail.catalog.news import read, read_line
-from cressrail.handover import estate
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.startup import read_config
+from cressrail.discovery.endpoint_list import read, read_line
+from cressrail.handover import state as estate
 from cressrail.handover.frame import Frames, wrap
 from cressrail.http1.head import Malformed
-from cressrail.outfit import parts
-from cressrail.outfit.start import read_config
-from cressrail.outfit.told import Unfit
-from cressrail.sockets.watch import MOST_LINE, LinesSink
-from cressrail.traffic import effects as do
+from cressrail.network.discovery_watch import MOST_LINE, LinesSink
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
 from tests.test_traffic import Front
 from tests.test_wire import BORN, HEARD, TX
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -16,18 +16,18 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from cressrail.brain import LEFT_OUT_US, Shares
-from cressrail.catalog.news import News, Row
-from cressrail.experiment.harm import figures
+from cressrail.discovery.endpoint_list import News, Row
+from cressrail.experiment.fleet_faults import figures
 from cressrail.experiment.play import play_world
 from cressrail.membership import codec
-from cressrail.membership.hearing import Hearing
-from cressrail.membership.hints import COLD, FAILING, KINDS, MOST_OF_ONE, WEIGHT, Hearsay, Hint, Hints
-from cressrail.membership.live import BOUND, FADE, FALL, YOUNG, Live, Seen
-from cressrail.membership.seal import seal
-from cressrail.membership.words import ALIVE, USES, Record
-from cressrail.membership.world import World
-from cressrail.traffic.roster import Roster
+from cressrail.membership.authentication import seal
+from cressrail.membership.live_count import BOUND, FADE, FALL, YOUNG, Live, Seen
+from cressrail.membership.load_reports import COLD, FAILING, KINDS, MOST_OF_ONE, WEIGHT, Hearsay, Hint, Hints
+from cressrail.membership.messages import ALIVE, USES, Record
+from cressrail.membership.peer_reports import Hearing
+from cressrail.membership.simulation import World
+from cressrail.policy.load_balancer import LEFT_OUT_US, Shares
+from cressrail.proxy.endpoint_registry import Roster
 from tests.fleets import SECOND, SHORTEN, Play, played, world
 from tests.helpers import cold_rule, entry, sidecar
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -22,6 +22,7 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 
+from cressrail.http_testing.server import Asked, Served
 from cressrail.load.figures import Figures, closed_loop
 from cressrail.load.plan import Plan, drawn, pause_us
 from cressrail.load.record import recorded
@@ -29,7 +30,6 @@
 from cressrail.load.shapes import SHAPES, draw_times
 from cressrail.load.spool import ROW, Spool
 from cressrail.load.trace import BadRow, read, write
-from cressrail.peers.server import Asked, Served
 
 HERE = Path(__file__).resolve().parents[1]
 SECOND = 1_000_000
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from cressrail.loop import scheduler
-from cressrail.loop.scheduler import READ, Scheduler
+from cressrail.event_loop import scheduler
+from cressrail.event_loop.scheduler import READ, Scheduler
 
 
 class Resting:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,17 +18,15 @@
 from hypothesis import strategies as some
 from typer.testing import CliRunner
 
-from cressrail.brain import Chance
 from cressrail.cli.commands import app
+from cressrail.configuration.membership import read_part
+from cressrail.configuration.settings_reader import Unfit
 from cressrail.membership import codec
-from cressrail.membership.awareness import Suspicion
-from cressrail.membership.edges import CLEAR_AFTER, MARK_AFTER, Edges
-from cressrail.membership.hints import MOST_AGE_MS, MOST_VALUE, Hint
-from cressrail.membership.reducer import Membership
-from cressrail.membership.seal import CODE, fresh, opened, seal
-from cressrail.membership.simulate import simulate
-from cressrail.membership.table import Table
-from cressrail.membership.words import (
+from cressrail.membership.authentication import CODE, fresh, opened, seal
+from cressrail.membership.load_reports import MOST_AGE_MS, MOST_VALUE, Hint
+from cressrail.membership.local_health import Suspicion
+from cressrail.membership.member_table import Table
+from cressrail.membership.messages import (
     ALIVE,
     LOST,
     SUSPECTED,
@@ -41,9 +39,11 @@
     Span,
     order,
 )
-from cressrail.membership.world import SECOND, World
-from cressrail.outfit.membership import read_part
-from cressrail.outfit.told import Unfit
+from cressrail.membership.reachability import CLEAR_AFTER, MARK_AFTER, Edges
+from cressrail.membership.scenarios import simulate
+from cressrail.membership.simulation import SECOND, World
+from cressrail.membership.state_machine import Membership
+from cressrail.policy.load_balancer import Chance
 
 KEY = b"k" * 32
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -10,7 +10,7 @@
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.log.lines import Lines
+from cressrail.logs.log_writer import Lines
 from tests.helpers import CONFIG, Play, Script, reply
 from tests.test_sockets import asked, serving
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -14,14 +14,15 @@
 import orjson
 import pytest
 
-from cressrail.brain import Outcome
-from cressrail.outfit.start import read_config
-from cressrail.outfit.told import Unfit
-from cressrail.sockets import listener, ops
-from cressrail.traffic import control
-from cressrail.traffic import effects as do
-from cressrail.traffic.reducer import DRAIN_IDLE_US, FRESH_US
-from cressrail.traffic.tally import Tally
+from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.startup import read_config
+from cressrail.network import admin_server as ops
+from cressrail.network import listener
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import admin as control
+from cressrail.proxy import commands as do
+from cressrail.proxy.request_counters import Tally
+from cressrail.proxy.state_machine import DRAIN_IDLE_US, FRESH_US
 from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
 from tests.helpers import entry as listed
 from tests.test_sockets import serving
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -10,12 +10,13 @@
 import orjson
 import pytest
 
-from cressrail.catalog.news import Junk, read_line
 from cressrail.cli.launch import launch, look
-from cressrail.outfit import parts, shape
-from cressrail.outfit.start import read_start
-from cressrail.outfit.told import Told, Unfit
-from cressrail.sockets.reread import Reread
+from cressrail.configuration import deployment_type as shape
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.startup import read_start
+from cressrail.discovery.endpoint_list import Junk, read_line
+from cressrail.network.configuration_reload import Reread
 from tests.helpers import CONFIG, member, mesh
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cressrail.brain import Asking, Chance, Outcome, RetryBudget, Shares, earnings
+from cressrail.policy.load_balancer import Asking, Chance, Outcome, RetryBudget, Shares, earnings
 from tests.helpers import SECOND, entry, profile, sidecar, warm_up
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from cressrail.sockets import listener
+from cressrail.network import listener
 from tests.helpers import CONFIG
 
 # Python tells of each of these before it is done. A thread is allowed, another program, a fork, a Unix socket
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cressrail.brain import NEVER_RAN, Entry, Outcome, RepeatRule, Tx
+from cressrail.policy.load_balancer import NEVER_RAN, Entry, Outcome, RepeatRule, Tx
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar, warm_up
 
 RAN = [how for how in Outcome if how not in (*NEVER_RAN, Outcome.COMMITTED)]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -18,14 +18,14 @@
 
 import pytest
 
-from cressrail.log.lines import MOST_WAITING, Lines
-from cressrail.loop.scheduler import MAIL, READ, TIMED_OUT, Scheduler
-from cressrail.sockets import client
-from cressrail.sockets.link import LinkTask
-from cressrail.sockets.stream import Stream
-from cressrail.traffic import reducer
-from cressrail.traffic.effects import Carry
-from cressrail.traffic.reducer import FRESH_US, Room
+from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, Scheduler
+from cressrail.logs.log_writer import MOST_WAITING, Lines
+from cressrail.network import client_connection as client
+from cressrail.network.endpoint_connection import LinkTask
+from cressrail.network.socket_stream import Stream
+from cressrail.proxy import state_machine as reducer
+from cressrail.proxy.commands import Carry
+from cressrail.proxy.state_machine import FRESH_US, Room
 from tests.helpers import CONFIG, Peer, Play, Script, ask, chunk, member, mesh, reply
 
 BIG = bytes(range(256)) * 256
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -10,14 +10,14 @@
 import pytest
 
 from cressrail.experiment.play import play_world
-from cressrail.standin.discovery import Agent, Listed
-from cressrail.standin.endpoint import Journal
-from cressrail.standin.file import Unusable, read
-from cressrail.standin.judge import Evidence, evidence, judge
-from cressrail.standin.known import Pauses, draw
-from cressrail.standin.ledger import Ledger, rows
-from cressrail.standin.machine import Job, Machine, draw_us
-from cressrail.standin.words import Contract, Service, Tier, World
+from cressrail.testbed.discovery import Agent, Listed
+from cressrail.testbed.event_record import Ledger, rows
+from cressrail.testbed.pauses import Pauses, draw
+from cressrail.testbed.processor_sharing import Job, Machine, draw_us
+from cressrail.testbed.rule_checker import Evidence, evidence, judge
+from cressrail.testbed.scenario import Contract, Service, Tier, World
+from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.simulated_service import Journal
 
 MS = 1000
 ONE_TIER: dict[str, Any] = {
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,7 +12,7 @@
 
 from cressrail.buffers.pipe import KEPT, MOST, Kept, Pipe
 from cressrail.buffers.pool import SIZE, Pool
-from cressrail.sockets import client
+from cressrail.network import client_connection as client
 from tests.helpers import Peer, Play, Script, ask, chunk, reply
 from tests.test_sockets import AWAY, CHUNKED, HEAD, serving
 
@@ -449,7 +449,7 @@
 
 def test_what_still_comes_or_is_passed_on_takes_no_place_at_an_endpoint() -> None:
     """Slow uploads and readers would fill the limits of endpoints that have nothing to do."""
-    from cressrail.brain import IDEMPOTENT, Outcome
+    from cressrail.policy.load_balancer import IDEMPOTENT, Outcome
     from tests.helpers import SECOND, entry, profile, sidecar
 
     side = sidecar([entry(0)])
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from cressrail.brain import NON_IDEMPOTENT, Chance, Outcome
 from cressrail.buffers.pool import Chain, Pool
-from cressrail.catalog.news import News, read
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.startup import read_config
+from cressrail.discovery.endpoint_list import News, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.outfit import parts
-from cressrail.outfit.start import read_config
-from cressrail.traffic import control
-from cressrail.traffic import effects as do
-from cressrail.traffic.effects import Effect
-from cressrail.traffic.reducer import FRESH_US, SILENT_US, Reducer, Room
-from cressrail.traffic.roster import Roster
-from cressrail.traffic.towards import Towards
+from cressrail.policy.load_balancer import NON_IDEMPOTENT, Chance, Outcome
+from cressrail.proxy import admin as control
+from cressrail.proxy import commands as do
+from cressrail.proxy.commands import Effect
+from cressrail.proxy.endpoint_registry import Roster
+from cressrail.proxy.state_machine import FRESH_US, SILENT_US, Reducer, Room
+from cressrail.proxy.zone_statistics import Towards
 from tests.helpers import CONFIG, SECOND, member
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,18 +11,18 @@
 import pytest
 from typer.testing import CliRunner
 
-from cressrail.brain import Outcome
 from cressrail.cli.commands import app
+from cressrail.configuration.failover import read_part
+from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.startup import read_start
 from cressrail.experiment.play import play_world
 from cressrail.failover.host import Host
-from cressrail.failover.words import Decision, Epoch, Map, Settings, Zone
-from cressrail.outfit.failover import read_part
-from cressrail.outfit.start import read_start
-from cressrail.outfit.told import Told, Unfit
-from cressrail.standin.ledger import rows
-from cressrail.standin.views import views
-from cressrail.standin.words import World
-from cressrail.traffic.towards import Ended, Towards
+from cressrail.failover.messages import Decision, Epoch, Map, Settings, Zone
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy.zone_statistics import Ended, Towards
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.membership_verdicts import views
+from cressrail.testbed.scenario import World
 from tests.fleets import BEAR_MS, Play, played
 from tests.helpers import CONFIG, SECOND, entry, profile, sidecar, warm_up
 
