--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -8,30 +8,30 @@
     ALL,
     CELL,
     IDEMPOTENT,
-    JOURNALLED,
+    IDEMPOTENT_WITH_KEY,
     NEVER_US,
     NON_IDEMPOTENT,
     ZONE,
-    Asking,
-    Chance,
-    ColdRule,
-    Profile,
-    RepeatRule,
-    Shares,
-    Sidecar,
-    earnings,
+    EndpointListPoller,
+    RandomGenerator,
+    SlowStart,
+    RequestClass,
+    RetryPolicy,
+    TenantQuotas,
+    LoadBalancer,
+    priority_weights,
 )
 
 SECOND_US = 1_000_000
-KINDS = {"safe": IDEMPOTENT, "keyed": JOURNALLED, "unsafe": NON_IDEMPOTENT}
+KINDS = {"safe": IDEMPOTENT, "keyed": IDEMPOTENT_WITH_KEY, "unsafe": NON_IDEMPOTENT}
 GROUPS = {"all": ALL, "zone": ZONE, "cell": CELL}
 
 
-def profiles(told: Told) -> dict[str, Profile]:
+def profiles(told: Told) -> dict[str, RequestClass]:
     found = {}
     count = told.whole("profiles.count", 1)
     by_work = told.one_of("revenue_basis", {"work": "1", "request": ""}) == "1"
-    earns = earnings(
+    earns = priority_weights(
         [told.real(f"profiles.{n}.revenue", 0, 1e12) for n in range(count)],
         [told.whole(f"profiles.{n}.service_goal_us", 1) for n in range(count)],
         by_work,
@@ -41,10 +41,10 @@
         at = f"profiles.{n}."
         kind = told.one_of(at + "repeat", KINDS)
         group, window_us = ALL, 0
-        if kind == JOURNALLED:
+        if kind == IDEMPOTENT_WITH_KEY:
             group = told.one_of(at + "key_scope", GROUPS)
             window_us = told.whole(at + "window_us", 1)
-        found[told.word(at + "name")] = Profile(
+        found[told.word(at + "name")] = RequestClass(
             kind,
             group,
             window_us,
@@ -68,7 +68,7 @@
     return told.whole("limits.connect_timeout_us", 1), told.whole("limits.conn_idle_us", 1)
 
 
-def tried(told: Told, seed: int) -> tuple[dict[str, Profile], dict[str, float]]:
+def tried(told: Told, seed: int) -> tuple[dict[str, RequestClass], dict[str, float]]:
     """Raises `Unfit` for settings of which no sidecar can be made; its profiles and members otherwise."""
     allowances = members(told)
     waits(told)
@@ -78,29 +78,31 @@
 
 def sidecar(
     told: Told, seed: int, now: int, zones: list[str], allowances: list[float], links: int = NEVER_US
-) -> Sidecar:
+) -> LoadBalancer:
     if told.word("zone") not in zones:
         raise Unfit(f"zone is not one of dcs: {told.word('zone')[:40]}")
     tiers, stage = told.names("tiers"), told.whole("stage", 0)
     if stage >= len(tiers):
         raise Unfit(f"stage is not below the number of tiers: {stage}")
     subscribes = told.one_of("membership_mode", {"automatic": "", "subscribe": "1"}) == "1"
-    chance = Chance(seed)
+    chance = RandomGenerator(seed)
     copies = told.whole("n_instances", 1)
-    shares = Shares(allowances, copies, told.real("surplus_revenue", 0, 1) if allowances else 1.0)
-    return Sidecar(
-        chance=chance,
+    shares = TenantQuotas(allowances, copies, told.real("surplus_revenue", 0, 1) if allowances else 1.0)
+    return LoadBalancer(
+        rng=chance,
         zone=zones.index(told.word("zone")),
         zones=len(zones),
         tiers_to_go=(len(tiers) - stage) / len(tiers),
         last_tier=stage == len(tiers) - 1,
-        at_door=stage == 0,
+        is_ingress=stage == 0,
         round_us=told.whole("round_us", 1),
         come_back_us=told.whole("limits.max_retry_after_us", 0) if told.yes("limits.retry_after") else 0,
         may_cancel=told.yes("limits.may_cancel"),
-        asking=Asking(subscribes, told.whole("contract.ask_every_us", 1) if subscribes else 0, chance),
-        repeat_rule=RepeatRule(told.whole("limits.most_hops", 1), told.yes("limits.parallel_tries")),
-        cold_rule=ColdRule(
+        list_poller=EndpointListPoller(
+            subscribes, told.whole("contract.ask_every_us", 1) if subscribes else 0, chance
+        ),
+        retry_policy=RetryPolicy(told.whole("limits.most_hops", 1), told.yes("limits.parallel_tries")),
+        slow_start=SlowStart(
             told.real("contract.cold_from", 0, 1),
             told.whole("contract.warm_within_us", 1),
             now,
@@ -108,10 +110,10 @@
             told.real("contract.fall_multiple", 0.1, 1e6, absent=1.0),
             told.whole("contract.fall_us", 1, absent=SECOND_US),
         ),
-        shares=shares,
-        copies=copies,
+        quotas=shares,
+        instances=copies,
         number=told.whole("slot_no", 0, absent=0),
         now=now,
-        beside=beside(told),
-        links=links,
+        is_per_client=beside(told),
+        max_connections=links,
     )
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -10,14 +10,14 @@
 from cressrail.failover.messages import Effect, Evidence, Settings, Toward
 from cressrail.failover.state_machine import WINDOW, Failover, Fleet
 from cressrail.membership.state_machine import Membership
-from cressrail.policy.load_balancer import Chance, Sidecar
+from cressrail.policy.load_balancer import RandomGenerator, LoadBalancer
 from cressrail.proxy.zone_statistics import Ended, Towards
 
 SECOND = 1_000_000
 
 
 class Host:
-    def __init__(self, settings: Settings, own: int, chance: Chance, now: int) -> None:
+    def __init__(self, settings: Settings, own: int, chance: RandomGenerator, now: int) -> None:
         self.settings = settings
         self.reducer = Failover(settings, own, chance, now)
         self.seen: deque[tuple[int, dict[int, Ended]]] = deque(maxlen=WINDOW + 1)
@@ -28,7 +28,7 @@
     def wake_us(self) -> int:
         return self.reducer.wake_us
 
-    def woke(self, now: int, copy: Membership, sidecar: Sidecar, towards: Towards) -> list[Effect]:
+    def woke(self, now: int, copy: Membership, sidecar: LoadBalancer, towards: Towards) -> list[Effect]:
         at = {name: n for n, name in enumerate(self.settings.map.zones)}
         seen = copy.seen(now)
         living = {ident: at[zone] for ident, zone in copy.zones().items() if zone in at}
@@ -42,7 +42,7 @@
     def heard(self, now: int, by: int, text: bytes) -> list[Effect]:
         return self.reducer.heard(now, by, text)
 
-    def evidence(self, now: int, sidecar: Sidecar, towards: Towards) -> Evidence:
+    def evidence(self, now: int, sidecar: LoadBalancer, towards: Towards) -> Evidence:
         self.seen.append((now, dict(towards.zones)))
         since_us, before = self.seen[0]
         span_us = max(1, now - since_us)
@@ -57,13 +57,13 @@
             )
         return Evidence(self.settings.zone, taken * SECOND / span_us, tuple(told))
 
-    def _bears(self, zone: int, sidecar: Sidecar) -> float:
+    def _bears(self, zone: int, sidecar: LoadBalancer) -> float:
         """Hops a second that the limits of its endpoints let this copy have there, at the latency seen; that
         of the best zone where there is none."""
-        if zone >= len(sidecar.groups) or not self.latency_us:
+        if zone >= len(sidecar.zone_subsets) or not self.latency_us:
             return 0.0
         latency = self.latency_us.get(zone) or min(self.latency_us.values())
-        return sidecar.groups[zone].limit * SECOND / max(1.0, latency)
+        return sidecar.zone_subsets[zone].limit * SECOND / max(1.0, latency)
 
     def view(self, now: int, towards: Towards) -> dict[str, Any]:
         return {**self.reducer.view(now), "near": self._near(towards)}
--- a/cressrail/failover/simulation.py
+++ b/cressrail/failover/simulation.py
@@ -28,7 +28,7 @@
     Toward,
 )
 from cressrail.failover.state_machine import Failover, Fleet
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 SECOND = 1_000_000
 TICK_US = 100_000
@@ -108,7 +108,7 @@
 
 class World:
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.scenario, self.chance = scenario, Chance(seed)
+        self.scenario, self.chance = scenario, RandomGenerator(seed)
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.event_no = 0
@@ -145,7 +145,9 @@
         settings = Settings(
             self.map, zone, told.cold_from, int(told.warm_s * SECOND), told.bear_pause_ms * 1000
         )
-        copy = Copy(number, zone, Failover(settings, number, Chance(self.chance.below(1 << 32)), self.now))
+        copy = Copy(
+            number, zone, Failover(settings, number, RandomGenerator(self.chance.below(1 << 32)), self.now)
+        )
         copy.since_us = self.now
         self.copies[number] = copy
         self._carry(copy, copy.reducer.start(self.now))
@@ -219,7 +221,7 @@
         other = self.copies.get(to)
         if other is None or (by and not self._hears(other, copy)):
             return
-        if by and self.chance.part() < self.scenario.loss:
+        if by and self.chance.fraction() < self.scenario.loss:
             return
 
         def arrive() -> None:
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -30,7 +30,7 @@
     Wish,
 )
 from cressrail.failover.planner import Planner
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 NEVER = 1 << 62
 WINDOW = 3  # periods over which evidence is summed
@@ -52,7 +52,7 @@
 
 
 class Failover:
-    def __init__(self, settings: Settings, own: int, chance: Chance, now: int) -> None:
+    def __init__(self, settings: Settings, own: int, chance: RandomGenerator, now: int) -> None:
         self.settings, self.own, self.chance = settings, own, chance
         self.fleet = Fleet({}, 1, False)
         self.evidence = Evidence(settings.zone, 0.0, ())
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -13,7 +13,7 @@
 
 from cressrail.discovery.endpoint_list import PHASES, Row
 from cressrail.handover.frame import Foreign
-from cressrail.policy.load_balancer import Sidecar
+from cressrail.policy.load_balancer import LoadBalancer
 
 # Of an endpoint and of the whole, by the module's own names.
 NUMBERS = ("limit", "latency", "good", "cold_credit")
@@ -44,12 +44,12 @@
     }
 
 
-def gather(sidecar: Sidecar, names: dict[int, str]) -> dict[str, Any]:
+def gather(sidecar: LoadBalancer, names: dict[int, str]) -> dict[str, Any]:
     endpoints = []
     for ix, name in names.items():
         e = sidecar.endpoints[ix]
         endpoints.append([name, e.started_us, *(getattr(e, what) for what in (*NUMBERS, *TIMES))])
-    cold, shares = sidecar.cold_rule, sidecar.shares
+    cold, shares = sidecar.slow_start, sidecar.quotas
     return {
         "endpoints": endpoints,
         "whole": [getattr(sidecar, name) for name in (*WHOLE_NUMBERS, *WHOLE_TIMES)],
@@ -63,11 +63,11 @@
             shares.short_us,
             shares.sends,
         ],
-        "groups": [[group.admits, group.hops, group.hops_per_s] for group in sidecar.groups],
+        "groups": [[group.admits, group.hops, group.hops_per_s] for group in sidecar.zone_subsets],
     }
 
 
-def settle(estate: dict[str, Any], sidecar: Sidecar, names: dict[int, str], now: int) -> None:
+def settle(estate: dict[str, Any], sidecar: LoadBalancer, names: dict[int, str], now: int) -> None:
     """Raises `Foreign`, and has changed nothing then."""
     try:
         told = {
@@ -100,17 +100,17 @@
     # What follows from these is not told, so that processes of two versions can meet.
     sidecar.margin = max(0.0, sidecar.late / sidecar.usual - 1) if sidecar.usual else 0.0
     sidecar.budget.taken, sidecar.budget.retried = deque(taken), deque(retried)
-    rule = sidecar.cold_rule
+    rule = sidecar.slow_start
     rule.born_us, rule.carried, rule.carried_us = cold
-    own = sidecar.groups[sidecar.order[0]]
+    own = sidecar.zone_subsets[sidecar.order[0]]
     own.each, own.each_us = rule.carried / max(1e-9, own.size), rule.carried_us
-    of = sidecar.shares
+    of = sidecar.quotas
     if len(shares[0]) == len(of.credit):
         of.credit, of.filled_us = shares[0], shares[1]
         of.clock_us, of.seen_us, of.short_us, of.sends = shares[2]
-    for group, (admits, hops, rate) in zip(sidecar.groups, groups, strict=False):
+    for group, (admits, hops, rate) in zip(sidecar.zone_subsets, groups, strict=False):
         group.admits, group.hops, group.hops_per_s = admits or group.admits, hops, rate
-    for group in sidecar.groups:
+    for group in sidecar.zone_subsets:
         group.choose(now)
 
 
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -5,7 +5,7 @@
 
 from cressrail.membership.load_reports import COLD, FAILING, WEIGHT, Hearsay
 from cressrail.membership.messages import id_of
-from cressrail.policy.load_balancer import Sidecar
+from cressrail.policy.load_balancer import LoadBalancer
 from cressrail.proxy.endpoint_registry import Roster
 
 MOST_COLD, MOST_FAILING = 64, 32  # endpoints that are spoken of at once
@@ -23,38 +23,42 @@
             self.numbers[name] = id_of(name)
         return self.numbers[name]
 
-    def words(self, now: int, sidecar: Sidecar, roster: Roster) -> list[tuple[int, int, int]]:
+    def words(self, now: int, sidecar: LoadBalancer, roster: Roster) -> list[tuple[int, int, int]]:
         """All that is to be said now: kind, number, value."""
         budget = sidecar.budget
         taken = sum(1 for at in budget.taken if at > now - budget.window_us)
-        span_us = max(1, min(budget.window_us, now - sidecar.cold_rule.born_us))
+        span_us = max(1, min(budget.window_us, now - sidecar.slow_start.born_us))
         words = [(WEIGHT, 0, int(taken / span_us * 1e9))]
         names = roster.names()
         # By own outcomes: what was left out on others' word is not said on.
         fails = [
-            e.ix
+            e.index
             for e in sidecar.endpoints.values()
-            if e.on and not e.succeeds(now) and e.heard_us != e.told_us
+            if e.accepts_requests and not e.is_available(now) and e.last_outcome_us != e.peer_ejected_us
         ]
         words += [(FAILING, self.number(names[ix]), 1) for ix in fails[:MOST_FAILING]]
         before, self.given = self.given, {}
         passed_us = now - self.looked_us if self.looked_us >= 0 else 0
         self.looked_us = now
         for e in sidecar.endpoints.values():
-            if not e.on or not sidecar.cold_rule.cold(e, now) or len(self.given) >= MOST_COLD:
+            if (
+                not e.accepts_requests
+                or not sidecar.slow_start.is_warming_up(e, now)
+                or len(self.given) >= MOST_COLD
+            ):
                 continue
-            hops, rate = before.get(e.ix, (e.cold_hops, 0.0))
+            hops, rate = before.get(e.index, (e.slow_start_attempts, 0.0))
             if passed_us:
                 part = min(1.0, passed_us / SPAN_US)
-                rate += ((e.cold_hops - hops) / passed_us - rate) * part
-            self.given[e.ix] = (e.cold_hops, rate)
-            words.append((COLD, self.number(names[e.ix]), int(rate * 1e9)))
+                rate += ((e.slow_start_attempts - hops) / passed_us - rate) * part
+            self.given[e.index] = (e.slow_start_attempts, rate)
+            words.append((COLD, self.number(names[e.index]), int(rate * 1e9)))
         if len(self.numbers) > 2 * len(names) + 64:  # endpoints that have left
             self.numbers = {}
         return words
 
     def meant(
-        self, told: Hearsay, sidecar: Sidecar, roster: Roster
+        self, told: Hearsay, sidecar: LoadBalancer, roster: Roster
     ) -> tuple[list[int], dict[int, tuple[float, float]]]:
         """The same by this sidecar's indices, what it has no endpoint for passed over; cold ones with the
         work that others give them, and with what a warm one would get from all. Guards against a hot zone
@@ -62,13 +66,13 @@
         if not told.failing and not told.cold:
             return [], {}
         at = {self.number(name): ix for ix, name in roster.names().items()}
-        whole = sum(group.whole for group in sidecar.groups)
+        whole = sum(group.whole for group in sidecar.zone_subsets)
         own = len(sidecar.budget.taken) / sidecar.budget.window_us
         cold = {}
         for about, others in told.cold.items():
             e = sidecar.endpoints.get(at.get(about, -1))
-            if e is not None and e.on:
-                group = sidecar.groups[e.zone]
+            if e is not None and e.accepts_requests:
+                group = sidecar.zone_subsets[e.zone]
                 even, mine = told.weight / max(1e-9, whole), own * group.sharers / max(1e-9, group.size)
-                cold[e.ix] = (others, max(even, mine) * e.scale)
+                cold[e.index] = (others, max(even, mine) * e.scale)
         return [at[about] for about in told.failing if about in at], cold
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -11,7 +11,7 @@
 
 from cressrail.membership.messages import LOST, Address, Effect, Note, Send, Settings
 from cressrail.membership.state_machine import Membership
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 SECOND = 1_000_000
 QUEUE = 250  # datagrams that a socket holds for a process that does not read
@@ -58,7 +58,7 @@
         """`change`: what each copy is set to otherwise. A datagram takes between `least_us` and `most_us`;
         `refuses`: machines say so of one that comes where no process listens."""
         self.refuses = refuses
-        self.chance = Chance(seed)
+        self.chance = RandomGenerator(seed)
         self.loss, self.least_us, self.most_us = loss, least_us, most_us
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
@@ -92,7 +92,7 @@
         self.births += 1
         copy = Membership(
             settings,
-            Chance(self.chance.below(1 << 32)),
+            RandomGenerator(self.chance.below(1 << 32)),
             self.now,
             self.chance.below(1 << 32),
             self.now // 1000 if incarnation is None else incarnation,
@@ -186,7 +186,7 @@
             self.at(self.now + span_us, lambda: self._arrive(process, effect.to, effect.data))
 
     def _drawn(self, _from: str, _to: str) -> int:
-        if self.chance.part() < self.loss:
+        if self.chance.fraction() < self.loss:
             return -1
         return self.least_us + self.chance.below(max(1, self.most_us - self.least_us))
 
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -46,7 +46,7 @@
     order,
 )
 from cressrail.membership.reachability import Edges
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 THROUGH = 3  # copies that are asked to call in one's place, as published
 FAN = 3  # copies that hear news at once
@@ -90,7 +90,9 @@
     """`birth` is drawn anew by each process; `incarnation` is where it starts to count, and need not be
     above what others know: it is told and counts on from there. Both rest on no clock."""
 
-    def __init__(self, settings: Settings, chance: Chance, now: int, birth: int, incarnation: int) -> None:
+    def __init__(
+        self, settings: Settings, chance: RandomGenerator, now: int, birth: int, incarnation: int
+    ) -> None:
         self.settings, self.chance = settings, chance
         self.name, self.id = settings.name, id_of(settings.name)
         self.birth, self.incarnation = birth, incarnation
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -73,13 +73,13 @@
         """One hop; true if the connection is fit for another."""
         body, kind = Kept(self.net.pool), b""
         reader = AnswerReader(body, MOST, job.request.method == b"HEAD")
-        end = End(Outcome.CALLED_OFF, "fault")
+        end = End(Outcome.CANCELLED, "fault")
         self.passed = False
         try:
             end = self._attempt(job, reader, body)
             kind = reader.get(b"content-type")
         finally:
-            whole = end.how is Outcome.COMMITTED
+            whole = end.how is Outcome.SUCCEEDED
             if self.passed and body.rest is not None:  # it is the client's, who learns how it ended
                 (body.rest.close if whole else body.rest.fail)()
             elif not whole:
@@ -106,14 +106,14 @@
         except (Late, OSError) as fault:
             if isinstance(fault, OSError) and fault.errno in SHORT:
                 self.net.tell(self.net.reducer.short(self.net.now()))
-                return End(Outcome.NEVER_SENT, str(fault))
+                return End(Outcome.NOT_SENT, str(fault))
             return End(
-                Outcome.UNREACHED,
+                Outcome.CONNECT_FAILED,
                 str(fault) or "no connection in time",
                 refused=isinstance(fault, ConnectionRefusedError),
             )
         except Called:
-            return End(Outcome.CALLED_OFF)
+            return End(Outcome.CANCELLED)
         stream = self.stream
         assert stream is not None
         now, until_us = self.net.now(), job.until_us
@@ -121,9 +121,9 @@
             # Guards against work for those who left while their request lay unread, or a connection came up.
             self.net.tell(self.net.reducer.client_went(now, client))
         if (unsent := self.net.reducer.unsent(now, job.hop)) is not None:
-            return End(*unsent, keep=unsent[0] is not Outcome.TURNED_AWAY)
+            return End(*unsent, keep=unsent[0] is not Outcome.REJECTED_BY_ENDPOINT)
         if now >= until_us:  # guards against an endpoint blamed for the time that its hop was given
-            return End(Outcome.NEVER_SENT, "no time left", keep=True)
+            return End(Outcome.NOT_SENT, "no time left", keep=True)
         try:
             host = f"[{job.host}]" if ":" in job.host else job.host
             left_us = min(until_us - now, self.net.patience_us)  # one that still comes has no end yet
@@ -133,9 +133,9 @@
                 kept = chunk(kept, job.request.body.size)
             stream.send([head, *kept], min(until_us, now + self.net.patience_us), mail=True)
         except (Late, OSError) as fault:  # before the last byte was written: it never ran
-            return End(Outcome.UNREACHED, str(fault) or "not written in time")
+            return End(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
         except Called:
-            return End(Outcome.CALLED_OFF)
+            return End(Outcome.CANCELLED)
         if job.request.streams:
             early = self._upload(job.request, stream, reader)
             if early is not None:
@@ -158,7 +158,7 @@
                     rest.used(held)  # not before: what is not written whole may be sent anew
                     held = 0
                     if rest.failed:
-                        return End(Outcome.CALLED_OFF, "its client broke off")
+                        return End(Outcome.CANCELLED, "its client broke off")
                     if last:
                         return None
                     if parts := rest.peek():
@@ -177,11 +177,11 @@
                 else:
                     why = self.net.loop.wait(stream.fd, READ | WRITE, self.net.now() + self.net.patience_us)
                 if why == TIMED_OUT:
-                    return End(Outcome.UNREACHED, "not written in time")
+                    return End(Outcome.CONNECT_FAILED, "not written in time")
                 if why == MAIL:
                     purge(task.mail)
                     if task.mail:
-                        return End(Outcome.CALLED_OFF)
+                        return End(Outcome.CANCELLED)
                 elif why & ~WRITE and self._early(stream, reader):
                     return self._told(reader, False)
         except (OSError, Malformed) as fault:
@@ -189,9 +189,9 @@
             with suppress(OSError, Malformed, Exhausted):
                 if reader.done or self._early(stream, reader):
                     return self._told(reader, False)
-            return End(Outcome.UNREACHED, str(fault) or "ended")
+            return End(Outcome.CONNECT_FAILED, str(fault) or "ended")
         except Exhausted:
-            return End(Outcome.CALLED_OFF, "no buffer left")
+            return End(Outcome.CANCELLED, "no buffer left")
         finally:
             left.clear()
             purge(task.mail)  # guards against a stir that crossed what ended the wait, taken for a call
@@ -231,7 +231,7 @@
                     n = stream.read()
                 except Exhausted:
                     if not self.passed:
-                        return End(Outcome.CALLED_OFF, "no buffer left")
+                        return End(Outcome.CANCELLED, "no buffer left")
                     self.net.loop.wait(until_us=self.net.now() + SHORT_US, mail=False)
                     continue
                 if n == 0:
@@ -246,15 +246,18 @@
                     if reader.begun and not self.passed and not self._pass_on(job, reader, body):
                         break
         except Late:
-            return End(Outcome.DROPPED if self.passed else Outcome.TIMED_OUT, "silent" if self.passed else "")
+            return End(
+                Outcome.CONNECTION_RESET if self.passed else Outcome.TIMED_OUT,
+                "silent" if self.passed else "",
+            )
         except Called:
-            return End(Outcome.CALLED_OFF)
+            return End(Outcome.CANCELLED)
         except Exhausted:
-            return End(Outcome.CALLED_OFF, "no buffer left")
+            return End(Outcome.CANCELLED, "no buffer left")
         except (OSError, Malformed) as fault:
-            return End(Outcome.DROPPED, str(fault))
+            return End(Outcome.CONNECTION_RESET, str(fault))
         if reader.status == 200 and not reader.done:
-            return End(Outcome.CALLED_OFF)  # nobody wants it any more
+            return End(Outcome.CANCELLED)  # nobody wants it any more
         return self._told(reader, reader.done and reader.keep and not stream.inlet.unread())
 
     def _pass_on(self, job: Carry, reader: AnswerReader, body: Kept) -> bool:
@@ -288,11 +291,17 @@
 
     def _told(self, reader: AnswerReader, keep: bool) -> End:
         if reader.status == 200:
-            return End(Outcome.COMMITTED, keep=keep)
+            return End(Outcome.SUCCEEDED, keep=keep)
         declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
         # Guards against endpoints left out, and retries spent, for what bad clients send.
         rejected = 400 <= reader.status < 500 and reader.status not in (408, 429)
-        how = Outcome.TURNED_AWAY if declined else Outcome.REJECTED if rejected else Outcome.ERROR
+        how = (
+            Outcome.REJECTED_BY_ENDPOINT
+            if declined
+            else Outcome.INVALID_REQUEST
+            if rejected
+            else Outcome.ERROR
+        )
         return End(how, f"status {reader.status}", keep)
 
     def _close(self) -> None:
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -11,7 +11,7 @@
 from cressrail.membership import messages as membership
 from cressrail.membership.state_machine import Membership
 from cressrail.network.dispatcher import Net
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.zone_statistics import Towards
 
 SECOND = 1_000_000
@@ -23,7 +23,7 @@
         self.net, self.settings = net, settings
         self.towards = Towards()
         net.tell(net.reducer.count_zones(net.now(), self.towards))
-        self.host = Host(settings, copy.id, Chance(int.from_bytes(os.urandom(8), "big")), net.now())
+        self.host = Host(settings, copy.id, RandomGenerator(int.from_bytes(os.urandom(8), "big")), net.now())
 
     @property
     def wake_us(self) -> int:
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -22,7 +22,7 @@
 from cressrail.membership.peer_reports import Hearing
 from cressrail.membership.state_machine import Membership
 from cressrail.network.dispatcher import Net
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import Zones
@@ -66,7 +66,7 @@
 
     def _copy(self) -> Membership:
         now = self.net.now()
-        chance = Chance(int.from_bytes(os.urandom(8), "big"))
+        chance = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
         return Membership(self.part.settings, chance, now, chance.below(1 << 32), now // 1000)
 
     def _zones(self) -> Zones | None:
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -23,7 +23,7 @@
 from cressrail.network.handover_server import HeirTask
 from cressrail.network.signals import heed_signals
 from cressrail.network.timer_task import wake_task
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.endpoint_registry import Roster
 from cressrail.proxy.state_machine import Reducer, Room
 
@@ -63,9 +63,9 @@
         {member: n for n, member in enumerate(members)},
         roster,
         rooms,
-        Chance(start.seed ^ 1),
+        RandomGenerator(start.seed ^ 1),
         now,
-        longest_us := max(p.hard_limit_us for p in profiles.values()),
+        longest_us := max(p.deadline_us for p in profiles.values()),
         start.discovery,
         start.told.whole("contract.stop_sending_within_us", 0, absent=0),
     )
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -21,8 +21,8 @@
 from enum import Enum
 from math import log
 
-HOP, CALL_OFF, ROLLED_BACK, ABANDONED = "hop", "call off", "rolled back", "abandoned"
-IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT = "idempotent", "journalled", "non-idempotent"
+ATTEMPT, CANCEL, REJECT, FAIL = "hop", "call off", "rolled back", "abandoned"
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = "idempotent", "journalled", "non-idempotent"
 ALL, ZONE, CELL = "all", "zone", "cell"
 
 NEVER_US = 1 << 50  # from now on
@@ -64,27 +64,33 @@
 USED_FOR_RATE = 0.5  # endpoints of a zone in use for each hop a second
 USED_OWN, USED_OTHER = 2, 1  # at the least; each is a connection, of which an endpoint takes few
 Decision = tuple["Tx", str, int, int]
-Entry = tuple[int, int, int, float, bool, int, int]  # endpoint, zone, cell, scale, on, started, place
+EndpointUpdate = tuple[
+    int, int, int, float, bool, int, int
+]  # endpoint, zone, cell, scale, on, started, place
 
 
 class Outcome(Enum):
-    COMMITTED = "committed"
+    SUCCEEDED = "committed"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED_BY_ENDPOINT = "turned away"
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"
-    DROPPED = "dropped"
-    CALLED_OFF = "called off"
-    NEVER_SENT = "never sent"
-    REJECTED = "rejected"  # for what the request is, which is not the endpoint's fault
+    CONNECT_FAILED = "unreached"
+    CONNECTION_RESET = "dropped"
+    CANCELLED = "called off"
+    NOT_SENT = "never sent"
+    INVALID_REQUEST = "rejected"  # for what the request is, which is not the endpoint's fault
 
 
-NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNREACHED, Outcome.NEVER_SENT)
-OWNED = (Outcome.TURNED_AWAY, Outcome.UNREACHED, Outcome.DROPPED)
-SILENT = (Outcome.CALLED_OFF, Outcome.NEVER_SENT, Outcome.REJECTED)  # say nothing about the endpoint
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED_BY_ENDPOINT, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+ENDPOINT_OWNED_OUTCOMES = (Outcome.REJECTED_BY_ENDPOINT, Outcome.CONNECT_FAILED, Outcome.CONNECTION_RESET)
+UNINFORMATIVE_OUTCOMES = (
+    Outcome.CANCELLED,
+    Outcome.NOT_SENT,
+    Outcome.INVALID_REQUEST,
+)  # say nothing about the endpoint
 
 
-class Chance:
+class RandomGenerator:
     """A linear congruential generator; only its high half is used."""
 
     def __init__(self, seed: int) -> None:
@@ -95,22 +101,24 @@
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
         return (self.state >> 32) * n >> 32
 
-    def part(self) -> float:
+    def fraction(self) -> float:
         return self.below(1 << 32) / (1 << 32)
 
 
 @dataclass(frozen=True, slots=True)
-class Profile:
-    kind: str
-    group: str
-    window_us: int
-    service_goal_us: int
-    hard_limit_us: int
-    earns: float  # revenue for the time it holds an endpoint, over that of the best profile
-    overdue: float = 1.0  # part of the revenue that an answer after the service goal earns
-
-
-def earnings(revenues: list[float], goals_us: list[int], by_work: bool, worst_weight: float) -> list[float]:
+class RequestClass:
+    idempotency: str
+    key_scope: str
+    idempotency_window_us: int
+    latency_objective_us: int
+    deadline_us: int
+    priority_weight: float  # revenue for the time it holds an endpoint, over that of the best profile
+    overdue_weight: float = 1.0  # part of the revenue that an answer after the service goal earns
+
+
+def priority_weights(
+    revenues: list[float], goals_us: list[int], by_work: bool, worst_weight: float
+) -> list[float]:
     """What each profile earns for the time it holds an endpoint, over the best. Where revenue is counted for
     each transaction, a later service goal stands for more work. The part of the users' measure that goes by
     the worst-served profile counts for all alike. Guards against starving the poorest profile outright."""
@@ -123,35 +131,41 @@
 class Endpoint:
     """All that this sidecar knows of one endpoint."""
 
-    ix: int
+    index: int
     zone: int = 0
     cell: int = 0
     scale: float = 1.0
-    on: bool = False
+    accepts_requests: bool = False
     started_us: int = 0
-    place: int = 0  # on the ring of its zone, the same at every copy
+    ring_position: int = 0  # on the ring of its zone, the same at every copy
     in_flight: int = 0
     limit: float = 0.0  # of own hops in flight; below one, the sum over the group still binds
     cut_us: int = 0
     prompt_us: int = -1  # when the latest of those hops was sent that were answered in time
     latency: float = 0.0  # of committed hops, in service goals
-    good: float = 1.0  # share of hops that the endpoint did not fail
-    heard_us: int = -1
-    dead_us: int = 0  # until then its process counts as gone
-    inside: bool = False  # of the part of its group that is in use
-    cold_credit: float = 0.0
+    success_rate: float = 1.0  # share of hops that the endpoint did not fail
+    last_outcome_us: int = -1
+    unavailable_until_us: int = 0  # until then its process counts as gone
+    is_in_subset: bool = False  # of the part of its group that is in use
+    slow_start_credit: float = 0.0
     cold_us: int = 0
-    cold_hops: int = 0  # that it got from here while cold
-    missed: int = 0  # answers wanted, as connections never came up: it may be back as another process
-    others: float = -1.0  # work that other copies give it while cold, a microsecond; below 0: not told
-    warm: float = 0.0  # what it would get from all if it were warm
-    told_us: int = -2  # when it was left out on the word of others
-
-    def succeeds(self, now: int) -> bool:
-        return now >= self.dead_us and (self.good >= 0.5 or now - self.heard_us > LEFT_OUT_US)
+    slow_start_attempts: int = 0  # that it got from here while cold
+    connect_failures: int = (
+        0  # answers wanted, as connections never came up: it may be back as another process
+    )
+    peer_work_per_us: float = (
+        -1.0
+    )  # work that other copies give it while cold, a microsecond; below 0: not told
+    warmed_up_work_per_us: float = 0.0  # what it would get from all if it were warm
+    peer_ejected_us: int = -2  # when it was left out on the word of others
+
+    def is_available(self, now: int) -> bool:
+        return now >= self.unavailable_until_us and (
+            self.success_rate >= 0.5 or now - self.last_outcome_us > LEFT_OUT_US
+        )
 
 
-class Group:
+class ZoneSubset:
     """The endpoints of one zone, and the part of them in use, with sums kept as they change. Guards against
     work that grows with the fleet at every transaction: nothing here is walked on the way of one."""
 
@@ -167,8 +181,8 @@
 
     def fill(self, all_of_it: list[Endpoint], start: int) -> None:
         for e in self.use:  # also of those that have left: their hops still end
-            e.inside = False
-        self.all, self.use = sorted(all_of_it, key=lambda e: e.place), []
+            e.is_in_subset = False
+        self.all, self.use = sorted(all_of_it, key=lambda e: e.ring_position), []
         self.whole = sum(e.scale for e in self.all)
         self.start = start * len(self.all) >> 32
 
@@ -176,14 +190,14 @@
         """To be called where an endpoint comes, goes, fails or recovers, and now and then: from this copy's
         start along the ring, so many as are wanted of those that succeed."""
         for e in self.use:
-            e.inside = False
+            e.is_in_subset = False
         self.use, self.failed = [], 0
         met = []
         for e in self.all[self.start :] + self.all[: self.start]:
             if len(self.use) >= self.wanted:
                 break
             met.append(e)
-            if e.succeeds(now):
+            if e.is_available(now):
                 self.use.append(e)
             else:
                 self.failed += 1
@@ -203,7 +217,7 @@
         self.admits = min(ADMIT_MOST, max(ADMIT_LEAST, self.admits * max(ADMIT_CUT, 1 + step)))
 
     def shift(self, e: Endpoint, limit: float, in_flight: int) -> None:
-        if e.inside:
+        if e.is_in_subset:
             self.limit += limit
             self.in_flight += in_flight
 
@@ -239,40 +253,43 @@
                 times.popleft()
 
 
-class RepeatRule:
+class RetryPolicy:
     """The one place that says whether a transaction may take a further hop, or be rolled back."""
 
     def __init__(self, most_hops: int, parallel: bool) -> None:
-        self.most_hops, self.parallel = most_hops, parallel
+        self.max_attempts, self.parallel = most_hops, parallel
 
-    def may_hop(self, tx: Tx, now: int) -> bool:
+    def may_retry(self, tx: RoutedRequest, now: int) -> bool:
         return not (
-            tx.spent or len(tx.hops) >= self.most_hops or (tx.out and not self.parallel)
+            tx.is_body_gone or len(tx.attempts) >= self.max_attempts or (tx.in_flight and not self.parallel)
         ) and self.may_run_again(tx, now)
 
-    def may_run_again(self, tx: Tx, now: int) -> bool:
+    def may_run_again(self, tx: RoutedRequest, now: int) -> bool:
         return (
-            tx.anchor is None
-            or tx.profile.kind == IDEMPOTENT
-            or (tx.profile.kind == JOURNALLED and now < tx.anchor_us + tx.profile.window_us)
+            tx.fixed_endpoint is None
+            or tx.request_class.idempotency == IDEMPOTENT
+            or (
+                tx.request_class.idempotency == IDEMPOTENT_WITH_KEY
+                and now < tx.fixed_us + tx.request_class.idempotency_window_us
+            )
         )
 
-    def may_go_to(self, tx: Tx, e: Endpoint) -> bool:
-        at = tx.anchor
-        if at is None or tx.profile.kind == IDEMPOTENT or tx.profile.group == ALL:
+    def may_use_endpoint(self, tx: RoutedRequest, e: Endpoint) -> bool:
+        at = tx.fixed_endpoint
+        if at is None or tx.request_class.idempotency == IDEMPOTENT or tx.request_class.key_scope == ALL:
             return True
-        return e.zone == at.zone if tx.profile.group == ZONE else e.cell == at.cell
+        return e.zone == at.zone if tx.request_class.key_scope == ZONE else e.cell == at.cell
 
-    def may_roll_back(self, tx: Tx, ran: bool = False) -> bool:
+    def may_reject(self, tx: RoutedRequest, ran: bool = False) -> bool:
         """Now, or (`ran`) also once a hop may have run."""
         return (
-            tx.profile.kind == IDEMPOTENT
-            or (tx.anchor is None and not ran)
-            or (tx.profile.kind == JOURNALLED and tx.profile.group == ALL)
+            tx.request_class.idempotency == IDEMPOTENT
+            or (tx.fixed_endpoint is None and not ran)
+            or (tx.request_class.idempotency == IDEMPOTENT_WITH_KEY and tx.request_class.key_scope == ALL)
         )
 
 
-class ColdRule:
+class SlowStart:
     """This copy's part of the work that a starting endpoint may get. Summed over all copies, however many,
     uneven or young, neither what they carried for a unit of size of its zone nor even parts of what the whole
     list bears (the members' allowances, or what is carried) is more than a warm one does; half of the
@@ -290,7 +307,7 @@
     def left(self, since_us: int, now: int, times: int = 1) -> float:
         return max(0.0, 1 - (now - since_us) / self.warm_within_us / times)
 
-    def carry(self, now: int, group: Group) -> None:
+    def carry(self, now: int, group: ZoneSubset) -> None:
         self.carried = self.carried * self.left(self.carried_us, now) + 1
         group.each = group.each * self.left(group.each_us, now) + 1 / (group.size or 1.0)
         self.carried_us = group.each_us = now
@@ -298,41 +315,45 @@
     def span(self, until_us: int) -> int:  # Guards against a rate made of the first moments.
         return min(self.warm_within_us, max(self.warm_within_us // 8, until_us - self.born_us))
 
-    def cold(self, e: Endpoint, now: int) -> bool:
-        return e.missed > 0 or (e.started_us > 0 and now < e.started_us + self.warm_within_us)
+    def is_warming_up(self, e: Endpoint, now: int) -> bool:
+        return e.connect_failures > 0 or (e.started_us > 0 and now < e.started_us + self.warm_within_us)
 
-    def credit(self, e: Endpoint, now: int, group: Group, own: bool) -> bool:
+    def credit(self, e: Endpoint, now: int, group: ZoneSubset, own: bool) -> bool:
         # Guards against all that waits for one that was lost reaching it before any list tells of its start.
-        age = 0.0 if e.missed else max(0, now - e.started_us) / self.warm_within_us
+        age = 0.0 if e.connect_failures else max(0, now - e.started_us) / self.warm_within_us
         work = e.scale * self.by * (self.cold_from + (1 - self.cold_from) * age)
         carried = work * group.each * self.left(group.each_us, now) / self.span(group.each_us)
         # Guards against a fleet cold for the most part, which by what it carries would get less and less.
         part = min(1.0, (COLD_OWN if own else COLD_OTHER) * group.whole / self.full) / group.size
         rate = carried + work * (self.even or max(1.0, self.carried) / self.span(now)) * part
-        if e.others >= 0:  # Guards against the least of many, and against lies: what is carried stays.
-            rate = max(carried, min(rate, e.warm * work / e.scale / self.by - e.others))
-        have = e.cold_credit + rate * (now - e.cold_us)
-        e.cold_credit, e.cold_us = have % (1 + rate * self.ready_us), now
-        return e.cold_credit >= 1.0 and not self.ceded
+        if (
+            e.peer_work_per_us >= 0
+        ):  # Guards against the least of many, and against lies: what is carried stays.
+            rate = max(
+                carried, min(rate, e.warmed_up_work_per_us * work / e.scale / self.by - e.peer_work_per_us)
+            )
+        have = e.slow_start_credit + rate * (now - e.cold_us)
+        e.slow_start_credit, e.cold_us = have % (1 + rate * self.ready_us), now
+        return e.slow_start_credit >= 1.0 and not self.ceded
 
 
-class Shares:
+class TenantQuotas:
     """Marks what a member sends beyond this copy's part of its allowance."""
 
     def __init__(self, allowances_per_s: list[float], copies: int, surplus_revenue: float) -> None:
         self.surplus_revenue, self.allowances_per_s = surplus_revenue, allowances_per_s
-        self.part_of(copies)
+        self.set_instance_count(copies)
         self.credit = self.most[:]
         self.filled_us = [0] * len(self.rates)  # on the shares' own clock
         self.clock_us = self.seen_us = self.short_us = self.sends = 0
 
-    def part_of(self, copies: float) -> None:
+    def set_instance_count(self, copies: float) -> None:
         self.rates = [a / copies / 1e6 for a in self.allowances_per_s]
         # A second's worth at most. Guards against a share so thin at one copy that chance alone exceeds it.
         self.most = [max(SHARE_DEPTH, r * 1e6) for r in self.rates]
         self.total = sum(self.rates)
 
-    def surplus(self, member: int, now: int) -> bool:
+    def is_over_quota(self, member: int, now: int) -> bool:
         run = now - self.seen_us
         if now < self.short_us and self.total:
             # Guards against a large member that fills what is left of a choked tier with its whole allowance:
@@ -345,29 +366,29 @@
         self.credit[member], self.filled_us[member] = min(self.most[member], have), self.clock_us
         return have < 1
 
-    def sent(self, member: int, surplus: bool) -> None:
+    def on_sent(self, member: int, surplus: bool) -> None:
         """Guards against clients' repeats of what was turned away using up a share."""
         self.sends += 1
         if 0 <= member < len(self.rates):
             self.credit[member] -= not surplus
 
-    def turned_away(self, goal_us: int) -> None:
+    def on_rejected(self, goal_us: int) -> None:
         """One within its share was; capacity is short for a while."""
         self.short_us = self.seen_us + goal_us
 
 
-class Asking:
+class EndpointListPoller:
     """When to ask for the list, where it does not come by itself."""
 
-    def __init__(self, asked: bool, ask_every_us: int, chance: Chance) -> None:
+    def __init__(self, asked: bool, ask_every_us: int, chance: RandomGenerator) -> None:
         self.every_us, self.chance, self.fails = ask_every_us, chance, 0
         self.due_us = chance.below(ask_every_us // 8 + 1) if asked else -1  # from birth; -1: nothing to ask
 
-    def born(self, now: int) -> None:
+    def start(self, now: int) -> None:
         if self.due_us >= 0:
             self.due_us += now
 
-    def heard(self, now: int, failed: bool) -> None:
+    def on_answer(self, now: int, failed: bool) -> None:
         if self.due_us < 0:
             return
         if failed:  # spread and doubling, but well inside the time after which the old list counts as told
@@ -378,365 +399,437 @@
             self.fails = 0
             self.due_us = now + self.every_us * 4
 
-    def due(self, now: int) -> bool:
+    def is_due(self, now: int) -> bool:
         if self.due_us < 0 or now < self.due_us:
             return False
         self.due_us = now + self.every_us // 2
         return True
 
 
-class Tx:
+class RoutedRequest:
     """The handle of one transaction."""
 
     __slots__ = (
-        "anchor",
-        "anchor_us",
-        "closed",
-        "coming",
-        "end_us",
-        "hops",
-        "leave_us",
-        "luck",
-        "member",
-        "out",
-        "part",
-        "profile",
-        "side",
-        "spent",
-        "surplus",
+        "fixed_endpoint",
+        "fixed_us",
+        "is_finished",
+        "is_uploading",
+        "deadline_us",
+        "attempts",
+        "queue_until_us",
+        "random_value",
+        "tenant",
+        "in_flight",
+        "open_fraction",
+        "request_class",
+        "load_balancer",
+        "is_body_gone",
+        "is_over_quota",
     )
 
-    def __init__(self, side: Sidecar, profile: Profile, member: int, now: int, remaining_us: int) -> None:
-        self.side, self.member, self.profile = side, member, profile
-        self.end_us = self.anchor_us = 0
-        self.closed = self.spent = False  # spent: what would be sent again is gone
-        self.out: dict[int, int] = {}  # hop number -> sent
-        self.coming = remaining_us < 0  # its client still sends it, and no endpoint is at work on it
-        self.run(now, NEVER_US if self.coming else remaining_us)
-        self.anchor: Endpoint | None = None  # of the first hop that may have run, sent at anchor_us
+    def __init__(
+        self, side: LoadBalancer, profile: RequestClass, member: int, now: int, remaining_us: int
+    ) -> None:
+        self.load_balancer, self.tenant, self.request_class = side, member, profile
+        self.deadline_us = self.fixed_us = 0
+        self.is_finished = self.is_body_gone = False  # spent: what would be sent again is gone
+        self.in_flight: dict[int, int] = {}  # hop number -> sent
+        self.is_uploading = remaining_us < 0  # its client still sends it, and no endpoint is at work on it
+        self.start_clock(now, NEVER_US if self.is_uploading else remaining_us)
+        self.fixed_endpoint: Endpoint | None = None  # of the first hop that may have run, sent at anchor_us
         # Guards against endpoints at work on what no longer earns, where it may be rolled back in good time.
-        if side.beside and not profile.overdue and side.repeat_rule.may_roll_back(self, ran=True):
-            goal_us = profile.service_goal_us
-            self.end_us = min(self.end_us, now + max(goal_us // 2, goal_us - 4 * side.round_us))
-        self.leave_us = min(self.end_us, now + profile.service_goal_us // LINE_PARTS)  # the line, by then
-        self.surplus = side.shares.surplus(member, now)
-        earns = profile.earns * (side.shares.surplus_revenue if self.surplus else 1.0)
-        self.part = OPEN_PART + (1 - OPEN_PART) * earns if side.at_door else 1.0  # of limits, open to it
-        self.luck = side.chance.part()
-        self.hops: list[Endpoint] = []
+        if side.is_per_client and not profile.overdue_weight and side.retry_policy.may_reject(self, ran=True):
+            goal_us = profile.latency_objective_us
+            self.deadline_us = min(self.deadline_us, now + max(goal_us // 2, goal_us - 4 * side.round_us))
+        self.queue_until_us = min(
+            self.deadline_us, now + profile.latency_objective_us // LINE_PARTS
+        )  # the line, by then
+        self.is_over_quota = side.quotas.is_over_quota(member, now)
+        earns = profile.priority_weight * (side.quotas.surplus_revenue if self.is_over_quota else 1.0)
+        self.open_fraction = (
+            OPEN_PART + (1 - OPEN_PART) * earns if side.is_ingress else 1.0
+        )  # of limits, open to it
+        self.random_value = side.rng.fraction()
+        self.attempts: list[Endpoint] = []
 
     def route(self, now: int) -> list[Decision]:
-        return self.side.route(self, now)
+        return self.load_balancer.route(self, now)
 
-    def run(self, now: int, remaining_us: int) -> None:
+    def start_clock(self, now: int, remaining_us: int) -> None:
         """Its time, which stands still while the client still sends it, runs from here; so do its hops."""
-        if self.coming and remaining_us < NEVER_US:
-            self.coming = False
-            for n in self.out:
-                self.side.load(self.hops[n], 1)
-        self.end_us = now + remaining_us - min(remaining_us // 64, self.side.round_us * 2)
+        if self.is_uploading and remaining_us < NEVER_US:
+            self.is_uploading = False
+            for n in self.in_flight:
+                self.load_balancer.load(self.attempts[n], 1)
+        self.deadline_us = now + remaining_us - min(remaining_us // 64, self.load_balancer.round_us * 2)
 
-    def under_way(self, hop: int) -> list[Decision]:
+    def on_response_started(self, hop: int) -> list[Decision]:
         """A stream has begun: it is the client's, and no limit runs any more."""
         return self._call_off_others(hop)
 
-    def ended(self, hop: int, now: int, how: Outcome, latency_us: int, complete: bool) -> list[Decision]:
-        return self.side.ended(self, hop, now, how, latency_us, complete)
+    def on_attempt_finished(
+        self, hop: int, now: int, how: Outcome, latency_us: int, complete: bool
+    ) -> list[Decision]:
+        return self.load_balancer.on_attempt_finished(self, hop, now, how, latency_us, complete)
 
     def may_send(self, hop: int, now: int) -> bool:
         """At its first byte, whatever it waited for: whether what allowed it when chosen still holds."""
-        e, rule = self.hops[hop], self.side.repeat_rule
-        return e.on and rule.may_run_again(self, now) and rule.may_go_to(self, e)
+        e, rule = self.attempts[hop], self.load_balancer.retry_policy
+        return e.accepts_requests and rule.may_run_again(self, now) and rule.may_use_endpoint(self, e)
 
-    def give_up(self) -> list[Decision]:
+    def finish_now(self) -> list[Decision]:
         """Answered now, whatever is out. What is out may have run."""
-        return self.side._give_up(self) + self._call_off_others(-1)
+        return self.load_balancer._give_up(self) + self._call_off_others(-1)
 
-    def vanished(self) -> list[Decision]:
-        self.closed = True
+    def on_client_disconnected(self) -> list[Decision]:
+        self.is_finished = True
         return self._call_off_others(-1)
 
     def _call_off_others(self, hop: int) -> list[Decision]:
-        return [(self, CALL_OFF, n, 0) for n in self.out if n != hop] if self.side.may_cancel else []
+        return (
+            [(self, CANCEL, n, 0) for n in self.in_flight if n != hop]
+            if self.load_balancer.may_cancel
+            else []
+        )
 
 
-class Sidecar:
+class LoadBalancer:
     def __init__(
         self,
         *,
-        chance: Chance,
+        rng: RandomGenerator,
         zone: int,
         zones: int,
         tiers_to_go: float,
         last_tier: bool,
-        at_door: bool,
+        is_ingress: bool,
         round_us: int,
         come_back_us: int,
         may_cancel: bool,
-        asking: Asking,
-        repeat_rule: RepeatRule,
-        cold_rule: ColdRule,
-        shares: Shares,
-        copies: int,
+        list_poller: EndpointListPoller,
+        retry_policy: RetryPolicy,
+        slow_start: SlowStart,
+        quotas: TenantQuotas,
+        instances: int,
         number: int,
         now: int,
-        beside: bool = False,
-        links: int = NEVER_US,
+        is_per_client: bool = False,
+        max_connections: int = NEVER_US,
     ) -> None:
-        self.beside, self.links = beside, links  # one client process, many copies; connections it may hold
-        self.chance = chance
-        self.copies: float = copies  # of this sidecar, by the settings until told of those that are up
-        self.near = 0.0  # of them in the own zone; 0: not told, so by the zone's part of the endpoints
+        self.is_per_client, self.max_connections = (
+            is_per_client,
+            max_connections,
+        )  # one client process, many copies; connections it may hold
+        self.rng = rng
+        self.instances: float = instances  # of this sidecar, by the settings until told of those that are up
+        self.instances_in_zone = (
+            0.0  # of them in the own zone; 0: not told, so by the zone's part of the endpoints
+        )
         self.order = [(zone + k) % zones for k in range(zones)]
-        self.groups = [Group() for _ in range(zones)]
+        self.zone_subsets = [ZoneSubset() for _ in range(zones)]
         self.endpoints: dict[int, Endpoint] = {}
         self.late = min(LATE_MOST, LATE_SHARE * tiers_to_go)  # in service goals; a slower hop is late
         self.mean = self.swing = self.usual = 0.0  # latency, its mean swing over itself, lowest mean of late
         self.usual_us, self.heard, self.margin = now, 0, 0.0  # margin: over the usual, of the swings with it
-        self.last_tier, self.at_door = last_tier, at_door
+        self.last_tier, self.is_ingress = last_tier, is_ingress
         self.round_us, self.come_back_us, self.may_cancel = round_us, come_back_us, may_cancel
-        self.asking, self.repeat_rule, self.cold_rule, self.shares = asking, repeat_rule, cold_rule, shares
+        self.list_poller, self.retry_policy, self.slow_start, self.quotas = (
+            list_poller,
+            retry_policy,
+            slow_start,
+            quotas,
+        )
         self.start = number * 2654435769 & (1 << 32) - 1  # the golden ratio spreads any run of copies evenly
         self.budget, self.surge = RetryBudget(), 1.0
-        self.line: list[Tx] = []  # best earners first
+        self.queue: list[RoutedRequest] = []  # best earners first
         self.line_due_us = self.spill_us = self.wake_us = now  # the first leaves the line then, if not before
-        self.hear_shares((), 0.0)
+        self.apply_zone_weights((), 0.0)
         self.spill, self.next_zone = 0.0, -1  # the group with the lowest latency after the own
-        self.due_us: dict[tuple[Tx, int], int] = {}  # hops out, and when they are overdue; beside only
-        asking.born(now)
+        self.due_us: dict[
+            tuple[RoutedRequest, int], int
+        ] = {}  # hops out, and when they are overdue; beside only
+        list_poller.start(now)
 
     # What is told
 
-    def hear_list(self, now: int, entries: Iterable[Entry], full: bool, answer: bool = True) -> None:
+    def update_endpoints(
+        self, now: int, entries: Iterable[EndpointUpdate], full: bool, answer: bool = True
+    ) -> None:
         if answer:  # Guards against taking the stale list of a start for one: drains go unheard.
-            self.asking.heard(now, False)
+            self.list_poller.on_answer(now, False)
         named, filled = [], dict.fromkeys(self.order if full else ())
         for ix, zone, cell, scale, on, started_us, place in entries:
             e = self.endpoints.get(ix)
             if e is None or e.started_us != started_us:  # a restart keeps the id and nothing else
                 flying = e.in_flight if e else 0
                 e = self.endpoints[ix] = e or Endpoint(ix)
-                e.started_us, e.latency, e.good, e.limit, e.dead_us = started_us, 0.0, 1.0, 0.0, 0
+                e.started_us, e.latency, e.success_rate, e.limit, e.unavailable_until_us = (
+                    started_us,
+                    0.0,
+                    1.0,
+                    0.0,
+                    0,
+                )
                 # Guards against all copies spending a first hop at once on a start they all hear of.
-                e.in_flight, e.cold_credit, e.cold_us, e.missed = flying, self.chance.part(), now, 0
+                e.in_flight, e.slow_start_credit, e.cold_us, e.connect_failures = (
+                    flying,
+                    self.rng.fraction(),
+                    now,
+                    0,
+                )
             filled[e.zone] = filled[zone] = None  # only zones of which something is told are gone through
-            e.zone, e.cell, e.scale, e.on, e.place = zone, cell, max(scale, 1e-9), on, place
+            e.zone, e.cell, e.scale, e.accepts_requests, e.ring_position = (
+                zone,
+                cell,
+                max(scale, 1e-9),
+                on,
+                place,
+            )
             if zone not in self.order:
                 self.order.append(zone)
             named.append(e)
-        self.groups += [Group() for _ in self.order[len(self.groups) :]]
+        self.zone_subsets += [ZoneSubset() for _ in self.order[len(self.zone_subsets) :]]
         kept = dict.fromkeys(named)
         for e in self.endpoints.values() if full else ():
-            e.on = e.on and e in kept
+            e.accepts_requests = e.accepts_requests and e in kept
         for zone in filled:
-            found = self.endpoints.values() if full else dict.fromkeys([*self.groups[zone].all, *named])
-            self.groups[zone].fill([e for e in found if e.on and e.zone == zone], self.start)
+            found = self.endpoints.values() if full else dict.fromkeys([*self.zone_subsets[zone].all, *named])
+            self.zone_subsets[zone].fill(
+                [e for e in found if e.accepts_requests and e.zone == zone], self.start
+            )
         self._begin_zones(now)
         self._share_out()
         for e in [e for e in named if e.on]:
-            e.limit = e.limit or FIRST_LIMIT / self.groups[e.zone].sharers
-        for group in self.groups:
+            e.limit = e.limit or FIRST_LIMIT / self.zone_subsets[e.zone].sharers
+        for group in self.zone_subsets:
             group.choose(now)
 
-    def hear_copies(self, now: int, copies: float, near: float) -> None:
+    def update_instance_count(self, now: int, copies: float, near: float) -> None:
         """So many are up, and so many in the own zone. What all together may have out stays."""
-        self.copies, self.near = copies, near
-        self.shares.part_of(copies)
+        self.instances, self.instances_in_zone = copies, near
+        self.quotas.set_instance_count(copies)
         # Guards against too few counted, by whatever fault, that push cold endpoints over.
-        self.cold_rule.even = min(self.cold_rule.most_even, self.shares.total)
-        before = [group.sharers for group in self.groups]
+        self.slow_start.even = min(self.slow_start.most_even, self.quotas.total)
+        before = [group.sharers for group in self.zone_subsets]
         self._share_out()
-        for group, sharers in zip(self.groups, before, strict=True):
+        for group, sharers in zip(self.zone_subsets, before, strict=True):
             for e in group.all:
                 e.limit *= sharers / group.sharers
             group.choose(now)
         self.wake_us = now
 
-    def hear_work(self, told: Mapping[int, tuple[float, float]]) -> None:
+    def apply_peer_warmup_load(self, told: Mapping[int, tuple[float, float]]) -> None:
         """Of cold endpoints, a microsecond: what all others give it, and what all would if it were warm."""
         for e in self.endpoints.values():
-            e.others, e.warm = told.get(e.ix, (-1.0, 0.0)) if e.on else (-1.0, 0.0)
+            e.peer_work_per_us, e.warmed_up_work_per_us = (
+                told.get(e.index, (-1.0, 0.0)) if e.accepts_requests else (-1.0, 0.0)
+            )
 
-    def hear_shares(self, shares: Sequence[float], part: float) -> None:
+    def apply_zone_weights(self, shares: Sequence[float], part: float) -> None:
         """Decided in common: parts of the own zone's traffic to each zone, and how much that counts."""
         self.shares_out, self.decided = shares, part
 
-    def hear_failing(self, now: int, ixs: Iterable[int]) -> None:
+    def apply_peer_ejections(self, now: int, ixs: Iterable[int]) -> None:
         """Several others say that these fail: left out for as long as by own outcomes, where there is none
         of late, and then tried here before others' word counts again."""
         for e in (self.endpoints[ix] for ix in ixs):
-            if e.on and e.succeeds(now) and now - e.heard_us > LEFT_OUT_US and e.heard_us > e.told_us:
-                e.good, e.heard_us, e.told_us = min(e.good, 0.5 - 1 / MEMORY), now, now
-                self.groups[e.zone].choose(now)
+            if (
+                e.accepts_requests
+                and e.is_available(now)
+                and now - e.last_outcome_us > LEFT_OUT_US
+                and e.last_outcome_us > e.peer_ejected_us
+            ):
+                e.success_rate, e.last_outcome_us, e.peer_ejected_us = (
+                    min(e.success_rate, 0.5 - 1 / MEMORY),
+                    now,
+                    now,
+                )
+                self.zone_subsets[e.zone].choose(now)
 
     def _share_out(self) -> None:
         """How many endpoints of each zone are used, and by how many copies."""
-        total = sum(len(group.all) for group in self.groups)
+        total = sum(len(group.all) for group in self.zone_subsets)
         # So many that this copy's part of the first limits is one hop each, if all keep to their own zone.
-        wanted = max(LEAST_PART, min(self.links // LINKS_EACH, -int(-FIRST_LIMIT * total // self.copies)))
-        for zone, group in enumerate(self.groups):
-            if not self.beside:
+        wanted = max(
+            LEAST_PART, min(self.max_connections // LINKS_EACH, -int(-FIRST_LIMIT * total // self.instances))
+        )
+        for zone, group in enumerate(self.zone_subsets):
+            if not self.is_per_client:
                 group.wanted = min(wanted, len(group.all))
             # How many copies use an endpoint, if all use so many; of the own zone only its own copies. Guards
             # against traffic that sits in one zone being held to the limits of an even spread.
             own = zone == self.order[0]
             among, copies = (
-                (len(group.all), self.near)
-                if own and self.near
-                else (total if own else len(group.all), self.copies)
+                (len(group.all), self.instances_in_zone)
+                if own and self.instances_in_zone
+                else (total if own else len(group.all), self.instances)
             )
             group.sharers = copies * group.wanted / max(1, among)
 
     def _begin_zones(self, now: int) -> None:
-        total = sum(group.whole for group in self.groups)
-        rule = self.cold_rule  # Guards against the first of a zone that comes in pieces standing for it all.
+        total = sum(group.whole for group in self.zone_subsets)
+        rule = self.slow_start  # Guards against the first of a zone that comes in pieces standing for it all.
         rule.full, rule.full_us = max(total, rule.full * rule.left(rule.full_us, now, MOST_FORGOTTEN)), now
-        for group in self.groups:
-            even = group.whole * len(self.groups) / max(1e-9, total)  # not all that comes up in a small zone
+        for group in self.zone_subsets:
+            even = (
+                group.whole * len(self.zone_subsets) / max(1e-9, total)
+            )  # not all that comes up in a small zone
             group.admits = group.admits or min(ADMIT_MOST, even)
         self._widen()
 
     def _widen(self) -> None:
-        for zone, group in enumerate(self.groups):
+        for zone, group in enumerate(self.zone_subsets):
             least = USED_OWN if zone == self.order[0] else USED_OTHER
             group.wanted = min(len(group.all), max(least, int(group.hops_per_s * USED_FOR_RATE)))
 
-    def avoids(self, now: int) -> list[int]:
+    def unavailable_endpoints(self, now: int) -> list[int]:
         """Endpoints that get nothing now, or only where nothing else is left: off, gone or failing."""
-        return [e.ix for e in self.endpoints.values() if not e.on or not e.succeeds(now)]
+        return [e.index for e in self.endpoints.values() if not e.accepts_requests or not e.is_available(now)]
 
-    def cede(self, ceded: bool) -> None:
+    def yield_to_successor(self, ceded: bool) -> None:
         # Another process of this sidecar has, or no more, what only one may use: retries, cold starts.
-        self.cold_rule.ceded = self.budget.ceded = ceded
+        self.slow_start.ceded = self.budget.ceded = ceded
 
-    def forget(self, ix: int) -> None:
+    def forget_endpoint(self, ix: int) -> None:
         """It has left the list, and no hop to it is out."""
         del self.endpoints[ix]
 
-    def list_failed(self, now: int) -> None:
-        self.asking.heard(now, True)
+    def on_list_failed(self, now: int) -> None:
+        self.list_poller.on_answer(now, True)
 
-    def died(self, now: int, ix: int) -> None:
+    def on_connection_lost(self, now: int, ix: int) -> None:
         """It refuses connections, or reset one on which nothing was out. Guards against first tries at a
         process that is gone, until the list tells."""
         e = self.endpoints[ix]
-        e.dead_us = now + LEFT_OUT_US
-        if e.on:
-            self.groups[e.zone].choose(now)
+        e.unavailable_until_us = now + LEFT_OUT_US
+        if e.accepts_requests:
+            self.zone_subsets[e.zone].choose(now)
 
-    def take(self, now: int, profile: Profile, member: int, remaining_us: int) -> Tx:
+    def start_request(self, now: int, profile: RequestClass, member: int, remaining_us: int) -> RoutedRequest:
         self.budget.take(now)
         self._see_overdue(now)
-        return Tx(self, profile, member, now, remaining_us)
+        return RoutedRequest(self, profile, member, now, remaining_us)
 
-    def wake(self, now: int) -> list[Decision]:
+    def on_timer(self, now: int) -> list[Decision]:
         if now - self.spill_us >= 1_000_000:
             self.spill_us = now
-            if self.beside:
-                for group in self.groups:
+            if self.is_per_client:
+                for group in self.zone_subsets:
                     group.hops_per_s += (group.hops - group.hops_per_s) / 4
                     group.hops = 0
                 self._widen()
-                self.surge = self.budget.surge(now, now - self.cold_rule.born_us)
-            for group in self.groups:
+                self.surge = self.budget.surge(now, now - self.slow_start.born_us)
+            for group in self.zone_subsets:
                 group.choose(now)
             self._adjust_spill(now)
         decided = self._serve_line(now)
         self.wake_us = self.spill_us + 1_000_000
-        if self.line:
+        if self.queue:
             self.wake_us = min(self.wake_us, now + 4 * self.round_us, self.line_due_us)
         return decided
 
     # What is decided
 
-    def route(self, tx: Tx, now: int) -> list[Decision]:
-        if tx.end_us <= now or (self.decided and self._left_over(tx)):
+    def route(self, tx: RoutedRequest, now: int) -> list[Decision]:
+        if tx.deadline_us <= now or (self.decided and self._left_over(tx)):
             return self._give_up(tx)
-        behind = bool(self.line) and self.line[0].part >= tx.part
+        behind = bool(self.queue) and self.queue[0].open_fraction >= tx.open_fraction
         e = None if behind else self._pick(tx, now)
         if e is not None:
             return [self._hop(tx, e, now)]
-        if self.beside or tx.surplus or self._wait_ahead(tx) > tx.profile.service_goal_us // LINE_PARTS:
+        if (
+            self.is_per_client
+            or tx.is_over_quota
+            or self._wait_ahead(tx) > tx.request_class.latency_objective_us // LINE_PARTS
+        ):
             return self._give_up(tx)
         # Guards against a low earner at the head, to whom little is open, holding up all behind it.
-        insort(self.line, tx, key=lambda t: -t.part)
-        self.line_due_us = min(self.line_due_us, tx.leave_us) if len(self.line) > 1 else tx.leave_us
-        self.wake_us = min(self.wake_us, now + 4 * self.round_us, tx.leave_us)
+        insort(self.queue, tx, key=lambda t: -t.open_fraction)
+        self.line_due_us = (
+            min(self.line_due_us, tx.queue_until_us) if len(self.queue) > 1 else tx.queue_until_us
+        )
+        self.wake_us = min(self.wake_us, now + 4 * self.round_us, tx.queue_until_us)
         return []
 
-    def ended(
-        self, tx: Tx, hop: int, now: int, how: Outcome, latency_us: int, complete: bool
+    def on_attempt_finished(
+        self, tx: RoutedRequest, hop: int, now: int, how: Outcome, latency_us: int, complete: bool
     ) -> list[Decision]:
-        e = tx.hops[hop]
-        if tx.out.pop(hop, None) is None:
+        e = tx.attempts[hop]
+        if tx.in_flight.pop(hop, None) is None:
             return []
-        self.load(e, -int(not tx.coming))
-        told = self.due_us.pop((tx, hop), None) is None and self.beside  # that it was overdue
+        self.load(e, -int(not tx.is_uploading))
+        told = self.due_us.pop((tx, hop), None) is None and self.is_per_client  # that it was overdue
         self._judge(e, tx, now, how, latency_us, told)
         decided: list[Decision] = []
-        if how not in NEVER_RAN and how is not Outcome.COMMITTED and tx.anchor is None:
-            tx.anchor, tx.anchor_us = e, now - latency_us
-        if complete or tx.closed:
-            if not tx.closed:
-                tx.closed = True
+        if how not in NEVER_RAN_OUTCOMES and how is not Outcome.SUCCEEDED and tx.fixed_endpoint is None:
+            tx.fixed_endpoint, tx.fixed_us = e, now - latency_us
+        if complete or tx.is_finished:
+            if not tx.is_finished:
+                tx.is_finished = True
                 decided += tx._call_off_others(hop)
-        elif not tx.out:
+        elif not tx.in_flight:
             decided += self._after(tx, e, now, how)
-        return decided + self._serve_line(now) if self.line else decided
+        return decided + self._serve_line(now) if self.queue else decided
 
     def load(self, e: Endpoint, by: int) -> None:
         e.in_flight += by
-        self.groups[e.zone].shift(e, 0.0, by)
+        self.zone_subsets[e.zone].shift(e, 0.0, by)
 
-    def _after(self, tx: Tx, e: Endpoint, now: int, how: Outcome) -> list[Decision]:
+    def _after(self, tx: RoutedRequest, e: Endpoint, now: int, how: Outcome) -> list[Decision]:
         """The last hop out has failed: a claimed error is retried elsewhere, all else is answered at once."""
-        if self._claimed(e, now, how) and now < tx.end_us and self.repeat_rule.may_hop(tx, now):
+        if self._claimed(e, now, how) and now < tx.deadline_us and self.retry_policy.may_retry(tx, now):
             again = self._pick(tx, now)
             if again is not None and self.budget.spend(now):
                 return [self._hop(tx, again, now)]
         return self._give_up(tx)
 
     def _claimed(self, e: Endpoint, now: int, how: Outcome) -> bool:
-        others = sum(g.failed for g in self.groups) - (e.on and not e.succeeds(now))
-        return how in OWNED or (how not in SILENT and (self.last_tier or others <= 0))
-
-    def _give_up(self, tx: Tx) -> list[Decision]:
-        tx.closed = True
-        if not tx.hops and not tx.surplus:
-            self.shares.turned_away(tx.profile.service_goal_us)
-        if self.repeat_rule.may_roll_back(tx, bool(tx.out)):
-            return [(tx, ROLLED_BACK, 0, min(self.come_back_us, tx.profile.service_goal_us // LINE_PARTS))]
-        return [(tx, ABANDONED, 0, 0)]
-
-    def _hop(self, tx: Tx, e: Endpoint, now: int) -> Decision:
-        if self.cold_rule.cold(e, now):
-            e.cold_credit = 0.0
-            e.cold_hops += 1
-        if not tx.hops:
-            self.shares.sent(tx.member, tx.surplus)
-        self.load(e, int(not tx.coming))
-        self.groups[e.zone].hops += 1
-        if self.beside:
-            self.due_us[tx, len(tx.hops)] = now + int(OVERDUE * tx.profile.service_goal_us)
-        tx.out[len(tx.hops)] = now
-        tx.hops.append(e)
-        return (tx, HOP, e.ix, tx.end_us - now)
-
-    def _pick(self, tx: Tx, now: int) -> Endpoint | None:
+        others = sum(g.failed for g in self.zone_subsets) - (e.accepts_requests and not e.is_available(now))
+        return how in ENDPOINT_OWNED_OUTCOMES or (
+            how not in UNINFORMATIVE_OUTCOMES and (self.last_tier or others <= 0)
+        )
+
+    def _give_up(self, tx: RoutedRequest) -> list[Decision]:
+        tx.is_finished = True
+        if not tx.attempts and not tx.is_over_quota:
+            self.quotas.on_rejected(tx.request_class.latency_objective_us)
+        if self.retry_policy.may_reject(tx, bool(tx.in_flight)):
+            return [
+                (tx, REJECT, 0, min(self.come_back_us, tx.request_class.latency_objective_us // LINE_PARTS))
+            ]
+        return [(tx, FAIL, 0, 0)]
+
+    def _hop(self, tx: RoutedRequest, e: Endpoint, now: int) -> Decision:
+        if self.slow_start.is_warming_up(e, now):
+            e.slow_start_credit = 0.0
+            e.slow_start_attempts += 1
+        if not tx.attempts:
+            self.quotas.on_sent(tx.tenant, tx.is_over_quota)
+        self.load(e, int(not tx.is_uploading))
+        self.zone_subsets[e.zone].hops += 1
+        if self.is_per_client:
+            self.due_us[tx, len(tx.attempts)] = now + int(OVERDUE * tx.request_class.latency_objective_us)
+        tx.in_flight[len(tx.attempts)] = now
+        tx.attempts.append(e)
+        return (tx, ATTEMPT, e.index, tx.deadline_us - now)
+
+    def _pick(self, tx: RoutedRequest, now: int) -> Endpoint | None:
         order, finds_out = self.order, False
-        if self.decided and not tx.hops and self.chance.part() < self.decided:
+        if self.decided and not tx.attempts and self.rng.fraction() < self.decided:
             order = self._decided()
             finds_out = self.shares_out[order[0]] < FIND_OUT
-        elif self.next_zone >= 0 and self.spill and self.chance.part() < self.spill:
+        elif self.next_zone >= 0 and self.spill and self.rng.fraction() < self.spill:
             order = [self.next_zone, *(z for z in order if z != self.next_zone)]
-        elif self.beside:
+        elif self.is_per_client:
             order = self._shuffled(order)
-        luck = tx.luck
+        luck = tx.random_value
         # Those that fail are tried last, rather than not at all.
-        for group in sorted((self.groups[zone] for zone in order), key=lambda g: g.failing and not finds_out):
-            if self.beside:
+        for group in sorted(
+            (self.zone_subsets[zone] for zone in order), key=lambda g: g.failing and not finds_out
+        ):
+            if self.is_per_client:
                 # Guards against a burst, or clients' repeats, that get through until late hops tell.
-                admitted = tx.part * group.admits / self.surge
+                admitted = tx.open_fraction * group.admits / self.surge
                 if luck >= admitted:
                     luck = (luck - admitted) / (1 - admitted)  # anew between 0 and 1, for the next zone
                     continue
@@ -746,33 +839,35 @@
 
     def _decided(self) -> list[int]:
         """The zone that the common shares draw, then the others that have one, near ones first."""
-        luck, drawn = self.chance.part() * sum(self.shares_out), self.order[0]
+        luck, drawn = self.rng.fraction() * sum(self.shares_out), self.order[0]
         for zone, share in enumerate(self.shares_out):
             if 0 <= luck < share:
                 drawn = zone
             luck -= share
         return [drawn, *(z for z in self.order if z != drawn and any(self.shares_out[z : z + 1]))]
 
-    def _left_over(self, tx: Tx) -> bool:
+    def _left_over(self, tx: RoutedRequest) -> bool:
         """One of those whom no zone bears: least earners first, at once. Guards against lines of them."""
         over = self.decided * max(0.0, 1 - sum(self.shares_out))
-        return over > 0 and self.chance.part() < over * (3 - 2 * tx.part)
+        return over > 0 and self.rng.fraction() < over * (3 - 2 * tx.open_fraction)
 
     def _shuffled(self, order: list[int]) -> list[int]:
         """The own zone, then the others by chance, by size and what they admit (Efraimidis and Spirakis).
         Guards against all that overflows from one zone pouring into the one that comes next."""
 
         def luck(zone: int) -> float:
-            weight = self.groups[zone].whole * self.groups[zone].admits
-            return -(self.chance.part() ** (1 / weight)) if weight else 0.0
+            weight = self.zone_subsets[zone].whole * self.zone_subsets[zone].admits
+            return -(self.rng.fraction() ** (1 / weight)) if weight else 0.0
 
         return order[:1] + sorted(order[1:], key=luck)
 
-    def _pick_in(self, group: Group, tx: Tx, now: int) -> Endpoint | None:
+    def _pick_in(self, group: ZoneSubset, tx: RoutedRequest, now: int) -> Endpoint | None:
         # A copy with nothing out may send one; one for each zone would crowd endpoints. Of a part between
         # whole hops, what is above is open to so many transactions: else surplus has as much of thin limits.
-        limit = group.limit if any(g.in_flight for g in self.groups) else max(1.0, group.limit)
-        if not group.use or (not self.beside and group.in_flight + 1 > tx.part * limit + tx.luck):
+        limit = group.limit if any(g.in_flight for g in self.zone_subsets) else max(1.0, group.limit)
+        if not group.use or (
+            not self.is_per_client and group.in_flight + 1 > tx.open_fraction * limit + tx.random_value
+        ):
             return None
         a = self._draw(group, tx, now, None)
         b = a and self._draw(group, tx, now, a)
@@ -782,27 +877,31 @@
             return a if a.latency <= b.latency else b
         return a if a.in_flight * b.scale < b.in_flight * a.scale else b
 
-    def _draw(self, group: Group, tx: Tx, now: int, but: Endpoint | None) -> Endpoint | None:
+    def _draw(self, group: ZoneSubset, tx: RoutedRequest, now: int, but: Endpoint | None) -> Endpoint | None:
         """One of those open to the transaction, at random: by a few draws; if none meets, the next one on."""
-        among = group.use if tx.anchor is None else group.all  # a repeat may be bound to a few of them
+        among = (
+            group.use if tx.fixed_endpoint is None else group.all
+        )  # a repeat may be bound to a few of them
         n, at = len(among), 0
-        for k in range(DRAWS + (n if tx.anchor else min(n, DRAWS**2))):  # repeats, a few, may be bound
-            at = self.chance.below(n) if k < DRAWS else (at + 1) % n
+        for k in range(
+            DRAWS + (n if tx.fixed_endpoint else min(n, DRAWS**2))
+        ):  # repeats, a few, may be bound
+            at = self.rng.below(n) if k < DRAWS else (at + 1) % n
             e = among[at]
             if e is not but and self._open(e, group, tx, now):
                 return e
         return None
 
-    def _open(self, e: Endpoint, group: Group, tx: Tx, now: int) -> bool:
-        if e in tx.hops or now < e.dead_us:
+    def _open(self, e: Endpoint, group: ZoneSubset, tx: RoutedRequest, now: int) -> bool:
+        if e in tx.attempts or now < e.unavailable_until_us:
             return False
-        if not self.beside and e.in_flight >= max(1.0, e.limit * tx.part):
+        if not self.is_per_client and e.in_flight >= max(1.0, e.limit * tx.open_fraction):
             return False
-        if tx.anchor is not None and not self.repeat_rule.may_go_to(tx, e):
+        if tx.fixed_endpoint is not None and not self.retry_policy.may_use_endpoint(tx, e):
             return False
         # Only in the part in use. Guards against repeats of all copies where a part of them is to bear them.
-        return not self.cold_rule.cold(e, now) or (
-            e.inside and self.cold_rule.credit(e, now, group, e.zone == self.order[0])
+        return not self.slow_start.is_warming_up(e, now) or (
+            e.is_in_subset and self.slow_start.credit(e, now, group, e.zone == self.order[0])
         )
 
     # What is learned
@@ -811,64 +910,73 @@
         """Guards against hops at what is silent or choked telling so only when they end, seconds later."""
         for tx, hop in [key for key, due in self.due_us.items() if due <= now]:
             del self.due_us[tx, hop]
-            e = tx.hops[hop]
-            if e.on:
-                was, e.heard_us = e.succeeds(now), now
-                e.good -= e.good / OUT_MEMORY
-                self.groups[e.zone].weigh(1.0)
-                if was is not e.succeeds(now):
-                    self.groups[e.zone].choose(now)
-
-    def _judge(self, e: Endpoint, tx: Tx, now: int, how: Outcome, latency_us: int, told: bool) -> None:
-        if how in SILENT:
+            e = tx.attempts[hop]
+            if e.accepts_requests:
+                was, e.last_outcome_us = e.is_available(now), now
+                e.success_rate -= e.success_rate / OUT_MEMORY
+                self.zone_subsets[e.zone].weigh(1.0)
+                if was is not e.is_available(now):
+                    self.zone_subsets[e.zone].choose(now)
+
+    def _judge(
+        self, e: Endpoint, tx: RoutedRequest, now: int, how: Outcome, latency_us: int, told: bool
+    ) -> None:
+        if how in UNINFORMATIVE_OUTCOMES:
             return
-        e.missed = max(0, min(LOST, e.missed + 2 * (how is Outcome.UNREACHED) - (how is Outcome.COMMITTED)))
-        group = self.groups[e.zone]
-        was, e.heard_us = e.succeeds(now), now
-        took = latency_us / tx.profile.service_goal_us
+        e.connect_failures = max(
+            0,
+            min(LOST, e.connect_failures + 2 * (how is Outcome.CONNECT_FAILED) - (how is Outcome.SUCCEEDED)),
+        )
+        group = self.zone_subsets[e.zone]
+        was, e.last_outcome_us = e.is_available(now), now
+        took = latency_us / tx.request_class.latency_objective_us
         # Guards against an endpoint that hangs, is full and so answers at once: it has nothing in flight.
-        failed = how is not Outcome.COMMITTED and (self.beside or how is not Outcome.TURNED_AWAY)
+        failed = how is not Outcome.SUCCEEDED and (
+            self.is_per_client or how is not Outcome.REJECTED_BY_ENDPOINT
+        )
         if not (failed and told):
-            e.good += ((0.0 if failed else 1.0) - e.good) / (OUT_MEMORY if self.beside else MEMORY)
-        if self.beside and how is Outcome.UNREACHED:  # down, or its table of connections is full
-            e.dead_us = now + LEFT_OUT_US
+            e.success_rate += ((0.0 if failed else 1.0) - e.success_rate) / (
+                OUT_MEMORY if self.is_per_client else MEMORY
+            )
+        if self.is_per_client and how is Outcome.CONNECT_FAILED:  # down, or its table of connections is full
+            e.unavailable_until_us = now + LEFT_OUT_US
         # An error of a tier that calls on: guards against first tries that pour on into what chokes below.
         below = how is Outcome.ERROR and not self.last_tier
         # No crowding holds a hop that later ones have overtaken. Guards against limits that shrink to nothing
         # where answers get lost now and then.
         lost = how is Outcome.TIMED_OUT and e.prompt_us > now - latency_us
-        crowded = (took > self.late and not lost) or how is Outcome.TURNED_AWAY or below
-        if how is Outcome.COMMITTED:
-            self.cold_rule.carry(now, group)
+        crowded = (took > self.late and not lost) or how is Outcome.REJECTED_BY_ENDPOINT or below
+        if how is Outcome.SUCCEEDED:
+            self.slow_start.carry(now, group)
             self._learn_usual(now, took)
             e.latency += (took - e.latency) / MEMORY if e.latency else took
             if not crowded:
                 e.prompt_us = max(e.prompt_us, now - latency_us)
-        if not e.on:
+        if not e.accepts_requests:
             return  # Guards against a hop that ends after its endpoint, or its whole zone, has left the list.
-        if was is not e.succeeds(now):
+        if was is not e.is_available(now):
             group.choose(now)
-        if self.beside:
-            if not told and (crowded or how is Outcome.COMMITTED):
-                group.weigh(took if how is Outcome.COMMITTED else max(1.0, took))
+        if self.is_per_client:
+            if not told and (crowded or how is Outcome.SUCCEEDED):
+                group.weigh(took if how is Outcome.SUCCEEDED else max(1.0, took))
         elif crowded:
             if how is Outcome.TIMED_OUT or now - latency_us >= e.cut_us:
                 e.cut_us = now  # hops that were out together count once, but each time-out counts
                 # An error among good answers cuts less. Guards against limits that a few spoilt answers cut.
-                self._scale_limit(group, e, CUT_SHARE ** (min(1.0, 2 - 2 * e.good) if below else 1.0))
-        elif how is Outcome.COMMITTED and 2 * (group.in_flight + 1) >= group.limit:
+                self._scale_limit(group, e, CUT_SHARE ** (min(1.0, 2 - 2 * e.success_rate) if below else 1.0))
+        elif how is Outcome.SUCCEEDED and 2 * (group.in_flight + 1) >= group.limit:
             # By one over all copies. Guards against many at the door that grow at once while a late hop cuts
             # for one alone, and against tiers behind it that outgrow what a choked fleet recovers from.
-            growth = DOOR_COPIES / group.sharers if self.at_door else INNER_GROWTH
+            growth = DOOR_COPIES / group.sharers if self.is_ingress else INNER_GROWTH
             self._scale_limit(group, e, 1 + growth / group.sharers / e.limit**2)
 
-    def _scale_limit(self, group: Group, e: Endpoint, by: float) -> None:
+    def _scale_limit(self, group: ZoneSubset, e: Endpoint, by: float) -> None:
         """What a hop tells of its endpoint it tells of all in use, as far as this copy's limit there is under
         one hop. Guards against views so thin that limits stay where they began."""
         # Behind the door a transaction turned away wastes the work above, so limits stay loose there.
-        floor = (1.0 if self.at_door else FIRST_LIMIT) / group.sharers
+        floor = (1.0 if self.is_ingress else FIRST_LIMIT) / group.sharers
         shared = max(0.0, 1 - e.limit)
-        for other in group.use if shared and e.inside else [e]:
+        for other in group.use if shared and e.is_in_subset else [e]:
             limit = max(floor, other.limit * (by if other is e else 1 + (by - 1) * shared))
             group.shift(other, limit - other.limit, 0)
             other.limit = limit
@@ -895,7 +1003,9 @@
         means = []
         for zone in self.order:
             heard = [
-                e.latency for e in self.groups[zone].all if e.latency and now - e.heard_us <= BUDGET_WINDOW_US
+                e.latency
+                for e in self.zone_subsets[zone].all
+                if e.latency and now - e.last_outcome_us <= BUDGET_WINDOW_US
             ]
             means.append(sum(heard) / len(heard) if heard else 0.0)
         best, self.next_zone = min(
@@ -906,22 +1016,22 @@
         elif not best or means[0] < best * SPILL_BELOW:
             self.spill = max(0.0, self.spill - SPILL_STEP)
 
-    def _wait_ahead(self, tx: Tx) -> float:
-        ahead = bisect_right(self.line, -tx.part, key=lambda t: -t.part)
-        return ahead * self.cold_rule.warm_within_us / max(1.0, self.cold_rule.carried)
+    def _wait_ahead(self, tx: RoutedRequest) -> float:
+        ahead = bisect_right(self.queue, -tx.open_fraction, key=lambda t: -t.open_fraction)
+        return ahead * self.slow_start.warm_within_us / max(1.0, self.slow_start.carried)
 
     def _serve_line(self, now: int) -> list[Decision]:
         decided: list[Decision] = []
         # Guards against one at the head hiding others whose time is up: a client's last try may be short.
-        if self.line and now >= self.line_due_us:
-            late = [tx for tx in self.line if tx.leave_us <= now]
-            self.line = [tx for tx in self.line if tx.leave_us > now]
-            self.line_due_us = min((tx.leave_us for tx in self.line), default=now)
-            decided = [d for tx in late if not tx.closed for d in self._give_up(tx)]
-        while self.line:
-            tx, e = self.line[0], None
-            if not tx.closed and (e := self._pick(tx, now)) is None:
+        if self.queue and now >= self.line_due_us:
+            late = [tx for tx in self.queue if tx.queue_until_us <= now]
+            self.queue = [tx for tx in self.queue if tx.queue_until_us > now]
+            self.line_due_us = min((tx.queue_until_us for tx in self.queue), default=now)
+            decided = [d for tx in late if not tx.is_finished for d in self._give_up(tx)]
+        while self.queue:
+            tx, e = self.queue[0], None
+            if not tx.is_finished and (e := self._pick(tx, now)) is None:
                 break
-            self.line.pop(0)
+            self.queue.pop(0)
             decided += [self._hop(tx, e, now)] if e else []
         return decided
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from cressrail.discovery.endpoint_list import News, Row
-from cressrail.policy.load_balancer import Entry
+from cressrail.policy.load_balancer import EndpointUpdate
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
         self.addresses: dict[int, Address] = {}
         self.numbers = 0
 
-    def heard(self, news: News) -> tuple[list[Entry], list[int], list[int]]:
+    def heard(self, news: News) -> tuple[list[EndpointUpdate], list[int], list[int]]:
         """The entries for the module, the connections to addresses that are no longer used, and those who
         have left."""
         entries, stale, left = [], [], []
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -18,7 +18,15 @@
 from cressrail.http1.figures import span_us
 from cressrail.http1.request import Request
 from cressrail.policy import load_balancer as brain
-from cressrail.policy.load_balancer import NON_IDEMPOTENT, Chance, Decision, Outcome, Profile, Sidecar, Tx
+from cressrail.policy.load_balancer import (
+    NON_IDEMPOTENT,
+    RandomGenerator,
+    Decision,
+    Outcome,
+    RequestClass,
+    LoadBalancer,
+    RoutedRequest,
+)
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from cressrail.proxy.commands import Effect
@@ -52,7 +60,7 @@
 class Client:
     keep: bool = True
     surplus: bool = False  # beyond the room for clients: answered, not carried
-    tx: Tx | None = None
+    tx: RoutedRequest | None = None
 
 
 @dataclass(slots=True)
@@ -71,7 +79,7 @@
 
 @dataclass(slots=True)
 class Hop:
-    tx: Tx
+    tx: RoutedRequest
     number: int
     endpoint: int
     link: int
@@ -99,12 +107,12 @@
 class Reducer:
     def __init__(
         self,
-        sidecar: Sidecar,
-        profiles: dict[str, Profile],
+        sidecar: LoadBalancer,
+        profiles: dict[str, RequestClass],
         members: dict[str, int],
         roster: Roster,
         room: Room,
-        chance: Chance,
+        chance: RandomGenerator,
         now: int,
         longest_us: int,
         discovery: tuple[str, int],
@@ -122,7 +130,7 @@
         self.clients: dict[int, Client] = {}
         self.idle_clients: dict[int, None] = {}  # the longest idle first
         self.fresh_clients: dict[int, int] = {}  # new, or amid sending a request, and since when
-        self.txs: dict[Tx, Held] = {}
+        self.txs: dict[RoutedRequest, Held] = {}
         self.open_ids: dict[str, int] = {}  # of the requests that wait for an answer, and whose they are
         self.hops: dict[int, Hop] = {}
         self.links: dict[int, Link] = {}
@@ -156,7 +164,7 @@
     def start(self, now: int, known: News, elder: bool = False) -> list[Effect]:
         self.revision, self.elder = known.revision, elder
         entries, _, _ = self.roster.heard(known)
-        self.sidecar.hear_list(now, entries, full=True, answer=False)
+        self.sidecar.update_endpoints(now, entries, full=True, answer=False)
         return self._out(now, [self._watch(now)])
 
     def news(self, now: int, news: News) -> list[Effect]:
@@ -175,7 +183,7 @@
         self.revision = news.revision
         entries, stale, gone = self.roster.heard(news)
         if entries or news.full or first:
-            self.sidecar.hear_list(now, entries, full=news.full)
+            self.sidecar.update_endpoints(now, entries, full=news.full)
             out.append(
                 do.Note("list", {"revision": news.revision, "full": news.full, "entries": len(entries)})
             )
@@ -185,7 +193,7 @@
         return self._out(now, out)
 
     def watch_ended(self, now: int, why: str) -> list[Effect]:
-        self.sidecar.list_failed(now)
+        self.sidecar.on_list_failed(now)
         pause = min(
             AGAIN_US << min(self.watch_fails, AGAIN_DOUBLINGS), max(AGAIN_US, self.grace_us // AGAIN_PART)
         )
@@ -199,7 +207,7 @@
 
     def copies(self, now: int, all_: float, near: float) -> list[Effect]:
         """So many sidecars of this kind are up, and so many of them in the own zone."""
-        self.sidecar.hear_copies(now, all_, near)
+        self.sidecar.update_instance_count(now, all_, near)
         return self._out(now, [])
 
     def count_zones(self, now: int, towards: Towards | None) -> list[Effect]:
@@ -210,13 +218,13 @@
 
     def shares(self, now: int, shares: tuple[float, ...], part: float) -> list[Effect]:
         """What part of the own zone's traffic goes to which zone, decided in common."""
-        self.sidecar.hear_shares(shares, part)
+        self.sidecar.apply_zone_weights(shares, part)
         return self._out(now, [])
 
     def heed(self, now: int, failing: list[int], cold: dict[int, tuple[float, float]]) -> list[Effect]:
         """What the other sidecars say of endpoints, by their indices here."""
-        self.sidecar.hear_work(cold)
-        self.sidecar.hear_failing(now, failing)
+        self.sidecar.apply_peer_warmup_load(cold)
+        self.sidecar.apply_peer_ejections(now, failing)
         return self._out(now, [])
 
     def discovery_moved(self, now: int, discovery: tuple[str, int]) -> list[Effect]:
@@ -272,22 +280,22 @@
         name = request.get(b"req-id")
         if profile is None or not name:
             return self._reply(now, client, 400, request.body, counted)
-        limit_us = span_us(span) if span is not None else profile.hard_limit_us
+        limit_us = span_us(span) if span is not None else profile.deadline_us
         elsewhere = self.foreign_ids.get(name, 0) > now
         if limit_us is None or name in self.open_ids or elsewhere:  # an id is of one request only
             return self._reply(now, client, 400, request.body, counted)
-        limit_us = min(limit_us, profile.hard_limit_us, self._answer_all_us() - now)
+        limit_us = min(limit_us, profile.deadline_us, self._answer_all_us() - now)
         if held.surplus:
             return [
                 do.Note("no_room", {"side": "clients", "open": len(self.clients)}),
                 *self._reply(now, client, 503, request.body, counted),
             ]
-        if profile.kind == brain.JOURNALLED and not request.get(b"idempotency-key"):
+        if profile.idempotency == brain.IDEMPOTENT_WITH_KEY and not request.get(b"idempotency-key"):
             # Guards against a repeat that nothing marks as one.
             profile = replace(profile, kind=NON_IDEMPOTENT)
         member = self.members.get(request.get(b"req-owner") or "", -1)
         left_us = -1 if request.streams else max(0, limit_us - (now - arrived_us))
-        tx = self.sidecar.take(now, profile, member, left_us)
+        tx = self.sidecar.start_request(now, profile, member, left_us)
         held.tx = tx
         self.txs[tx] = Held(client, request, arrived_us=arrived_us, limit_us=limit_us)
         self.open_ids[name] = client
@@ -296,11 +304,11 @@
     def request_whole(self, now: int, client: int, arrived_us: int) -> list[Effect]:
         """The last byte of one that was taken before it was whole, if it still waits for its answer."""
         tx = self.clients[client].tx
-        if tx is None or tx.closed:
+        if tx is None or tx.is_finished:
             return []
         held = self.txs[tx]
         self.clients[client].keep = held.request.keep
-        tx.run(now, max(0, min(held.limit_us, self._answer_all_us() - now) - (now - arrived_us)))
+        tx.start_clock(now, max(0, min(held.limit_us, self._answer_all_us() - now) - (now - arrived_us)))
         return self._out(now, [])
 
     def request_broke(self, now: int, client: int, status: int, why: str) -> list[Effect]:
@@ -309,12 +317,12 @@
         held = self.clients[client]
         tx, held.keep = held.tx, False
         out: list[Effect] = [do.Note("junk", {"from": "client", "what": why})]
-        if tx is None or tx.closed:  # it has its answer already
+        if tx is None or tx.is_finished:  # it has its answer already
             return self._out(now, out)
         kind = self.txs[tx].request.get(b"req-kind")
         self._shut_id(tx)
         held.tx = None
-        out += self._decided(now, tx.vanished())
+        out += self._decided(now, tx.on_client_disconnected())
         out += self._release(tx)
         return [*out, *self._reply(now, client, status, None, kind)]
 
@@ -347,9 +355,9 @@
         tx, held.tx = held.tx, None
         return self._out(now, self._vanished(now, tx) if tx is not None else [])
 
-    def _vanished(self, now: int, tx: Tx) -> list[Effect]:
+    def _vanished(self, now: int, tx: RoutedRequest) -> list[Effect]:
         self._shut_id(tx)
-        out = self._decided(now, tx.vanished())
+        out = self._decided(now, tx.on_client_disconnected())
         if (hop := self.txs[tx].passed) and self.sidecar.may_cancel:
             out.append(do.CallOff(self.hops[hop].link, hop))
         return out + self._release(tx)
@@ -358,12 +366,12 @@
 
     def due_us(self, hop: int) -> int:
         """Until when a hop is waited for, once its request has come whole."""
-        return self.hops[hop].tx.end_us
+        return self.hops[hop].tx.deadline_us
 
     def asker(self, now: int, hop: int) -> int:
         """The client that a hop is for, if it has waited for some time, and may have left in it; 0 if not."""
         tx = self.hops[hop].tx
-        waited = not tx.closed and now - self.txs[tx].arrived_us >= LOOK_US
+        waited = not tx.is_finished and now - self.txs[tx].arrived_us >= LOOK_US
         return self.txs[tx].client if waited else 0
 
     def unsent(self, now: int, hop: int) -> tuple[Outcome, str] | None:
@@ -371,16 +379,22 @@
         nothing if it may be written. While it waited, as for a connection, much may have crossed it."""
         held = self.hops[hop]
         at, link = self.roster.addresses[held.endpoint], self.links[held.link]
-        if held.tx.closed:  # answered, or its client has left: also where what runs may not be called off
-            return Outcome.CALLED_OFF, "nobody waits for it"
-        if not self.sidecar.endpoints[held.endpoint].on or (at.host, at.port, at.row.started_us) != (
+        if (
+            held.tx.is_finished
+        ):  # answered, or its client has left: also where what runs may not be called off
+            return Outcome.CANCELLED, "nobody waits for it"
+        if not self.sidecar.endpoints[held.endpoint].accepts_requests or (
+            at.host,
+            at.port,
+            at.row.started_us,
+        ) != (
             link.host,
             link.port,
             link.started_us,
         ):
-            return Outcome.TURNED_AWAY, "drains, has left or was started anew"
+            return Outcome.REJECTED_BY_ENDPOINT, "drains, has left or was started anew"
         if not held.tx.may_send(held.number, now):
-            return Outcome.NEVER_SENT, "out of its group or its window by now"
+            return Outcome.NOT_SENT, "out of its group or its window by now"
         return None
 
     def hop_written(self, now: int, hop: int) -> None:
@@ -394,7 +408,7 @@
         """An answer too large to keep has begun. From here on it is the client's; there is no other."""
         held = self.hops[hop]
         tx = held.tx
-        if tx.closed:
+        if tx.is_finished:
             return [do.CallOff(held.link, hop)]
         of = self.txs[tx]
         of.passed = hop
@@ -403,7 +417,7 @@
             client.keep = False  # its end is told by the end of the connection alone
         # To the module it has ended: the endpoint's work is done. Guards against places that slow readers
         # hold while endpoints have nothing to do.
-        decided = tx.ended(held.number, now, Outcome.COMMITTED, now - held.sent_us, True)
+        decided = tx.on_attempt_finished(held.number, now, Outcome.SUCCEEDED, now - held.sent_us, True)
         return self._out(
             now,
             [
@@ -430,17 +444,17 @@
         out: list[Effect] = self._died(now, self.links[ended.link]) if refused else []
         if keep:
             out += self._rest(now, ended.link)
-        complete = how is Outcome.COMMITTED and not tx.closed
-        tx.spent = tx.spent or held.request.spent
+        complete = how is Outcome.SUCCEEDED and not tx.is_finished
+        tx.is_body_gone = tx.is_body_gone or held.request.spent
         if held.passed == hop:  # to its end or not: there is no other answer
             held.passed = 0
             if self.open_ids.get(held.request.get(b"req-id") or "") == held.client:
-                self._finish(tx, 200 if how is Outcome.COMMITTED else 502)
+                self._finish(tx, 200 if how is Outcome.SUCCEEDED else 502)
         if complete and body is not None:
             out += self._answer(tx, Answer(200, body, kind))
         elif body is not None:
             out.append(do.GiveBack(body))
-        if how is not Outcome.COMMITTED:
+        if how is not Outcome.SUCCEEDED:
             out.append(
                 do.Note(
                     "hop",
@@ -453,13 +467,15 @@
                     },
                 )
             )
-        held.rejected = how is Outcome.REJECTED
+        held.rejected = how is Outcome.INVALID_REQUEST
         if self.towards is not None:
             took_us = now - ended.sent_us
             # Not what the module's limits go by, which swings about the usual: what endangers the goal.
-            late = body is not None and took_us > brain.LATE_MOST * tx.profile.service_goal_us
-            self.towards.ended(tx.hops[ended.number].zone, how, took_us, late)
-        out += self._decided(now, tx.ended(ended.number, now, how, now - ended.sent_us, complete))
+            late = body is not None and took_us > brain.LATE_MOST * tx.request_class.latency_objective_us
+            self.towards.ended(tx.attempts[ended.number].zone, how, took_us, late)
+        out += self._decided(
+            now, tx.on_attempt_finished(ended.number, now, how, now - ended.sent_us, complete)
+        )
         self._forget(ended.endpoint)
         return self._out(now, [*out, *self._release(tx)])
 
@@ -507,7 +523,9 @@
     def _figures(self, now: int) -> bytes:
         addresses = self.roster.addresses
         listed = sum(not at.row.gone for at in addresses.values())
-        avoided = sum(not addresses[ix].row.gone for ix in self.sidecar.avoids(now) if ix in addresses)
+        avoided = sum(
+            not addresses[ix].row.gone for ix in self.sidecar.unavailable_endpoints(now) if ix in addresses
+        )
         return self.tally.text(len(self.open_ids), listed, avoided)
 
     def _out_of_service(self, now: int) -> list[Effect]:
@@ -562,7 +580,7 @@
             "open": list(self.open_ids),
             "drained": self.drain_us >= 0,
         }
-        self.sidecar.cede(True)
+        self.sidecar.yield_to_successor(True)
         self.heir_us = now
         return told, self._out(
             now, [do.Note("handed_over", {"clients": len(self.clients), "txs": len(self.txs)})]
@@ -573,7 +591,7 @@
         if self.heir_us < 0 or self.stop_us >= 0:
             return []
         self.heir_us = -1
-        self.sidecar.cede(False)
+        self.sidecar.yield_to_successor(False)
         return self._out(now, [do.Note("heir_died", {})])
 
     # Time and the end
@@ -581,11 +599,11 @@
     def woke(self, now: int) -> list[Effect]:
         out: list[Effect] = []
         if now >= self.sidecar.wake_us:
-            out += self._decided(now, self.sidecar.wake(now))
+            out += self._decided(now, self.sidecar.on_timer(now))
         if now >= self._answer_all_us():
             # Guards against transactions that the platform's kill would cut off unanswered.
             for tx in [held.tx for held in self.clients.values() if held.tx is not None]:
-                out += self._decided(now, tx.give_up()) if not self.txs[tx].passed else []
+                out += self._decided(now, tx.finish_now()) if not self.txs[tx].passed else []
         if self.heir_us >= 0 and self.stop_us < 0 and now >= self.heir_us + HEIR_IDLE_US:
             out += [self._shut_idle(client) for client in list(self.idle_clients)]
         if self.stop_us >= 0 and self.door and now >= self._close_us():
@@ -635,8 +653,8 @@
         at = self.roster.addresses.get(link.endpoint)
         if at is None or (at.host, at.port, at.row.started_us) != (link.host, link.port, link.started_us):
             return []
-        known = now < self.sidecar.endpoints[link.endpoint].dead_us
-        self.sidecar.died(now, link.endpoint)
+        known = now < self.sidecar.endpoints[link.endpoint].unavailable_until_us
+        self.sidecar.on_connection_lost(now, link.endpoint)
         return [] if known else [do.Note("died", {"endpoint": at.name})]
 
     def _forget(self, endpoint: int) -> None:
@@ -646,7 +664,7 @@
         # Not by hops in flight, as the module counts them: none of those is one whose request still comes.
         if at is not None and at.row.gone and all(hop.endpoint != endpoint for hop in self.hops.values()):
             self.roster.forget(endpoint)
-            self.sidecar.forget(endpoint)
+            self.sidecar.forget_endpoint(endpoint)
 
     def _close_us(self) -> int:
         if self.heir_us >= 0:  # nobody comes any more
@@ -681,19 +699,19 @@
         out: list[Effect] = [do.GiveBack(body)] if body else []
         return self._out(now, [*out, do.Write(client, Answer(status), self._last(held))])
 
-    def _answer(self, tx: Tx, answer: Answer) -> list[Effect]:
+    def _answer(self, tx: RoutedRequest, answer: Answer) -> list[Effect]:
         self._finish(tx, answer.status)
         client = self.txs[tx].client
         return [do.Write(client, answer, self._last(self.clients[client]))]
 
-    def _finish(self, tx: Tx, status: int) -> None:
+    def _finish(self, tx: RoutedRequest, status: int) -> None:
         """Its answer is final; the one place where a transaction with a client is counted."""
         held = self.txs[tx]
         self.clients[held.client].tx = None
         self.tally.ended(held.request.get(b"req-kind") or "", status)
         self._shut_id(tx)
 
-    def _shut_id(self, tx: Tx) -> None:
+    def _shut_id(self, tx: RoutedRequest) -> None:
         del self.open_ids[self.txs[tx].request.get(b"req-id") or ""]
 
     def _decided(self, now: int, decisions: list[Decision]) -> list[Effect]:
@@ -702,13 +720,13 @@
         while left:
             tx, what, which, us = left.popleft()
             held = self.txs[tx]
-            if what == brain.HOP:
+            if what == brain.ATTEMPT:
                 self.numbers += 1
                 hop, number = self.numbers, held.sent
                 held.sent += 1
                 link, fresh = self._link(now, which, out)
                 if link < 0:  # no descriptor to be had: nothing was sent, and the endpoint is not to blame
-                    left += tx.ended(number, now, Outcome.NEVER_SENT, 0, False)
+                    left += tx.ended(number, now, Outcome.NOT_SENT, 0, False)
                     out.append(do.Note("no_room", {"side": "endpoints", "open": len(self.links)}))
                     continue
                 at = self.roster.addresses[which]
@@ -726,12 +744,12 @@
                         self.links[link].settled_us,
                     )
                 )
-            elif what == brain.CALL_OFF:
+            elif what == brain.CANCEL:
                 hop = held.hops[which]
                 if hop in self.hops:
                     out.append(do.CallOff(self.hops[hop].link, hop))
             else:
-                status = 400 if held.rejected else 503 if what == brain.ROLLED_BACK else 502
+                status = 400 if held.rejected else 503 if what == brain.REJECT else 502
                 out += self._answer(tx, Answer(status, come_back_us=us))
                 out.append(
                     do.Note(
@@ -748,9 +766,9 @@
                 out += self._release(tx)
         return out
 
-    def _release(self, tx: Tx) -> list[Effect]:
+    def _release(self, tx: RoutedRequest) -> list[Effect]:
         """Forgets a transaction that has its answer and no hop out, and gives its request's body back."""
-        if tx not in self.txs or not tx.closed or tx.out or self.txs[tx].passed:
+        if tx not in self.txs or not tx.is_finished or tx.in_flight or self.txs[tx].passed:
             return []
         return [do.GiveBack(self.txs.pop(tx).request.body)]
 
--- a/cressrail/proxy/zone_statistics.py
+++ b/cressrail/proxy/zone_statistics.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from cressrail.policy.load_balancer import SILENT, Outcome
+from cressrail.policy.load_balancer import UNINFORMATIVE_OUTCOMES, Outcome
 
 
 class Ended(NamedTuple):
@@ -27,11 +27,11 @@
         self.zones: dict[int, Ended] = {}
 
     def ended(self, zone: int, how: Outcome, took_us: int, late: bool) -> None:
-        if how in SILENT:
+        if how in UNINFORMATIVE_OUTCOMES:
             return
         was = self.zones.get(zone, Ended())
-        unreached, done = how is Outcome.UNREACHED, how is Outcome.COMMITTED
-        away = how is Outcome.TURNED_AWAY
+        unreached, done = how is Outcome.CONNECT_FAILED, how is Outcome.SUCCEEDED
+        away = how is Outcome.REJECTED_BY_ENDPOINT
         self.zones[zone] = Ended(
             was.hops + 1,
             was.unreached + unreached,
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -15,40 +15,40 @@
 from cressrail.http1.answer import Answer
 from cressrail.network.client_connection import ClientTask
 from cressrail.policy import load_balancer as brain
-from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, Tx
+from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
 from cressrail.proxy.commands import Write
 from cressrail.proxy.endpoint_registry import Roster
 
 
-class Baseline(brain.Sidecar):
+class Baseline(brain.LoadBalancer):
     """No limits, no line, no zones first, no cold part. What it keeps are the four rules' hard bounds on
     repeats."""
 
     again = False  # retries whatever may be, with no budget and whoever owns the error
 
-    def route(self, tx: Tx, now: int) -> list[Decision]:
+    def route(self, tx: RoutedRequest, now: int) -> list[Decision]:
         e = self.choose(tx)
-        if tx.end_us <= now or e is None:
+        if tx.deadline_us <= now or e is None:
             return self._give_up(tx)
         return [self._hop(tx, e, now)]
 
-    def _after(self, tx: Tx, e: Endpoint, now: int, how: Outcome) -> list[Decision]:
-        if self.again and now < tx.end_us and self.repeat_rule.may_hop(tx, now):
+    def _after(self, tx: RoutedRequest, e: Endpoint, now: int, how: Outcome) -> list[Decision]:
+        if self.again and now < tx.deadline_us and self.retry_policy.may_retry(tx, now):
             other = self.choose(tx)
             if other is not None:
                 return [self._hop(tx, other, now)]
         return self._give_up(tx)
 
-    def choose(self, tx: Tx) -> Endpoint | None:
+    def choose(self, tx: RoutedRequest) -> Endpoint | None:
         among = [
             e
             for e in self.endpoints.values()
-            if e.on and (not tx.anchor or self.repeat_rule.may_go_to(tx, e))
+            if e.accepts_requests and (not tx.fixed_endpoint or self.retry_policy.may_use_endpoint(tx, e))
         ]
         return self.among(among) if among else None
 
     def among(self, open_: list[Endpoint]) -> Endpoint:
-        return open_[self.chance.below(len(open_))]
+        return open_[self.rng.below(len(open_))]
 
 
 class RoundRobin(Baseline):
@@ -61,7 +61,7 @@
 
 class LeastInFlight(Baseline):
     def among(self, open_: list[Endpoint]) -> Endpoint:
-        return min(open_, key=lambda e: (e.in_flight, self.chance.below(1 << 16)))
+        return min(open_, key=lambda e: (e.in_flight, self.rng.below(1 << 16)))
 
 
 class RetryAlways(Baseline):
@@ -104,11 +104,11 @@
 
 def repeats() -> None:
     """Rule 2: what may have run goes out again, whatever its profile."""
-    brain.RepeatRule.may_hop = lambda self, tx, now: len(tx.hops) < self.most_hops  # type: ignore[method-assign]
-    brain.RepeatRule.may_run_again = lambda self, tx, now: True  # type: ignore[method-assign]
-    brain.RepeatRule.may_go_to = lambda self, tx, e: True  # type: ignore[method-assign]
+    brain.RetryPolicy.may_retry = lambda self, tx, now: len(tx.attempts) < self.max_attempts  # type: ignore[method-assign]
+    brain.RetryPolicy.may_run_again = lambda self, tx, now: True  # type: ignore[method-assign]
+    brain.RetryPolicy.may_use_endpoint = lambda self, tx, e: True  # type: ignore[method-assign]
     brain.RetryBudget.spend = lambda self, now: True  # type: ignore[method-assign]
-    brain.Sidecar._claimed = lambda self, e, now, how: True  # type: ignore[method-assign]
+    brain.LoadBalancer._claimed = lambda self, e, now, how: True  # type: ignore[method-assign]
 
 
 def deaf() -> None:
@@ -126,7 +126,7 @@
 
 def rushes() -> None:
     """Rule 4: a cold endpoint is the one that everything goes to."""
-    brain.ColdRule.cold = lambda self, e, now: False  # type: ignore[method-assign]
+    brain.SlowStart.is_warming_up = lambda self, e, now: False  # type: ignore[method-assign]
 
     class Rush(LeastInFlight):
         def among(self, open_: list[Endpoint]) -> Endpoint:
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -11,14 +11,14 @@
 Message = tuple[int, str, Fields]  # line number, name, fields
 
 ENDINGS = {
-    "200": Outcome.COMMITTED,
+    "200": Outcome.SUCCEEDED,
     "500": Outcome.ERROR,
-    "503": Outcome.TURNED_AWAY,
+    "503": Outcome.REJECTED_BY_ENDPOINT,
     "504": Outcome.TIMED_OUT,
-    "502": Outcome.UNREACHED,
-    "598": Outcome.DROPPED,
-    "499": Outcome.CALLED_OFF,
-    "410": Outcome.NEVER_SENT,
+    "502": Outcome.CONNECT_FAILED,
+    "598": Outcome.CONNECTION_RESET,
+    "499": Outcome.CANCELLED,
+    "410": Outcome.NOT_SENT,
 }
 
 
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -31,8 +31,8 @@
         self.sidecar = parts.sidecar(told, seed, now, list(self.zones), list(members.values()))
         self.addresses: list[str] = []
         self.indices: dict[str, int] = {}
-        self.txs: dict[str, brain.Tx] = {}
-        self.ids: dict[brain.Tx, str] = {}
+        self.txs: dict[str, brain.RoutedRequest] = {}
+        self.ids: dict[brain.RoutedRequest, str] = {}
         self.alarm_us = -1
 
     def index(self, address: str) -> int:
@@ -48,14 +48,14 @@
             raise Unreadable(line, f"type is no known profile: '{kind[:40]}'")
         member = self.members.get(fields.get("team", ""), -1)
         remaining_us = codec.number(line, fields, "remaining_us")
-        tx = self.sidecar.take(now, self.profiles[kind], member, remaining_us)
+        tx = self.sidecar.start_request(now, self.profiles[kind], member, remaining_us)
         self.txs[xid] = tx
         self.ids[tx] = xid
         return tx.route(now)
 
     def under_way(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
         held = self.txs.get(codec.text(line, fields, "xid"))
-        return held.under_way(codec.number(line, fields, "n")) if held else []
+        return held.on_response_started(codec.number(line, fields, "n")) if held else []
 
     def verdict(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
         xid, hop = codec.text(line, fields, "xid"), codec.number(line, fields, "n")
@@ -65,20 +65,20 @@
         held = self.txs.get(xid)
         if held is None:
             return []
-        return held.ended(hop, now, how, latency_us, complete)
+        return held.on_attempt_finished(hop, now, how, latency_us, complete)
 
     def vanished(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
         xid = codec.text(line, fields, "xid")
         held = self.txs.get(xid)
         if held is None:
             return []
-        return held.vanished()
+        return held.on_client_disconnected()
 
     def directory(self, line: int, fields: Fields, now: int, book: Book) -> list[brain.Decision]:
         form = codec.text(line, fields, "form")
         codec.number(line, fields, "epoch", absent=0)
         if form == "X":
-            self.sidecar.list_failed(now)
+            self.sidecar.on_list_failed(now)
             return []
         if form not in ("D", "F", "C"):
             raise Unreadable(line, f"form is none of D, F, C, X: '{form[:40]}'")
@@ -91,7 +91,7 @@
             if ix is not None:  # one that is gone before it was ever named says nothing
                 zone_ix = self.zones.setdefault(zone, len(self.zones))
                 entries.append((ix, zone_ix, cell, scale, on, started_us, place))
-        self.sidecar.hear_list(now, entries, full=form != "D", answer=form != "C")
+        self.sidecar.update_endpoints(now, entries, full=form != "D", answer=form != "C")
         return []
 
     def alarm(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
@@ -99,7 +99,7 @@
         if cookie != str(self.alarm_us):
             return []  # an earlier wake-up has taken its place
         self.alarm_us = -1
-        return self.sidecar.wake(now)
+        return self.sidecar.on_timer(now)
 
     def health(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
         codec.text(line, fields, "endpoint")
@@ -116,23 +116,23 @@
         out = []
         for tx, what, which, us in decided:
             at = f"i={self.name} xid={self.ids[tx]}"
-            if what == brain.HOP:
+            if what == brain.ATTEMPT:
                 out.append(f"ISSUE {at} timeout_us={us} endpoint={self.addresses[which]}")
-            elif what == brain.CALL_OFF:
+            elif what == brain.CANCEL:
                 out.append(f"ABANDON {at} n={which}")
-            elif what == brain.ROLLED_BACK:
+            elif what == brain.REJECT:
                 out.append(f"NOT_NOW {at}" + (f" come_back_us={us}" if us else ""))
             else:
                 out.append(f"REPORT_FAILURE {at}")
         for tx, what, *_ in decided:
-            if what not in (brain.HOP, brain.CALL_OFF):
+            if what not in (brain.ATTEMPT, brain.CANCEL):
                 self.release(self.ids.get(tx))
         return out
 
     def timers(self, now: int) -> list[str]:
         """One chain of timers: a new one only where the module wants to be woken earlier."""
         out = []
-        if self.sidecar.asking.due(now):
+        if self.sidecar.list_poller.is_due(now):
             out.append(f"LISTEN i={self.name} active=1")
         wake_us = max(now + 1, self.sidecar.wake_us)
         if self.alarm_us < 0 or wake_us < self.alarm_us:
@@ -143,7 +143,7 @@
     def release(self, xid: str | None) -> None:
         """Forgets a transaction that has its answer and no hop out."""
         tx = self.txs.get(xid) if xid else None
-        if xid and tx and tx.closed and not tx.out:
+        if xid and tx and tx.is_finished and not tx.in_flight:
             del self.txs[xid], self.ids[tx]
 
 
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -18,7 +18,7 @@
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
 from cressrail.handover.state import gather, listed, settle
 from cressrail.network.handover_client import seek
-from cressrail.policy.load_balancer import HOP, Entry, Outcome, Sidecar
+from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, Outcome, LoadBalancer
 from tests.golden.neutral import stored
 from tests.helpers import CONFIG, SECOND, member, mesh
 
@@ -29,43 +29,43 @@
 UNTIL = 20 * SECOND
 
 
-def fleet() -> list[Entry]:
+def fleet() -> list[EndpointUpdate]:
     starts = (0, 0, 3 * SECOND, 0, 0, 9 * SECOND)
     return [(ix, ix % 2, ix // 3, (1.0, 1.5)[ix == 1], ix != 3, starts[ix], 1000 - 7 * ix) for ix in range(6)]
 
 
-def sidecar(shape: str, now: int) -> Sidecar:
+def sidecar(shape: str, now: int) -> LoadBalancer:
     told = Told.nested(CONFIGS[shape]["settings"])
     side = parts.sidecar(told, 5, 0, ["a", "b"], list(parts.members(told).values()))
-    side.hear_list(now, fleet(), True)
+    side.update_endpoints(now, fleet(), True)
     return side
 
 
-def work(side: Sidecar, shape: str, since: int, until: int) -> None:
+def work(side: LoadBalancer, shape: str, since: int, until: int) -> None:
     """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
     random = Random(since)
     profiles = list(parts.profiles(Told.nested(CONFIGS[shape]["settings"])).values())
-    endings = [Outcome.COMMITTED] * 16 + list(Outcome)
+    endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
-        tx = side.take(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
-        hops = sum(what == HOP for _, what, *_ in tx.route(now))
+        tx = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
+        hops = sum(what == ATTEMPT for _, what, *_ in tx.route(now))
         done, at = 0, now
         while done < hops:
             how, took = random.choice(endings), random.randrange(20_000, 500_000)
             at += took // 8
             hops += sum(
-                of is tx and what == HOP
-                for of, what, *_ in tx.ended(done, at, how, took, how is Outcome.COMMITTED)
+                of is tx and what == ATTEMPT
+                for of, what, *_ in tx.on_attempt_finished(done, at, how, took, how is Outcome.SUCCEEDED)
             )
             done += 1
         if side.wake_us <= now:
-            side.wake(now)
+            side.on_timer(now)
 
 
 def estate(shape: str) -> dict[str, Any]:
     side = sidecar(shape, 10 * SECOND)
     work(side, shape, 10 * SECOND, UNTIL)
-    side.died(UNTIL, 0)
+    side.on_connection_lost(UNTIL, 0)
     return gather(side, NAMES)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,35 +17,35 @@
 from cressrail.network.server import assemble
 from cressrail.policy.load_balancer import (
     ALL,
-    Asking,
-    Chance,
-    ColdRule,
-    Entry,
+    EndpointListPoller,
+    RandomGenerator,
+    SlowStart,
+    EndpointUpdate,
     Outcome,
-    Profile,
-    RepeatRule,
-    Shares,
-    Sidecar,
+    RequestClass,
+    RetryPolicy,
+    TenantQuotas,
+    LoadBalancer,
 )
 
 SECOND = 1_000_000
 
 
-def profile(kind: str = "idempotent", group: str = ALL, earns: float = 1.0) -> Profile:
-    return Profile(kind, group, 5 * SECOND, SECOND, 4 * SECOND, earns)
+def profile(kind: str = "idempotent", group: str = ALL, earns: float = 1.0) -> RequestClass:
+    return RequestClass(kind, group, 5 * SECOND, SECOND, 4 * SECOND, earns)
 
 
-def entry(ix: int, zone: int = 0, cell: int = 0, on: bool = True, started_us: int = 0) -> Entry:
+def entry(ix: int, zone: int = 0, cell: int = 0, on: bool = True, started_us: int = 0) -> EndpointUpdate:
     return (ix, zone, cell, 1.0, on, started_us, ix)
 
 
-def cold_rule(even: float = 0.0, now: int = 0) -> ColdRule:
+def cold_rule(even: float = 0.0, now: int = 0) -> SlowStart:
     """A fifth of capacity at first, warm within 10 s, falls at four times what it can do for 2 s."""
-    return ColdRule(0.2, 10 * SECOND, now, even, 4.0, 2 * SECOND)
+    return SlowStart(0.2, 10 * SECOND, now, even, 4.0, 2 * SECOND)
 
 
-def sidecar(fleet: list[Entry], **parts: Any) -> Sidecar:
-    chance = Chance(7)
+def sidecar(fleet: list[EndpointUpdate], **parts: Any) -> LoadBalancer:
+    chance = RandomGenerator(7)
     told: dict[str, Any] = dict(
         chance=chance,
         zone=0,
@@ -56,26 +56,26 @@
         round_us=5000,
         come_back_us=0,
         may_cancel=True,
-        asking=Asking(False, 0, chance),
-        repeat_rule=RepeatRule(3, False),
+        asking=EndpointListPoller(False, 0, chance),
+        repeat_rule=RetryPolicy(3, False),
         cold_rule=cold_rule(),
-        shares=Shares([], 1, 0.1),
+        shares=TenantQuotas([], 1, 0.1),
         copies=1,
         number=0,
         now=0,
     )
-    side = Sidecar(**{**told, **parts})
-    side.hear_list(0, fleet, True)
+    side = LoadBalancer(**{**told, **parts})
+    side.update_endpoints(0, fleet, True)
     return side
 
 
-def warm_up(side: Sidecar, n: int = 100, now: int = 0) -> None:
+def warm_up(side: LoadBalancer, n: int = 100, now: int = 0) -> None:
     """So many transactions taken and answered at once, for the budget and the averages to go by."""
     for _ in range(n):
-        tx = side.take(now, profile(), -1, 4 * SECOND)
+        tx = side.start_request(now, profile(), -1, 4 * SECOND)
         for _, what, *_ in tx.route(now):
             if what == "hop":
-                tx.ended(0, now, Outcome.COMMITTED, SECOND // 10, True)
+                tx.on_attempt_finished(0, now, Outcome.SUCCEEDED, SECOND // 10, True)
 
 
 # For the real sidecar
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cressrail.policy.load_balancer import ColdRule, Entry, Outcome, Shares, Sidecar
+from cressrail.policy.load_balancer import SlowStart, EndpointUpdate, Outcome, TenantQuotas, LoadBalancer
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar
 
 COLD_FROM, WARM, MULTIPLE, FALL = 0.15, 24 * SECOND, 2.5, SECOND
@@ -41,7 +41,7 @@
 
     story: Story
     seed: int = 1
-    sides: list[Sidecar] = field(default_factory=list)
+    sides: list[LoadBalancer] = field(default_factory=list)
     came: dict[int, list[tuple[int, float]]] = field(default_factory=dict)
     fell: list[str] = field(default_factory=list)
     cold_given: float = 0.0
@@ -51,12 +51,12 @@
         self.seed = self.seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1
         return (self.seed >> 32) / (1 << 32)
 
-    def entry(self, ix: int, started_us: int = 0, on: bool = True) -> Entry:
+    def entry(self, ix: int, started_us: int = 0, on: bool = True) -> EndpointUpdate:
         return (ix, ix % self.story.zones, ix // 12, 1.0, on, started_us, ix * 2654435769 & (1 << 32) - 1)
 
-    def born(self, number: int, now: int) -> Sidecar:
+    def born(self, number: int, now: int) -> LoadBalancer:
         of = self.story
-        shares = Shares([0.85 * EACH * of.endpoints] if of.members else [], of.copies, 0.1)
+        shares = TenantQuotas([0.85 * EACH * of.endpoints] if of.members else [], of.copies, 0.1)
         side = sidecar(
             [],
             zones=of.zones,
@@ -65,10 +65,10 @@
             number=number,
             now=now,
             shares=shares,
-            cold_rule=ColdRule(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL),
+            cold_rule=SlowStart(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL),
         )
-        side.chance.state += number * 7919 + now
-        side.hear_list(now, [self.entry(ix) for ix in range(of.endpoints)], True)
+        side.rng.state += number * 7919 + now
+        side.update_endpoints(now, [self.entry(ix) for ix in range(of.endpoints)], True)
         return side
 
     def play(self, seconds: int = 14, lost_at: int = 4 * SECOND) -> None:
@@ -111,7 +111,7 @@
                 decided = [(tx, d) for d in tx.route(now)]
             elif what == "ends":
                 tx, hop, how, sent = more[1:]
-                decided = [(d[0], d) for d in tx.ended(hop, now, how, now - sent, how is Outcome.COMMITTED)]
+                decided = [(d[0], d) for d in tx.ended(hop, now, how, now - sent, how is Outcome.SUCCEEDED)]
             elif what == "told":
                 side.hear_list(now, more[1], False)
                 decided = []
@@ -126,14 +126,14 @@
                     continue
                 start = starts.get(ix, 0)
                 if start and lost_at <= now < start:
-                    at(now + SECOND // 4, "ends", n, tx, len(tx.hops) - 1, Outcome.UNREACHED, now)
+                    at(now + SECOND // 4, "ends", n, tx, len(tx.hops) - 1, Outcome.CONNECT_FAILED, now)
                     continue
                 if start and now >= start:
                     self.reached(ix, start, now)
                 line = busy[ix]
                 while line and line[0] <= now - SECOND:
                     line.popleft()
-                how = Outcome.COMMITTED if len(line) < EACH else Outcome.TURNED_AWAY
+                how = Outcome.SUCCEEDED if len(line) < EACH else Outcome.REJECTED_BY_ENDPOINT
                 line.append(now)
                 at(now + SECOND // 10, "ends", n, tx, len(tx.hops) - 1, how, now)
         for ix, start in starts.items():
@@ -209,7 +209,7 @@
 ) -> None:
     rule, end = cold_rule(even / SECOND), (busy_s + starved_s) * SECOND
     side = sidecar([entry(ix) for ix in range(4)], cold_rule=rule, zones=1)
-    e, group = side.endpoints[0], side.groups[0]
+    e, group = side.endpoints[0], side.zone_subsets[0]
     for n in range(busy_s * 40):
         rule.carry(n * SECOND // 40, group)
     for n in range(starved_s):  # one a second gets through
@@ -218,7 +218,7 @@
     hops = 0
     for now in range(end, end + 5 * SECOND, SECOND // 50):
         if rule.credit(e, now, group, True):
-            hops, e.cold_credit = hops + 1, 0.0
+            hops, e.slow_start_credit = hops + 1, 0.0
     assert least <= hops <= most
 
 
@@ -231,10 +231,12 @@
 ) -> None:
     side = sidecar([entry(0)], zones=1)
     e = side.endpoints[0]
-    for how in [Outcome.UNREACHED] * missed + [Outcome.ERROR] + [Outcome.COMMITTED] * answers:
-        tx = side.take(0, profile(), -1, SECOND)
+    for how in [Outcome.CONNECT_FAILED] * missed + [Outcome.ERROR] + [Outcome.SUCCEEDED] * answers:
+        tx = side.start_request(0, profile(), -1, SECOND)
         side._hop(tx, e, 0)
-        tx.ended(0, 1000, how, 1000, how is Outcome.COMMITTED)
-    assert side.cold_rule.cold(e, 1000) is cold
-    side.hear_list(2000, [entry(0, started_us=1)], False)  # told of: by the time since its start from now on
-    assert e.missed == 0 and side.cold_rule.cold(e, 2000)
+        tx.on_attempt_finished(0, 1000, how, 1000, how is Outcome.SUCCEEDED)
+    assert side.slow_start.is_warming_up(e, 1000) is cold
+    side.update_endpoints(
+        2000, [entry(0, started_us=1)], False
+    )  # told of: by the time since its start from now on
+    assert e.connect_failures == 0 and side.slow_start.is_warming_up(e, 2000)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -227,9 +227,9 @@
         agent.rows.append(member("s1", play.ports[1]))
         peer.until(lambda: dials)
         [tx] = play.reducer.txs
-        assert tx.anchor is not None
+        assert tx.fixed_endpoint is not None
         if late == "window over":
-            tx.anchor_us -= 2 * SECOND
+            tx.fixed_us -= 2 * SECOND
         elif late == "another group":
             side.endpoints[1].cell = 7
         gate.append(1)
@@ -709,7 +709,7 @@
     def client(peer: Peer) -> None:
         peer.until(lambda: play.reducer.revision == 7)
         peer.sleep(20_000)
-        assert not play.reducer.sidecar.endpoints[0].on and not play.reducer.watch_fails
+        assert not play.reducer.sidecar.endpoints[0].accepts_requests and not play.reducer.watch_fails
 
     play.client(client)
     play.run()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -40,7 +40,7 @@
 from cressrail.failover.planner import SPARE, STEP, Planner
 from cressrail.failover.simulation import Scenario, World
 from cressrail.failover.state_machine import Failover, Fleet
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.testbed.scenario_file import read
 
 SECOND = 1_000_000
@@ -226,10 +226,11 @@
     """Copies whose words are handed over one by one, in whatever order, late, twice or never."""
 
     def __init__(self, size: int, seed: int) -> None:
-        self.chance, self.now = Chance(seed), 0
+        self.chance, self.now = RandomGenerator(seed), 0
         ids = range(1, size + 1)
         self.copies = {
-            n: Failover(Settings(MAP, n % 3, bear_us=3 * SECOND), n, Chance(seed * 100 + n), 0) for n in ids
+            n: Failover(Settings(MAP, n % 3, bear_us=3 * SECOND), n, RandomGenerator(seed * 100 + n), 0)
+            for n in ids
         }
         self.on_way: list[tuple[int, int, bytes]] = []
         self.stopped: dict[int, int] = {}  # until when
@@ -268,12 +269,12 @@
                 self.carry(n, copy.woke(self.now))
         way, self.on_way = self.on_way, []
         for by, to, text in way:
-            if self.chance.part() < loss or (by and not self.joined(by, to)):
+            if self.chance.fraction() < loss or (by and not self.joined(by, to)):
                 continue
-            if self.stopped.get(to, 0) > self.now or self.chance.part() < 0.2:
+            if self.stopped.get(to, 0) > self.now or self.chance.fraction() < 0.2:
                 self.on_way.append((by, to, text))  # later
                 continue
-            if self.chance.part() < 0.1:
+            if self.chance.fraction() < 0.1:
                 self.on_way.append((by, to, text))  # and again
             self.carry(to, self.copies[to].heard(self.now, by, text))
         for n, copy in self.copies.items():
@@ -423,7 +424,7 @@
 @effort(max_examples=500)
 @given(some.binary(max_size=120), some.integers(0, 9), some.integers(0, 3))
 def test_odd_words_make_nobody_decide_and_no_table_of_other_zones(text: bytes, kind: int, by: int) -> None:
-    copy = Failover(Settings(MAP, 0), 1, Chance(1), 0)
+    copy = Failover(Settings(MAP, 0), 1, RandomGenerator(1), 0)
     copy.members(Fleet({2: 1, 3: 2}, 3, True))
     copy.heard(SECOND, by, bytes([kind]) + text)
     assert copy.decision is None or len(copy.decision.zones) == 3
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -77,25 +77,29 @@
     old, new = Front(), beside()
     warm_up(old.reducer.sidecar, 50)
     old.reducer.sidecar.endpoints[1].limit = 1.25
-    old.reducer.sidecar.died(SECOND, 0)
+    old.reducer.sidecar.on_connection_lost(SECOND, 0)
     old.told += old.reducer.news(SECOND, news(9, False, member("s1", 9001, phase="draining")))
     new.reducer.news(SECOND, read(old.reducer.listed()))
     new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
     side = new.reducer.sidecar
-    assert new.reducer.revision == 9 and not side.endpoints[1].on and side.endpoints[1].limit == 1.25
-    assert side.avoids(SECOND) == [0, 1] and len(side.budget.taken) == 50
-    assert side.cold_rule.carried == old.reducer.sidecar.cold_rule.carried > 1
+    assert (
+        new.reducer.revision == 9
+        and not side.endpoints[1].accepts_requests
+        and side.endpoints[1].limit == 1.25
+    )
+    assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.taken) == 50
+    assert side.slow_start.carried == old.reducer.sidecar.slow_start.carried > 1
     assert new.all(do.Listen) == [do.Listen(True)]
 
 
 def test_what_follows_from_what_is_told_goes_over_too() -> None:
     old, new = beside(), beside()
-    rule, side = old.reducer.sidecar.cold_rule, old.reducer.sidecar
+    rule, side = old.reducer.sidecar.slow_start, old.reducer.sidecar
     for n in range(200):
-        rule.carry(n * SECOND // 40, side.groups[0])
+        rule.carry(n * SECOND // 40, side.zone_subsets[0])
         side._learn_usual(SECOND, (0.1, 0.3)[n % 2])
     estate.settle(told(old, 5 * SECOND), new.reducer.sidecar, new.reducer.roster.names(), 5 * SECOND)
-    assert new.reducer.sidecar.groups[0].each == pytest.approx(side.groups[0].each, rel=0.15)
+    assert new.reducer.sidecar.zone_subsets[0].each == pytest.approx(side.zone_subsets[0].each, rel=0.15)
     before = side.late
     for heir in (side, new.reducer.sidecar):
         heir._learn_usual(SECOND, 0.9)
@@ -131,12 +135,12 @@
     warm_up(front.reducer.sidecar)
     side, now = front.reducer.sidecar, SECOND
     side.endpoints[0].started_us = side.endpoints[0].cold_us = 1
-    e, own = side.endpoints[0], side.groups[0]
-    assert side.cold_rule.credit(e, 5 * SECOND, own, True)
+    e, own = side.endpoints[0], side.zone_subsets[0]
+    assert side.slow_start.credit(e, 5 * SECOND, own, True)
     told(front)
-    assert not side.budget.spend(now) and not side.cold_rule.credit(e, 6 * SECOND, own, True)
+    assert not side.budget.spend(now) and not side.slow_start.credit(e, 6 * SECOND, own, True)
     front.reducer.heir_died(now)
-    assert side.budget.spend(now) and side.cold_rule.credit(e, 7 * SECOND, own, True)
+    assert side.budget.spend(now) and side.slow_start.credit(e, 7 * SECOND, own, True)
 
 
 def test_an_id_that_is_open_at_the_old_process_is_not_taken_by_the_new_one() -> None:
@@ -180,9 +184,9 @@
     front.ask(2)
     told(front)
     assert front.all(do.Listen)[-1] == do.Listen(False) and not front.all(do.Shut)
-    front.end(front.hop(), Outcome.COMMITTED)
+    front.end(front.hop(), Outcome.SUCCEEDED)
     front.ask(1, now=SECOND)
-    front.end(front.hop(), Outcome.COMMITTED, SECOND)
+    front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
     assert [write.last for write in front.all(do.Write)] == [True, True]
     front.told += front.reducer.stop(2 * SECOND)
     assert front.reducer.ready(2 * SECOND)  # a front that asks here is not to leave a sidecar that serves
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -40,7 +40,7 @@
 
 
 def at_work(front: Front) -> list[int]:
-    return [len(group.all) for group in front.reducer.sidecar.groups]
+    return [len(group.all) for group in front.reducer.sidecar.zone_subsets]
 
 
 @pytest.mark.parametrize("n", SIZES)
@@ -64,7 +64,7 @@
         assert sum(at_work(front)) == (n - half, n, n)[k]
     side = front.reducer.sidecar
     assert len(side.endpoints) == n == len(front.reducer.roster.addresses)
-    assert all(sum(e.inside for e in g.all) == len(g.use) == g.wanted for g in side.groups)
+    assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
     assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
     side.endpoints[n].limit = 1.25
     frames, heir = Frames(), Front(0)
@@ -89,9 +89,9 @@
     whole = listed(0, n - 9, 6)
     whole["members"] += moved
     other.reducer.news(1, read(whole))
-    for a, b in zip(one.reducer.sidecar.groups, other.reducer.sidecar.groups, strict=True):
-        assert [e.ix for e in a.all] == [e.ix for e in b.all]
-        assert [e.ix for e in a.use] == [e.ix for e in b.use]
+    for a, b in zip(one.reducer.sidecar.zone_subsets, other.reducer.sidecar.zone_subsets, strict=True):
+        assert [e.index for e in a.all] == [e.index for e in b.all]
+        assert [e.index for e in a.use] == [e.index for e in b.use]
         assert (a.whole, a.size, a.sharers, a.limit) == pytest.approx((b.whole, b.size, b.sharers, b.limit))
 
 
@@ -101,7 +101,7 @@
 ) -> None:
     front = Front(0, clients=40, links=links)
     side = front.reducer.sidecar
-    side.links, side.copies, front.pool = links, 33.0, Pool(10_000)
+    side.max_connections, side.instances, front.pool = links, 33.0, Pool(10_000)
     front.reducer.news(0, read(listed(0, endpoints)))
     opened = 0
     for k in range(3000):
@@ -110,7 +110,7 @@
         front.ask(k, now=now)
         for carry in front.all(do.Carry):
             opened += carry.fresh
-            front.end(carry, Outcome.COMMITTED, now + 1000)
+            front.end(carry, Outcome.SUCCEEDED, now + 1000)
         front.told += front.reducer.client_left(now + 2000, k)
     assert not [note for note in front.all(do.Note) if note.event == "no_room"]
     assert not front.all(do.Drop) and opened <= dearest
@@ -137,7 +137,7 @@
             parts.sidecar(start.told, 5, 0, ["a", "b"], [])
         return
     side = parts.sidecar(start.told, 5, 0, ["a", "b"], [])
-    assert side.copies == copies and len(start.known.rows) == 1024
+    assert side.instances == copies and len(start.known.rows) == 1024
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -26,7 +26,7 @@
 from cressrail.membership.messages import ALIVE, USES, Record
 from cressrail.membership.peer_reports import Hearing
 from cressrail.membership.simulation import World
-from cressrail.policy.load_balancer import LEFT_OUT_US, Shares
+from cressrail.policy.load_balancer import LEFT_OUT_US, TenantQuotas
 from cressrail.proxy.endpoint_registry import Roster
 from tests.fleets import SECOND, SHORTEN, Play, played, world
 from tests.helpers import cold_rule, entry, sidecar
@@ -163,23 +163,25 @@
 
 def test_limits_and_shares_follow_the_count_and_cold_starts_never_gain_by_it() -> None:
     made = [entry(n, zone=n % 2) for n in range(24)]
-    shares = Shares([240.0], 12, 0.1)
+    shares = TenantQuotas([240.0], 12, 0.1)
     side = sidecar(made, copies=12, shares=shares, cold_rule=cold_rule(shares.total))
-    before = [(g.sharers, g.limit, g.size) for g in side.groups]
-    even = side.cold_rule.even
-    side.hear_copies(SECOND, 12.0, 6.0)  # just what the settings say
-    assert [(g.sharers, g.limit, g.size) for g in side.groups] == before and side.cold_rule.even == even
+    before = [(g.sharers, g.limit, g.size) for g in side.zone_subsets]
+    even = side.slow_start.even
+    side.update_instance_count(SECOND, 12.0, 6.0)  # just what the settings say
+    assert [
+        (g.sharers, g.limit, g.size) for g in side.zone_subsets
+    ] == before and side.slow_start.even == even
     for copies, near in ((4.0, 2.0), (24.0, 12.0), (6.0, 1.0)):
-        side.hear_copies(SECOND, copies, near)
-        for zone, group in enumerate(side.groups):
+        side.update_instance_count(SECOND, copies, near)
+        for zone, group in enumerate(side.zone_subsets):
             assert group.sharers == pytest.approx((copies if zone else near) * group.wanted / len(group.all))
             # What all copies together may have out at an endpoint is what it was.
             for e in group.all:
                 assert e.limit * group.sharers == pytest.approx(6.0)
         assert shares.rates[0] == pytest.approx(240.0 / copies / 1e6)
-        assert side.cold_rule.even == min(even, shares.total)
-    side.hear_copies(SECOND, 12.0, 6.0)
-    assert [g.limit for g in side.groups] == pytest.approx([limit for _, limit, _ in before])
+        assert side.slow_start.even == min(even, shares.total)
+    side.update_instance_count(SECOND, 12.0, 6.0)
+    assert [g.limit for g in side.zone_subsets] == pytest.approx([limit for _, limit, _ in before])
 
 
 # The others' words
@@ -269,9 +271,9 @@
 def test_words_go_from_one_sidecar_to_another_by_the_endpoints_names() -> None:
     hearing, now = Hearing(), 4 * SECOND
     one = sidecar([entry(0), entry(1, started_us=now), entry(2)])
-    one.died(now, 2)
+    one.on_connection_lost(now, 2)
     first = hearing.words(now, one, roster("xyz"))
-    one.endpoints[1].cold_hops += 4
+    one.endpoints[1].slow_start_attempts += 4
     words = hearing.words(now + 2 * SECOND, one, roster("xyz"))
     x, y, z = map(hearing.number, "xyz")
     assert (FAILING, z, 1) in first and (COLD, y, 0) in first and (COLD, y, 2000) in words
@@ -281,17 +283,17 @@
 
 def test_what_several_call_failing_is_left_out_and_then_tried_before_they_count_again() -> None:
     side, now = sidecar([entry(n) for n in range(6)]), 20 * SECOND
-    side.endpoints[3].heard_us = now - SECOND  # own outcomes of late
-    side.hear_failing(now, [2, 3])
+    side.endpoints[3].last_outcome_us = now - SECOND  # own outcomes of late
+    side.apply_peer_ejections(now, [2, 3])
     said = Hearing().words(now, side, roster("uvwxyz"))
     assert [word for word in said if word[0] == FAILING] == []  # what others said is not said on
-    assert side.avoids(now) == [2]
+    assert side.unavailable_endpoints(now) == [2]
     later = now + LEFT_OUT_US + 1
-    side.hear_failing(later, [2])
-    assert side.avoids(later) == []
-    side.endpoints[2].heard_us = later
-    side.hear_failing(later + 2 * LEFT_OUT_US, [2])
-    assert side.avoids(later + 2 * LEFT_OUT_US) == [2]
+    side.apply_peer_ejections(later, [2])
+    assert side.unavailable_endpoints(later) == []
+    side.endpoints[2].last_outcome_us = later
+    side.apply_peer_ejections(later + 2 * LEFT_OUT_US, [2])
+    assert side.unavailable_endpoints(later + 2 * LEFT_OUT_US) == [2]
 
 
 @pytest.mark.parametrize(
@@ -309,11 +311,11 @@
     rule = cold_rule(20 / SECOND)
     side = sidecar([entry(0, started_us=SECOND), entry(1)], cold_rule=rule, zones=1)
     e = side.endpoints[0]
-    side.hear_work({0: (others * 10 / SECOND, weight * 10 / SECOND)} if others >= 0 else {})
-    given, e.cold_credit = 0, 0.0
+    side.apply_peer_warmup_load({0: (others * 10 / SECOND, weight * 10 / SECOND)} if others >= 0 else {})
+    given, e.slow_start_credit = 0, 0.0
     for now in range(SECOND, 4 * SECOND, SECOND // 100):
-        if rule.credit(e, now, side.groups[0], True):
-            e.cold_credit = 0.0
+        if rule.credit(e, now, side.zone_subsets[0], True):
+            e.slow_start_credit = 0.0
             given += 1
     assert low <= given <= high
 
@@ -322,13 +324,13 @@
     rule = cold_rule()
     side = sidecar([entry(0, started_us=9 * SECOND), entry(1)], cold_rule=rule, zones=1)
     for n in range(100):
-        rule.carry(8 * SECOND + n * SECOND // 100, side.groups[0])
-    side.hear_work({0: (1e6, 0.0)})
+        rule.carry(8 * SECOND + n * SECOND // 100, side.zone_subsets[0])
+    side.apply_peer_warmup_load({0: (1e6, 0.0)})
     e, given = side.endpoints[0], 0
-    e.cold_credit, e.cold_us = 0.0, 9 * SECOND
+    e.slow_start_credit, e.cold_us = 0.0, 9 * SECOND
     for now in range(9 * SECOND, 11 * SECOND, SECOND // 100):
-        if rule.credit(e, now, side.groups[0], True):
-            e.cold_credit = 0.0
+        if rule.credit(e, now, side.zone_subsets[0], True):
+            e.slow_start_credit = 0.0
             given += 1
     assert given >= 2
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -43,7 +43,7 @@
 from cressrail.membership.scenarios import simulate
 from cressrail.membership.simulation import SECOND, World
 from cressrail.membership.state_machine import Membership
-from cressrail.policy.load_balancer import Chance
+from cressrail.policy.load_balancer import RandomGenerator
 
 KEY = b"k" * 32
 
@@ -447,7 +447,7 @@
 
 def lone(most_bytes: int = 1400) -> Membership:
     return Membership(
-        Settings("one", "a", ("127.0.0.1", 1), (), (KEY,), most_bytes=most_bytes), Chance(1), 0, 1, 1
+        Settings("one", "a", ("127.0.0.1", 1), (), (KEY,), most_bytes=most_bytes), RandomGenerator(1), 0, 1, 1
     )
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -37,7 +37,7 @@
     word = name.encode()
     text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
     assert asked(play, text) == [b"200 hello"]
-    assert play.reducer.sidecar.shares.credit[0] < play.reducer.sidecar.shares.most[0]  # counted as its own
+    assert play.reducer.sidecar.quotas.credit[0] < play.reducer.sidecar.quotas.most[0]  # counted as its own
     assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.tally.text(0, 0, 0)
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -61,10 +61,10 @@
 @pytest.mark.parametrize(
     "kind, how, counted",
     [
-        ("read", Outcome.COMMITTED, "answered"),
+        ("read", Outcome.SUCCEEDED, "answered"),
         ("read", Outcome.TIMED_OUT, "deferred"),
         ("write", Outcome.ERROR, "errored"),
-        ("write", Outcome.REJECTED, "errored"),
+        ("write", Outcome.INVALID_REQUEST, "errored"),
     ],
 )
 def test_each_transaction_counts_once_when_it_is_final(kind: str, how: Outcome, counted: str) -> None:
@@ -101,8 +101,8 @@
 
 def test_the_module_says_which_endpoints_it_avoids() -> None:
     side = sidecar([listed(0), listed(1), listed(2, on=False)])
-    side.died(0, 1)
-    assert side.avoids(0) == [1, 2] and side.avoids(3 * SECOND) == [2]
+    side.on_connection_lost(0, 1)
+    assert side.unavailable_endpoints(0) == [1, 2] and side.unavailable_endpoints(3 * SECOND) == [2]
 
 
 @pytest.mark.parametrize(
@@ -130,14 +130,14 @@
         assert call(front, control.OUT, SECOND) == 200
     assert not front.reducer.ready(SECOND) and call(front, control.READY, SECOND) == 200
     assert not front.all(do.Shut)  # the front does not know yet: who is closed would come back
-    front.end(front.hop(), Outcome.COMMITTED, SECOND)
+    front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
     [answer] = front.all(do.Write)
     assert answer.last and answer.answer.status == 200
     front.told += front.reducer.woke(SECOND + DRAIN_IDLE_US)
     assert [(shut.client, shut.idle) for shut in front.all(do.Shut)] == [(1, True)]
     front.came(3, 2 * SECOND)  # one that comes meanwhile is served,
     front.ask(3, now=2 * SECOND)
-    front.end(front.hop(), Outcome.COMMITTED, 2 * SECOND)
+    front.end(front.hop(), Outcome.SUCCEEDED, 2 * SECOND)
     assert front.all(do.Write)[0].last
     front.came(4, 2 * SECOND)  # one that says nothing is not held
     front.told += front.reducer.woke(2 * SECOND + FRESH_US)
@@ -145,7 +145,7 @@
     assert call(front, control.IN, 2 * SECOND) == 200 and front.reducer.ready(2 * SECOND)
     front.came(5, 3 * SECOND)
     front.ask(5, now=3 * SECOND)
-    front.end(front.hop(), Outcome.COMMITTED, 3 * SECOND)
+    front.end(front.hop(), Outcome.SUCCEEDED, 3 * SECOND)
     assert not front.all(do.Write)[0].last
 
 
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -105,7 +105,7 @@
     path.write_text(json.dumps(CONFIG))
     start = read_start(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
-    assert {p.kind for p in parts.profiles(start.told).values()} == {"idempotent", "journalled"}
+    assert {p.idempotency for p in parts.profiles(start.told).values()} == {"idempotent", "journalled"}
     assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -4,18 +4,25 @@
 
 import pytest
 
-from cressrail.policy.load_balancer import Asking, Chance, Outcome, RetryBudget, Shares, earnings
+from cressrail.policy.load_balancer import (
+    EndpointListPoller,
+    RandomGenerator,
+    Outcome,
+    RetryBudget,
+    TenantQuotas,
+    priority_weights,
+)
 from tests.helpers import SECOND, entry, profile, sidecar, warm_up
 
 
 @pytest.mark.parametrize(
     "how, last, others_fail, claimed",
     [
-        (Outcome.TURNED_AWAY, False, True, True),
-        (Outcome.UNREACHED, False, True, True),
-        (Outcome.DROPPED, False, True, True),
-        (Outcome.CALLED_OFF, True, False, False),
-        (Outcome.NEVER_SENT, True, False, False),
+        (Outcome.REJECTED_BY_ENDPOINT, False, True, True),
+        (Outcome.CONNECT_FAILED, False, True, True),
+        (Outcome.CONNECTION_RESET, False, True, True),
+        (Outcome.CANCELLED, True, False, False),
+        (Outcome.NOT_SENT, True, False, False),
         (Outcome.ERROR, True, True, True),
         (Outcome.TIMED_OUT, True, True, True),
         (Outcome.ERROR, False, False, True),
@@ -28,11 +35,11 @@
     side = sidecar([entry(n) for n in range(4)], last_tier=last)
     warm_up(side)
     for e in side.endpoints.values():
-        e.good, e.heard_us = (0.0 if others_fail else 1.0), 0
-    side.hear_list(0, [], False)
-    tx = side.take(0, profile(), -1, SECOND)
+        e.success_rate, e.last_outcome_us = (0.0 if others_fail else 1.0), 0
+    side.update_endpoints(0, [], False)
+    tx = side.start_request(0, profile(), -1, SECOND)
     tx.route(0)
-    retried = [what for _, what, *_ in tx.ended(0, 0, how, 1000, False)] == ["hop"]
+    retried = [what for _, what, *_ in tx.on_attempt_finished(0, 0, how, 1000, False)] == ["hop"]
     assert retried is claimed
 
 
@@ -56,9 +63,9 @@
 ) -> None:
     side = sidecar([entry(0), entry(1), entry(2), entry(3, 1), entry(4, 1)])
     for ix in failing:
-        side.endpoints[ix].good, side.endpoints[ix].heard_us = 0.0, heard_us
-    side.hear_list(0, [], False)
-    sent = [d[2] for _ in range(10) for d in side.take(0, profile(), -1, SECOND).route(0)]
+        side.endpoints[ix].success_rate, side.endpoints[ix].last_outcome_us = 0.0, heard_us
+    side.update_endpoints(0, [], False)
+    sent = [d[2] for _ in range(10) for d in side.start_request(0, profile(), -1, SECOND).route(0)]
     assert {side.endpoints[ix].zone for ix in sent} == {zone}
 
 
@@ -69,20 +76,25 @@
     then: str | None, after_us: int, in_use: bool
 ) -> None:
     side = sidecar([entry(0), entry(1), entry(2)])
-    out = side.take(0, profile(), -1, SECOND)
+    out = side.start_request(0, profile(), -1, SECOND)
     ix = out.route(0)[0][2]
-    side.died(0, ix)
+    side.on_connection_lost(0, ix)
     if then == "starts":
-        side.hear_list(0, [entry(ix, started_us=1)], False)
-    side.wake(after_us)
-    assert (ix in [e.ix for e in side.groups[0].use]) is in_use
+        side.update_endpoints(0, [entry(ix, started_us=1)], False)
+    side.on_timer(after_us)
+    assert (ix in [e.index for e in side.zone_subsets[0].use]) is in_use
 
 
 def test_overflow_waits_rather_than_go_to_a_process_that_is_gone() -> None:
     side = sidecar([entry(0), entry(1, 1)])
-    side.died(0, 0)
-    sent = [d[2] for _ in range(50) for d in side.take(0, profile(), -1, SECOND).route(0) if d[1] == "hop"]
-    assert set(sent) == {1} and side.line
+    side.on_connection_lost(0, 0)
+    sent = [
+        d[2]
+        for _ in range(50)
+        for d in side.start_request(0, profile(), -1, SECOND).route(0)
+        if d[1] == "hop"
+    ]
+    assert set(sent) == {1} and side.queue
 
 
 @pytest.mark.parametrize(
@@ -95,7 +107,7 @@
     side = sidecar([entry(0), entry(1)])
     for ix in (0, 1):
         side.endpoints[ix].in_flight, side.endpoints[ix].latency = flying[ix], latency[ix]
-    assert side.take(0, profile(), -1, SECOND).route(0)[0][2] == picked
+    assert side.start_request(0, profile(), -1, SECOND).route(0)[0][2] == picked
 
 
 @pytest.mark.parametrize("local, away, spills", [(0.2, 0.2, False), (0.5, 0.2, True), (0.2, 0.0, False)])
@@ -104,10 +116,10 @@
 ) -> None:
     side = sidecar([entry(0), entry(1, 1)])
     side.endpoints[0].latency, side.endpoints[1].latency = local, away
-    side.endpoints[0].heard_us = side.endpoints[1].heard_us = 0
+    side.endpoints[0].last_outcome_us = side.endpoints[1].last_outcome_us = 0
     shares = []
     for s in range(1, 5):
-        side.wake(s * SECOND)
+        side.on_timer(s * SECOND)
         shares.append(side.spill)
     assert (sorted(set(shares)) == shares) is spills and (shares[-1] > 0) is spills
 
@@ -115,21 +127,21 @@
 @pytest.mark.parametrize(
     "how, took_us, change",
     [
-        (Outcome.COMMITTED, SECOND // 10, 1),
-        (Outcome.COMMITTED, SECOND * 9 // 10, -1),
-        (Outcome.TURNED_AWAY, 1000, -1),
+        (Outcome.SUCCEEDED, SECOND // 10, 1),
+        (Outcome.SUCCEEDED, SECOND * 9 // 10, -1),
+        (Outcome.REJECTED_BY_ENDPOINT, 1000, -1),
         (Outcome.TIMED_OUT, SECOND, -1),
-        (Outcome.CALLED_OFF, SECOND, 0),
+        (Outcome.CANCELLED, SECOND, 0),
     ],
 )
 def test_a_limit_grows_by_one_and_is_cut_by_a_share(how: Outcome, took_us: int, change: int) -> None:
     side = sidecar([entry(0)])
     e = side.endpoints[0]
     e.limit = 1.5
-    side.hear_list(0, [], False)
-    tx = side.take(0, profile(), -1, 4 * SECOND)
+    side.update_endpoints(0, [], False)
+    tx = side.start_request(0, profile(), -1, 4 * SECOND)
     tx.route(0)
-    tx.ended(0, took_us, how, took_us, how is Outcome.COMMITTED)
+    tx.on_attempt_finished(0, took_us, how, took_us, how is Outcome.SUCCEEDED)
     assert (e.limit > 1.5) - (e.limit < 1.5) == change and e.limit >= 1
 
 
@@ -138,13 +150,13 @@
     later_took_us: int | None, cut: bool
 ) -> None:
     side = sidecar([entry(0)])
-    tx, later = (side.take(at, profile(), -1, 4 * SECOND) for at in (0, 1000))
+    tx, later = (side.start_request(at, profile(), -1, 4 * SECOND) for at in (0, 1000))
     tx.route(0)
     if later_took_us is not None:
         later.route(1000)
-        later.ended(0, 1000 + later_took_us, Outcome.COMMITTED, later_took_us, True)
+        later.on_attempt_finished(0, 1000 + later_took_us, Outcome.SUCCEEDED, later_took_us, True)
     limit = side.endpoints[0].limit
-    tx.ended(0, 4 * SECOND, Outcome.TIMED_OUT, 4 * SECOND, False)
+    tx.on_attempt_finished(0, 4 * SECOND, Outcome.TIMED_OUT, 4 * SECOND, False)
     assert (side.endpoints[0].limit < limit) is cut
 
 
@@ -152,10 +164,10 @@
 def test_errors_of_tiers_below_cut_by_how_many_of_late_there_were(errors: int) -> None:
     side = sidecar([entry(0)], last_tier=False)
     for at in range(errors):
-        tx = side.take(at, profile(), -1, 4 * SECOND)
+        tx = side.start_request(at, profile(), -1, 4 * SECOND)
         tx.route(at)
         was = side.endpoints[0].limit
-        tx.ended(0, at, Outcome.ERROR, 0, False)
+        tx.on_attempt_finished(0, at, Outcome.ERROR, 0, False)
     cut = side.endpoints[0].limit / was
     assert cut > 0.9 if errors == 1 else cut < 0.9
     assert cut < 0.76 if errors == 8 else cut > 0.76
@@ -164,16 +176,16 @@
 def test_one_that_failed_is_left_out_for_a_while_and_not_for_the_whole_window() -> None:
     side = sidecar([entry(0), entry(1)])
     e = side.endpoints[0]
-    e.good, e.heard_us = 0.4, SECOND
-    assert [e.succeeds(at * SECOND) for at in (1, 3, 4)] == [False, False, True]
+    e.success_rate, e.last_outcome_us = 0.4, SECOND
+    assert [e.is_available(at * SECOND) for at in (1, 3, 4)] == [False, False, True]
 
 
 @pytest.mark.parametrize("last, cut", [(True, False), (False, True)])
 def test_an_error_of_a_tier_that_calls_on_cuts_its_limit(last: bool, cut: bool) -> None:
     side = sidecar([entry(0)], last_tier=last)
-    tx = side.take(0, profile(), -1, 4 * SECOND)
+    tx = side.start_request(0, profile(), -1, 4 * SECOND)
     tx.route(0)
-    tx.ended(0, 1000, Outcome.ERROR, 1000, False)
+    tx.on_attempt_finished(0, 1000, Outcome.ERROR, 1000, False)
     assert (side.endpoints[0].limit < 6.0) is cut
 
 
@@ -181,33 +193,33 @@
     "rate, sent, surplus", [(5, True, 0), (10, True, 0), (20, True, 100), (90, False, 0)]
 )
 def test_what_a_member_has_sent_beyond_its_share_is_marked(rate: int, sent: bool, surplus: int) -> None:
-    shares = Shares([20.0], 2, 0.1)
+    shares = TenantQuotas([20.0], 2, 0.1)
     marked = 0
     for n in range(rate * 11):
-        beyond = shares.surplus(0, n * SECOND // rate)
+        beyond = shares.is_over_quota(0, n * SECOND // rate)
         marked += beyond
         if sent and not beyond:
-            shares.sent(0, False)
+            shares.on_sent(0, False)
     assert abs(marked - surplus) <= 1
 
 
 @pytest.mark.parametrize("copies", [1, 40, 1000])
 def test_a_first_few_within_a_share_are_no_surplus_however_many_copies(copies: int) -> None:
-    shares = Shares([20.0], copies, 0.1)
+    shares = TenantQuotas([20.0], copies, 0.1)
     for _ in range(4):
-        assert not shares.surplus(0, 0)
-        shares.sent(0, False)
+        assert not shares.is_over_quota(0, 0)
+        shares.on_sent(0, False)
 
 
 @pytest.mark.parametrize("short, marked", [(False, 0), (True, 100)])
 def test_where_capacity_is_short_shares_fill_by_what_is_sent(short: bool, marked: int) -> None:
-    shares = Shares([50.0, 50.0], 1, 0.1)
+    shares = TenantQuotas([50.0, 50.0], 1, 0.1)
     beyond = 0
     for n in range(400):  # the first member alone sends, at a fifth of the whole allowance
         if short:
-            shares.turned_away(SECOND)
-        mark = shares.surplus(0, n * SECOND // 20)
-        shares.sent(0, mark)
+            shares.on_rejected(SECOND)
+        mark = shares.is_over_quota(0, n * SECOND // 20)
+        shares.on_sent(0, mark)
         beyond += mark
     assert beyond >= marked if short else beyond == 0
 
@@ -217,23 +229,23 @@
     side = sidecar([entry(0)], copies=100)
     hops = 0
     for _ in range(200):
-        tx = side.take(0, profile(earns=earns), -1, SECOND)
+        tx = side.start_request(0, profile(earns=earns), -1, SECOND)
         sent = [d for d in tx.route(0) if d[1] == "hop"]
         hops += len(sent)
         if sent:
-            tx.ended(0, 0, Outcome.COMMITTED, 1000, True)
-        side.line.clear()
+            tx.on_attempt_finished(0, 0, Outcome.SUCCEEDED, 1000, True)
+        side.queue.clear()
     assert least <= hops <= most
 
 
 @pytest.mark.parametrize("copies, used", [(1, 20), (6, 20), (24, 5), (1000, 4)])
 def test_a_copy_uses_a_part_of_a_zone_and_fills_it_up_again(copies: int, used: int) -> None:
     side = sidecar([entry(n) for n in range(20)], copies=copies)
-    before = side.groups[0].use[:]
+    before = side.zone_subsets[0].use[:]
     assert len(before) == used
-    before[0].good, before[0].heard_us = 0.0, 0
-    side.groups[0].choose(0)
-    after = side.groups[0].use
+    before[0].success_rate, before[0].last_outcome_us = 0.0, 0
+    side.zone_subsets[0].choose(0)
+    after = side.zone_subsets[0].use
     assert set(before[1:]) <= set(after) and before[0] not in after and len(after) == min(used, 19)
 
 
@@ -242,8 +254,8 @@
     met = [0] * fleet
     for number in range(copies):
         side = sidecar([entry(n) for n in range(fleet)], copies=copies, number=number)
-        for e in side.groups[0].use:
-            met[e.ix] += 1
+        for e in side.zone_subsets[0].use:
+            met[e.index] += 1
     assert max(met) <= 1.3 * sum(met) / fleet and min(met) >= 0.7 * sum(met) / fleet
 
 
@@ -260,8 +272,8 @@
         (Outcome.TIMED_OUT, SECOND, 1.0, 0.0),
         (Outcome.TIMED_OUT, SECOND, 0.5, 0.5),
         (Outcome.TIMED_OUT, SECOND, 0.1, 0.9),
-        (Outcome.COMMITTED, 1000, 0.5, 0.5),
-        (Outcome.COMMITTED, 1000, 0.1, 0.9),
+        (Outcome.SUCCEEDED, 1000, 0.5, 0.5),
+        (Outcome.SUCCEEDED, 1000, 0.1, 0.9),
     ],
 )
 def test_what_a_hop_tells_goes_to_all_in_use_where_limits_are_thin(
@@ -270,10 +282,10 @@
     side = sidecar([entry(n) for n in range(4)], copies=300)
     for e in side.endpoints.values():
         e.limit = limit
-    side.hear_list(0, [], False)
-    tx = side.take(0, profile(), -1, 4 * SECOND)
+    side.update_endpoints(0, [], False)
+    tx = side.start_request(0, profile(), -1, 4 * SECOND)
     at = tx.route(0)[0][2]
-    tx.ended(0, took_us, how, took_us, True)
+    tx.on_attempt_finished(0, took_us, how, took_us, True)
     own, other = (side.endpoints[ix].limit / limit - 1 for ix in (at, (at + 1) % 4))
     assert own and other == pytest.approx(told * own)
 
@@ -283,7 +295,7 @@
     side = sidecar([entry(n, n % 2) for n in range(8)], copies=300)
     for e in side.endpoints.values():
         e.limit = 0.0
-    txs = [side.take(0, profile(), -1, SECOND) for _ in range(out)]
+    txs = [side.start_request(0, profile(), -1, SECOND) for _ in range(out)]
     assert sum(d[1] == "hop" for tx in txs for d in tx.route(0)) == zones_used
 
 
@@ -291,32 +303,32 @@
 def test_a_part_changes_by_little_when_the_list_changes_by_one(gone: int) -> None:
     for number in range(30):
         side = sidecar([entry(n) for n in range(20)], copies=30, number=number)
-        before = {e.ix for e in side.groups[0].use}
-        side.hear_list(0, [entry(gone, on=False)], False)
-        after = {e.ix for e in side.groups[0].use}
+        before = {e.index for e in side.zone_subsets[0].use}
+        side.update_endpoints(0, [entry(gone, on=False)], False)
+        after = {e.index for e in side.zone_subsets[0].use}
         assert len(before - after - {gone}) <= 1
 
 
 @pytest.mark.parametrize("answer, asks", [(True, False), (False, True)])
 def test_the_list_of_a_start_is_no_answer(answer: bool, asks: bool) -> None:
-    side = sidecar([], asking=Asking(True, 10 * SECOND, Chance(3)))
-    side.asking.due_us = SECOND
-    side.hear_list(0, [entry(0)], True, answer)
-    assert side.asking.due(2 * SECOND) is asks
+    side = sidecar([], asking=EndpointListPoller(True, 10 * SECOND, RandomGenerator(3)))
+    side.list_poller.due_us = SECOND
+    side.update_endpoints(0, [entry(0)], True, answer)
+    assert side.list_poller.is_due(2 * SECOND) is asks
 
 
 @pytest.mark.parametrize("fails", [0, 1, 3, 20])
 def test_the_list_is_asked_for_again_well_before_the_old_one_counts_as_told(fails: int) -> None:
     every = 10 * SECOND
-    asking = Asking(True, every, Chance(3))
-    asking.born(0)
+    asking = EndpointListPoller(True, every, RandomGenerator(3))
+    asking.start(0)
     now = asking.due_us
-    assert 0 <= now <= every // 8 and asking.due(now) and not asking.due(now)
+    assert 0 <= now <= every // 8 and asking.is_due(now) and not asking.is_due(now)
     for _ in range(fails):
-        asking.heard(now, True)
+        asking.on_answer(now, True)
         assert now < asking.due_us <= now + every // 2
         now = asking.due_us
-        assert asking.due(now)
+        assert asking.is_due(now)
 
 
 @pytest.mark.parametrize(
@@ -329,11 +341,11 @@
     side = sidecar([entry(0)], at_door=at_door)
     warm_up(side)
     side.endpoints[0].limit = 1.0
-    busy = side.take(0, profile(), -1, 4 * SECOND)
+    busy = side.start_request(0, profile(), -1, 4 * SECOND)
     busy.route(0)
-    waiting = [side.take(0, profile(earns=part), -1, 4 * SECOND) for part in earns]
+    waiting = [side.start_request(0, profile(earns=part), -1, 4 * SECOND) for part in earns]
     assert [tx.route(0) for tx in waiting] == [[], []]
-    sent = [d[0] for d in busy.ended(0, 1000, Outcome.COMMITTED, 1000, True) if d[1] == "hop"]
+    sent = [d[0] for d in busy.on_attempt_finished(0, 1000, Outcome.SUCCEEDED, 1000, True) if d[1] == "hop"]
     assert sent[0] is waiting[leaves_first]
 
 
@@ -344,27 +356,29 @@
 def test_the_poorest_profile_is_not_starved_outright(
     by_work: bool, worst_weight: float, earns: list[float]
 ) -> None:
-    assert earnings([8.0, 2.0], [2 * SECOND, 3 * SECOND], by_work, worst_weight) == pytest.approx(earns)
+    assert priority_weights([8.0, 2.0], [2 * SECOND, 3 * SECOND], by_work, worst_weight) == pytest.approx(
+        earns
+    )
 
 
 @pytest.mark.parametrize("at_door, floor", [(True, 1.0), (False, 6.0)])
 def test_behind_the_door_limits_stay_at_their_first_at_least(at_door: bool, floor: float) -> None:
     side = sidecar([entry(0)], at_door=at_door)
     for _ in range(40):
-        tx = side.take(0, profile(), -1, 4 * SECOND)
+        tx = side.start_request(0, profile(), -1, 4 * SECOND)
         tx.route(0)
-        tx.ended(0, SECOND, Outcome.TIMED_OUT, SECOND, False)
+        tx.on_attempt_finished(0, SECOND, Outcome.TIMED_OUT, SECOND, False)
     assert side.endpoints[0].limit == floor
 
 
-@pytest.mark.parametrize("how, cuts", [(Outcome.COMMITTED, 1), (Outcome.TIMED_OUT, 3)])
+@pytest.mark.parametrize("how, cuts", [(Outcome.SUCCEEDED, 1), (Outcome.TIMED_OUT, 3)])
 def test_hops_out_together_cut_once_but_for_time_outs(how: Outcome, cuts: int) -> None:
     side = sidecar([entry(0)])
-    txs = [side.take(0, profile(), -1, 4 * SECOND) for _ in range(3)]
+    txs = [side.start_request(0, profile(), -1, 4 * SECOND) for _ in range(3)]
     for tx in txs:
         tx.route(0)
     for n, tx in enumerate(txs):
-        tx.ended(0, SECOND + n, how, SECOND + n, True)
+        tx.on_attempt_finished(0, SECOND + n, how, SECOND + n, True)
     assert side.endpoints[0].limit == pytest.approx(6 * 0.75**cuts)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -134,7 +134,7 @@
     play.socks[0].close()
     play.socks[0] = socket.socket()  # nobody listens any more
     assert asked(play, ask("write")) == [b"503 "]
-    assert not play.reducer.sidecar.endpoints[0].succeeds(play.loop.now())
+    assert not play.reducer.sidecar.endpoints[0].is_available(play.loop.now())
 
 
 def test_a_request_is_written_once_and_not_to_a_connection_that_the_endpoint_has_closed() -> None:
@@ -180,7 +180,7 @@
 
     play.client(client)
     play.run()
-    assert play.reducer.sidecar.endpoints[0].succeeds(play.loop.now()) is not abrupt
+    assert play.reducer.sidecar.endpoints[0].is_available(play.loop.now()) is not abrupt
 
 
 def test_an_endpoint_is_not_blamed_for_a_hop_whose_time_was_over(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -194,7 +194,7 @@
 
     monkeypatch.setattr(LinkTask, "_prepare", late)
     assert asked(play, ask("write")) == [b"503 "]
-    assert play.reducer.sidecar.endpoints[0].good == 1.0
+    assert play.reducer.sidecar.endpoints[0].success_rate == 1.0
 
 
 def test_a_client_that_leaves_closes_its_hops_connection() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -453,18 +453,18 @@
     from tests.helpers import SECOND, entry, profile, sidecar
 
     side = sidecar([entry(0)])
-    tx = side.take(0, profile(IDEMPOTENT), -1, -1)
+    tx = side.start_request(0, profile(IDEMPOTENT), -1, -1)
     [(_, what, which, us)] = tx.route(0)
     e = side.endpoints[which]
-    assert what == "hop" and us > 1000 * SECOND and (e.in_flight, side.groups[0].in_flight) == (0, 0)
-    tx.run(9 * SECOND, SECOND)
-    assert (e.in_flight, side.groups[0].in_flight) == (1, 1) and tx.end_us <= 10 * SECOND
-    tx.ended(0, 9 * SECOND + 1000, Outcome.COMMITTED, 1000, True)
-    assert (e.in_flight, side.groups[0].in_flight) == (0, 0)
-    again = side.take(0, profile(), -1, -1)
+    assert what == "hop" and us > 1000 * SECOND and (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
+    tx.start_clock(9 * SECOND, SECOND)
+    assert (e.in_flight, side.zone_subsets[0].in_flight) == (1, 1) and tx.deadline_us <= 10 * SECOND
+    tx.on_attempt_finished(0, 9 * SECOND + 1000, Outcome.SUCCEEDED, 1000, True)
+    assert (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
+    again = side.start_request(0, profile(), -1, -1)
     again.route(0)
-    again.ended(0, 1000, Outcome.UNREACHED, 1000, False)
-    assert (e.in_flight, side.groups[0].in_flight) == (0, 0)
+    again.on_attempt_finished(0, 1000, Outcome.CONNECT_FAILED, 1000, False)
+    assert (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
 
 
 def test_a_lull_is_made_good_by_a_faster_pace_before_and_a_slow_request_ends(
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,7 +14,7 @@
 from cressrail.discovery.endpoint_list import News, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import NON_IDEMPOTENT, Chance, Outcome
+from cressrail.policy.load_balancer import NON_IDEMPOTENT, RandomGenerator, Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from cressrail.proxy.commands import Effect
@@ -46,7 +46,7 @@
             dict.fromkeys(members, 0),
             roster,
             Room(clients, 2, links),
-            Chance(5),
+            RandomGenerator(5),
             0,
             SECOND,
             start.discovery,
@@ -107,7 +107,7 @@
         return carry
 
     def end(self, hop: do.Carry, how: Outcome, now: int = 1000, keep: bool = True) -> None:
-        body = Chain(self.pool) if how is Outcome.COMMITTED else None
+        body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
         if body:
             body.add(memoryview(b"y"))
         self.told += self.reducer.hop_ended(now, hop.hop, how, keep, body)
@@ -128,15 +128,15 @@
 @pytest.mark.parametrize(
     "kind, how, status",
     [
-        ("read", Outcome.COMMITTED, 200),
+        ("read", Outcome.SUCCEEDED, 200),
         ("read", Outcome.TIMED_OUT, 503),
         ("write", Outcome.TIMED_OUT, 502),
-        ("write", Outcome.UNREACHED, 503),
-        ("write", Outcome.DROPPED, 502),
-        ("note", Outcome.DROPPED, 503),
+        ("write", Outcome.CONNECT_FAILED, 503),
+        ("write", Outcome.CONNECTION_RESET, 502),
+        ("note", Outcome.CONNECTION_RESET, 503),
         ("read", Outcome.ERROR, 503),
-        ("write", Outcome.NEVER_SENT, 503),
-        ("write", Outcome.CALLED_OFF, 502),
+        ("write", Outcome.NOT_SENT, 503),
+        ("write", Outcome.CANCELLED, 502),
     ],
 )
 def test_each_transaction_has_one_answer_and_gives_all_back(kind: str, how: Outcome, status: int) -> None:
@@ -181,8 +181,8 @@
     front.told += front.reducer.client_left(0, 1)
     front.ask(3, req_id="same")
     later = front.hop()
-    front.end(hop, Outcome.CALLED_OFF)
-    front.end(later, Outcome.COMMITTED)
+    front.end(hop, Outcome.CANCELLED)
+    front.end(later, Outcome.SUCCEEDED)
     assert [write.answer.status for write in front.all(do.Write)] == [200] and not front.reducer.open_ids
     front.ask(3, req_id="same")
     assert front.hop()
@@ -202,9 +202,9 @@
     for client in range(20):
         front.came(client)
         front.ask(client, kind)
-        front.end(front.hop(), Outcome.REJECTED)
+        front.end(front.hop(), Outcome.INVALID_REQUEST)
         assert [write.answer.status for write in front.all(do.Write)] == [400]
-    assert all(e.good == 1 for e in front.reducer.sidecar.endpoints.values())
+    assert all(e.success_rate == 1 for e in front.reducer.sidecar.endpoints.values())
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
     front = Front()
     front.came(1)
     front.ask(1, "note", idempotency_key=None)
-    front.end(front.hop(), Outcome.DROPPED)
+    front.end(front.hop(), Outcome.CONNECTION_RESET)
     assert [write.answer.status for write in front.all(do.Write)] == [502]
 
 
@@ -266,7 +266,7 @@
     hop = front.hop()
     front.told += front.reducer.news(1, news(5, False, {**member("s0", 9000), **change}))
     how, _ = front.reducer.unsent(1, hop.hop) or (None, "")
-    assert how is (None if wanted else Outcome.TURNED_AWAY)
+    assert how is (None if wanted else Outcome.REJECTED_BY_ENDPOINT)
 
 
 @pytest.mark.parametrize(
@@ -284,7 +284,7 @@
     front = Front(2)
     front.reducer.news(0, news(4, True, member("s0", 9000), member("s1", 9001)))
     front.reducer.news(1, update)
-    assert [e.ix for e in front.reducer.sidecar.endpoints.values() if e.on] == entries
+    assert [e.index for e in front.reducer.sidecar.endpoints.values() if e.accepts_requests] == entries
 
 
 def test_links_are_used_again_and_dropped_where_the_address_changes() -> None:
@@ -292,13 +292,13 @@
     front.came(1)
     front.ask(1)
     first = front.hop()
-    front.end(first, Outcome.COMMITTED)
+    front.end(first, Outcome.SUCCEEDED)
     front.told += front.reducer.written(0, 1)
     front.ask(1)
     second = front.hop()
     assert (first.fresh, second.fresh) == (True, False) and first.link == second.link
     front.told += front.reducer.news(1, news(5, False, member("s0", 9500)))
-    front.end(second, Outcome.COMMITTED)
+    front.end(second, Outcome.SUCCEEDED)
     assert [drop.link for drop in front.all(do.Drop)] == [second.link]
     front.told += front.reducer.written(0, 1)
     front.ask(1)
@@ -313,7 +313,7 @@
     front.told += front.reducer.news(0, news(5, False, member("s0", 9000, phase="removed")))
     assert 0 in front.reducer.sidecar.endpoints
     front.told += front.reducer.news(0, news(6, False, member("t0", 9000)))  # its address under a new id
-    front.end(hop, Outcome.COMMITTED)
+    front.end(hop, Outcome.SUCCEEDED)
     assert front.all(do.Drop) == [do.Drop(hop.link)] and not front.reducer.link_reset(0, hop.link)
     front.reducer.link_left(hop.link)
     for k in range(7, 50):
@@ -321,7 +321,7 @@
         front.ask(k)
         later = front.hop()
         assert later.fresh
-        front.end(later, Outcome.COMMITTED)
+        front.end(later, Outcome.SUCCEEDED)
         front.told += front.reducer.news(
             0,
             news(
@@ -351,11 +351,11 @@
     front.came(1)
     front.ask(1)
     hop = front.hop()
-    front.end(hop, Outcome.COMMITTED)
+    front.end(hop, Outcome.SUCCEEDED)
     front.reducer.news(1, news(5, False, {**member("s0", 9000), **change}))
     front.told = front.reducer.link_reset(2, hop.link)
     assert [note.event for note in front.all(do.Note)] == (["died"] if died else [])
-    assert front.reducer.sidecar.endpoints[0].succeeds(2) is not died
+    assert front.reducer.sidecar.endpoints[0].is_available(2) is not died
     assert not front.reducer.idle_links
 
 
@@ -367,15 +367,15 @@
         front.ask(client, req_deadline="100m")
         carries += front.all(do.Carry)
     assert len(carries) == 2 and [write.client for write in front.all(do.Write)] == [3]
-    assert all(e.good == 1.0 for e in front.reducer.sidecar.endpoints.values())
+    assert all(e.success_rate == 1.0 for e in front.reducer.sidecar.endpoints.values())
     for carry in carries:
-        front.end(carry, Outcome.COMMITTED)
+        front.end(carry, Outcome.SUCCEEDED)
     for _ in range(50):  # until an endpoint is drawn to which there is no link
         front.told += front.reducer.written(0, 1)
         front.ask(1)
         if (carry := front.hop()).fresh:
             break
-        front.end(carry, Outcome.COMMITTED)
+        front.end(carry, Outcome.SUCCEEDED)
     assert [drop.link for drop in front.all(do.Drop)][:1] and len(front.reducer.idle_links) == 1
 
 
@@ -472,7 +472,7 @@
     hop = front.hop()
     front.told += front.reducer.client_left(0, 1)
     assert front.all(do.CallOff) == [do.CallOff(hop.link, hop.hop)]
-    front.end(hop, Outcome.COMMITTED)
+    front.end(hop, Outcome.SUCCEEDED)
     assert not front.all(do.Write)
     front.settle()
     assert front.pool.lent == 0 and not front.reducer.txs
@@ -519,12 +519,12 @@
     front.ask(2, now=SECOND)  # one that was there may have nobody else to go to
     late = front.hop()
     assert late.until_us <= 700_000 + SECOND - 200_000  # and has its answer before the process may be killed
-    front.end(late, Outcome.COMMITTED, now=SECOND + 1000)
+    front.end(late, Outcome.SUCCEEDED, now=SECOND + 1000)
     assert [write.last for write in front.all(do.Write)] == [False]
     front.told += front.reducer.written(SECOND, 2)
     front.told = front.reducer.woke(1_200_000)
     assert front.all(do.Shut) == [do.Shut(2, True)]
-    front.end(hop, Outcome.COMMITTED, now=1_400_000)
+    front.end(hop, Outcome.SUCCEEDED, now=1_400_000)
     [write] = front.all(do.Write)
     assert write.answer.status == 200 and write.last and not front.all(do.Leave)
     front.told = front.reducer.woke(SECOND * 16 // 10)  # those who never sent a request
@@ -568,7 +568,7 @@
         front.reducer.profiles["once"] = replace(front.reducer.profiles["read"], kind=NON_IDEMPOTENT)
         front.reducer.tally.final["once"] = dict(front.reducer.tally.final["read"])
     if not sent:  # nowhere to go: it waits in the line
-        front.reducer.sidecar.hear_list(0, [], full=True)
+        front.reducer.sidecar.update_endpoints(0, [], full=True)
     front.came(1)
     front.ask(1, kind)
     hops = front.all(do.Carry)
@@ -576,8 +576,8 @@
     front.told = front.reducer.stop(0)
     if not sent:
         [tx] = front.reducer.txs
-        tx.leave_us = tx.end_us  # the line would let it go sooner
-        front.reducer.sidecar.line_due_us = tx.end_us
+        tx.queue_until_us = tx.deadline_us  # the line would let it go sooner
+        front.reducer.sidecar.line_due_us = tx.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
         front.told += front.reducer.woke(now)
     assert not front.all(do.Write) and front.reducer.wake_us == 1_500_000
@@ -586,7 +586,7 @@
     assert (write.client, write.answer.status, write.last) == (1, answer, True)
     assert front.all(do.CallOff) == [do.CallOff(hop.link, hop.hop) for hop in hops]
     for hop in hops:  # what comes after it changes nothing
-        front.end(hop, Outcome.COMMITTED, now=1_600_000)
+        front.end(hop, Outcome.SUCCEEDED, now=1_600_000)
     assert not front.all(do.Write)
     front.told += front.reducer.written(1_600_000, 1) + front.reducer.client_left(1_600_000, 1)
     front.settle()
@@ -640,7 +640,7 @@
             follow(now)
         front.told += _calls()[name](front, at)
         follow(at)
-    front.end(hop, Outcome.COMMITTED, now=apart_us + 1000)
+    front.end(hop, Outcome.SUCCEEDED, now=apart_us + 1000)
     follow(apart_us + 1000)
     for now in range(apart_us + 2000, 12 * SECOND, 50_000):
         front.told += front.reducer.woke(now)
@@ -667,7 +667,7 @@
     front = Front()
     front.came(1)
     front.ask(1)
-    front.end(front.hop(), Outcome.COMMITTED)
+    front.end(front.hop(), Outcome.SUCCEEDED)
     front.told += front.reducer.written(0, 1)
     front.told = front.reducer.short(0)
     assert len(front.all(do.Drop)) == 1 and front.all(do.Shut) == [do.Shut(1, True)]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -133,13 +133,13 @@
 def test_counts_by_zone_tell_what_never_came_from_what_failed_and_was_late() -> None:
     towards = Towards()
     for how, late in (
-        (Outcome.COMMITTED, False),
-        (Outcome.COMMITTED, True),
-        (Outcome.UNREACHED, False),
+        (Outcome.SUCCEEDED, False),
+        (Outcome.SUCCEEDED, True),
+        (Outcome.CONNECT_FAILED, False),
         (Outcome.ERROR, False),
         (Outcome.TIMED_OUT, False),
-        (Outcome.TURNED_AWAY, False),
-        (Outcome.CALLED_OFF, False),
+        (Outcome.REJECTED_BY_ENDPOINT, False),
+        (Outcome.CANCELLED, False),
     ):
         towards.ended(1, how, 1000, late)
     assert towards.zones == {1: Ended(6, 1, 2, 2, 2, 2000)}
@@ -148,14 +148,14 @@
 def test_evidence_is_of_the_last_moments_and_what_it_bears_of_limits() -> None:
     settings = Settings(Map(("a", "b"), ("", "")), 0)
     side, towards = sidecar([entry(0), entry(1, 1)]), Towards()
-    host = Host(settings, 1, side.chance, 0)
+    host = Host(settings, 1, side.rng, 0)
     warm_up(side, 30)
     host.evidence(0, side, towards)
     for _ in range(20):
-        towards.ended(0, Outcome.COMMITTED, 50_000, False)
+        towards.ended(0, Outcome.SUCCEEDED, 50_000, False)
     seen = host.evidence(SECOND, side, towards)
     assert seen.demand == 0 and seen.towards[0].hops == 20 and seen.towards[1].hops == 0
-    assert seen.towards[0].bears == pytest.approx(side.groups[0].limit * 20)
+    assert seen.towards[0].bears == pytest.approx(side.zone_subsets[0].limit * 20)
     for n in range(1, 9):
         last = host.evidence(SECOND + n * SECOND // 2, side, towards)
     assert last.towards[0].hops == 0 and last.towards[0].bears == seen.towards[0].bears
@@ -174,14 +174,14 @@
 )
 def test_the_module_goes_by_shares(shares: Any, part: float, low: float, high: float, turned: float) -> None:
     side = sidecar([entry(n, n % 2) for n in range(8)])
-    side.hear_shares(shares, part)
+    side.apply_zone_weights(shares, part)
     went, back = [0, 0], 0
     for n in range(1000):
-        tx = side.take(n * 10_000, profile(), -1, 4 * SECOND)
+        tx = side.start_request(n * 10_000, profile(), -1, 4 * SECOND)
         for _, what, which, _ in tx.route(n * 10_000):
             if what == "hop":
                 went[side.endpoints[which].zone] += 1
-                tx.ended(0, n * 10_000, Outcome.COMMITTED, 10_000, True)
+                tx.on_attempt_finished(0, n * 10_000, Outcome.SUCCEEDED, 10_000, True)
             else:
                 back += what == "rolled back"
     assert low <= went[0] / 1000 <= high and back / 1000 == pytest.approx(turned, abs=0.06)
@@ -192,27 +192,27 @@
     for share, finds in ((0.05, True), (0.5, False)):
         side = sidecar([entry(n, n % 2) for n in range(8)])
         for e in side.endpoints.values():
-            e.good, e.heard_us = (0.0 if e.zone else 1.0), SECOND
-        side.groups[1].choose(SECOND)
-        assert side.groups[1].failing
-        side.hear_shares((1 - share, share), 1.0)
+            e.success_rate, e.last_outcome_us = (0.0 if e.zone else 1.0), SECOND
+        side.zone_subsets[1].choose(SECOND)
+        assert side.zone_subsets[1].failing
+        side.apply_zone_weights((1 - share, share), 1.0)
         went = 0
         for n in range(400):
-            tx = side.take(SECOND + n, profile(), -1, 4 * SECOND)
+            tx = side.start_request(SECOND + n, profile(), -1, 4 * SECOND)
             for _, what, which, _ in tx.route(SECOND + n):
                 went += what == "hop" and side.endpoints[which].zone == 1
-                tx.ended(0, SECOND + n, Outcome.NEVER_SENT, 0, True)
+                tx.on_attempt_finished(0, SECOND + n, Outcome.NOT_SENT, 0, True)
         assert (went > 8) is finds
 
 
 def test_a_repeat_that_is_bound_stays_in_its_group_whatever_is_decided() -> None:
     side = sidecar([entry(n, n % 2) for n in range(8)])
     warm_up(side)
-    side.hear_shares((0.0, 1.0), 1.0)
+    side.apply_zone_weights((0.0, 1.0), 1.0)
     for n in range(50):
-        tx = side.take(n, profile("journalled", "zone"), -1, 4 * SECOND)
+        tx = side.start_request(n, profile("journalled", "zone"), -1, 4 * SECOND)
         (_, _, first, _), *_ = tx.route(n)
-        again = tx.ended(0, n, Outcome.DROPPED, 10_000, False)
+        again = tx.on_attempt_finished(0, n, Outcome.CONNECTION_RESET, 10_000, False)
         zones = {side.endpoints[which].zone for _, what, which, _ in again if what == "hop"}
         assert side.endpoints[first].zone == 1 and zones <= {1}
 
