--- a/cressrail/buffers/pool.py
+++ b/cressrail/buffers/pool.py
@@ -5,7 +5,7 @@
 SIZE = 8192
 
 
-class Exhausted(Exception):
+class BufferPoolExhaustedError(Exception):
     """All that the memory limit allows is lent out."""
 
 
@@ -18,7 +18,7 @@
     def take(self, over: bool = False) -> bytearray:
         """`over`: also beyond the bound, for what has been read already."""
         if self.lent >= self.most and not over:
-            raise Exhausted
+            raise BufferPoolExhaustedError
         self.lent += 1
         return self.free.pop() if self.free else bytearray(SIZE)
 
--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -10,7 +10,7 @@
 import orjson
 
 from cressrail.cli.output import address, fail
-from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_start
 
 if TYPE_CHECKING:
@@ -29,11 +29,11 @@
         pass
     try:
         start = read_start(of)
-    except Unfit as fault:
+    except ConfigurationError as fault:
         fail(str(fault))
-    if start.ops is None:
+    if start.admin is None:
         fail(f"{of}: ops is missing: a door for operators is where this is asked")
-    return start.ops
+    return start.admin
 
 
 def asked(at: tuple[str, int], target: str, what: str, method: str = "GET") -> Any | str:
--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -10,14 +10,14 @@
 
 from dataclasses import dataclass
 
-from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 
 CHAIN, MESH = "chain", "mesh"
 MOST_STREAMS = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class DeploymentType:
     """What the words of a shape imply: the bounds of whole numbers, by path."""
 
     name: str
@@ -26,33 +26,37 @@
 
 
 SHAPES = {
-    CHAIN: Shape(CHAIN, {"limits.multiplex": (1, 1)}),
-    MESH: Shape(MESH, {"limits.multiplex": (2, MOST_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)),
+    CHAIN: DeploymentType(CHAIN, {"limits.multiplex": (1, 1)}),
+    MESH: DeploymentType(
+        MESH, {"limits.multiplex": (2, MOST_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)
+    ),
 }
 PERMITS = tuple(
     f"limits.{name}" for name in ("probes", "peers", "may_cancel", "parallel_tries", "retry_after")
 )
 
 
-def beside(told: Told) -> bool:
+def is_per_client(told: SettingsReader) -> bool:
     """Whether each client process has a sidecar of its own; of any mixture, as the adapter needs it."""
     return told.pairs.get("domain_type", CHAIN) == MESH
 
 
-def checked(told: Told) -> Shape:
+def checked(told: SettingsReader) -> DeploymentType:
     """Raises `Unfit` that names the first key which belongs to the other shape."""
     name = told.pairs.get("domain_type", CHAIN)
     if name not in SHAPES:
-        raise Unfit(f"domain_type is none of {', '.join(SHAPES)}: {name[:40]}")
+        raise ConfigurationError(f"domain_type is none of {', '.join(SHAPES)}: {name[:40]}")
     shape = SHAPES[name]
     for path in shape.needed:
         if path not in told.pairs:
-            raise Unfit(f"{path} is missing, which domain_type {name} needs")
+            raise ConfigurationError(f"{path} is missing, which domain_type {name} needs")
     if name == MESH and len(told.names("tiers")) != 1:
-        raise Unfit(f"tiers does not go with domain_type {name}, which has one: {told.word('tiers')[:40]}")
+        raise ConfigurationError(
+            f"tiers does not go with domain_type {name}, which has one: {told.word('tiers')[:40]}"
+        )
     for path, (least, most) in shape.within.items():
         if path in told.pairs and not least <= (value := told.whole(path, 0)) <= most:
-            raise Unfit(f"{path} does not go with domain_type {name}: {value}")
+            raise ConfigurationError(f"{path} does not go with domain_type {name}: {value}")
     for path in PERMITS:
         if path in told.pairs:
             told.yes(path)
--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -6,13 +6,13 @@
 from typing import Any
 
 from cressrail.configuration.files import part_of_file
-from cressrail.configuration.settings_reader import Told, Unfit, under
-from cressrail.failover.messages import MOST_ZONES, Map, Settings
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
+from cressrail.failover.messages import MOST_ZONES, Settings, ZoneTopology
 
 KNOWN = ("regions", "way_ms")
 
 
-def read_part(told: Any, config: str, settings: Told, bear_us: int) -> Settings:
+def read_part(told: Any, config: str, settings: SettingsReader, bear_us: int) -> Settings:
     """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `settings`
     the sidecar's. Raises `Unfit`."""
     if isinstance(told, str):
@@ -21,34 +21,36 @@
         with under(f"{path}: "):
             return _part(part, settings, bear_us)
     if not isinstance(told, dict):
-        raise Unfit(f"{config}: failover is neither a part nor the path of one")
+        raise ConfigurationError(f"{config}: failover is neither a part nor the path of one")
     with under(f"{config}: failover."):
         return _part(told, settings, bear_us)
 
 
-def _part(part: dict[str, Any], settings: Told, bear_us: int) -> Settings:
+def _part(part: dict[str, Any], settings: SettingsReader, bear_us: int) -> Settings:
     for key in part:
         if key not in KNOWN:
-            raise Unfit(f"{key[:40]} is none of {', '.join(KNOWN)}")
+            raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN)}")
     zones = settings.names("dcs")
     if len(zones) > MOST_ZONES:
-        raise Unfit(f"regions can't be: there are {len(zones)} zones, {MOST_ZONES} at most are decided on")
+        raise ConfigurationError(
+            f"regions can't be: there are {len(zones)} zones, {MOST_ZONES} at most are decided on"
+        )
     regions = part.get("regions", {"": zones})
     if not isinstance(regions, dict) or not all(isinstance(of, list) for of in regions.values()):
-        raise Unfit("regions is no object of lists of zones")
+        raise ConfigurationError("regions is no object of lists of zones")
     of: dict[str, str] = {}
     for region, names in regions.items():
         for name in names:
             if name not in zones:
-                raise Unfit(f"regions.{region[:40]}: no zone is {str(name)[:40]}")
+                raise ConfigurationError(f"regions.{region[:40]}: no zone is {str(name)[:40]}")
             if name in of:
-                raise Unfit(f"regions.{region[:40]}: {name[:40]} is in {of[name][:40]} already")
+                raise ConfigurationError(f"regions.{region[:40]}: {name[:40]} is in {of[name][:40]} already")
             of[name] = region
     missing = [name for name in zones if name not in of]
     if missing:
-        raise Unfit(f"regions: {missing[0][:40]} is in none")
-    way = Told.nested({"way_ms": part.get("way_ms", 0)}).whole("way_ms", 0)
-    map_ = Map(tuple(zones), tuple(of[name] for name in zones), way * 1000)
+        raise ConfigurationError(f"regions: {missing[0][:40]} is in none")
+    way = SettingsReader.nested({"way_ms": part.get("way_ms", 0)}).whole("way_ms", 0)
+    map_ = ZoneTopology(tuple(zones), tuple(of[name] for name in zones), way * 1000)
     return Settings(
         map_,
         zones.index(settings.word("zone")),
--- a/cressrail/configuration/files.py
+++ b/cressrail/configuration/files.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.settings_reader import ConfigurationError
 
 
 def part_of_file(path: str) -> dict[str, Any]:
@@ -16,11 +16,13 @@
         with open(path, "rb") as file:
             text = file.read()
     except OSError as fault:
-        raise Unfit(f"{path}: {fault.strerror}") from None
+        raise ConfigurationError(f"{path}: {fault.strerror}") from None
     try:
         part = orjson.loads(text) if path.endswith(".json") else tomllib.loads(text.decode())
     except (orjson.JSONDecodeError, tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise Unfit(f"{path}: not {'JSON' if path.endswith('.json') else 'TOML'}: {fault}") from None
+        raise ConfigurationError(
+            f"{path}: not {'JSON' if path.endswith('.json') else 'TOML'}: {fault}"
+        ) from None
     if not isinstance(part, dict):
-        raise Unfit(f"{path}: no object")
+        raise ConfigurationError(f"{path}: no object")
     return part
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from cressrail.configuration.files import part_of_file
-from cressrail.configuration.settings_reader import Told, Unfit, under
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
 from cressrail.membership.messages import (
     LEAST_BYTES,
     LONGEST_NAME,
@@ -25,13 +25,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class MembershipConfiguration:
     listen: Address
     settings: Settings
     failover: Any = None  # settings of what is decided on zones in common, if anything
 
 
-def read_part(told: Any, config: str, name: str, zone: str, copies: int) -> Part:
+def read_part(told: Any, config: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
     """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `copies`
     the settings' figure. Raises `Unfit`."""
     if isinstance(told, str):
@@ -40,46 +40,48 @@
         with under(f"{path}: "):
             return _part(part, os.path.dirname(path), name, zone, copies)
     if not isinstance(told, dict):
-        raise Unfit(f"{config}: membership is neither a part nor the path of one")
+        raise ConfigurationError(f"{config}: membership is neither a part nor the path of one")
     with under(f"{config}: membership."):
         return _part(told, os.path.dirname(config), name, zone, copies)
 
 
-def _part(part: dict[str, Any], folder: str, name: str, zone: str, copies: int) -> Part:
-    told = Told.nested(part)
+def _part(part: dict[str, Any], folder: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
+    told = SettingsReader.nested(part)
     for key in part:
         if key not in KNOWN:
-            raise Unfit(f"{key[:40]} is none of {', '.join(KNOWN)}")
+            raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN)}")
     listen = _address("listen", told.word("listen"))
     advertise = _address("advertise", told.pairs["advertise"]) if "advertise" in told.pairs else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified:
-        raise Unfit(
+        raise ConfigurationError(
             f"{'advertise' if 'advertise' in told.pairs else 'listen'} is no address to send to: "
             f"{advertise[0]}"
         )
     zone = told.pairs.get("zone", zone)
     for path, text, longest in (("zone", zone, LONGEST_ZONE), ("name", name, LONGEST_NAME)):
         if not text or len(text.encode()) > longest:
-            raise Unfit(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
+            raise ConfigurationError(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
     most = told.whole("most_bytes", LEAST_BYTES, absent=MOST_BYTES)
     if most > MOST_BYTES:
-        raise Unfit(f"most_bytes is above {MOST_BYTES}: {most}")
+        raise ConfigurationError(f"most_bytes is above {MOST_BYTES}: {most}")
     bear = told.whole("bear_pause_ms", 300, absent=3000)
     if bear > 600_000:
-        raise Unfit(f"bear_pause_ms is above 600000: {bear}")
+        raise ConfigurationError(f"bear_pause_ms is above 600000: {bear}")
     seeds = tuple(_address(f"seeds.{n}", seed) for n, seed in enumerate(_list(part, "seeds")))
     use = _list(part, "use")
     for n, word in enumerate(use):
         if word not in USES:
-            raise Unfit(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
+            raise ConfigurationError(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
     keys = _keys(os.path.join(folder, told.word("keys")))
-    return Part(listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use)))
+    return MembershipConfiguration(
+        listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use))
+    )
 
 
 def _list(part: dict[str, Any], path: str) -> list[str]:
     value = part.get(path, [])
     if not isinstance(value, list):
-        raise Unfit(f"{path} is no list: {str(value)[:40]}")
+        raise ConfigurationError(f"{path} is no list: {str(value)[:40]}")
     return [str(item) for item in value]
 
 
@@ -88,9 +90,9 @@
         with open(path, "rb") as file:
             lines = [line for line in file.read(4096).split(b"\n") if line.strip()]
     except OSError as fault:
-        raise Unfit(f"keys: {path}: {fault.strerror}") from None
+        raise ConfigurationError(f"keys: {path}: {fault.strerror}") from None
     if not 1 <= len(lines) <= MOST_KEYS:
-        raise Unfit(f"keys: {path}: holds {len(lines)} keys, one or {MOST_KEYS} are wanted")
+        raise ConfigurationError(f"keys: {path}: holds {len(lines)} keys, one or {MOST_KEYS} are wanted")
     keys = []
     for n, line in enumerate(lines, 1):
         try:
@@ -98,7 +100,7 @@
         except ValueError:
             key = b""
         if len(key) != 32:
-            raise Unfit(f"keys: {path}: line {n} is no key of 64 hexadecimal digits")
+            raise ConfigurationError(f"keys: {path}: line {n} is no key of 64 hexadecimal digits")
         keys.append(key)
     return tuple(keys)
 
@@ -112,5 +114,5 @@
         if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536) or "%" in host:
             raise ValueError
     except ValueError:
-        raise Unfit(f"{path} is no address:port: {text[:60]}") from None
+        raise ConfigurationError(f"{path} is no address:port: {text[:60]}") from None
     return host, int(port)
--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cressrail.configuration.deployment_type import beside
-from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.deployment_type import is_per_client
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 from cressrail.policy.load_balancer import (
     ALL,
     CELL,
@@ -13,12 +13,12 @@
     NON_IDEMPOTENT,
     ZONE,
     EndpointListPoller,
+    LoadBalancer,
     RandomGenerator,
-    SlowStart,
     RequestClass,
     RetryPolicy,
+    SlowStart,
     TenantQuotas,
-    LoadBalancer,
     priority_weights,
 )
 
@@ -27,7 +27,7 @@
 GROUPS = {"all": ALL, "zone": ZONE, "cell": CELL}
 
 
-def profiles(told: Told) -> dict[str, RequestClass]:
+def request_classes(told: SettingsReader) -> dict[str, RequestClass]:
     found = {}
     count = told.whole("profiles.count", 1)
     by_work = told.one_of("revenue_basis", {"work": "1", "request": ""}) == "1"
@@ -56,34 +56,39 @@
     return found
 
 
-def members(told: Told) -> dict[str, float]:
+def tenants(told: SettingsReader) -> dict[str, float]:
     return {
         told.word(f"tenants.{n}.name"): told.real(f"tenants.{n}.allowance_per_s", 0, 1e12)
         for n in range(told.whole("tenants.count", 0, absent=0))
     }
 
 
-def waits(told: Told) -> tuple[int, int]:
+def waits(told: SettingsReader) -> tuple[int, int]:
     """For a connection to come up, and until an endpoint may close one that is idle."""
     return told.whole("limits.connect_timeout_us", 1), told.whole("limits.conn_idle_us", 1)
 
 
-def tried(told: Told, seed: int) -> tuple[dict[str, RequestClass], dict[str, float]]:
+def tried(told: SettingsReader, seed: int) -> tuple[dict[str, RequestClass], dict[str, float]]:
     """Raises `Unfit` for settings of which no sidecar can be made; its profiles and members otherwise."""
-    allowances = members(told)
+    allowances = tenants(told)
     waits(told)
-    sidecar(told, seed, 0, told.names("dcs"), list(allowances.values()))
-    return profiles(told), allowances
+    load_balancer(told, seed, 0, told.names("dcs"), list(allowances.values()))
+    return request_classes(told), allowances
 
 
-def sidecar(
-    told: Told, seed: int, now: int, zones: list[str], allowances: list[float], links: int = NEVER_US
+def load_balancer(
+    told: SettingsReader,
+    seed: int,
+    now: int,
+    zones: list[str],
+    allowances: list[float],
+    links: int = NEVER_US,
 ) -> LoadBalancer:
     if told.word("zone") not in zones:
-        raise Unfit(f"zone is not one of dcs: {told.word('zone')[:40]}")
+        raise ConfigurationError(f"zone is not one of dcs: {told.word('zone')[:40]}")
     tiers, stage = told.names("tiers"), told.whole("stage", 0)
     if stage >= len(tiers):
-        raise Unfit(f"stage is not below the number of tiers: {stage}")
+        raise ConfigurationError(f"stage is not below the number of tiers: {stage}")
     subscribes = told.one_of("membership_mode", {"automatic": "", "subscribe": "1"}) == "1"
     chance = RandomGenerator(seed)
     copies = told.whole("n_instances", 1)
@@ -114,6 +119,6 @@
         instances=copies,
         number=told.whole("slot_no", 0, absent=0),
         now=now,
-        is_per_client=beside(told),
+        is_per_client=is_per_client(told),
         max_connections=links,
     )
--- a/cressrail/configuration/settings_reader.py
+++ b/cressrail/configuration/settings_reader.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 
 
-class Unfit(Exception):
+class ConfigurationError(Exception):
     """A required setting that is missing or impossible; the text starts with its path."""
 
 
@@ -15,11 +15,11 @@
     """Names where what is wrong in here stands."""
     try:
         yield
-    except Unfit as fault:
-        raise Unfit(f"{path}{fault}") from None
+    except ConfigurationError as fault:
+        raise ConfigurationError(f"{path}{fault}") from None
 
 
-class Told:
+class SettingsReader:
     """The pairs as they came, read by path."""
 
     def __init__(self, pairs: dict[str, str], lists: dict[str, list[str]] | None = None) -> None:
@@ -27,7 +27,7 @@
         self.lists = lists or {}  # plain lists, where they came as such: their items may hold commas
 
     @classmethod
-    def nested(cls, settings: object) -> Told:
+    def nested(cls, settings: object) -> SettingsReader:
         """The same paths from nested JSON: a list of objects gives .count, .0, .1 and so on."""
         told = cls({}, {})
         told._unfold("", settings)
@@ -51,13 +51,13 @@
 
     def word(self, path: str) -> str:
         if path not in self.pairs:
-            raise Unfit(f"{path} is missing")
+            raise ConfigurationError(f"{path} is missing")
         return self.pairs[path]
 
     def one_of(self, path: str, words: dict[str, str]) -> str:
         word = self.word(path)
         if word not in words:
-            raise Unfit(f"{path} is none of {', '.join(words)}: {word[:40]}")
+            raise ConfigurationError(f"{path} is none of {', '.join(words)}: {word[:40]}")
         return words[word]
 
     def whole(self, path: str, least: int, absent: int | None = None) -> int:
@@ -66,9 +66,9 @@
         try:
             value = int(self.word(path))
         except ValueError:
-            raise Unfit(f"{path} is not a whole number: {self.pairs[path][:40]}") from None
+            raise ConfigurationError(f"{path} is not a whole number: {self.pairs[path][:40]}") from None
         if value < least:
-            raise Unfit(f"{path} is below {least}: {value}")
+            raise ConfigurationError(f"{path} is below {least}: {value}")
         return value
 
     def real(self, path: str, least: float, most: float, absent: float | None = None) -> float:
@@ -77,9 +77,9 @@
         try:
             value = float(self.word(path))
         except ValueError:
-            raise Unfit(f"{path} is not a number: {self.pairs[path][:40]}") from None
+            raise ConfigurationError(f"{path} is not a number: {self.pairs[path][:40]}") from None
         if not least <= value <= most:
-            raise Unfit(f"{path} is not within {least} and {most}: {value}")
+            raise ConfigurationError(f"{path} is not within {least} and {most}: {value}")
         return value
 
     def yes(self, path: str) -> bool:
--- a/cressrail/discovery/endpoint_list.py
+++ b/cressrail/discovery/endpoint_list.py
@@ -11,49 +11,49 @@
 PHASES = {"up": (True, False), "draining": (False, False), "removed": (False, True)}  # on, gone
 
 
-class Junk(Exception):
+class MalformedEndpointListError(Exception):
     """What discovery sent is no list; the one held stays."""
 
 
 @dataclass(slots=True)
-class Row:
+class EndpointEntry:
     name: str
     host: str
     port: int
     zone: str
     cell: int
     scale: float
-    on: bool
-    gone: bool
+    accepts_requests: bool
+    is_removed: bool
     started_us: int
 
 
 @dataclass(slots=True)
-class News:
+class EndpointListUpdate:
     revision: int
-    full: bool
-    rows: list[Row] = field(default_factory=list)
+    is_complete: bool
+    entries: list[EndpointEntry] = field(default_factory=list)
     kept: list[str] = field(default_factory=list)  # named by entries that can't be read: as they were
     faults: list[str] = field(default_factory=list)
 
 
-def read_line(line: bytes) -> News:
+def read_line(line: bytes) -> EndpointListUpdate:
     try:
         return read(orjson.loads(line))
     except orjson.JSONDecodeError as fault:
-        raise Junk(f"not JSON: {fault}") from None
+        raise MalformedEndpointListError(f"not JSON: {fault}") from None
 
 
-def read(told: Any) -> News:
+def read(told: Any) -> EndpointListUpdate:
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
-        raise Junk("no members")
+        raise MalformedEndpointListError("no members")
     revision, full = told.get("revision"), told.get("complete")
     if not isinstance(revision, int) or not isinstance(full, bool):
-        raise Junk("no revision, or not told whether it is complete")
-    news = News(revision, full)
+        raise MalformedEndpointListError("no revision, or not told whether it is complete")
+    news = EndpointListUpdate(revision, full)
     for entry in told["members"]:
         try:
-            news.rows.append(_row(entry))
+            news.entries.append(_row(entry))
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             news.faults.append(f"{type(fault).__name__}: {fault}")
             if isinstance(entry, dict) and isinstance(entry.get("id"), str):
@@ -61,7 +61,7 @@
     return news
 
 
-def _row(entry: dict[str, Any]) -> Row:
+def _row(entry: dict[str, Any]) -> EndpointEntry:
     name, address = entry["id"], entry["host_port"]
     host, _, port = address.rpartition(":")
     on, gone = PHASES[entry["phase"]]
@@ -69,7 +69,7 @@
     host = str(ip_address(host.strip("[]")))  # a name would have to be looked up, which may take its time
     if not (isinstance(name, str) and name and 0 < int(port) < 65536 and 0 <= scale < 1e12):
         raise ValueError(f"entry that is none: {str(entry)[:80]}")
-    return Row(
+    return EndpointEntry(
         name,
         host,
         int(port),
--- a/cressrail/failover/codec.py
+++ b/cressrail/failover/codec.py
@@ -12,10 +12,10 @@
     STATES,
     WHY,
     Decision,
+    DrainRequest,
     Epoch,
     Evidence,
     Toward,
-    Wish,
     Zone,
 )
 
@@ -74,7 +74,7 @@
     nth: int
 
 
-Said = Report | Ack | Ask | Vote | No | Beat | Decision | Wish
+Said = Report | Ack | Ask | Vote | No | Beat | Decision | DrainRequest
 
 
 def _clip(value: float, most: int) -> int:
@@ -101,7 +101,7 @@
         return bytes([NO]) + struct.pack("!I", told.term) + _EPOCH.pack(*told.epoch)
     if isinstance(told, Beat):
         return bytes([BEAT]) + _EPOCH.pack(*told.epoch) + struct.pack("!QI", told.by, told.nth)
-    if isinstance(told, Wish):
+    if isinstance(told, DrainRequest):
         left_s = 0 if told.until_us <= 0 else max(1, _clip((told.until_us - now) / SECOND, 65535))
         return bytes([WISHED]) + _WISH.pack(told.zone, left_s, told.nth)
     text = _DECIDED.pack(*told.epoch, told.by, len(told.zones))
@@ -148,7 +148,9 @@
         return Beat(_epoch(body, 0), by, nth)
     if kind == WISHED:
         zone, left_s, wish_no = _WISH.unpack_from(body)
-        return Wish(zone, now + left_s * SECOND if left_s else 0, wish_no) if zone < MOST_ZONES else None
+        return (
+            DrainRequest(zone, now + left_s * SECOND if left_s else 0, wish_no) if zone < MOST_ZONES else None
+        )
     return _decision(body, now) if kind == DECIDED else None
 
 
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from cressrail.failover.messages import Effect, Evidence, Settings, Toward
-from cressrail.failover.state_machine import WINDOW, Failover, Fleet
-from cressrail.membership.state_machine import Membership
-from cressrail.policy.load_balancer import RandomGenerator, LoadBalancer
-from cressrail.proxy.zone_statistics import Ended, Towards
+from cressrail.failover.messages import Command, Evidence, Settings, Toward
+from cressrail.failover.state_machine import WINDOW, FailoverStateMachine, Fleet
+from cressrail.membership.state_machine import MembershipStateMachine
+from cressrail.policy.load_balancer import LoadBalancer, RandomGenerator
+from cressrail.proxy.zone_statistics import AttemptCounts, ZoneStatistics
 
 SECOND = 1_000_000
 
@@ -19,8 +19,8 @@
 class Host:
     def __init__(self, settings: Settings, own: int, chance: RandomGenerator, now: int) -> None:
         self.settings = settings
-        self.reducer = Failover(settings, own, chance, now)
-        self.seen: deque[tuple[int, dict[int, Ended]]] = deque(maxlen=WINDOW + 1)
+        self.reducer = FailoverStateMachine(settings, own, chance, now)
+        self.seen: deque[tuple[int, dict[int, AttemptCounts]]] = deque(maxlen=WINDOW + 1)
         self.latency_us: dict[int, float] = {}
         self.began = False
 
@@ -28,7 +28,9 @@
     def wake_us(self) -> int:
         return self.reducer.wake_us
 
-    def woke(self, now: int, copy: Membership, sidecar: LoadBalancer, towards: Towards) -> list[Effect]:
+    def woke(
+        self, now: int, copy: MembershipStateMachine, sidecar: LoadBalancer, towards: ZoneStatistics
+    ) -> list[Command]:
         at = {name: n for n, name in enumerate(self.settings.map.zones)}
         seen = copy.seen(now)
         living = {ident: at[zone] for ident, zone in copy.zones().items() if zone in at}
@@ -39,21 +41,27 @@
             return self.reducer.start(now)
         return self.reducer.woke(now)
 
-    def heard(self, now: int, by: int, text: bytes) -> list[Effect]:
+    def heard(self, now: int, by: int, text: bytes) -> list[Command]:
         return self.reducer.heard(now, by, text)
 
-    def evidence(self, now: int, sidecar: LoadBalancer, towards: Towards) -> Evidence:
+    def evidence(self, now: int, sidecar: LoadBalancer, towards: ZoneStatistics) -> Evidence:
         self.seen.append((now, dict(towards.zones)))
         since_us, before = self.seen[0]
         span_us = max(1, now - since_us)
         taken = sum(1 for at in sidecar.budget.taken if at > since_us)
         told = []
         for zone in range(len(self.settings.map.zones)):
-            lately = towards.zones.get(zone, Ended()).less(before.get(zone, Ended()))
-            if lately.committed:
-                self.latency_us[zone] = lately.took_us / lately.committed
+            lately = towards.zones.get(zone, AttemptCounts()).since(before.get(zone, AttemptCounts()))
+            if lately.succeeded:
+                self.latency_us[zone] = lately.took_us / lately.succeeded
             told.append(
-                Toward(lately.hops, lately.unreached, lately.failed, lately.late, self._bears(zone, sidecar))
+                Toward(
+                    lately.attempts,
+                    lately.connect_failed,
+                    lately.failed,
+                    lately.late,
+                    self._bears(zone, sidecar),
+                )
             )
         return Evidence(self.settings.zone, taken * SECOND / span_us, tuple(told))
 
@@ -65,13 +73,13 @@
         latency = self.latency_us.get(zone) or min(self.latency_us.values())
         return sidecar.zone_subsets[zone].limit * SECOND / max(1.0, latency)
 
-    def view(self, now: int, towards: Towards) -> dict[str, Any]:
+    def view(self, now: int, towards: ZoneStatistics) -> dict[str, Any]:
         return {**self.reducer.view(now), "near": self._near(towards)}
 
-    def _near(self, towards: Towards) -> dict[str, float]:
+    def _near(self, towards: ZoneStatistics) -> dict[str, float]:
         """Shares of what committed since the start."""
         map_, own = self.settings.map, self.settings.zone
-        done = {w: towards.zones.get(w, Ended()).committed for w in range(len(map_.zones))}
+        done = {w: towards.zones.get(w, AttemptCounts()).succeeded for w in range(len(map_.zones))}
         whole = max(1, sum(done.values()))
         parts = [sum(n for w, n in done.items() if map_.near(own, w) == level) / whole for level in range(3)]
         near = (parts[0], parts[0] + parts[1], parts[2])
--- a/cressrail/failover/messages.py
+++ b/cressrail/failover/messages.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Map:
+class ZoneTopology:
     """Zones in the order of the settings, each with its region, and what a way between regions costs."""
 
     zones: tuple[str, ...]
@@ -82,7 +82,7 @@
     drains: tuple[tuple[int, int], ...] = ()  # zones that operators want empty, and until when
 
 
-class Wish(NamedTuple):
+class DrainRequest(NamedTuple):
     """An operator's: that a zone is drained until then (0: no more)."""
 
     zone: int
@@ -114,19 +114,19 @@
     decision: Decision
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     event: str
-    what: dict[str, object]
+    fields: dict[str, object]
 
 
-Effect = Post | Spread | Adopted | Note
+Command = Post | Spread | Adopted | LogEvent
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """Spans follow from the pause that membership bears."""
 
-    map: Map
+    map: ZoneTopology
     zone: int
     cold_from: float = 0.2
     warm_us: int = 10_000_000
--- a/cressrail/failover/planner.py
+++ b/cressrail/failover/planner.py
@@ -23,8 +23,8 @@
     RETURNING,
     SERVING,
     UNREACHED,
-    Map,
     Zone,
+    ZoneTopology,
 )
 
 SECOND = 1_000_000
@@ -80,7 +80,7 @@
 class Planner:
     """Owned by the copy that decides; what it remembers begins anew with each one who does."""
 
-    def __init__(self, map_: Map, cold_from: float, warm_us: int, window_us: int, now: int) -> None:
+    def __init__(self, map_: ZoneTopology, cold_from: float, warm_us: int, window_us: int, now: int) -> None:
         self.map, self.cold_from, self.warm_us, self.window_us = map_, cold_from, warm_us, window_us
         self.standing = [Standing(since_us=now) for _ in map_.zones]
         self.planned_us = now
--- a/cressrail/failover/simulation.py
+++ b/cressrail/failover/simulation.py
@@ -17,17 +17,17 @@
 from cressrail.failover.messages import (
     AWAY,
     Adopted,
-    Effect,
+    Command,
     Epoch,
     Evidence,
-    Map,
-    Note,
+    LogEvent,
     Post,
     Settings,
     Spread,
     Toward,
+    ZoneTopology,
 )
-from cressrail.failover.state_machine import Failover, Fleet
+from cressrail.failover.state_machine import FailoverStateMachine, Fleet
 from cressrail.policy.load_balancer import RandomGenerator
 
 SECOND = 1_000_000
@@ -96,7 +96,7 @@
 class Copy:
     number: int
     zone: int
-    reducer: Failover
+    reducer: FailoverStateMachine
     up: bool = True
     stalled: bool = False
     lies: bool = False
@@ -113,7 +113,7 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.event_no = 0
         names = tuple(zone.name for zone in scenario.zones)
-        self.map = Map(names, tuple(zone.region for zone in scenario.zones))
+        self.map = ZoneTopology(names, tuple(zone.region for zone in scenario.zones))
         n = len(names)
         self.up = [True] * n  # a zone's endpoints
         self.failing = [False] * n
@@ -146,7 +146,9 @@
             self.map, zone, told.cold_from, int(told.warm_s * SECOND), told.bear_pause_ms * 1000
         )
         copy = Copy(
-            number, zone, Failover(settings, number, RandomGenerator(self.chance.below(1 << 32)), self.now)
+            number,
+            zone,
+            FailoverStateMachine(settings, number, RandomGenerator(self.chance.below(1 << 32)), self.now),
         )
         copy.since_us = self.now
         self.copies[number] = copy
@@ -181,7 +183,7 @@
 
     # Talk
 
-    def _carry(self, copy: Copy, effects: list[Effect]) -> None:
+    def _carry(self, copy: Copy, effects: list[Command]) -> None:
         for effect in effects:
             if isinstance(effect, Post):
                 self._send(copy, effect.to, effect.text, self._drawn(HOP_US), copy.number)
@@ -191,8 +193,8 @@
                         self._send(copy, other.number, effect.text, self._drawn(ROUND_US), 0)
             elif isinstance(effect, Adopted):
                 self._adopted(copy, effect)
-            elif isinstance(effect, Note):
-                self.log.append(f"{self.now} {copy.number} {effect.event} {sorted(effect.what.items())}")
+            elif isinstance(effect, LogEvent):
+                self.log.append(f"{self.now} {copy.number} {effect.event} {sorted(effect.fields.items())}")
 
     def _adopted(self, copy: Copy, effect: Adopted) -> None:
         decision = effect.decision
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -19,15 +19,15 @@
     STATES,
     WHY,
     Adopted,
+    Command,
     Decision,
-    Effect,
+    DrainRequest,
     Epoch,
     Evidence,
-    Note,
+    LogEvent,
     Post,
     Settings,
     Spread,
-    Wish,
 )
 from cressrail.failover.planner import Planner
 from cressrail.policy.load_balancer import RandomGenerator
@@ -51,7 +51,7 @@
     sure: bool
 
 
-class Failover:
+class FailoverStateMachine:
     def __init__(self, settings: Settings, own: int, chance: RandomGenerator, now: int) -> None:
         self.settings, self.own, self.chance = settings, own, chance
         self.fleet = Fleet({}, 1, False)
@@ -75,10 +75,10 @@
         self.answered: dict[int, int] = {}  # by copy: when what it answered last went out
         self.told: dict[int, tuple[Evidence, int]] = {}
         self.planner: Planner | None = None
-        self.wishes: dict[int, Wish] = {}
+        self.wishes: dict[int, DrainRequest] = {}
         self.leads_us = self.beat_us = now
         self.due_us = now
-        self.out: list[Effect] = []
+        self.out: list[Command] = []
 
     # Happenings
 
@@ -86,7 +86,7 @@
     def wake_us(self) -> int:
         return self.due_us
 
-    def start(self, now: int) -> list[Effect]:
+    def start(self, now: int) -> list[Command]:
         self.due_us = now + self.chance.below(self.settings.period_us)
         self._wait(now)
         return self._done()
@@ -98,13 +98,13 @@
         """This copy's own, over the window."""
         self.evidence = evidence
 
-    def wish(self, now: int, zone: int, until_us: int) -> list[Effect]:
+    def wish(self, now: int, zone: int, until_us: int) -> list[Command]:
         """An operator's, at this copy; 0: no more."""
         nth = max((wish.nth for wish in self.wishes.values()), default=0) + 1
-        self._hear_wish(now, Wish(zone, until_us, nth))
+        self._hear_wish(now, DrainRequest(zone, until_us, nth))
         return self._done()
 
-    def woke(self, now: int) -> list[Effect]:
+    def woke(self, now: int) -> list[Command]:
         if now - self.due_us > self.settings.period_us:  # it was stopped: nothing of before is a sign
             self._notice(now)
         period = self.settings.period_us
@@ -119,14 +119,14 @@
             self._wait(now)
         return self._done()
 
-    def heard(self, now: int, by: int, text: bytes) -> list[Effect]:
+    def heard(self, now: int, by: int, text: bytes) -> list[Command]:
         """From one copy itself, or (`by` 0) by way of others."""
         told = codec.unpack(text, now)
         if isinstance(told, Decision):
             self._hear_decision(now, told)
         elif isinstance(told, Beat):
             self._hear_beat(now, told)
-        elif isinstance(told, Wish):
+        elif isinstance(told, DrainRequest):
             self._hear_wish(now, told)
         elif by and isinstance(told, Report):
             self._hear_report(now, by, told)
@@ -369,7 +369,7 @@
         self._wait(now)
         for zone, until_us in told.drains:
             if zone not in self.wishes:
-                self.wishes[zone] = Wish(zone, until_us, 0)
+                self.wishes[zone] = DrainRequest(zone, until_us, 0)
         self._adopt(now, told)
 
     def _adopt(self, now: int, decision: Decision) -> None:
@@ -386,7 +386,7 @@
         }
         self._note("zones_decided", epoch=decision.epoch.number, by=f"{decision.by:016x}", zones=changed)
 
-    def _hear_wish(self, now: int, told: Wish) -> None:
+    def _hear_wish(self, now: int, told: DrainRequest) -> None:
         known = self.wishes.get(told.zone)
         if told.zone >= len(self.settings.map.zones) or (known is not None and known.nth >= told.nth):
             return
@@ -403,8 +403,8 @@
         self.out.append(Spread(about, codec.pack(told, now), not isinstance(told, Beat)))
 
     def _note(self, event: str, **what: Any) -> None:
-        self.out.append(Note(event, what))
+        self.out.append(LogEvent(event, what))
 
-    def _done(self) -> list[Effect]:
+    def _done(self) -> list[Command]:
         out, self.out = self.out, []
         return out
--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -15,7 +15,7 @@
 HELLO, HERE, TAKE, ESTATE, BYE = "hello", "here", "take", "estate", "bye"
 
 
-class Foreign(Exception):
+class HandoverError(Exception):
     """What came is torn, of another version, or none of ours."""
 
 
@@ -39,16 +39,16 @@
             return None
         mark, version, size, check = HEAD.unpack_from(self.text)
         if mark != MARK or size > MOST:
-            raise Foreign("no frame of a sidecar")
+            raise HandoverError("no frame of a sidecar")
         if version != VERSION:
-            raise Foreign(f"version {version}")
+            raise HandoverError(f"version {version}")
         if len(self.text) < HEAD.size + size:
             return None
         body = bytes(self.text[HEAD.size : HEAD.size + size])
         del self.text[: HEAD.size + size]
         if crc32(body) != check:
-            raise Foreign("check sum")
+            raise HandoverError("check sum")
         told = orjson.loads(body)
         if not isinstance(told, dict) or not isinstance(told.get("kind"), str):
-            raise Foreign("no kind")
+            raise HandoverError("no kind")
         return told["kind"], told
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -11,19 +11,19 @@
 from collections.abc import Iterable
 from typing import Any
 
-from cressrail.discovery.endpoint_list import PHASES, Row
-from cressrail.handover.frame import Foreign
+from cressrail.discovery.endpoint_list import PHASES, EndpointEntry
+from cressrail.handover.frame import HandoverError
 from cressrail.policy.load_balancer import LoadBalancer
 
 # Of an endpoint and of the whole, by the module's own names.
-NUMBERS = ("limit", "latency", "good", "cold_credit")
-TIMES = ("cut_us", "prompt_us", "heard_us", "dead_us", "cold_us")
+NUMBERS = ("limit", "latency", "success_rate", "slow_start_credit")
+TIMES = ("cut_us", "prompt_us", "last_outcome_us", "unavailable_until_us", "cold_us")
 WHOLE_NUMBERS = ("mean", "swing", "usual", "late")
 WHOLE_TIMES = ("usual_us", "heard")
 WORDS = {phase: word for word, phase in PHASES.items()}
 
 
-def listed(rows: Iterable[Row], revision: int) -> dict[str, Any]:
+def listed(rows: Iterable[EndpointEntry], revision: int) -> dict[str, Any]:
     """The list in discovery's own form, so that it is read and checked as hers is."""
     return {
         "revision": revision,
@@ -34,17 +34,17 @@
                 "host_port": f"{f'[{row.host}]' if ':' in row.host else row.host}:{row.port}",
                 "locality": row.zone,
                 "cell": row.cell,
-                "phase": WORDS[row.on, False],
+                "phase": WORDS[row.accepts_requests, False],
                 "size": row.scale,
                 "up_since_ms": row.started_us // 1000,
             }
             for row in rows
-            if not row.gone
+            if not row.is_removed
         ],
     }
 
 
-def gather(sidecar: LoadBalancer, names: dict[int, str]) -> dict[str, Any]:
+def capture(sidecar: LoadBalancer, names: dict[int, str]) -> dict[str, Any]:
     endpoints = []
     for ix, name in names.items():
         e = sidecar.endpoints[ix]
@@ -67,7 +67,7 @@
     }
 
 
-def settle(estate: dict[str, Any], sidecar: LoadBalancer, names: dict[int, str], now: int) -> None:
+def restore(estate: dict[str, Any], sidecar: LoadBalancer, names: dict[int, str], now: int) -> None:
     """Raises `Foreign`, and has changed nothing then."""
     try:
         told = {
@@ -88,7 +88,7 @@
         shares = [_number(v) for v in credit], _times(filled, len(credit)), _times(clocks, 4)
         groups = [(_number(admits), _time(hops), _number(rate)) for admits, hops, rate in estate["groups"]]
     except (KeyError, TypeError, ValueError) as fault:
-        raise Foreign(f"{type(fault).__name__}: {fault}") from None
+        raise HandoverError(f"{type(fault).__name__}: {fault}") from None
     for ix, called in names.items():
         e = sidecar.endpoints[ix]
         started_us, values, moments = told.get(called, (-1, [], []))
--- a/cressrail/http1/answer.py
+++ b/cressrail/http1/answer.py
@@ -7,7 +7,7 @@
 from cressrail.buffers.pipe import Kept
 from cressrail.buffers.pool import Chain
 from cressrail.http1 import body as bodies
-from cressrail.http1.head import Fields, Malformed, length, split_head, words
+from cressrail.http1.head import Fields, MalformedMessageError, length, split_head, words
 
 REASONS = {
     200: b"OK",
@@ -23,13 +23,13 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """What a client is told. A committed one carries an endpoint's whole body."""
 
     status: int
     body: Chain | None = None
-    kind: bytes = b""  # content-type
-    come_back_us: int = 0
+    content_type: bytes = b""  # content-type
+    retry_after_us: int = 0
     length: int | None = None  # of a body that still comes, where its endpoint has stated it
 
     @property
@@ -47,16 +47,16 @@
             lines.append(b"content-length: %d" % size)
         elif modern:
             lines.append(b"transfer-encoding: chunked")
-        if self.kind:
-            lines.append(b"content-type: " + self.kind)
-        if self.come_back_us:
-            lines.append(b"retry-after: %.3f" % (self.come_back_us / 1e6))
+        if self.content_type:
+            lines.append(b"content-type: " + self.content_type)
+        if self.retry_after_us:
+            lines.append(b"retry-after: %.3f" % (self.retry_after_us / 1e6))
         if not keep:
             lines.append(b"connection: close")
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-class AnswerReader:
+class ResponseReader:
     """Fed with what comes; `done` once the answer is whole."""
 
     def __init__(self, sink: bodies.Sink, most: int, bodiless: bool = False) -> None:
@@ -96,7 +96,7 @@
     def ended(self) -> None:
         """The connection has ended; so has a body that nothing else bounds. Any other is cut."""
         if self._body is None:
-            raise Malformed(400, "ends before a whole answer")
+            raise MalformedMessageError(400, "ends before a whole answer")
         if not self._body.done:
             self._body.ended()
         self.keep = False
@@ -105,7 +105,7 @@
         version, _, rest = first.partition(b" ")
         code = rest.partition(b" ")[0]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(code) != 3 or not code.isdigit():
-            raise Malformed(400, "first line that is none")
+            raise MalformedMessageError(400, "first line that is none")
         status = int(code)
         if 100 <= status < 200 and status != 101:
             return  # a word on the way; the answer is still to come
@@ -114,7 +114,7 @@
         self.keep = b"close" not in options and (version == b"HTTP/1.1" or b"keep-alive" in options)
         size, codings = length(fields), words(fields, b"transfer-encoding")
         if codings and (size is not None or codings != [b"chunked"]):
-            raise Malformed(400, "framing that may be read in two ways")
+            raise MalformedMessageError(400, "framing that may be read in two ways")
         if self.bodiless or status in (204, 304):
             self._body = bodies.Counted(self.sink, self.most, 0)
         elif codings:
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from cressrail.http1.head import Malformed
+from cressrail.http1.head import MalformedMessageError
 
 MOST = 1 << 30  # bytes of a body
 LINE = 1024  # bytes of a line between chunks
@@ -28,12 +28,12 @@
         raise NotImplementedError
 
     def ended(self) -> None:
-        raise Malformed(400, "ends inside a body")
+        raise MalformedMessageError(400, "ends inside a body")
 
     def _add(self, data: memoryview) -> None:
         self.seen += len(data)
         if self.seen > self.most:
-            raise Malformed(413, "body too large")
+            raise MalformedMessageError(413, "body too large")
         self.sink.add(data)
 
 
@@ -41,7 +41,7 @@
     def __init__(self, sink: Sink, most: int, size: int) -> None:
         super().__init__(sink, most)
         if size > most:
-            raise Malformed(413, "body too large")
+            raise MalformedMessageError(413, "body too large")
         self.left = size
         self.done = size == 0
 
@@ -84,7 +84,7 @@
             end = head.find(b"\r\n")
             if end < 0:
                 if len(head) > LINE:
-                    raise Malformed(400, "chunk that is none")
+                    raise MalformedMessageError(400, "chunk that is none")
                 return used
             used += end + 2
             self._line(head[:end])
@@ -93,17 +93,17 @@
     def _line(self, line: bytes) -> None:
         if self.at == "after":
             if line:
-                raise Malformed(400, "chunk that is none")
+                raise MalformedMessageError(400, "chunk that is none")
             self.at = "size"
         elif self.at == "trailer":
             self.trailers += 1
             if self.trailers > 64:
-                raise Malformed(431, "too many trailers")
+                raise MalformedMessageError(431, "too many trailers")
             self.done = not line
         else:
             size = line.partition(b";")[0].strip()
             if not 0 < len(size) <= 8 or any(c not in b"0123456789abcdefABCDEF" for c in size):
-                raise Malformed(400, "chunk that is none")
+                raise MalformedMessageError(400, "chunk that is none")
             self.left = int(size, 16)
             self.at = "data" if self.left else "trailer"
 
--- a/cressrail/http1/head.py
+++ b/cressrail/http1/head.py
@@ -46,7 +46,7 @@
             self.first[name] = value
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What came is no message that may be taken; `status` is what a client is told."""
 
     def __init__(self, status: int, what: str) -> None:
@@ -60,17 +60,17 @@
     skip = 2 if text.startswith(b"\r\n") else 0  # one empty line before a message is let pass
     end = text.find(END, skip)
     if end > MOST or (end < 0 and len(text) > MOST):
-        raise Malformed(431, "head too large")
+        raise MalformedMessageError(431, "head too large")
     if end < 0:
         if ended:
-            raise Malformed(400, "ends inside a head")
+            raise MalformedMessageError(400, "ends inside a head")
         return None
     first, *lines = text[skip:end].split(b"\r\n")
     fields = Fields()
     for line in lines:
         found = FIELD.match(line)
         if found is None:
-            raise Malformed(400, "field that is none")
+            raise MalformedMessageError(400, "field that is none")
         name, value = found.groups()
         fields.add(name.lower(), value.rstrip(b" \t"))
     return end + 4, first, fields
@@ -96,5 +96,5 @@
         return None
     word = found[0]
     if any(other != word for other in found) or not word.isdigit() or len(word) > 15:
-        raise Malformed(400, "content-length that is none")
+        raise MalformedMessageError(400, "content-length that is none")
     return int(word)
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -8,7 +8,7 @@
 from cressrail.buffers.pipe import Kept
 from cressrail.buffers.pool import Chain
 from cressrail.http1 import body as bodies
-from cressrail.http1.head import BY_HOP, TOKEN, Fields, Malformed, length, split_head, words
+from cressrail.http1.head import BY_HOP, TOKEN, Fields, MalformedMessageError, length, split_head, words
 
 ONCE = (b"req-", b"idempotency-key", b"host")  # fields that say which request it is, and so on
 NOT_ONWARD = frozenset(BY_HOP | {b"host", b"req-deadline"})
@@ -76,9 +76,9 @@
     """Method and target of a request's first line."""
     parts = first.split(b" ")
     if len(parts) != 3 or not TOKEN.match(parts[0]) or not TARGET.match(parts[1]):
-        raise Malformed(400, "first line that is none")
+        raise MalformedMessageError(400, "first line that is none")
     if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise Malformed(400, "neither HTTP/1.1 nor HTTP/1.0")
+        raise MalformedMessageError(400, "neither HTTP/1.1 nor HTTP/1.0")
     return parts[0], parts[1]
 
 
@@ -113,11 +113,11 @@
         options = words(fields, b"connection")
         # Guards against an endpoint that reads another request than the one decided on.
         if len(named) > len(set(named)) or any(word.startswith(ONCE) for word in options):
-            raise Malformed(400, "fields that may be read in two ways")
+            raise MalformedMessageError(400, "fields that may be read in two ways")
         keep = b"close" not in options and (first.endswith(b"1") or b"keep-alive" in options)
         size, codings = length(fields), words(fields, b"transfer-encoding")
         if codings and (size is not None or codings != [b"chunked"]):
-            raise Malformed(400, "framing that may be read in two ways")
+            raise MalformedMessageError(400, "framing that may be read in two ways")
         self.begun = Request(method, target, fields, self.chain, keep, size, first.endswith(b"1"))
         self._body = (
             bodies.Chunked(self.chain, bodies.MOST)
--- a/cressrail/logs/log_writer.py
+++ b/cressrail/logs/log_writer.py
@@ -14,7 +14,7 @@
 MOST_BYTES = 4096  # of a write that a pipe with room takes whole
 
 
-class Lines:
+class LogWriter:
     def __init__(self, fd: int, now: Callable[[], int], name: str) -> None:
         self.fd = fd
         self.now = now
@@ -24,7 +24,7 @@
         self.poller = select.poll()
         self.poller.register(fd, select.POLLOUT)
 
-    def note(self, event: str, what: dict[str, Any]) -> None:
+    def write_event(self, event: str, what: dict[str, Any]) -> None:
         if len(self.waiting) >= MOST_WAITING:
             self.dropped += 1
             return
@@ -66,7 +66,7 @@
                 return
             if self.dropped and not self.waiting:
                 dropped, self.dropped = self.dropped, 0
-                self.note("lines_dropped", {"n": dropped})
+                self.write_event("lines_dropped", {"n": dropped})
 
     def _writable(self) -> bool:
         return any(mask & select.POLLOUT for _, mask in self.poller.poll(0))
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from cressrail.membership.authentication import CODE
-from cressrail.membership.load_reports import FORM, Hint, pack, unpack
+from cressrail.membership.load_reports import FORM, LoadReport, pack, unpack
 from cressrail.membership.messages import (
     LEFT,
     LONGEST_NAME,
@@ -47,7 +47,7 @@
 OVERHEAD = _HEAD.size + CODE  # beside its fields
 
 
-class Junk(Exception):
+class MalformedDatagramError(Exception):
     """No datagram of the fleet; the text says why."""
 
 
@@ -68,7 +68,7 @@
     briefs: list[Brief]
     edges: list[Edge]
     digest: list[Brief]
-    hints: list[Hint]
+    hints: list[LoadReport]
     words: list[bytes]  # of other parts of the sidecar, from the sender itself
     said: list[tuple[int, bytes]]  # the same by way of others, and what each is about
 
@@ -110,7 +110,7 @@
     return bytes([SPAN, _SPAN.size]) + _SPAN.pack(*told)
 
 
-def hint(told: Hint) -> bytes:
+def hint(told: LoadReport) -> bytes:
     return bytes([HINT, FORM.size]) + pack(told)
 
 
@@ -150,12 +150,12 @@
 def read(text: bytes) -> Datagram:
     """Of what was sealed. Raises `Junk`."""
     if len(text) < _HEAD.size:
-        raise Junk("too short")
+        raise MalformedDatagramError("too short")
     version, kind, number = _HEAD.unpack_from(text)
     if version != VERSION:
-        raise Junk(f"version {version}")
+        raise MalformedDatagramError(f"version {version}")
     if kind not in KINDS:
-        raise Junk(f"kind {kind}")
+        raise MalformedDatagramError(f"kind {kind}")
     calls: list[Call] = []
     spans: list[Span] = []
     records: list[Record] = []
@@ -163,13 +163,13 @@
     edges: list[Edge] = []
     rows: list[Brief] = []
     short: list[Brief] = []
-    hints: list[Hint] = []
+    hints: list[LoadReport] = []
     words: list[bytes] = []
     said_: list[tuple[int, bytes]] = []
     at, end = _HEAD.size, len(text)
     while at < end:
         if at + FIELD > end or at + FIELD + text[at + 1] > end:
-            raise Junk("a field is cut")
+            raise MalformedDatagramError("a field is cut")
         tag, body = text[at], text[at + FIELD : at + FIELD + text[at + 1]]
         at += FIELD + len(body)
         try:
@@ -198,12 +198,12 @@
                     _sane(Brief(*row)) for row in _ROW.iter_unpack(body[: len(body) // ROW_SIZE * ROW_SIZE])
                 ]
         except (struct.error, IndexError, ValueError):
-            raise Junk(f"field {tag} can't be read") from None
+            raise MalformedDatagramError(f"field {tag} can't be read") from None
     rest = (calls, spans, records, briefs, edges, rows, hints, words, said_)
     if kind == PAGED and short:
         return Datagram(kind, number, short[0], *rest)
     if not records:
-        raise Junk("nobody's")
+        raise MalformedDatagramError("nobody's")
     return Datagram(kind, number, records.pop(0), *rest)
 
 
--- a/cressrail/membership/live_count.py
+++ b/cressrail/membership/live_count.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from cressrail.membership.messages import Copies
+from cressrail.membership.messages import InstanceCount
 
 BOUND = 4.0  # times the settings' figure, up and down: what is believed whatever is told
 YOUNG = 4  # pauses that are borne: so long a copy that has just begun believes in no fewer
@@ -36,7 +36,7 @@
         self.born_us = self.weighed_us = now
         self.believed, self.near = self.figure, 0.0
 
-    def weigh(self, now: int, seen: Seen) -> Copies:
+    def weigh(self, now: int, seen: Seen) -> InstanceCount:
         span_us, self.weighed_us = max(0, now - self.weighed_us), max(now, self.weighed_us)
         majority = seen.sure and seen.alive > seen.silent
         if majority:
@@ -53,7 +53,7 @@
         # Guards against a zone whose deaths happen to be told before the others'.
         self.near = max(near, self.near + (near - self.near) * (1 - 0.5 ** (span_us / (FALL * self.bear_us))))
         self.near = min(self.near, self.believed)
-        return Copies(self.believed, self.near)
+        return InstanceCount(self.believed, self.near)
 
     def _near(self, seen: Seen, majority: bool) -> float:
         if majority:
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -25,7 +25,7 @@
 Order = tuple[int, int, int, int]
 
 
-class Hint(NamedTuple):
+class LoadReport(NamedTuple):
     """`about`: an endpoint's number, 0 of the copy itself. `value`: of WEIGHT and COLD thousandths of a
     transaction a second, of FAILING 1 or 0."""
 
@@ -42,7 +42,7 @@
     made_us: int
 
 
-class Hearsay(NamedTuple):
+class PeerReports(NamedTuple):
     """What the others' words come to. Rates are of transactions a microsecond."""
 
     failing: tuple[int, ...]  # endpoints
@@ -50,13 +50,13 @@
     weight: float  # traffic of all, this copy's included
 
 
-def pack(told: Hint) -> bytes:
+def pack(told: LoadReport) -> bytes:
     return FORM.pack(*told)
 
 
-def unpack(body: bytes) -> Hint:
+def unpack(body: bytes) -> LoadReport:
     """Raises `ValueError` and `struct.error`."""
-    told = Hint(*FORM.unpack_from(body))
+    told = LoadReport(*FORM.unpack_from(body))
     if told.value > MOST_VALUE or told.age_ms > MOST_AGE_MS:
         raise ValueError
     return told
@@ -90,7 +90,7 @@
             self.told.setdefault(key, least)
             self.own[key] = (min(value, MOST_VALUE), self.count, now)
 
-    def take(self, now: int, room: int) -> list[Hint]:
+    def take(self, now: int, room: int) -> list[LoadReport]:
         """Those said least often, as many as go into a datagram."""
         most = min(AT_ONCE, room // (FORM.size + 2))
         if most <= 0 or not self.own:
@@ -100,12 +100,12 @@
         for key in keys:
             value, count, made_us = self.own[key]
             self.told[key] += 1
-            out.append(Hint(*key, value, count, min(MOST_AGE_MS, (now - made_us) // 1000)))
+            out.append(LoadReport(*key, value, count, min(MOST_AGE_MS, (now - made_us) // 1000)))
         return out
 
     # Others' words
 
-    def hear(self, now: int, by: int, incarnation: int, birth: int, told: Hint) -> None:
+    def hear(self, now: int, by: int, incarnation: int, birth: int, told: LoadReport) -> None:
         if told.kind not in KINDS or told.age_ms * 1000 > LIFE[told.kind] * self.period_us:
             return
         made_us = now - told.age_ms * 1000
@@ -132,7 +132,7 @@
             if not of:
                 del self.kept[by]
 
-    def sums(self, now: int, copies: float, near: Iterable[int]) -> Hearsay:
+    def sums(self, now: int, copies: float, near: Iterable[int]) -> PeerReports:
         """`copies`: that are up, this one included; `near`: those of the own zone, which see endpoints as
         this one does."""
         self.fade(now)
@@ -148,7 +148,7 @@
         enough = min(float(ENOUGH), others)
         own = self.own.get((WEIGHT, 0), (0, 0, 0))[0]
         weight = sum(weights) / len(weights) * others if weights and len(weights) >= enough else 0.0
-        return Hearsay(
+        return PeerReports(
             self._failing(near),
             {about: sum(of) / len(of) * others / 1e9 for about, of in cold.items() if len(of) >= enough},
             (weight + own) / 1e9,
--- a/cressrail/membership/messages.py
+++ b/cressrail/membership/messages.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from cressrail.membership.load_reports import Hearsay
+from cressrail.membership.load_reports import PeerReports
 
 ALIVE, SUSPECTED, LOST, LEFT = range(4)  # in the order in which one stands above another at one incarnation
 STATES = ("alive", "suspected", "lost", "left")
@@ -81,18 +81,18 @@
     data: bytes
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """A line for the log."""
 
     event: str
-    what: dict[str, Any]
+    fields: dict[str, Any]
 
 
-class Copies(NamedTuple):
+class InstanceCount(NamedTuple):
     """How many copies this one goes by, and how many of them in its own zone."""
 
     all: float
-    near: float
+    in_zone: float
 
 
 class Report(NamedTuple):
@@ -106,7 +106,7 @@
     text: bytes
 
 
-Effect = Send | Note | Copies | Report | Hearsay | Word
+Command = Send | LogEvent | InstanceCount | Report | PeerReports | Word
 
 
 @dataclass(frozen=True, slots=True)
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from cressrail.membership.load_reports import COLD, FAILING, WEIGHT, Hearsay
+from cressrail.membership.load_reports import COLD, FAILING, WEIGHT, PeerReports
 from cressrail.membership.messages import id_of
 from cressrail.policy.load_balancer import LoadBalancer
-from cressrail.proxy.endpoint_registry import Roster
+from cressrail.proxy.endpoint_registry import EndpointRegistry
 
 MOST_COLD, MOST_FAILING = 64, 32  # endpoints that are spoken of at once
 SPAN_US = 2_000_000  # that a rate of work looks back on
@@ -23,7 +23,7 @@
             self.numbers[name] = id_of(name)
         return self.numbers[name]
 
-    def words(self, now: int, sidecar: LoadBalancer, roster: Roster) -> list[tuple[int, int, int]]:
+    def words(self, now: int, sidecar: LoadBalancer, roster: EndpointRegistry) -> list[tuple[int, int, int]]:
         """All that is to be said now: kind, number, value."""
         budget = sidecar.budget
         taken = sum(1 for at in budget.taken if at > now - budget.window_us)
@@ -58,7 +58,7 @@
         return words
 
     def meant(
-        self, told: Hearsay, sidecar: LoadBalancer, roster: Roster
+        self, told: PeerReports, sidecar: LoadBalancer, roster: EndpointRegistry
     ) -> tuple[list[int], dict[int, tuple[float, float]]]:
         """The same by this sidecar's indices, what it has no endpoint for passed over; cold ones with the
         work that others give them, and with what a warm one would get from all. Guards against a hot zone
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field, replace
 from heapq import heappop, heappush
 
-from cressrail.membership.messages import LOST, Address, Effect, Note, Send, Settings
-from cressrail.membership.state_machine import Membership
+from cressrail.membership.messages import LOST, Address, Command, LogEvent, Send, Settings
+from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 
 SECOND = 1_000_000
@@ -23,7 +23,7 @@
     """One process of a copy, and what befalls it."""
 
     settings: Settings
-    copy: Membership
+    copy: MembershipStateMachine
     wake_us: int = 1 << 62
     stalled: bool = False
     queue: list[bytes] = field(default_factory=list)  # of its socket, while it is stalled
@@ -90,7 +90,7 @@
         """The n-th copy, or its next process."""
         settings = self.all_settings[n]
         self.births += 1
-        copy = Membership(
+        copy = MembershipStateMachine(
             settings,
             RandomGenerator(self.chance.below(1 << 32)),
             self.now,
@@ -149,18 +149,18 @@
             self.run(self.now + step_us)
         return True
 
-    def _carry(self, process: Process, effects: list[Effect]) -> None:
+    def _carry(self, process: Process, effects: list[Command]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(process, effect)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.log.append(
                     Told(
                         self.now,
                         process.copy.name,
                         effect.event,
-                        str(effect.what.get("copy", "")),
-                        str(effect.what.get("why", "")),
+                        str(effect.fields.get("copy", "")),
+                        str(effect.fields.get("why", "")),
                     )
                 )
         due_us = process.copy.wake_us
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -13,10 +13,21 @@
 
 from cressrail.membership import codec
 from cressrail.membership.authentication import CODE, fresh, opened, seal
-from cressrail.membership.codec import ACK, ASK, NACK, NEWS, PAGE, PAGED, PING, Call, Datagram, Junk
+from cressrail.membership.codec import (
+    ACK,
+    ASK,
+    NACK,
+    NEWS,
+    PAGE,
+    PAGED,
+    PING,
+    Call,
+    Datagram,
+    MalformedDatagramError,
+)
 from cressrail.membership.gossip import Rumours
 from cressrail.membership.live_count import Live, Seen
-from cressrail.membership.load_reports import Hearsay, Hints
+from cressrail.membership.load_reports import Hints, PeerReports
 from cressrail.membership.local_health import Awareness, Suspicion
 from cressrail.membership.member_table import Table
 from cressrail.membership.messages import (
@@ -33,9 +44,9 @@
     SUSPECTED,
     Address,
     Brief,
-    Copies,
-    Effect,
-    Note,
+    Command,
+    InstanceCount,
+    LogEvent,
     Record,
     Report,
     Send,
@@ -86,7 +97,7 @@
         self.refusals = 0  # by the machine that it went to
 
 
-class Membership:
+class MembershipStateMachine:
     """`birth` is drawn anew by each process; `incarnation` is where it starts to count, and need not be
     above what others know: it is told and counts on from there. Both rest on no clock."""
 
@@ -129,7 +140,7 @@
         self.hints = Hints(settings.period_us)
         self.now_us = now
         self.hinted = COLD in settings.use or FAILING in settings.use
-        self.counted: Copies | None = None  # as told last
+        self.counted: InstanceCount | None = None  # as told last
         self.recount = False  # one is new
         self.haste_us = now  # until then others are called sooner
         self.doubted_us = now  # until then it shows signs of life, as others had taken it for lost
@@ -137,7 +148,7 @@
         self.junk = 0
         self.junk_why: dict[str, int] = {}
         self.junk_us = -(1 << 60)
-        self.out: list[Effect] = []
+        self.out: list[Command] = []
 
     # Happenings
 
@@ -145,7 +156,7 @@
     def wake_us(self) -> int:
         return self.timers[0][0] if self.timers else 1 << 62
 
-    def start(self, now: int) -> list[Effect]:
+    def start(self, now: int) -> list[Command]:
         period = self.settings.period_us
         self.timers.clear()
         self._after(now, self.chance.below(2 * period) if self.settings.seeds else 0, "join")
@@ -154,7 +165,7 @@
         self._after(now, PAGE_EVERY * period // 2 + self.chance.below(PAGE_EVERY * period), "page")
         return self._done()
 
-    def woke(self, now: int) -> list[Effect]:
+    def woke(self, now: int) -> list[Command]:
         late_us = now - self.wake_us
         self._notice(now)
         if late_us > self.settings.period_us // 8:  # once a lag, however many datagrams waited meanwhile
@@ -164,7 +175,7 @@
             getattr(self, f"_{what}")(now, arg)
         return self._done()
 
-    def heard(self, now: int, data: bytes) -> list[Effect]:
+    def heard(self, now: int, data: bytes) -> list[Command]:
         self._notice(now)
         if self.leaving:
             return self._done()
@@ -176,15 +187,15 @@
     def _read(self, now: int, data: bytes) -> None:
         try:
             if not codec.SHORTEST <= len(data) <= self.settings.most_bytes:
-                raise Junk("size")
+                raise MalformedDatagramError("size")
             text = opened(self.keys, data)
             if text is None:
-                raise Junk("stranger")
+                raise MalformedDatagramError("stranger")
             self._take(now, codec.read(text), len(data))
-        except Junk as fault:
+        except MalformedDatagramError as fault:
             self._junk(now, str(fault))
 
-    def refused(self, now: int, address: Address) -> list[Effect]:
+    def refused(self, now: int, address: Address) -> list[Command]:
         """A datagram to that address came to a machine where nobody listens: a process that is gone, where
         silence may be a cut or a pause. It makes nobody lost, but a call need not be waited for, nor a
         suspicion for as long as one that rests on silence."""
@@ -204,7 +215,7 @@
                 self._after(now, max(0, suspicion.over_us() - now), "expire", ident)
         return self._done()
 
-    def leave(self, now: int, tell: bool = True) -> list[Effect]:
+    def leave(self, now: int, tell: bool = True) -> list[Command]:
         """For good; `tell` unless another process goes on under the same name."""
         if not self.leaving and tell:
             self.rumours.items.clear()
@@ -244,7 +255,7 @@
         sure = self.mute_us < 0 and self.walked
         return Seen(alive, silent, near_alive, near_silent, sure)
 
-    def post(self, now: int, to: int, text: bytes) -> list[Effect]:
+    def post(self, now: int, to: int, text: bytes) -> list[Command]:
         """A word of another part of the sidecar to one copy. It may be lost, like any datagram."""
         self.now_us = now
         at = self.table.row(to)
@@ -252,7 +263,7 @@
             self._send(self.table.address(at), NEWS, codec.word(text))
         return self._done()
 
-    def spread(self, now: int, about: str, text: bytes, urgent: bool) -> list[Effect]:
+    def spread(self, now: int, about: str, text: bytes, urgent: bool) -> list[Command]:
         """One to all, by way of each other; an earlier one about the same is not told on. One that is not
         urgent only rides on what is sent anyway."""
         if not self.leaving and len(text) <= LONGEST_WORD:
@@ -282,7 +293,7 @@
         near = [i for at, i in enumerate(self.table.ids) if self.table.zone(at) == self.settings.zone]
         told = self.hints.sums(now, copies, near)
         self.out.append(
-            Hearsay(
+            PeerReports(
                 told.failing if FAILING in self.settings.use else (),
                 told.cold if COLD in self.settings.use else {},
                 told.weight,
@@ -582,7 +593,7 @@
         sender = told.sender
         if sender.id == self.id:
             if sender.birth == self.birth:
-                raise Junk("own")
+                raise MalformedDatagramError("own")
             self._of_self(now, sender.incarnation, sender.birth, sender.state)
             return
         at = self.table.row(sender.id)
@@ -590,7 +601,7 @@
         if at >= 0 and self.table.births[at] == sender.birth:
             moved = fresh(self.table.tops[at], self.table.seen[at], told.number)
             if moved is None:
-                raise Junk("replayed")
+                raise MalformedDatagramError("replayed")
             window = moved
         elif at >= 0 and sender[-3:-1] < (self.table.incarnations[at], self.table.births[at]):
             # A process that counts from below what is known of its name: it is to hear that, and count on.
@@ -1033,8 +1044,8 @@
         return self.name if ident == self.id else self.table.names[at] if at >= 0 else f"{ident:016x}"
 
     def _note(self, event: str, **what: Any) -> None:
-        self.out.append(Note(event, what))
+        self.out.append(LogEvent(event, what))
 
-    def _done(self) -> list[Effect]:
+    def _done(self) -> list[Command]:
         out, self.out = self.out, []
         return out
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -11,12 +11,12 @@
 
 from cressrail.event_loop.scheduler import MAIL, READ, WRITE, Task
 from cressrail.http1.answer import REASONS
-from cressrail.http1.head import Malformed, split_head
+from cressrail.http1.head import MalformedMessageError, split_head
 from cressrail.http1.request import parts_of
-from cressrail.network.dispatcher import Net
+from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.listener import SHORT_PAUSE_US
 from cressrail.network.socket_stream import SHORT
-from cressrail.proxy.admin import Told
+from cressrail.proxy.admin import AdminResponse
 
 CALLS = 8  # at once; the oldest that is unfinished makes room for one more
 DESCRIPTORS = CALLS + 2  # the listening one, and one amid being taken in
@@ -28,10 +28,10 @@
 ZONES = b"/zones"
 
 
-class OpsTask:
+class AdminServerTask:
     """The listener, and the calls that are open."""
 
-    def __init__(self, net: Net, sock: socket.socket) -> None:
+    def __init__(self, net: CommandDispatcher, sock: socket.socket) -> None:
         self.net = net
         self.sock = sock
         self.calls: dict[Task, None] = {}  # the oldest first
@@ -61,16 +61,16 @@
         self.calls[self.net.loop.spawn(call.run, first=True)] = None
 
 
-def _of_zones(status: int, told: Any) -> Told:
+def _of_zones(status: int, told: Any) -> AdminResponse:
     if status == 405:
-        return Told(405, b"not by this method\n", allow=told.encode())
+        return AdminResponse(405, b"not by this method\n", allow=told.encode())
     if status != 200:
-        return Told(status, f"{told}\n".encode())
-    return Told(200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON)
+        return AdminResponse(status, f"{told}\n".encode())
+    return AdminResponse(200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON)
 
 
 class Call:
-    def __init__(self, door: OpsTask, sock: socket.socket) -> None:
+    def __init__(self, door: AdminServerTask, sock: socket.socket) -> None:
         self.door = door
         self.net = door.net
         self.sock = sock
@@ -89,7 +89,7 @@
             self.door.calls.pop(task, None)
             self.sock.close()
 
-    def _asked(self) -> Told | None:
+    def _asked(self) -> AdminResponse | None:
         """What the call is answered; nothing for one that is not whole in time or leaves."""
         text, until_us = bytearray(), self.net.now() + UNFINISHED_US
         while True:
@@ -102,18 +102,20 @@
                 if found is None:
                     continue
                 method, target = parts_of(found[1])
-            except Malformed as fault:
-                return Told(400, f"{fault}\n".encode())
+            except MalformedMessageError as fault:
+                return AdminResponse(400, f"{fault}\n".encode())
             if target == PAGE and self.net.gossip is not None:
                 return (
-                    Told(200, self.net.gossip.page(), JSON)
+                    AdminResponse(200, self.net.gossip.page(), JSON)
                     if method == b"GET"
-                    else Told(405, b"not by this method\n", allow=b"GET")
+                    else AdminResponse(405, b"not by this method\n", allow=b"GET")
                 )
             if target.startswith(ZONES) and self.net.gossip is not None:
                 return _of_zones(*self.net.gossip.asked(method, target))
-            told, effects = self.net.reducer.control(self.net.now(), method, target.partition(b"?")[0])
-            self.net.tell(effects)
+            told, effects = self.net.state_machine.on_admin_call(
+                self.net.now(), method, target.partition(b"?")[0]
+            )
+            self.net.dispatch(effects)
             return told
 
     def _more(self, until_us: int) -> bytes:
@@ -124,7 +126,7 @@
                 if self.net.loop.wait(self.sock.fileno(), READ, until_us) in (MAIL, 0):
                     return b""
 
-    def _say(self, told: Told) -> None:
+    def _say(self, told: AdminResponse) -> None:
         lines = [
             b"HTTP/1.1 %d %s" % (told.status, REASONS.get(told.status, b"-")),
             b"content-type: " + told.kind,
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from cressrail.buffers.pipe import Kept, Pipe
-from cressrail.buffers.pool import Exhausted
+from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import LEFT, MAIL, NEVER, READ, TIMED_OUT
 from cressrail.http1.body import chunk
-from cressrail.http1.head import Malformed
+from cressrail.http1.head import MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
-from cressrail.network.dispatcher import SHORT_US, STIR, Net, purge
-from cressrail.network.socket_stream import Called, Late, Stream
-from cressrail.proxy.commands import Read, Shut, Write
+from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
+from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
+from cressrail.proxy.commands import CloseClient, ReadRequest, SendResponse
 from cressrail.proxy.state_machine import FRESH_US
 
 LINGER_US = 500_000
@@ -25,11 +25,11 @@
 STEP = 16 << 10  # bytes of a body that is kept, by which it makes good progress
 
 
-class ClientTask:
-    def __init__(self, net: Net, number: int, sock: socket.socket) -> None:
+class ClientConnectionTask:
+    def __init__(self, net: CommandDispatcher, number: int, sock: socket.socket) -> None:
         self.net = net
         self.number = number
-        self.stream = Stream(net.loop, net.pool, sock)
+        self.stream = SocketStream(net.loop, net.pool, sock)
         self.body: Kept | None = None  # of a request that is not whole yet
         self.upload: RequestReader | None = None  # of one that goes on before it is whole, and where to
         self.rest: Pipe | None = None
@@ -43,17 +43,17 @@
         try:
             while True:
                 message = self._message(task.mail)
-                if isinstance(message, Read):
+                if isinstance(message, ReadRequest):
                     if not self._read():
                         return
-                elif isinstance(message, Write):
+                elif isinstance(message, SendResponse):
                     self._write(message)
-                elif isinstance(message, Shut) and not message.idle:
+                elif isinstance(message, CloseClient) and not message.only_if_idle:
                     self._linger(UPLOAD_LINGER_US if self.upload is not None else LINGER_US)
                     return
                 elif message is None:
                     return
-        except (OSError, Late, Exhausted):
+        except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
         finally:
             self.stream.close()
@@ -62,16 +62,16 @@
             if self.rest is not None and self.upload is not None:
                 self.rest.fail()
             for message in task.mail:  # an answer that came too late for its client
-                if isinstance(message, Write) and message.answer.body is not None:
-                    message.answer.body.give_back()
+                if isinstance(message, SendResponse) and message.response.body is not None:
+                    message.response.body.give_back()
             task.mail.clear()
-            self.net.client_gone(self.number)
+            self.net.client_connection_closed(self.number)
 
     def _linger(self, span_us: int) -> None:
         """Closes as far as this side goes, and waits for the client to do so. Not for long where new clients
         wait for its place, unless more is sure to come that would reset the answer."""
         must = self.junk or self.upload is not None
-        self.stream.linger(self.net.now() + (span_us if must or not self.net.reducer.full() else 0))
+        self.stream.linger(self.net.now() + (span_us if must or not self.net.state_machine.is_full() else 0))
 
     def _message(self, mail: Any) -> Any:
         """The next thing to do, or nothing if the client leaves first."""
@@ -101,17 +101,19 @@
                     return False
                 if n < 0:
                     if self.net.loop.wait(stream.fd, READ, self.due_us) == TIMED_OUT:
-                        raise Malformed(408, "request too slow")
+                        raise MalformedMessageError(408, "request too slow")
                     continue
                 # Guards against good clients with a lull taken for slow ones.
                 self.due_us = min(self.due_us + n * 1_000_000 // PACE_BYTES_PER_S, now() + PACE_US)
                 stream.inlet.use(reader.feed(stream.inlet.unread()))
-            except Exhausted:
+            except BufferPoolExhaustedError:
                 self.net.loop.wait(until_us=now() + SHORT_US)
-            except Malformed as fault:
+            except MalformedMessageError as fault:
                 self.upload, self.junk = None, True
                 rest.fail()
-                self.net.tell(self.net.reducer.request_broke(now(), self.number, fault.status, str(fault)))
+                self.net.dispatch(
+                    self.net.state_machine.on_request_aborted(now(), self.number, fault.status, str(fault))
+                )
                 return True
             if reader.whole is not None:
                 # Guards against a pace that runs on when all is there: slow answers became slow requests.
@@ -142,27 +144,27 @@
                 try:
                     if reader is None:
                         now = self.net.now()
-                        self.net.tell(self.net.reducer.request_began(now, self.number))
+                        self.net.dispatch(self.net.state_machine.on_request_started(now, self.number))
                         until_us = now + self.net.patience_us
                         self.body = Kept(self.net.pool)
                         reader = RequestReader(self.body)
                     stream.inlet.use(reader.feed(stream.inlet.unread()))
-                except Malformed as fault:
+                except MalformedMessageError as fault:
                     return self._junk(fault.status, str(fault))
-                except Exhausted:
+                except BufferPoolExhaustedError:
                     return self._junk(503, "no buffer left")
                 if reader.begun is not None and reader.begun.streams:
                     return self._begin(reader, reader.begun)
                 if reader.whole is not None:
                     self.body, self.fresh = None, False  # the body is the reducer's from here on
-                    self.net.tell(
-                        self.net.reducer.request_came(
+                    self.net.dispatch(
+                        self.net.state_machine.on_request(
                             self.net.now(), self.number, reader.whole, stream.arrived_us
                         )
                     )
                     return True
                 moved_us = self.net.now()
-                self.net.tell(self.net.reducer.request_goes_on(moved_us, self.number))
+                self.net.dispatch(self.net.state_machine.on_request_progress(moved_us, self.number))
                 if reader.begun is not None and self.body is not None and self.body.size // STEP + 1 > step:
                     step = self.body.size // STEP + 1
                     until_us = moved_us + self.net.patience_us
@@ -177,11 +179,11 @@
                     return False
                 if n < 0:
                     stream.await_(READ, until_us, mail=True, rest=reader is None)
-            except Exhausted:
+            except BufferPoolExhaustedError:
                 return self._junk(503, "no buffer left")
-            except Late:
+            except StreamTimeoutError:
                 return self._junk(408, "request not whole in time")
-            except Called:
+            except StreamInterruptedError:
                 task = self.net.loop.current
                 assert task is not None
                 task.mail.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
@@ -192,14 +194,16 @@
                 if reader is not None and self.net.now() - moved_us >= FRESH_US:
                     return self._junk(408, "request long in coming")
                 if reader is not None:  # it goes on, and may be asked for its place another time
-                    self.net.tell(self.net.reducer.request_began(self.net.now(), self.number))
+                    self.net.dispatch(self.net.state_machine.on_request_started(self.net.now(), self.number))
 
     def _begin(self, reader: RequestReader, request: Request) -> bool:
         """One too large to keep goes on before it is whole, or with what came last of it."""
         assert self.body is not None
         self.upload, self.rest, self.due_us = reader, self.body.rest, self.net.now() + PACE_US
         self.body, self.fresh = None, False
-        self.net.tell(self.net.reducer.request_came(self.net.now(), self.number, request, self.net.now()))
+        self.net.dispatch(
+            self.net.state_machine.on_request(self.net.now(), self.number, request, self.net.now())
+        )
         if reader.whole is not None:
             self._uploaded()
         return True
@@ -207,7 +211,9 @@
     def _uploaded(self) -> None:
         assert self.rest is not None
         self.upload = None
-        self.net.tell(self.net.reducer.request_whole(self.net.now(), self.number, self.stream.arrived_us))
+        self.net.dispatch(
+            self.net.state_machine.on_request_complete(self.net.now(), self.number, self.stream.arrived_us)
+        )
         self.rest.close()
 
     def _junk(self, status: int, why: str) -> bool:
@@ -215,13 +221,15 @@
         if self.body is not None:
             self.body.give_back()
             self.body = None
-        self.net.tell(self.net.reducer.request_junk(self.net.now(), self.number, status, why))
+        self.net.dispatch(
+            self.net.state_machine.on_malformed_request(self.net.now(), self.number, status, why)
+        )
         return True
 
-    def _write(self, message: Write) -> None:
-        answer = message.answer
-        body, chunked = answer.body, answer.chunked(message.modern)
-        head = memoryview(answer.head(not message.last, message.modern))
+    def _write(self, message: SendResponse) -> None:
+        answer = message.response
+        body, chunked = answer.body, answer.chunked(message.is_http11)
+        head = memoryview(answer.head(not message.closes_connection, message.is_http11))
         try:
             kept = body.views() if body else []
             self.stream.send(
@@ -230,11 +238,11 @@
             )
             if isinstance(body, Kept) and body.rest is not None:
                 body.give_kept_back()
-                self._pass_on(body.rest, chunked, answer.length is None and not message.modern)
+                self._pass_on(body.rest, chunked, answer.length is None and not message.is_http11)
         finally:
             if body is not None:
                 body.give_back()
-        self.net.tell(self.net.reducer.written(self.net.now(), self.number))
+        self.net.dispatch(self.net.state_machine.on_response_written(self.net.now(), self.number))
 
     def _pass_on(self, rest: Pipe, chunked: bool, ends_with_it: bool) -> None:
         """What still comes of an answer, as it comes. One that breaks off ends the connection short."""
@@ -270,5 +278,5 @@
     against a wait that ends at once for ever."""
     purge(mail)
     for _ in range(len(mail)):
-        if not isinstance(message := mail.popleft(), Shut) or not message.idle:
+        if not isinstance(message := mail.popleft(), CloseClient) or not message.only_if_idle:
             mail.append(message)
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import Unfit, under
-from cressrail.configuration.startup import Start, differing, read_again
-from cressrail.network.dispatcher import Net
+from cressrail.configuration.settings_reader import ConfigurationError, under
+from cressrail.configuration.startup import StartupConfiguration, differing, read_again
+from cressrail.network.dispatcher import CommandDispatcher
 
 NAMED = 8  # of the paths that a new start would follow
 
 
-class Reread:
+class ConfigurationReload:
     """Holds what was read last; a file that cannot be used leaves it as it was."""
 
-    def __init__(self, path: str, start: Start) -> None:
+    def __init__(self, path: str, start: StartupConfiguration) -> None:
         self.path = path
         self.start = start
 
-    def now(self, net: Net) -> None:
+    def now(self, net: CommandDispatcher) -> None:
         try:
             start = read_again(self.path, self.start)
             with under(f"{self.path}: settings."):
-                parts.tried(start.told, start.seed)
-        except Unfit as fault:
-            net.log.note("config_kept", {"why": str(fault)})
+                parts.tried(start.settings, start.seed)
+        except ConfigurationError as fault:
+            net.log.write_event("config_kept", {"why": str(fault)})
             return
         waiting = differing(self.start, start)
-        net.log.note(
+        net.log.write_event(
             "config",
             {
                 "discovery": ":".join(map(str, start.discovery)),
@@ -38,4 +38,4 @@
         self.start.discovery, self.start.filed = start.discovery, start.filed
         if net.gossip is not None and start.membership is not None:
             net.gossip.rekey(start.membership)
-        net.tell(net.reducer.discovery_moved(net.now(), start.discovery))
+        net.dispatch(net.state_machine.on_discovery_address(net.now(), start.discovery))
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from cressrail.buffers.pool import Exhausted
-from cressrail.discovery.endpoint_list import Junk, read_line
+from cressrail.buffers.pool import BufferPoolExhaustedError
+from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
 from cressrail.event_loop.scheduler import MAIL, READ, Task
-from cressrail.http1.answer import AnswerReader
-from cressrail.http1.head import Malformed
-from cressrail.network.dispatcher import Net
-from cressrail.network.socket_stream import Called, Late, Stream
-from cressrail.proxy.commands import Watch
+from cressrail.http1.answer import ResponseReader
+from cressrail.http1.head import MalformedMessageError
+from cressrail.network.dispatcher import CommandDispatcher
+from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
+from cressrail.proxy.commands import WatchEndpoints
 
 BEAT_US = 2_000_000  # an empty line comes so often while all is well
 SILENT_US = 2 * BEAT_US  # a watch with no whole line for so long has fallen silent
@@ -33,7 +33,7 @@
         self.text += data
         self.ended += bytes(data).count(b"\n")
         if len(self.text) + sum(map(len, self.parts)) > MOST_LINE:
-            raise Malformed(413, "line too long")
+            raise MalformedMessageError(413, "line too long")
 
     def lines(self) -> list[bytes]:
         *lines, rest = self.text.split(b"\n")
@@ -43,7 +43,7 @@
             if not line.strip():
                 # Guards against all news taken for more of an object whose end was lost.
                 if self.parts:
-                    raise Junk("a line that is none")
+                    raise MalformedEndpointListError("a line that is none")
                 continue
             self.parts.append(line)
             self.depth += line.count(b"{") - line.count(b"}")
@@ -62,8 +62,8 @@
         return []
 
 
-class WatchTask:
-    def __init__(self, net: Net) -> None:
+class DiscoveryWatchTask:
+    def __init__(self, net: CommandDispatcher) -> None:
         self.net = net
         self.under_way = False
 
@@ -71,21 +71,21 @@
         task = self.net.loop.current
         assert task is not None
         if self.under_way:  # a fault has ended it amid one
-            self.net.tell(self.net.reducer.watch_ended(self.net.now(), "fault"))
+            self.net.dispatch(self.net.state_machine.on_watch_ended(self.net.now(), "fault"))
         while True:
             while not task.mail:
                 self.net.loop.wait()
             message = task.mail.popleft()
-            assert isinstance(message, Watch)  # nothing else is posted here, see Net
+            assert isinstance(message, WatchEndpoints)  # nothing else is posted here, see Net
             while self.net.loop.wait(until_us=message.at_us) == MAIL:
                 message = task.mail.popleft()
-            stream: Stream | None = None
+            stream: SocketStream | None = None
             why, self.under_way = "ended", True
             try:
                 # Guards against news told late: one time for the way there and the first word.
-                patience_us = min(SILENT_US, ANSWER_US << min(message.fails, 2))
+                patience_us = min(SILENT_US, ANSWER_US << min(message.consecutive_failures, 2))
                 until_us = self.net.now() + patience_us
-                stream = Stream.connect(
+                stream = SocketStream.connect(
                     self.net.loop,
                     self.net.pool,
                     message.source[0],
@@ -93,49 +93,54 @@
                     min(until_us, self.net.now() + self.net.connect_us),
                     mail=True,
                 )
-                after = message.after
+                after = message.after_revision
                 if after < 0:
                     after = self._whole(task, stream, message.source, until_us)
                     until_us = self.net.now() + patience_us
                 self._ask(stream, message.source, f"?watch=1&after={after}", until_us)
                 self._follow(task, stream, LinesSink(), until_us)
-            except Called:
+            except StreamInterruptedError:
                 continue  # to be watched elsewhere, or from elsewhere on
-            except Late:
+            except StreamTimeoutError:
                 why = "silent"
-            except (OSError, Malformed, Junk, Exhausted) as fault:  # the last: guards against drains unheard
+            except (
+                OSError,
+                MalformedMessageError,
+                MalformedEndpointListError,
+                BufferPoolExhaustedError,
+            ) as fault:  # the last: guards against drains unheard
                 why = str(fault) or "no buffer left"
             finally:
                 if stream is not None:
                     stream.close()
-            self.net.tell(self.net.reducer.watch_ended(self.net.now(), why))
+            self.net.dispatch(self.net.state_machine.on_watch_ended(self.net.now(), why))
 
-    def _ask(self, stream: Stream, source: tuple[str, int], query: str, until_us: int) -> None:
+    def _ask(self, stream: SocketStream, source: tuple[str, int], query: str, until_us: int) -> None:
         asked = (
             f"GET /catalog/members{query} HTTP/1.1\r\n"
             f"host: {source[0]}:{source[1]}\r\naccept: application/json\r\n\r\n"
         )
         stream.send([memoryview(asked.encode())], until_us)
 
-    def _whole(self, task: Task, stream: Stream, source: tuple[str, int], until_us: int) -> int:
+    def _whole(self, task: Task, stream: SocketStream, source: tuple[str, int], until_us: int) -> int:
         """Tells the whole list; its revision."""
         self._ask(stream, source, "", until_us)
         sink = WholeSink()
         self._follow(task, stream, sink, until_us)
         news = read_line(bytes(sink.text))
-        if not news.full:
-            raise Junk("not the whole list")
-        self.net.tell(self.net.reducer.news(self.net.now(), news))
+        if not news.is_complete:
+            raise MalformedEndpointListError("not the whole list")
+        self.net.dispatch(self.net.state_machine.on_endpoint_list(self.net.now(), news))
         return news.revision
 
-    def _follow(self, task: Task, stream: Stream, sink: LinesSink, until_us: int) -> None:
+    def _follow(self, task: Task, stream: SocketStream, sink: LinesSink, until_us: int) -> None:
         """To the end of the answer, whose first word is to come by a time. From then on what counts is whole
         lines: one that is long in coming gets time by its length, and half of one is as good as silence."""
-        reader = AnswerReader(sink, 1 << 62)
+        reader = ResponseReader(sink, 1 << 62)
         ended = sink.before
         while not reader.done:
             if task.mail:  # guards against news of an address that is no longer asked
-                raise Called
+                raise StreamInterruptedError
             n = stream.read()
             if n == 0:
                 reader.ended()
@@ -144,8 +149,10 @@
             else:
                 stream.inlet.use(reader.feed(stream.inlet.unread()))
                 if reader.status not in (0, 200):
-                    raise Junk(f"status {reader.status}")
+                    raise MalformedEndpointListError(f"status {reader.status}")
                 if reader.begun and sink.ended > ended:
                     until_us, ended = self.net.now() + SILENT_US, sink.ended
                 for line in sink.lines():
-                    self.net.tell(self.net.reducer.news(self.net.now(), read_line(line)))
+                    self.net.dispatch(
+                        self.net.state_machine.on_endpoint_list(self.net.now(), read_line(line))
+                    )
--- a/cressrail/network/dispatcher.py
+++ b/cressrail/network/dispatcher.py
@@ -8,13 +8,13 @@
 
 from cressrail.buffers.pool import Pool
 from cressrail.event_loop.scheduler import LEFT, Scheduler, Task
-from cressrail.logs.log_writer import Lines
+from cressrail.logs.log_writer import LogWriter
 from cressrail.proxy import commands as do
-from cressrail.proxy.commands import Effect
-from cressrail.proxy.state_machine import Reducer
+from cressrail.proxy.commands import Command
+from cressrail.proxy.state_machine import StateMachine
 
 if TYPE_CHECKING:
-    from cressrail.network.membership_transport import GossipTask
+    from cressrail.network.membership_transport import MembershipTransport
 
 STIR = "stir"  # the other side of a pipe has done something
 SHORT_US = 5_000  # a look again where the pool is short
@@ -27,13 +27,13 @@
             mail.append(message)
 
 
-class Net:
+class CommandDispatcher:
     def __init__(
         self,
         loop: Scheduler,
         pool: Pool,
-        reducer: Reducer,
-        log: Lines,
+        state_machine: StateMachine,
+        log: LogWriter,
         *,
         connect_us: int,
         idle_us: int,
@@ -42,7 +42,7 @@
         self.loop = loop
         self.now = loop.now
         self.pool = pool
-        self.reducer = reducer
+        self.state_machine = state_machine
         self.log = log
         self.connect_us = connect_us  # for a connection to come up
         self.idle_us = idle_us  # after which an endpoint may close an idle one
@@ -50,70 +50,70 @@
         self.clients: dict[int, Task] = {}
         self.client_fds: dict[int, int] = {}
         self.look = select.poll()  # holds one descriptor, for the time of a look
-        self.links: dict[int, Task] = {}
+        self.connections: dict[int, Task] = {}
         self.listener: Task | None = None
         self.watch: Task | None = None
         self.waker: Task | None = None
         self.relay: Task | None = None  # takes over from the process before this one
-        self.gossip: GossipTask | None = None  # the talk with other copies, where it is on
+        self.gossip: MembershipTransport | None = None  # the talk with other copies, where it is on
         self.at_end: list[Callable[[], None]] = []  # once the loop has ended, and wait for nothing
         self.start_link: Callable[[int], Callable[[], None]] | None = None
         # By kind, looked up once an effect: there are half a dozen of them to each transaction.
-        self.ways: dict[type[Effect], Callable[[Any], None]] = {
-            do.Read: self._to_client,
-            do.Write: self._to_client,
-            do.Shut: self._to_client,
-            do.Carry: self._carry,
-            do.CallOff: self._to_link,
-            do.Drop: self._to_link,
-            do.GiveBack: self._give_back,
-            do.Note: self._note,
-            do.Leave: self._leave,
-            do.Listen: self._listen,
-            do.Watch: self._watch,
-            do.Wake: self._wake,
-            do.TakeOver: self._take_over,
+        self.handlers: dict[type[Command], Callable[[Any], None]] = {
+            do.ReadRequest: self._to_client,
+            do.SendResponse: self._to_client,
+            do.CloseClient: self._to_client,
+            do.SendAttempt: self._carry,
+            do.CancelAttempt: self._to_link,
+            do.CloseEndpointConnection: self._to_link,
+            do.ReleaseBody: self._give_back,
+            do.LogEvent: self._note,
+            do.Exit: self._leave,
+            do.AcceptClients: self._listen,
+            do.WatchEndpoints: self._watch,
+            do.SetTimer: self._wake,
+            do.BeginTakeover: self._take_over,
         }
 
-    def tell(self, effects: list[Effect]) -> None:
+    def dispatch(self, effects: list[Command]) -> None:
         """Carries out what the reducer asks for. Nothing here waits: effects go to the tasks they concern."""
         for effect in effects:
-            self.ways[type(effect)](effect)
+            self.handlers[type(effect)](effect)
 
-    def _to_client(self, effect: do.Read | do.Write | do.Shut) -> None:
+    def _to_client(self, effect: do.ReadRequest | do.SendResponse | do.CloseClient) -> None:
         self.loop.post(self.clients[effect.client], effect)
 
-    def _carry(self, effect: do.Carry) -> None:
-        if effect.fresh:
+    def _carry(self, effect: do.SendAttempt) -> None:
+        if effect.is_new_connection:
             assert self.start_link is not None
-            self.links[effect.link] = self.loop.spawn(self.start_link(effect.link))
-        self.loop.post(self.links[effect.link], effect)
+            self.connections[effect.connection] = self.loop.spawn(self.start_link(effect.connection))
+        self.loop.post(self.connections[effect.connection], effect)
 
-    def _to_link(self, effect: do.CallOff | do.Drop) -> None:
-        self.loop.post(self.links[effect.link], effect)
+    def _to_link(self, effect: do.CancelAttempt | do.CloseEndpointConnection) -> None:
+        self.loop.post(self.connections[effect.connection], effect)
 
-    def _give_back(self, effect: do.GiveBack) -> None:
+    def _give_back(self, effect: do.ReleaseBody) -> None:
         effect.body.give_back()
 
-    def _note(self, effect: do.Note) -> None:
-        self.log.note(effect.event, effect.what)
+    def _note(self, effect: do.LogEvent) -> None:
+        self.log.write_event(effect.event, effect.fields)
 
-    def _leave(self, _: do.Leave) -> None:
+    def _leave(self, _: do.Exit) -> None:
         self.loop.stopped = True
 
-    def _listen(self, effect: do.Listen) -> None:
+    def _listen(self, effect: do.AcceptClients) -> None:
         assert self.listener is not None
         self.loop.post(self.listener, effect)
 
-    def _watch(self, effect: do.Watch) -> None:
+    def _watch(self, effect: do.WatchEndpoints) -> None:
         assert self.watch is not None
         self.loop.post(self.watch, effect)
 
-    def _wake(self, effect: do.Wake) -> None:
+    def _wake(self, effect: do.SetTimer) -> None:
         assert self.waker is not None
         self.loop.post(self.waker, effect)
 
-    def _take_over(self, effect: do.TakeOver) -> None:
+    def _take_over(self, effect: do.BeginTakeover) -> None:
         assert self.relay is not None
         self.loop.post(self.relay, effect)
 
@@ -127,10 +127,10 @@
         self.look.unregister(fd)
         return bool(seen)
 
-    def client_gone(self, number: int) -> None:
+    def client_connection_closed(self, number: int) -> None:
         del self.clients[number], self.client_fds[number]
-        self.tell(self.reducer.client_left(self.now(), number))
+        self.dispatch(self.state_machine.on_client_closed(self.now(), number))
 
-    def link_gone(self, number: int) -> None:
-        del self.links[number]
-        self.tell(self.reducer.link_left(number))
+    def endpoint_connection_closed(self, number: int) -> None:
+        del self.connections[number]
+        self.dispatch(self.state_machine.on_connection_closed(number))
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -6,16 +6,22 @@
 from typing import NamedTuple
 
 from cressrail.buffers.pipe import KEPT, Kept, Pipe
-from cressrail.buffers.pool import Exhausted
+from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE
-from cressrail.http1.answer import Answer, AnswerReader
+from cressrail.http1.answer import Response, ResponseReader
 from cressrail.http1.body import MOST, chunk
-from cressrail.http1.head import Malformed
+from cressrail.http1.head import MalformedMessageError
 from cressrail.http1.request import Request
-from cressrail.network.dispatcher import SHORT_US, STIR, Net, purge
-from cressrail.network.socket_stream import SHORT, Called, Late, Rest, Stream
+from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
+from cressrail.network.socket_stream import (
+    SHORT,
+    Rest,
+    SocketStream,
+    StreamInterruptedError,
+    StreamTimeoutError,
+)
 from cressrail.policy.load_balancer import Outcome
-from cressrail.proxy.commands import CallOff, Carry, Write
+from cressrail.proxy.commands import CancelAttempt, SendAttempt, SendResponse
 
 REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
 
@@ -27,11 +33,11 @@
     refused: bool = False
 
 
-class LinkTask:
-    def __init__(self, net: Net, number: int) -> None:
+class EndpointConnectionTask:
+    def __init__(self, net: CommandDispatcher, number: int) -> None:
         self.net = net
         self.number = number
-        self.stream: Stream | None = None
+        self.stream: SocketStream | None = None
         self.passed = False  # the answer is the client's, who gets it as it comes
 
     def run(self) -> None:
@@ -41,9 +47,9 @@
                 job = self._next()
         finally:
             self._close()
-            self.net.link_gone(self.number)
+            self.net.endpoint_connection_closed(self.number)
 
-    def _next(self) -> Carry | None:
+    def _next(self) -> SendAttempt | None:
         """Rests until there is a hop to carry; nothing once the connection is to be closed."""
         task = self.net.loop.current
         assert task is not None
@@ -51,9 +57,9 @@
         while True:
             while task.mail:
                 message = task.mail.popleft()
-                if isinstance(message, Carry):
+                if isinstance(message, SendAttempt):
                     return message
-                if not isinstance(message, CallOff):  # of a hop that had ended by then
+                if not isinstance(message, CancelAttempt):  # of a hop that had ended by then
                     return None
             if self.stream is None:
                 return None
@@ -65,14 +71,14 @@
         """Guards against a request written to a connection that its endpoint has closed meanwhile."""
         rest = self.stream.at_rest() if self.stream is not None else Rest.QUIET
         if rest is Rest.RESET:
-            self.net.tell(self.net.reducer.link_reset(self.net.now(), self.number))
+            self.net.dispatch(self.net.state_machine.on_idle_connection_reset(self.net.now(), self.number))
         if rest is not Rest.QUIET:
             self._close()
 
-    def _carry(self, job: Carry) -> bool:
+    def _carry(self, job: SendAttempt) -> bool:
         """One hop; true if the connection is fit for another."""
         body, kind = Kept(self.net.pool), b""
-        reader = AnswerReader(body, MOST, job.request.method == b"HEAD")
+        reader = ResponseReader(body, MOST, job.request.method == b"HEAD")
         end = End(Outcome.CANCELLED, "fault")
         self.passed = False
         try:
@@ -86,10 +92,10 @@
                 body.give_back()
             if not end.keep:
                 self._close()
-            self.net.tell(
-                self.net.reducer.hop_ended(
+            self.net.dispatch(
+                self.net.state_machine.on_attempt_finished(
                     self.net.now(),
-                    job.hop,
+                    job.attempt,
                     end.how,
                     end.keep,
                     body if whole and not self.passed else None,
@@ -100,27 +106,27 @@
             )
         return end.keep
 
-    def _attempt(self, job: Carry, reader: AnswerReader, body: Kept) -> End:
+    def _attempt(self, job: SendAttempt, reader: ResponseReader, body: Kept) -> End:
         try:
             self._prepare(job)
-        except (Late, OSError) as fault:
+        except (StreamTimeoutError, OSError) as fault:
             if isinstance(fault, OSError) and fault.errno in SHORT:
-                self.net.tell(self.net.reducer.short(self.net.now()))
+                self.net.dispatch(self.net.state_machine.on_descriptors_exhausted(self.net.now()))
                 return End(Outcome.NOT_SENT, str(fault))
             return End(
                 Outcome.CONNECT_FAILED,
                 str(fault) or "no connection in time",
                 refused=isinstance(fault, ConnectionRefusedError),
             )
-        except Called:
+        except StreamInterruptedError:
             return End(Outcome.CANCELLED)
         stream = self.stream
         assert stream is not None
         now, until_us = self.net.now(), job.until_us
-        if (client := self.net.reducer.asker(now, job.hop)) and self.net.has_left(client):
+        if (client := self.net.state_machine.waiting_client(now, job.attempt)) and self.net.has_left(client):
             # Guards against work for those who left while their request lay unread, or a connection came up.
-            self.net.tell(self.net.reducer.client_went(now, client))
-        if (unsent := self.net.reducer.unsent(now, job.hop)) is not None:
+            self.net.dispatch(self.net.state_machine.on_client_disconnected(now, client))
+        if (unsent := self.net.state_machine.check_before_send(now, job.attempt)) is not None:
             return End(*unsent, keep=unsent[0] is not Outcome.REJECTED_BY_ENDPOINT)
         if now >= until_us:  # guards against an endpoint blamed for the time that its hop was given
             return End(Outcome.NOT_SENT, "no time left", keep=True)
@@ -132,19 +138,19 @@
             if job.request.chunked:
                 kept = chunk(kept, job.request.body.size)
             stream.send([head, *kept], min(until_us, now + self.net.patience_us), mail=True)
-        except (Late, OSError) as fault:  # before the last byte was written: it never ran
+        except (StreamTimeoutError, OSError) as fault:  # before the last byte was written: it never ran
             return End(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
-        except Called:
+        except StreamInterruptedError:
             return End(Outcome.CANCELLED)
         if job.request.streams:
             early = self._upload(job.request, stream, reader)
             if early is not None:
                 return early
-            until_us = self.net.reducer.due_us(job.hop)
-        self.net.reducer.hop_written(self.net.now(), job.hop)
+            until_us = self.net.state_machine.attempt_deadline_us(job.attempt)
+        self.net.state_machine.on_attempt_sent(self.net.now(), job.attempt)
         return self._answer(job, stream, reader, body, until_us)
 
-    def _upload(self, request: Request, stream: Stream, reader: AnswerReader) -> End | None:
+    def _upload(self, request: Request, stream: SocketStream, reader: ResponseReader) -> End | None:
         """The rest of a large request as it comes; nothing once all of it is written, else how the hop ended.
         Before its last byte is written nothing of it runs. An answer that comes before is looked out for."""
         task = self.net.loop.current
@@ -184,19 +190,19 @@
                         return End(Outcome.CANCELLED)
                 elif why & ~WRITE and self._early(stream, reader):
                     return self._told(reader, False)
-        except (OSError, Malformed) as fault:
+        except (OSError, MalformedMessageError) as fault:
             # It may have said why before it closed.
-            with suppress(OSError, Malformed, Exhausted):
+            with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
                 if reader.done or self._early(stream, reader):
                     return self._told(reader, False)
             return End(Outcome.CONNECT_FAILED, str(fault) or "ended")
-        except Exhausted:
+        except BufferPoolExhaustedError:
             return End(Outcome.CANCELLED, "no buffer left")
         finally:
             left.clear()
             purge(task.mail)  # guards against a stir that crossed what ended the wait, taken for a call
 
-    def _early(self, stream: Stream, reader: AnswerReader) -> bool:
+    def _early(self, stream: SocketStream, reader: ResponseReader) -> bool:
         """Whether an answer is whole by now; raises `Malformed` if the connection ends before."""
         while not reader.done:
             n = stream.read()
@@ -208,19 +214,23 @@
                 stream.inlet.use(reader.feed(stream.inlet.unread()))
         return True
 
-    def _prepare(self, job: Carry) -> None:
+    def _prepare(self, job: SendAttempt) -> None:
         if (
             self.stream is not None
-            and self.net.now() < job.from_us
-            and self.net.loop.wait(self.stream.fd, READ, job.from_us) == MAIL
+            and self.net.now() < job.not_before_us
+            and self.net.loop.wait(self.stream.fd, READ, job.not_before_us) == MAIL
         ):
-            raise Called
+            raise StreamInterruptedError
         self._check()
         if self.stream is None:
             until_us = min(job.until_us, self.net.now() + self.net.connect_us)
-            self.stream = Stream.connect(self.net.loop, self.net.pool, job.host, job.port, until_us, True)
+            self.stream = SocketStream.connect(
+                self.net.loop, self.net.pool, job.host, job.port, until_us, True
+            )
 
-    def _answer(self, job: Carry, stream: Stream, reader: AnswerReader, body: Kept, until_us: int) -> End:
+    def _answer(
+        self, job: SendAttempt, stream: SocketStream, reader: ResponseReader, body: Kept, until_us: int
+    ) -> End:
         try:
             stream.await_(READ, until_us, mail=True)  # a look so soon would find nothing
             while not reader.done:
@@ -229,7 +239,7 @@
                     continue
                 try:
                     n = stream.read()
-                except Exhausted:
+                except BufferPoolExhaustedError:
                     if not self.passed:
                         return End(Outcome.CANCELLED, "no buffer left")
                     self.net.loop.wait(until_us=self.net.now() + SHORT_US, mail=False)
@@ -245,22 +255,22 @@
                     stream.inlet.use(reader.feed(stream.inlet.unread()))
                     if reader.begun and not self.passed and not self._pass_on(job, reader, body):
                         break
-        except Late:
+        except StreamTimeoutError:
             return End(
                 Outcome.CONNECTION_RESET if self.passed else Outcome.TIMED_OUT,
                 "silent" if self.passed else "",
             )
-        except Called:
+        except StreamInterruptedError:
             return End(Outcome.CANCELLED)
-        except Exhausted:
+        except BufferPoolExhaustedError:
             return End(Outcome.CANCELLED, "no buffer left")
-        except (OSError, Malformed) as fault:
+        except (OSError, MalformedMessageError) as fault:
             return End(Outcome.CONNECTION_RESET, str(fault))
         if reader.status == 200 and not reader.done:
             return End(Outcome.CANCELLED)  # nobody wants it any more
         return self._told(reader, reader.done and reader.keep and not stream.inlet.unread())
 
-    def _pass_on(self, job: Carry, reader: AnswerReader, body: Kept) -> bool:
+    def _pass_on(self, job: SendAttempt, reader: ResponseReader, body: Kept) -> bool:
         """Whether to read on. An answer too large to keep is the client's from here on; of one that is not to
         be passed on, the status is all that counts."""
         if body.rest is None and (reader.length or 0) <= KEPT:
@@ -268,11 +278,13 @@
         if reader.status != 200:
             return False
         body.open()
-        effects = self.net.reducer.hop_streams(
-            self.net.now(), job.hop, Answer(200, body, reader.get(b"content-type"), length=reader.length)
+        effects = self.net.state_machine.on_response_started(
+            self.net.now(),
+            job.attempt,
+            Response(200, body, reader.get(b"content-type"), length=reader.length),
         )
-        self.passed = any(isinstance(effect, Write) for effect in effects)
-        self.net.tell(effects)
+        self.passed = any(isinstance(effect, SendResponse) for effect in effects)
+        self.net.dispatch(effects)
         return self.passed
 
     def _room(self, rest: Pipe) -> None:
@@ -287,9 +299,9 @@
         rest.on_room = None
         purge(task.mail)
         if task.mail:
-            raise Called
+            raise StreamInterruptedError
 
-    def _told(self, reader: AnswerReader, keep: bool) -> End:
+    def _told(self, reader: ResponseReader, keep: bool) -> End:
         if reader.status == 200:
             return End(Outcome.SUCCEEDED, keep=keep)
         declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -7,22 +7,22 @@
 from urllib.parse import parse_qs
 
 from cressrail.failover.host import Host
-from cressrail.failover.messages import Adopted, Effect, Note, Post, Settings, Spread
+from cressrail.failover.messages import Adopted, Command, LogEvent, Post, Settings, Spread
 from cressrail.membership import messages as membership
-from cressrail.membership.state_machine import Membership
-from cressrail.network.dispatcher import Net
+from cressrail.membership.state_machine import MembershipStateMachine
+from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.policy.load_balancer import RandomGenerator
-from cressrail.proxy.zone_statistics import Towards
+from cressrail.proxy.zone_statistics import ZoneStatistics
 
 SECOND = 1_000_000
 LONGEST_S = 43_200  # of a drain; what is told of one holds no more than 65,535
 
 
-class Zones:
-    def __init__(self, net: Net, settings: Settings, copy: Membership) -> None:
+class FailoverDriver:
+    def __init__(self, net: CommandDispatcher, settings: Settings, copy: MembershipStateMachine) -> None:
         self.net, self.settings = net, settings
-        self.towards = Towards()
-        net.tell(net.reducer.count_zones(net.now(), self.towards))
+        self.towards = ZoneStatistics()
+        net.dispatch(net.state_machine.set_zone_statistics(net.now(), self.towards))
         self.host = Host(settings, copy.id, RandomGenerator(int.from_bytes(os.urandom(8), "big")), net.now())
 
     @property
@@ -31,19 +31,19 @@
 
     def close(self) -> None:
         """The talk ends, or another process goes on with it."""
-        self.net.tell(self.net.reducer.count_zones(self.net.now(), None))
+        self.net.dispatch(self.net.state_machine.set_zone_statistics(self.net.now(), None))
 
-    def woke(self, copy: Membership) -> list[membership.Effect]:
-        reducer, now = self.net.reducer, self.net.now()
-        out = self._out(copy, self.host.woke(now, copy, reducer.sidecar, self.towards))
+    def woke(self, copy: MembershipStateMachine) -> list[membership.Command]:
+        reducer, now = self.net.state_machine, self.net.now()
+        out = self._out(copy, self.host.woke(now, copy, reducer.load_balancer, self.towards))
         # At each look, as an old decision counts less and less.
-        self.net.tell(reducer.shares(now, *self.host.reducer.shares(now)))
+        self.net.dispatch(reducer.on_zone_weights(now, *self.host.reducer.shares(now)))
         return out
 
-    def heard(self, copy: Membership, told: membership.Word) -> list[membership.Effect]:
+    def heard(self, copy: MembershipStateMachine, told: membership.Word) -> list[membership.Command]:
         return self._out(copy, self.host.heard(self.net.now(), told.by, told.text))
 
-    def _out(self, copy: Membership, effects: list[Effect]) -> list[membership.Effect]:
+    def _out(self, copy: MembershipStateMachine, effects: list[Command]) -> list[membership.Command]:
         now, out = self.net.now(), []
         for effect in effects:
             if isinstance(effect, Post):
@@ -51,16 +51,16 @@
             elif isinstance(effect, Spread):
                 out += copy.spread(now, effect.about, effect.text, effect.urgent)
             elif isinstance(effect, Adopted):
-                self.net.tell(self.net.reducer.shares(now, *self.host.reducer.shares(now)))
-            elif isinstance(effect, Note):
-                self.net.log.note(effect.event, dict(effect.what))
+                self.net.dispatch(self.net.state_machine.on_zone_weights(now, *self.host.reducer.shares(now)))
+            elif isinstance(effect, LogEvent):
+                self.net.log.write_event(effect.event, dict(effect.fields))
         return out
 
     # The operators' door
 
     def asked(
-        self, copy: Membership, method: bytes, target: bytes
-    ) -> tuple[int, Any, list[membership.Effect]]:
+        self, copy: MembershipStateMachine, method: bytes, target: bytes
+    ) -> tuple[int, Any, list[membership.Command]]:
         """Status, what is told, and what is to be sent for it."""
         path, _, query = target.partition(b"?")
         words = {name: of[0] for name, of in parse_qs(query.decode("ascii", "replace")).items()}
@@ -89,7 +89,7 @@
         effects = self._out(copy, self.host.reducer.wish(now, zone, until_us))
         return 200, {"zone": words["zone"], "for_s": int(for_s) if until_us else 0}, effects
 
-    def _view(self, now: int, copy: Membership) -> dict[str, Any]:
+    def _view(self, now: int, copy: MembershipStateMachine) -> dict[str, Any]:
         view = self.host.view(now, self.towards)
         names = {f"{ident:016x}": name for ident, name in {copy.id: copy.name, **copy.names()}.items()}
         return {**view, "decided_by": names.get(view["decided_by"], view["decided_by"])}
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -7,10 +7,10 @@
 from contextlib import suppress
 from typing import Any
 
-from cressrail.discovery.endpoint_list import Junk, News, read
+from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
 from cressrail.event_loop.scheduler import READ
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Foreign, Frames, wrap
-from cressrail.network.dispatcher import Net
+from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.network.dispatcher import CommandDispatcher
 
 SPAN_S = 1.0  # for the first answer; a process that serves gives it within a round of its loop
 SPAN_US = 1_000_000  # for the estate
@@ -18,7 +18,7 @@
 MOST_PATH = 100  # bytes; the system takes few more
 
 
-def meeting(listen: tuple[str, int], tmp: str | None) -> str | None:
+def rendezvous_path(listen: tuple[str, int], tmp: str | None) -> str | None:
     """Where the processes of a sidecar that listens there meet; nothing where they cannot."""
     if not tmp:
         return None
@@ -26,17 +26,19 @@
     return path if len(os.fsencode(path)) <= MOST_PATH else None
 
 
-class Elder:
+class Predecessor:
     """A connection to the process that serves, the socket that it listens on, and the list as it knows it."""
 
-    def __init__(self, sock: socket.socket, listening: socket.socket, known: News, frames: Frames) -> None:
+    def __init__(
+        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: Frames
+    ) -> None:
         self.sock = sock
         self.listening = listening
         self.known = known
         self.frames = frames
 
 
-def seek(path: str, listen: tuple[str, int]) -> Elder | None:
+def find_predecessor(path: str, listen: tuple[str, int]) -> Predecessor | None:
     """Nothing if there is none, or one that is not to be relied on: a start from nothing, then. Waits."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     sock.settimeout(SPAN_S)
@@ -49,20 +51,20 @@
             data, more, _, _ = socket.recv_fds(sock, PIECE, 1)
             fds += more
             if not data:
-                raise Foreign("ended")
+                raise HandoverError("ended")
             frames.add(data)
         kind, told = got
         if kind != HERE or len(fds) != 1:
-            raise Foreign("no socket came")
+            raise HandoverError("no socket came")
         known = read(told.get("list"))
         listening = socket.socket(fileno=fds[0])
         if listening.getsockname()[:2] != listen:
-            raise Foreign("another address")
+            raise HandoverError("another address")
         fds.clear()
         listening.setblocking(False)
         sock.setblocking(False)
-        return Elder(sock, listening, known, frames)
-    except (OSError, Foreign, Junk, ValueError):
+        return Predecessor(sock, listening, known, frames)
+    except (OSError, HandoverError, MalformedEndpointListError, ValueError):
         sock.close()
         return None
     finally:
@@ -71,10 +73,10 @@
                 os.close(fd)
 
 
-class ElderTask:
+class HandoverClientTask:
     """Takes over once the reducer asks for it, and hears when the other has left."""
 
-    def __init__(self, net: Net, elder: Elder) -> None:
+    def __init__(self, net: CommandDispatcher, elder: Predecessor) -> None:
         self.net = net
         self.elder = elder
         self.clients = self.links = self.buffers = 0  # that are the other's
@@ -88,7 +90,7 @@
         told = self._estate()
         self._count(told)
         self.net.pool.most -= self.buffers
-        self.net.tell(self.net.reducer.take_over(self.net.now(), told, self.clients, self.links))
+        self.net.dispatch(self.net.state_machine.take_over(self.net.now(), told, self.clients, self.links))
 
     def outlive(self) -> None:
         """What is the other's comes to this process once it has ended; nothing else comes from it."""
@@ -100,11 +102,13 @@
         finally:
             self.elder.sock.close()
             self.net.pool.most += self.buffers
-            self.net.tell(self.net.reducer.elder_left(self.net.now(), self.clients, self.links))
+            self.net.dispatch(
+                self.net.state_machine.on_predecessor_exited(self.net.now(), self.clients, self.links)
+            )
 
     def farewell(self) -> None:
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
-        if self.net.reducer.heir_us >= 0:
+        if self.net.state_machine.handed_over_us >= 0:
             with suppress(OSError):
                 self.elder.sock.send(wrap(BYE, {}))
 
@@ -116,8 +120,8 @@
                 if not (data := self._more(until_us)):
                     return None
                 self.elder.frames.add(data)
-        except (OSError, Foreign, ValueError) as fault:  # it has gone, or is not to be relied on
-            self.net.log.note("estate_lost", {"why": str(fault)})
+        except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
+            self.net.log.write_event("estate_lost", {"why": str(fault)})
             return None
         return got[1] if got[0] == ESTATE else None
 
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 
 from cressrail.event_loop.scheduler import MAIL, READ, WRITE
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Foreign, Frames, wrap
-from cressrail.network.dispatcher import Net
+from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.network.dispatcher import CommandDispatcher
 
 DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
 SPAN_US = 1_000_000  # to say who it is
@@ -18,8 +18,10 @@
 KEPT_PART = 4  # of the buffers a process that hands over keeps one such part, or what it has lent out
 
 
-class HeirTask:
-    def __init__(self, net: Net, path: str, listening: socket.socket, listen: tuple[str, int]) -> None:
+class HandoverServerTask:
+    def __init__(
+        self, net: CommandDispatcher, path: str, listening: socket.socket, listen: tuple[str, int]
+    ) -> None:
         self.net = net
         self.path = path
         self.listening = listening
@@ -53,7 +55,7 @@
             os.rename(own, self.path)
         except OSError as fault:  # no upgrade beside it then, and all else as ever
             place.close()
-            self.net.log.note("no_meeting", {"why": str(fault)})
+            self.net.log.write_event("no_meeting", {"why": str(fault)})
             return False
         self.place = place
         return True
@@ -73,15 +75,15 @@
             got = self._next(sock, frames, self.net.now() + SPAN_US)
             if got is None or got[0] != HELLO or got[1].get("listen") != list(self.listen):
                 return
-            here = wrap(HERE, {"list": self.net.reducer.listed()})
+            here = wrap(HERE, {"list": self.net.state_machine.endpoint_list()})
             sent = socket.send_fds(sock, [here], [self.listening.fileno()])
             self._send(sock, here[sent:])
             got = self._next(sock, frames, None)
             if got is None or got[0] != TAKE:
                 return
-            told, effects = self.net.reducer.hand_over(self.net.now())
+            told, effects = self.net.state_machine.hand_over(self.net.now())
             over = True
-            self.net.tell(effects)
+            self.net.dispatch(effects)
             self._send(sock, wrap(ESTATE, {**told, "held": self._held()}))
             if self.net.gossip is not None:
                 self.net.gossip.tell("cede")
@@ -89,24 +91,26 @@
             got = self._next(sock, frames, None)
             if got is not None and got[0] == BYE:
                 over = False  # a later one serves: no reason to come back
-        except (OSError, Foreign, ValueError) as fault:
-            self.net.log.note("heir_junk", {"why": str(fault)})
+        except (OSError, HandoverError, ValueError) as fault:
+            self.net.log.write_event("heir_junk", {"why": str(fault)})
         finally:
             sock.close()
             if over:
                 self.net.pool.most = self.most
-                if self.net.gossip is not None and self.net.reducer.stop_us < 0:
+                if self.net.gossip is not None and self.net.state_machine.stop_us < 0:
                     self.net.gossip.tell("resume")
-                self.net.tell(self.net.reducer.heir_died(self.net.now()))
+                self.net.dispatch(self.net.state_machine.on_successor_failed(self.net.now()))
 
     def _held(self) -> list[int]:
         """Clients, links and buffers that stay with this process; it lends and opens no more than these."""
-        reducer, pool = self.net.reducer, self.net.pool
+        reducer, pool = self.net.state_machine, self.net.pool
         self.most = pool.most
         pool.most = max(pool.lent, pool.most // KEPT_PART)
         pool.trim()
-        reducer.room.links = max(len(reducer.links), reducer.room.links // KEPT_PART)
-        return [len(reducer.clients) + FIXED, reducer.room.links, pool.most]
+        reducer.limits.endpoint_connections = max(
+            len(reducer.connections), reducer.limits.endpoint_connections // KEPT_PART
+        )
+        return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.most]
 
     def _next(
         self, sock: socket.socket, frames: Frames, until_us: int | None
@@ -133,7 +137,7 @@
                 left = left[sock.send(left) :]
             except BlockingIOError:
                 if self.net.loop.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
-                    raise Foreign("does not read") from None
+                    raise HandoverError("does not read") from None
 
 
 def _same_user(sock: socket.socket) -> bool:
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -6,10 +6,10 @@
 import socket
 
 from cressrail.event_loop.scheduler import MAIL, READ
-from cressrail.network.client_connection import ClientTask
-from cressrail.network.dispatcher import Net
+from cressrail.network.client_connection import ClientConnectionTask
+from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SHORT
-from cressrail.proxy.commands import Listen
+from cressrail.proxy.commands import AcceptClients
 
 BACKLOG = 1024
 AT_ONCE = 64  # connections taken in before other work gets its turn
@@ -34,7 +34,7 @@
 
 
 class ListenerTask:
-    def __init__(self, net: Net, sock: socket.socket, since_us: int | None = None) -> None:
+    def __init__(self, net: CommandDispatcher, sock: socket.socket, since_us: int | None = None) -> None:
         """`since_us`: the system has taken connections in since then, and nobody has looked."""
         self.net = net
         self.sock = sock
@@ -50,7 +50,7 @@
             why = self.net.loop.wait(self.sock.fileno() if self.on else -1, READ)
             while task.mail:
                 message = task.mail.popleft()
-                assert isinstance(message, Listen)  # nothing else is posted here, see Net
+                assert isinstance(message, AcceptClients)  # nothing else is posted here, see Net
                 self.on = message.on
                 if message.closed:
                     self._close()
@@ -82,21 +82,23 @@
             self.short = fault.errno in SHORT
             if self.short:
                 # Guards against a listener that spins, or dies, when descriptors run out.
-                self.net.tell(self.net.reducer.short(self.net.now()))
+                self.net.dispatch(self.net.state_machine.on_descriptors_exhausted(self.net.now()))
                 self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
             # One that was reset while it waited says nothing of those behind it.
             return fault.errno in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR)
         self.numbers += 1
         number = self.numbers
         try:
-            client = ClientTask(self.net, number, sock)
+            client = ClientConnectionTask(self.net, number, sock)
         except OSError:  # it has left already
             sock.close()
             return True
         if self.since_us is not None:  # guards against a request's time that begins when it is seen
             client.stream.arrived_us = min(client.stream.arrived_us, self.since_us)
-        told = self.net.reducer.client_came(self.net.now(), number)  # first: a task ends what was counted
+        told = self.net.state_machine.on_client_connected(
+            self.net.now(), number
+        )  # first: a task ends what was counted
         self.net.clients[number] = self.net.loop.spawn(client.run)
         self.net.client_fds[number] = sock.fileno()
-        self.net.tell(told)
+        self.net.dispatch(told)
         return True
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -15,17 +15,17 @@
 
 import orjson
 
-from cressrail.configuration.membership import Part
+from cressrail.configuration.membership import MembershipConfiguration
 from cressrail.event_loop.scheduler import MAIL, READ
-from cressrail.membership.load_reports import Hearsay
-from cressrail.membership.messages import Copies, Effect, Report, Send, Word
+from cressrail.membership.load_reports import PeerReports
+from cressrail.membership.messages import Command, InstanceCount, Report, Send, Word
 from cressrail.membership.peer_reports import Hearing
-from cressrail.membership.state_machine import Membership
-from cressrail.network.dispatcher import Net
+from cressrail.membership.state_machine import MembershipStateMachine
+from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.policy.load_balancer import RandomGenerator
 
 if TYPE_CHECKING:
-    from cressrail.network.failover_driver import Zones
+    from cressrail.network.failover_driver import FailoverDriver
 
 AT_ONCE = 32  # datagrams read before others get their turn: guards against a flood that holds up transactions
 PIECE = 2048  # more than any datagram of a copy: a longer one shows as such
@@ -37,7 +37,7 @@
 CEDE, RESUME, LEAVE = "cede", "resume", "leave"
 
 
-def bind(part: Part) -> socket.socket:
+def bind(part: MembershipConfiguration) -> socket.socket:
     family = socket.AF_INET6 if ":" in part.listen[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK)
     try:
@@ -53,28 +53,30 @@
     return sock
 
 
-class GossipTask:
+class MembershipTransport:
     """Owns the socket. `waits`: another process of this sidecar may hold the address still."""
 
-    def __init__(self, net: Net, part: Part, waits: bool) -> None:
+    def __init__(self, net: CommandDispatcher, part: MembershipConfiguration, waits: bool) -> None:
         self.net, self.part = net, part
         self.sock = None if waits else bind(part)
         self.copy = self._copy()
         self.hearing = Hearing()
-        self.zones: Zones | None = None
+        self.zones: FailoverDriver | None = None
         self.task = net.loop.spawn(self.run, first=True)
 
-    def _copy(self) -> Membership:
+    def _copy(self) -> MembershipStateMachine:
         now = self.net.now()
         chance = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
-        return Membership(self.part.settings, chance, now, chance.below(1 << 32), now // 1000)
+        return MembershipStateMachine(self.part.settings, chance, now, chance.below(1 << 32), now // 1000)
 
-    def _zones(self) -> Zones | None:
+    def _zones(self) -> FailoverDriver | None:
         if self.part.failover is None:
             return None
-        from cressrail.network.failover_driver import Zones  # nothing of it is loaded where it is off
+        from cressrail.network.failover_driver import (
+            FailoverDriver,
+        )  # nothing of it is loaded where it is off
 
-        return Zones(self.net, self.part.failover, self.copy)
+        return FailoverDriver(self.net, self.part.failover, self.copy)
 
     def run(self) -> None:
         task = self.net.loop.current
@@ -142,26 +144,28 @@
                 continue
             self._carry(self.copy.heard(self.net.now(), data))
 
-    def _carry(self, effects: list[Effect]) -> None:
+    def _carry(self, effects: list[Command]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(effect)
-            elif isinstance(effect, Copies):
-                told = {"all": round(effect.all, 2), "near": round(effect.near, 2)}
-                self.net.log.note("copies_counted", told)
-                self.net.tell(self.net.reducer.copies(self.net.now(), effect.all, effect.near))
-            elif isinstance(effect, Hearsay):
-                reducer = self.net.reducer
-                heard = self.hearing.meant(effect, reducer.sidecar, reducer.roster)
-                self.net.tell(reducer.heed(self.net.now(), *heard))
+            elif isinstance(effect, InstanceCount):
+                told = {"all": round(effect.all, 2), "near": round(effect.in_zone, 2)}
+                self.net.log.write_event("copies_counted", told)
+                self.net.dispatch(
+                    self.net.state_machine.on_instance_count(self.net.now(), effect.all, effect.in_zone)
+                )
+            elif isinstance(effect, PeerReports):
+                reducer = self.net.state_machine
+                heard = self.hearing.meant(effect, reducer.load_balancer, reducer.registry)
+                self.net.dispatch(reducer.on_peer_reports(self.net.now(), *heard))
             elif isinstance(effect, Word):
                 if self.zones is not None:
                     self._carry(self.zones.heard(self.copy, effect))
             elif isinstance(effect, Report):
-                now, reducer = self.net.now(), self.net.reducer
-                self.copy.say(now, self.hearing.words(now, reducer.sidecar, reducer.roster))
+                now, reducer = self.net.now(), self.net.state_machine
+                self.copy.say(now, self.hearing.words(now, reducer.load_balancer, reducer.registry))
             else:
-                self.net.log.note(effect.event, effect.what)
+                self.net.log.write_event(effect.event, effect.fields)
 
     def _send(self, effect: Send) -> None:
         for _ in range(2):  # the first may be told, in place of sending, that an earlier one was refused
@@ -186,9 +190,9 @@
     def tell(self, what: str) -> None:
         self.net.loop.post(self.task, what)
 
-    def rekey(self, part: Part) -> None:
+    def rekey(self, part: MembershipConfiguration) -> None:
         self.copy.rekey(part.settings.keys)
-        self.net.log.note("membership_keys", {"keys": len(part.settings.keys)})
+        self.net.log.write_event("membership_keys", {"keys": len(part.settings.keys)})
 
     def asked(self, method: bytes, target: bytes) -> tuple[int, Any]:
         """What an operator asks of zones."""
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -8,12 +8,12 @@
 from contextlib import contextmanager
 
 from cressrail.event_loop.scheduler import READ
-from cressrail.network.configuration_reload import Reread
-from cressrail.network.dispatcher import Net
+from cressrail.network.configuration_reload import ConfigurationReload
+from cressrail.network.dispatcher import CommandDispatcher
 
 
 @contextmanager
-def heed_signals(net: Net, reread: Reread) -> Iterator[None]:
+def heed_signals(net: CommandDispatcher, reread: ConfigurationReload) -> Iterator[None]:
     """While in here. A signal ends no poll by itself, so it comes as a byte on a socket that is polled."""
     woken, waking = socket.socketpair()
     woken.setblocking(False)
@@ -26,7 +26,7 @@
             if signal.SIGHUP in heard:
                 reread.now(net)
             if signal.SIGTERM in heard or signal.SIGINT in heard:
-                net.tell(net.reducer.stop(net.now()))
+                net.dispatch(net.state_machine.on_stop_requested(net.now()))
                 if net.gossip is not None:
                     net.gossip.tell("leave")
 
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -7,7 +7,7 @@
 import socket
 from enum import Enum
 
-from cressrail.buffers.pool import Exhausted, Inlet, Pool
+from cressrail.buffers.pool import BufferPoolExhaustedError, Inlet, Pool
 from cressrail.event_loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
 
 PARTS = 64  # of a write
@@ -20,15 +20,15 @@
     OVER = "over"  # ended, or with bytes that nobody asked for
 
 
-class Late(Exception):
+class StreamTimeoutError(Exception):
     """The time for it is over."""
 
 
-class Called(Exception):
+class StreamInterruptedError(Exception):
     """A message came first."""
 
 
-class Stream:
+class SocketStream:
     def __init__(self, loop: Scheduler, pool: Pool, sock: socket.socket) -> None:
         self.loop = loop
         self.sock = sock
@@ -40,7 +40,9 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def connect(cls, loop: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool) -> Stream:
+    def connect(
+        cls, loop: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool
+    ) -> SocketStream:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
@@ -59,9 +61,9 @@
     def await_(self, mask: int, until_us: int = NEVER, mail: bool = False, rest: bool = False) -> int:
         why = self.loop.wait(self.fd, mask, until_us, mail, rest)
         if why == TIMED_OUT:
-            raise Late
+            raise StreamTimeoutError
         if why == MAIL:
-            raise Called
+            raise StreamInterruptedError
         return why
 
     def send(self, parts: list[memoryview], until_us: int = NEVER, mail: bool = False) -> None:
@@ -119,7 +121,7 @@
             while self.read() != 0:
                 self.inlet.give_back()
                 self.await_(READ, until_us)
-        except (OSError, Late, Exhausted):
+        except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
 
     def close(self) -> None:
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from cressrail.network.dispatcher import Net
-from cressrail.proxy.commands import Wake
+from cressrail.network.dispatcher import CommandDispatcher
+from cressrail.proxy.commands import SetTimer
 
 LATEST_US = 1_000_000  # unless the reducer says otherwise
 
 
-def wake_task(net: Net) -> None:
+def wake_task(net: CommandDispatcher) -> None:
     task = net.loop.current
     assert task is not None
-    due_us = net.reducer.wake_us
+    due_us = net.state_machine.wake_us
     while True:
         net.loop.wait(until_us=due_us)
         while task.mail:
             message = task.mail.popleft()
-            assert isinstance(message, Wake)
+            assert isinstance(message, SetTimer)
             due_us = message.at_us
         if net.now() >= due_us:
             due_us = net.now() + LATEST_US
-            net.tell(net.reducer.woke(net.now()))
+            net.dispatch(net.state_machine.on_timer(net.now()))
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -63,7 +63,7 @@
 SURGE_US = BUDGET_WINDOW_US // 5  # of late, against the whole window
 USED_FOR_RATE = 0.5  # endpoints of a zone in use for each hop a second
 USED_OWN, USED_OTHER = 2, 1  # at the least; each is a connection, of which an endpoint takes few
-Decision = tuple["Tx", str, int, int]
+Decision = tuple["RoutedRequest", str, int, int]
 EndpointUpdate = tuple[
     int, int, int, float, bool, int, int
 ]  # endpoint, zone, cell, scale, on, started, place
@@ -203,9 +203,9 @@
                 self.failed += 1
         self.failing = 2 * self.failed > len(met)
         if self.failing:  # tried last, but tried; guards against overflow that pours into what is surely gone
-            self.use = [e for e in met if now >= e.dead_us]
+            self.use = [e for e in met if now >= e.unavailable_until_us]
         for e in self.use:
-            e.inside = True
+            e.is_in_subset = True
         self.size = sum(e.scale for e in self.use)
         self.limit = sum(e.limit for e in self.use)
         self.in_flight = sum(e.in_flight for e in self.use)
@@ -410,21 +410,21 @@
     """The handle of one transaction."""
 
     __slots__ = (
+        "attempts",
+        "deadline_us",
         "fixed_endpoint",
         "fixed_us",
+        "in_flight",
+        "is_body_gone",
         "is_finished",
+        "is_over_quota",
         "is_uploading",
-        "deadline_us",
-        "attempts",
+        "load_balancer",
+        "open_fraction",
         "queue_until_us",
         "random_value",
-        "tenant",
-        "in_flight",
-        "open_fraction",
         "request_class",
-        "load_balancer",
-        "is_body_gone",
-        "is_over_quota",
+        "tenant",
     )
 
     def __init__(
@@ -599,7 +599,7 @@
             )
         self._begin_zones(now)
         self._share_out()
-        for e in [e for e in named if e.on]:
+        for e in [e for e in named if e.accepts_requests]:
             e.limit = e.limit or FIRST_LIMIT / self.zone_subsets[e.zone].sharers
         for group in self.zone_subsets:
             group.choose(now)
--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -10,7 +10,7 @@
 TEXT = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-class Told(NamedTuple):
+class AdminResponse(NamedTuple):
     """What a caller is told."""
 
     status: int
@@ -19,9 +19,9 @@
     allow: bytes = b""
 
 
-def refused(method: bytes, path: bytes) -> Told | None:
+def refused(method: bytes, path: bytes) -> AdminResponse | None:
     """The answer to a call that there is none of; nothing for one of the four."""
     allowed = METHODS.get(path)
     if allowed is None:
-        return Told(404, b"no such call\n")
-    return None if method == allowed else Told(405, b"not by this method\n", allow=allowed)
+        return AdminResponse(404, b"no such call\n")
+    return None if method == allowed else AdminResponse(405, b"not by this method\n", allow=allowed)
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -5,93 +5,105 @@
 from typing import Any, NamedTuple
 
 from cressrail.buffers.pool import Chain
-from cressrail.http1.answer import Answer
+from cressrail.http1.answer import Response
 from cressrail.http1.request import Request
 
 
-class Listen(NamedTuple):
+class AcceptClients(NamedTuple):
     """Take in clients, or no more for now, or (`closed`) no more at all."""
 
     on: bool
     closed: bool = False
 
 
-class Read(NamedTuple):
+class ReadRequest(NamedTuple):
     """The next request of a client."""
 
     client: int
 
 
-class Write(NamedTuple):
+class SendResponse(NamedTuple):
     client: int
-    answer: Answer
-    last: bool  # the connection closes after it
-    modern: bool = True  # the client reads HTTP/1.1
+    response: Response
+    closes_connection: bool  # the connection closes after it
+    is_http11: bool = True  # the client reads HTTP/1.1
 
 
-class Shut(NamedTuple):
+class CloseClient(NamedTuple):
     """A client's connection; where `idle`, only if no request has begun meanwhile, or is long in coming."""
 
     client: int
-    idle: bool
+    only_if_idle: bool
 
 
-class Carry(NamedTuple):
+class SendAttempt(NamedTuple):
     """A hop, over a connection to its endpoint that is there already or is to be made."""
 
-    link: int
-    fresh: bool
-    hop: int
+    connection: int
+    is_new_connection: bool
+    attempt: int
     host: str
     port: int
     request: Request
     until_us: int
-    from_us: int = 0  # not before
+    not_before_us: int = 0  # not before
 
 
-class CallOff(NamedTuple):
-    link: int
-    hop: int
+class CancelAttempt(NamedTuple):
+    connection: int
+    attempt: int
 
 
-class Drop(NamedTuple):
+class CloseEndpointConnection(NamedTuple):
     """A connection to an endpoint on which nothing is out."""
 
-    link: int
+    connection: int
 
 
-class GiveBack(NamedTuple):
+class ReleaseBody(NamedTuple):
     body: Chain
 
 
-class Watch(NamedTuple):
+class WatchEndpoints(NamedTuple):
     """The list at an address of discovery, its changes after a revision; the whole of it first if -1."""
 
-    after: int
+    after_revision: int
     at_us: int
     source: tuple[str, int]
-    fails: int = 0  # watches in a row that brought nothing
+    consecutive_failures: int = 0  # watches in a row that brought nothing
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
     at_us: int
 
 
-class TakeOver(NamedTuple):
+class BeginTakeover(NamedTuple):
     """From the process that serves so far, which waits to be asked."""
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """A line for the log."""
 
     event: str
-    what: dict[str, Any]
+    fields: dict[str, Any]
 
 
-class Leave(NamedTuple):
+class Exit(NamedTuple):
     """All is done; the process may end."""
 
 
-Effect = (
-    Listen | Read | Write | Shut | Carry | CallOff | Drop | GiveBack | Watch | Wake | TakeOver | Note | Leave
+Command = (
+    AcceptClients
+    | ReadRequest
+    | SendResponse
+    | CloseClient
+    | SendAttempt
+    | CancelAttempt
+    | CloseEndpointConnection
+    | ReleaseBody
+    | WatchEndpoints
+    | SetTimer
+    | BeginTakeover
+    | LogEvent
+    | Exit
 )
--- a/cressrail/proxy/request_counters.py
+++ b/cressrail/proxy/request_counters.py
@@ -9,12 +9,12 @@
 FINAL = (ANSWERED, DEFERRED, ERRORED)
 
 
-class Tally:
+class RequestCounters:
     def __init__(self, profiles: Iterable[str]) -> None:
         self.final = {name: dict.fromkeys(FINAL, 0) for name in profiles}
         self.sends = 0  # hops whose last byte was written
 
-    def ended(self, profile: str, status: int) -> None:
+    def on_final_answer(self, profile: str, status: int) -> None:
         """Once for each transaction, when its answer is final: `status` is what its client is told."""
         how = ANSWERED if status == 200 else DEFERRED if status in (429, 503) else ERRORED
         self.final[profile][how] += 1
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -11,13 +11,13 @@
 
 from cressrail.cli.launch import launch
 from cressrail.configuration import policy_factory as parts
-from cressrail.discovery.endpoint_list import News
-from cressrail.http1.answer import Answer
-from cressrail.network.client_connection import ClientTask
+from cressrail.discovery.endpoint_list import EndpointListUpdate
+from cressrail.http1.answer import Response
+from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.policy import load_balancer as brain
 from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
-from cressrail.proxy.commands import Write
-from cressrail.proxy.endpoint_registry import Roster
+from cressrail.proxy.commands import SendResponse
+from cressrail.proxy.endpoint_registry import EndpointRegistry
 
 
 class Baseline(brain.LoadBalancer):
@@ -78,28 +78,28 @@
 
 def answers_twice() -> None:
     """Rule 1: something is sent after the final answer."""
-    write = ClientTask._write
+    write = ClientConnectionTask._write
 
-    def twice(self: ClientTask, message: Write) -> None:
+    def twice(self: ClientConnectionTask, message: SendResponse) -> None:
         write(self, message)
         if self.number % 3 == 0:
-            self.stream.send([memoryview(Answer(503).head(True))], self.net.now() + 100_000)
+            self.stream.send([memoryview(Response(503).head(True))], self.net.now() + 100_000)
 
-    ClientTask._write = twice  # type: ignore[method-assign]
+    ClientConnectionTask._write = twice  # type: ignore[method-assign]
 
 
 def swallows() -> None:
     """Rule 1: some that were taken get no answer."""
-    write = ClientTask._write
+    write = ClientConnectionTask._write
 
-    def eats(self: ClientTask, message: Write) -> None:
-        if message.answer.body is None or self.net.reducer.numbers % 7:
+    def eats(self: ClientConnectionTask, message: SendResponse) -> None:
+        if message.response.body is None or self.net.state_machine.numbers % 7:
             write(self, message)
             return
-        message.answer.body.give_back()
+        message.response.body.give_back()
         raise OSError("swallowed on purpose")
 
-    ClientTask._write = eats  # type: ignore[method-assign]
+    ClientConnectionTask._write = eats  # type: ignore[method-assign]
 
 
 def repeats() -> None:
@@ -113,15 +113,15 @@
 
 def deaf() -> None:
     """Rule 3: what discovery says of draining and leaving is not heard."""
-    heard = Roster.heard
+    heard = EndpointRegistry.apply
 
-    def never(self: Roster, news: News) -> Any:
-        for row in news.rows:
-            row.on, row.gone = True, False
-        news.full = False
+    def never(self: EndpointRegistry, news: EndpointListUpdate) -> Any:
+        for row in news.entries:
+            row.accepts_requests, row.is_removed = True, False
+        news.is_complete = False
         return heard(self, news)
 
-    Roster.heard = never  # type: ignore[method-assign]
+    EndpointRegistry.apply = never  # type: ignore[method-assign]
 
 
 def rushes() -> None:
@@ -149,7 +149,7 @@
     if broken:
         BREAKS[broken]()
     if policy in POLICIES:
-        vars(parts)["Sidecar"] = POLICIES[policy]
+        vars(parts)["LoadBalancer"] = POLICIES[policy]
     return launch(config)
 
 
--- a/cressrail/wirehost/__main__.py
+++ b/cressrail/wirehost/__main__.py
@@ -5,7 +5,7 @@
 import io
 import sys
 
-from cressrail.wirehost.codec import Unreadable
+from cressrail.wirehost.codec import MalformedLineError
 from cressrail.wirehost.host import serve
 
 
@@ -14,7 +14,7 @@
     sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n")
     try:
         serve(source, sink)
-    except Unreadable as wrong:
+    except MalformedLineError as wrong:
         print(f"cressrail.wirehost: {wrong}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -22,7 +22,7 @@
 }
 
 
-class Unreadable(Exception):
+class MalformedLineError(Exception):
     """A line that the wire does not allow."""
 
     def __init__(self, line: int, what: str) -> None:
@@ -43,13 +43,13 @@
                 return
             at, name, fields = message
             if name != "BEGIN_BATCH":
-                raise Unreadable(at, f"expected BEGIN_BATCH, found {name}")
+                raise MalformedLineError(at, f"expected BEGIN_BATCH, found {name}")
             now = number(at, fields, "clock_us")
             events: list[Message] = []
             while True:
                 message = self._next()
                 if message is None:
-                    raise Unreadable(self.line + 1, "input ends inside a batch")
+                    raise MalformedLineError(self.line + 1, "input ends inside a batch")
                 if message[1] == "OVER_TO_YOU":
                     break
                 events.append(message)
@@ -60,7 +60,7 @@
             try:
                 text = self.source.readline()
             except UnicodeDecodeError:
-                raise Unreadable(self.line + 1, "not UTF-8") from None
+                raise MalformedLineError(self.line + 1, "not UTF-8") from None
             if not text:
                 return None
             self.line += 1
@@ -72,7 +72,7 @@
         for part in parts:
             key, mark, value = part.partition("=")
             if not mark or not key:
-                raise Unreadable(self.line, f"{name}: '{part[:40]}' is not name=value")
+                raise MalformedLineError(self.line, f"{name}: '{part[:40]}' is not name=value")
             fields[key] = value
         return self.line, name, fields
 
@@ -81,19 +81,19 @@
     try:
         return fields[name]
     except KeyError:
-        raise Unreadable(line, f"{name} is missing") from None
+        raise MalformedLineError(line, f"{name} is missing") from None
 
 
 def number(line: int, fields: Fields, name: str, absent: int | None = None) -> int:
     value = fields.get(name)
     if value is None:
         if absent is None:
-            raise Unreadable(line, f"{name} is missing")
+            raise MalformedLineError(line, f"{name} is missing")
         return absent
     try:
         return int(value)
     except ValueError:
-        raise Unreadable(line, f"{name} is not a whole number: '{value[:40]}'") from None
+        raise MalformedLineError(line, f"{name} is not a whole number: '{value[:40]}'") from None
 
 
 def ratio(line: int, fields: Fields, name: str, absent: float) -> float:
@@ -103,13 +103,13 @@
     try:
         return float(value)
     except ValueError:
-        raise Unreadable(line, f"{name} is not a number: '{value[:40]}'") from None
+        raise MalformedLineError(line, f"{name} is not a number: '{value[:40]}'") from None
 
 
 def flag(line: int, fields: Fields, name: str) -> bool:
     value = fields.get(name, "0")
     if value not in ("0", "1"):
-        raise Unreadable(line, f"{name} is neither 0 nor 1: '{value[:40]}'")
+        raise MalformedLineError(line, f"{name} is neither 0 nor 1: '{value[:40]}'")
     return value == "1"
 
 
@@ -118,7 +118,7 @@
     try:
         return ENDINGS[value]
     except KeyError:
-        raise Unreadable(line, f"ending is no known outcome: '{value[:40]}'") from None
+        raise MalformedLineError(line, f"ending is no known outcome: '{value[:40]}'") from None
 
 
 def gauge(line: int, fields: Fields) -> dict[str, float]:
@@ -130,7 +130,7 @@
             try:
                 load[name] = float(value)
             except ValueError:
-                raise Unreadable(line, f"gauge is not name:value pairs: '{pair[:40]}'") from None
+                raise MalformedLineError(line, f"gauge is not name:value pairs: '{pair[:40]}'") from None
             if not mark:
-                raise Unreadable(line, f"gauge is not name:value pairs: '{pair[:40]}'")
+                raise MalformedLineError(line, f"gauge is not name:value pairs: '{pair[:40]}'")
     return load
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -7,10 +7,10 @@
 from zlib import crc32
 
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import Told
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 from cressrail.policy import load_balancer as brain
 from cressrail.wirehost import codec
-from cressrail.wirehost.codec import Fields, Message, Unreadable
+from cressrail.wirehost.codec import Fields, MalformedLineError, Message
 
 # address, zone, cell, scale, on, gone, started, place
 Row = tuple[str, str, int, float, bool, bool, int, int]
@@ -22,13 +22,13 @@
 class Instance:
     """One sidecar: ids to handles at the door, results to actions on the way out."""
 
-    def __init__(self, name: str, seed: int, now: int, told: Told) -> None:
+    def __init__(self, name: str, seed: int, now: int, told: SettingsReader) -> None:
         self.name = name
-        self.profiles = parts.profiles(told)
-        members = parts.members(told)
+        self.profiles = parts.request_classes(told)
+        members = parts.tenants(told)
         self.members = {member: n for n, member in enumerate(members)}
         self.zones = {zone: n for n, zone in enumerate(told.names("dcs"))}
-        self.sidecar = parts.sidecar(told, seed, now, list(self.zones), list(members.values()))
+        self.sidecar = parts.load_balancer(told, seed, now, list(self.zones), list(members.values()))
         self.addresses: list[str] = []
         self.indices: dict[str, int] = {}
         self.txs: dict[str, brain.RoutedRequest] = {}
@@ -45,7 +45,7 @@
     def demand(self, line: int, fields: Fields, now: int) -> list[brain.Decision]:
         xid, kind = codec.text(line, fields, "xid"), codec.text(line, fields, "type")
         if kind not in self.profiles:
-            raise Unreadable(line, f"type is no known profile: '{kind[:40]}'")
+            raise MalformedLineError(line, f"type is no known profile: '{kind[:40]}'")
         member = self.members.get(fields.get("team", ""), -1)
         remaining_us = codec.number(line, fields, "remaining_us")
         tx = self.sidecar.start_request(now, self.profiles[kind], member, remaining_us)
@@ -81,10 +81,10 @@
             self.sidecar.on_list_failed(now)
             return []
         if form not in ("D", "F", "C"):
-            raise Unreadable(line, f"form is none of D, F, C, X: '{form[:40]}'")
+            raise MalformedLineError(line, f"form is none of D, F, C, X: '{form[:40]}'")
         slot = codec.number(line, fields, "slot")
         if slot not in book:
-            raise Unreadable(line, f"slot {slot} holds no list")
+            raise MalformedLineError(line, f"slot {slot} holds no list")
         entries = []
         for address, zone, cell, scale, on, gone, started_us, place in book[slot]:
             ix = self.indices.get(address) if gone else self.index(address)
@@ -159,6 +159,14 @@
 }
 
 
+# Faults that BUG messages have named before; the names are part of the wire.
+WIRE_FAULT_NAMES: dict[type[Exception], str] = {ConfigurationError: "Unfit"}
+
+
+def _wire_fault_name(fault: Exception) -> str:
+    return WIRE_FAULT_NAMES.get(type(fault), type(fault).__name__)
+
+
 class Host:
     def __init__(self) -> None:
         self.instances: dict[str, Instance | None] = {}  # None: faulty, told of already
@@ -175,16 +183,16 @@
                 k = self._inventory(line, fields, events, k)
                 continue
             if kind not in HANDLERS and kind not in ("BORN", "RETIRE", "DIRECTORY_UPDATE"):
-                raise Unreadable(line, f"unknown message {kind[:40]}")
+                raise MalformedLineError(line, f"unknown message {kind[:40]}")
             name = codec.text(line, fields, "i")
             touched[name] = None
             try:
                 out += self._event(line, kind, fields, name, now)
-            except Unreadable:
+            except MalformedLineError:
                 raise
             except Exception as fault:
                 self.instances[name] = None
-                out.append(f"BUG i={name} msg={' '.join(f'{type(fault).__name__}: {fault}'.split())}")
+                out.append(f"BUG i={name} msg={' '.join(f'{_wire_fault_name(fault)}: {fault}'.split())}")
         for name in touched:
             instance = self.instances.get(name)
             if instance is not None:
@@ -194,7 +202,7 @@
     def _event(self, line: int, kind: str, fields: Fields, name: str, now: int) -> list[str]:
         if kind == "BORN":
             seed = codec.number(line, fields, "rng_seed")
-            self.instances[name] = Instance(name, seed, now, Told(fields))
+            self.instances[name] = Instance(name, seed, now, SettingsReader(fields))
             return []
         if kind == "RETIRE":
             self.instances.pop(name, None)
@@ -202,7 +210,7 @@
         instance = self.instances.get(name)
         if instance is None:
             if name not in self.instances:
-                raise Unreadable(line, f"{kind} for {name[:40]}, which was not born")
+                raise MalformedLineError(line, f"{kind} for {name[:40]}, which was not born")
             return []
         if kind == "DIRECTORY_UPDATE":
             return instance.encode(instance.directory(line, fields, now, self.book))
@@ -218,7 +226,7 @@
                 break
             state = codec.text(at, item, "condition")
             if state not in STATES:
-                raise Unreadable(at, f"condition is none of on, fading, off: '{state[:40]}'")
+                raise MalformedLineError(at, f"condition is none of on, fading, off: '{state[:40]}'")
             on, gone = STATES[state]
             address = codec.text(at, item, "endpoint")
             rows.append(
@@ -234,7 +242,7 @@
                 )
             )
         if len(rows) != count:
-            raise Unreadable(line, f"INVENTORY names {count} entries, {len(rows)} ITEM lines follow")
+            raise MalformedLineError(line, f"INVENTORY names {count} entries, {len(rows)} ITEM lines follow")
         self.book[slot] = rows
         return k + count
 
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.failover import codec
-from cressrail.failover.messages import Decision, Epoch, Evidence, Toward, Wish, Zone
+from cressrail.failover.messages import Decision, DrainRequest, Epoch, Evidence, Toward, Zone
 from tests.golden.neutral import neutral, stored, tuples
 
 FILE = "failover-datagrams.json"
@@ -21,7 +21,7 @@
     "no": codec.No,
     "beat": codec.Beat,
     "decision": Decision,
-    "wish": Wish,
+    "wish": DrainRequest,
 }
 
 
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -13,12 +13,12 @@
 import pytest
 
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import Told
+from cressrail.configuration.settings_reader import SettingsReader
 from cressrail.discovery.endpoint_list import read
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
-from cressrail.handover.state import gather, listed, settle
-from cressrail.network.handover_client import seek
-from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, Outcome, LoadBalancer
+from cressrail.handover.state import capture, listed, restore
+from cressrail.network.handover_client import find_predecessor
+from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, LoadBalancer, Outcome
 from tests.golden.neutral import stored
 from tests.helpers import CONFIG, SECOND, member, mesh
 
@@ -35,8 +35,8 @@
 
 
 def sidecar(shape: str, now: int) -> LoadBalancer:
-    told = Told.nested(CONFIGS[shape]["settings"])
-    side = parts.sidecar(told, 5, 0, ["a", "b"], list(parts.members(told).values()))
+    told = SettingsReader.nested(CONFIGS[shape]["settings"])
+    side = parts.load_balancer(told, 5, 0, ["a", "b"], list(parts.tenants(told).values()))
     side.update_endpoints(now, fleet(), True)
     return side
 
@@ -44,7 +44,7 @@
 def work(side: LoadBalancer, shape: str, since: int, until: int) -> None:
     """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
     random = Random(since)
-    profiles = list(parts.profiles(Told.nested(CONFIGS[shape]["settings"])).values())
+    profiles = list(parts.request_classes(SettingsReader.nested(CONFIGS[shape]["settings"])).values())
     endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
         tx = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
@@ -66,7 +66,7 @@
     side = sidecar(shape, 10 * SECOND)
     work(side, shape, 10 * SECOND, UNTIL)
     side.on_connection_lost(UNTIL, 0)
-    return gather(side, NAMES)
+    return capture(side, NAMES)
 
 
 def rows() -> dict[str, Any]:
@@ -83,7 +83,7 @@
     more = {"open": ["r1", "ö2"], "drained": False, "held": [24, 8, 25]}
     return [
         wrap(HELLO, {"listen": list(LISTEN)}),
-        wrap(HERE, {"list": listed(read(rows()).rows, 41)}),
+        wrap(HERE, {"list": listed(read(rows()).entries, 41)}),
         wrap(TAKE, {}),
         wrap(ESTATE, {**estate("chain"), **more}),
         wrap(ESTATE, {**estate("mesh"), **more, "drained": True}),
@@ -98,9 +98,9 @@
 def went_on(shape: str, told: dict[str, Any]) -> str:
     """What is known in the end of a process that goes on from there."""
     side = sidecar(shape, UNTIL)
-    settle(told, side, NAMES, UNTIL)
+    restore(told, side, NAMES, UNTIL)
     work(side, shape, UNTIL, UNTIL + 5 * SECOND)
-    return orjson.dumps(gather(side, NAMES)).decode()
+    return orjson.dumps(capture(side, NAMES)).decode()
 
 
 def case(name: str) -> list[Any]:
@@ -134,8 +134,8 @@
     _, head, body = case(f"estate {shape}")
     [(_, told)] = read_back(bytes.fromhex(head) + body.encode())
     side = sidecar(shape, UNTIL)
-    settle(told, side, NAMES, UNTIL)
-    again = orjson.loads(orjson.dumps(gather(side, NAMES)))
+    restore(told, side, NAMES, UNTIL)
+    again = orjson.loads(orjson.dumps(capture(side, NAMES)))
     assert again == {name: told[name] for name in again}
     [(_, after)] = [case for case in stored(FILE)["after"] if case[0] == shape]
     assert went_on(shape, told) == after
@@ -143,7 +143,7 @@
 
 def test_a_stored_list_is_read_and_told_again() -> None:
     told = orjson.loads(case("here")[2])["list"]
-    assert listed(read(told).rows, told["revision"]) == told
+    assert listed(read(told).entries, told["revision"]) == told
 
 
 def test_the_new_process_says_the_stored_hello_and_reads_the_stored_list(tmp_path: Path) -> None:
@@ -164,7 +164,7 @@
 
         elder = threading.Thread(target=answer)
         elder.start()
-        found = seek(at, listen)
+        found = find_predecessor(at, listen)
         elder.join()
     assert found is not None
     found.sock.close()
@@ -172,4 +172,4 @@
     [(kind, told)] = read_back(heard[0])
     assert (kind, list(told)) == ("hello", list(orjson.loads(case("hello")[2])))
     assert told["listen"] == list(listen)
-    assert listed(found.known.rows, 41) == orjson.loads(case("here")[2])["list"]
+    assert listed(found.known.entries, 41) == orjson.loads(case("here")[2])["list"]
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -9,7 +9,7 @@
 
 from cressrail.membership import codec
 from cressrail.membership.authentication import opened, seal
-from cressrail.membership.load_reports import Hint
+from cressrail.membership.load_reports import LoadReport
 from cressrail.membership.messages import Brief, Edge, Record, Span
 from tests.golden.neutral import neutral, stored, tuples
 
@@ -34,7 +34,7 @@
     if name == "span":
         return codec.span(Span(*told))
     if name == "hint":
-        return codec.hint(Hint(*told))
+        return codec.hint(LoadReport(*told))
     if name == "word":
         return codec.word(bytes.fromhex(value))
     if name == "said":
@@ -74,7 +74,7 @@
 def test_what_was_refused_is_refused(data: str) -> None:
     text = opened((OTHER, KEY), bytes.fromhex(data))
     if text is not None:
-        with pytest.raises(codec.Junk):
+        with pytest.raises(codec.MalformedDatagramError):
             codec.read(text)
 
 
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -8,7 +8,7 @@
 
 from cressrail.buffers.pipe import KEPT, Kept
 from cressrail.buffers.pool import Chain, Pool
-from cressrail.http1.answer import REASONS, Answer
+from cressrail.http1.answer import REASONS, Response
 from cressrail.http1.body import chunk as encoded_chunk
 from cressrail.http1.request import RequestReader
 from tests.golden_edges.stored import hold
@@ -43,7 +43,7 @@
                 for back_us in (0, 400, 1_500_000) if whole else (0,):
                     for keep in (True, False):
                         for modern in (True, False):
-                            made = Answer(status, body, kind, back_us, length)
+                            made = Response(status, body, kind, back_us, length)
                             key = f"{status}, {name}, kind {kind.decode()!r}, back {back_us}, "
                             key += f"{'stays' if keep else 'last'}, 1.{int(modern)}"
                             told = made.head(keep, modern).decode("latin-1")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,14 +18,14 @@
 from cressrail.policy.load_balancer import (
     ALL,
     EndpointListPoller,
-    RandomGenerator,
-    SlowStart,
     EndpointUpdate,
+    LoadBalancer,
     Outcome,
+    RandomGenerator,
     RequestClass,
     RetryPolicy,
+    SlowStart,
     TenantQuotas,
-    LoadBalancer,
 )
 
 SECOND = 1_000_000
@@ -45,22 +45,22 @@
 
 
 def sidecar(fleet: list[EndpointUpdate], **parts: Any) -> LoadBalancer:
-    chance = RandomGenerator(7)
+    rng = RandomGenerator(7)
     told: dict[str, Any] = dict(
-        chance=chance,
+        rng=rng,
         zone=0,
         zones=2,
         tiers_to_go=1.0,
         last_tier=True,
-        at_door=True,
+        is_ingress=True,
         round_us=5000,
         come_back_us=0,
         may_cancel=True,
-        asking=EndpointListPoller(False, 0, chance),
-        repeat_rule=RetryPolicy(3, False),
-        cold_rule=cold_rule(),
-        shares=TenantQuotas([], 1, 0.1),
-        copies=1,
+        list_poller=EndpointListPoller(False, 0, rng),
+        retry_policy=RetryPolicy(3, False),
+        slow_start=cold_rule(),
+        quotas=TenantQuotas([], 1, 0.1),
+        instances=1,
         number=0,
         now=0,
     )
@@ -236,7 +236,7 @@
         start.listen = ("127.0.0.1", 0)
         self.fd = os.open("/dev/null", os.O_WRONLY) if log is None else log
         self.net, self.door = assemble(start, self.fd)
-        self.loop, self.reducer = self.net.loop, self.net.reducer
+        self.loop, self.reducer = self.net.loop, self.net.state_machine
         self.faults: list[str] = []
         self.loop.on_fault = self.faults.append
         self.at = self.door.sock.getsockname()
@@ -281,7 +281,7 @@
             if sock.fileno() >= 0:
                 with suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
-        while self.net.clients or self.net.links:
+        while self.net.clients or self.net.connections:
             self.loop.wait(until_us=self.loop.now() + 1000)
         self.loop.stopped = True
 
@@ -291,8 +291,10 @@
             sock.close()
         os.close(self.fd)
         assert not self.faults, self.faults
-        assert not (self.net.clients or self.net.links or self.reducer.clients or self.reducer.links)
-        assert not (self.reducer.txs or self.reducer.hops or self.reducer.idle_clients)
+        assert not (
+            self.net.clients or self.net.connections or self.reducer.clients or self.reducer.connections
+        )
+        assert not (self.reducer.pending_requests or self.reducer.attempts or self.reducer.idle_clients)
         # The watch may be amid a line; all else is back.
         assert self.net.pool.lent <= 1
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -10,9 +10,9 @@
     ADMIT_AIM,
     LEFT_OUT_US,
     Decision,
+    LoadBalancer,
     Outcome,
     RequestClass,
-    LoadBalancer,
     RoutedRequest,
 )
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar
@@ -21,7 +21,7 @@
 
 
 def beside(fleet: list[Any] = FLEET, admits: float = 1.0, **parts: Any) -> LoadBalancer:
-    side = sidecar(fleet, **{"beside": True, "copies": 400, **parts})
+    side = sidecar(fleet, **{"is_per_client": True, "instances": 400, **parts})
     for group in side.zone_subsets:
         group.admits = admits or group.admits
     return side
@@ -167,7 +167,7 @@
 def test_a_hop_ends_at_the_goal_where_later_earns_nothing_and_a_rollback_is_allowed(
     kind: str, group: str, overdue: float, own: bool, ends_us: int
 ) -> None:
-    side = beside(beside=own, copies=1)
+    side = beside(is_per_client=own, instances=1)
     of = RequestClass(kind, group, 5 * SECOND, SECOND, 4 * SECOND, 1.0, overdue)
     tx, first, then = send(side, 0, Outcome.TIMED_OUT, ends_us, of)
     assert first[0][3] == ends_us
@@ -186,7 +186,7 @@
 def test_a_surge_of_a_copys_own_transactions_cuts_what_zones_admit_at_once(
     calm: int, lately: int, surge: float
 ) -> None:
-    side = beside(cold_rule=cold_rule(now=-SECOND))
+    side = beside(slow_start=cold_rule(now=-SECOND))
     for n in range(calm):
         side.start_request(n * SECOND // 10, profile(), -1, SECOND)
     for n in range(lately):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cressrail.policy.load_balancer import SlowStart, EndpointUpdate, Outcome, TenantQuotas, LoadBalancer
+from cressrail.policy.load_balancer import EndpointUpdate, LoadBalancer, Outcome, SlowStart, TenantQuotas
 from tests.helpers import SECOND, cold_rule, entry, profile, sidecar
 
 COLD_FROM, WARM, MULTIPLE, FALL = 0.15, 24 * SECOND, 2.5, SECOND
@@ -61,11 +61,11 @@
             [],
             zones=of.zones,
             zone=number % of.zones,
-            copies=of.copies,
+            instances=of.copies,
             number=number,
             now=now,
-            shares=shares,
-            cold_rule=SlowStart(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL),
+            quotas=shares,
+            slow_start=SlowStart(COLD_FROM, WARM, now, shares.total, MULTIPLE, FALL),
         )
         side.rng.state += number * 7919 + now
         side.update_endpoints(now, [self.entry(ix) for ix in range(of.endpoints)], True)
@@ -107,26 +107,29 @@
                 wave = of.wave if back_at <= now < back_at + SECOND else 1.0
                 mean = of.copies * sum(loud) / len(loud) / loud[n] / (rate * wave)
                 at(now + 1 + int(2 * mean * self.part()), "comes", n)
-                tx = side.take(now, profile(), -1, SECOND)
+                tx = side.start_request(now, profile(), -1, SECOND)
                 decided = [(tx, d) for d in tx.route(now)]
             elif what == "ends":
                 tx, hop, how, sent = more[1:]
-                decided = [(d[0], d) for d in tx.ended(hop, now, how, now - sent, how is Outcome.SUCCEEDED)]
+                decided = [
+                    (d[0], d)
+                    for d in tx.on_attempt_finished(hop, now, how, now - sent, how is Outcome.SUCCEEDED)
+                ]
             elif what == "told":
-                side.hear_list(now, more[1], False)
+                side.update_endpoints(now, more[1], False)
                 decided = []
             elif what == "dies":
                 self.sides[n] = self.born(n, now)
                 decided = []
             else:
                 at(now + SECOND // 4, "wakes", n)
-                decided = [(d[0], d) for d in side.wake(now)]
+                decided = [(d[0], d) for d in side.on_timer(now)]
             for tx, (_, kind, ix, _) in decided:
                 if kind != "hop":
                     continue
                 start = starts.get(ix, 0)
                 if start and lost_at <= now < start:
-                    at(now + SECOND // 4, "ends", n, tx, len(tx.hops) - 1, Outcome.CONNECT_FAILED, now)
+                    at(now + SECOND // 4, "ends", n, tx, len(tx.attempts) - 1, Outcome.CONNECT_FAILED, now)
                     continue
                 if start and now >= start:
                     self.reached(ix, start, now)
@@ -135,7 +138,7 @@
                     line.popleft()
                 how = Outcome.SUCCEEDED if len(line) < EACH else Outcome.REJECTED_BY_ENDPOINT
                 line.append(now)
-                at(now + SECOND // 10, "ends", n, tx, len(tx.hops) - 1, how, now)
+                at(now + SECOND // 10, "ends", n, tx, len(tx.attempts) - 1, how, now)
         for ix, start in starts.items():
             end = min(seconds * SECOND, start + WARM)
             self.cold_given += sum(work for _, work in self.came.get(ix, []))
@@ -208,7 +211,7 @@
     busy_s: int, starved_s: int, even: float, least: int, most: int
 ) -> None:
     rule, end = cold_rule(even / SECOND), (busy_s + starved_s) * SECOND
-    side = sidecar([entry(ix) for ix in range(4)], cold_rule=rule, zones=1)
+    side = sidecar([entry(ix) for ix in range(4)], slow_start=rule, zones=1)
     e, group = side.endpoints[0], side.zone_subsets[0]
     for n in range(busy_s * 40):
         rule.carry(n * SECOND // 40, group)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,10 +15,10 @@
 
 from cressrail.event_loop.scheduler import MAIL, READ, Scheduler
 from cressrail.network import discovery_watch as watch
-from cressrail.network.socket_stream import Called, Stream
+from cressrail.network.socket_stream import SocketStream, StreamInterruptedError
 from cressrail.proxy import commands as do
 from cressrail.proxy import state_machine as reducer
-from cressrail.proxy.state_machine import Reducer
+from cressrail.proxy.state_machine import StateMachine
 from tests.helpers import SECOND, Peer, Play, ask, chunk, member, reply
 
 HEAD, CHUNKED = b"HTTP/1.1 200 OK\r\n", b"transfer-encoding: chunked\r\n\r\n"
@@ -64,19 +64,19 @@
 
 def held_dial(monkeypatch: pytest.MonkeyPatch, port: Callable[[], int], gate: list[int]) -> list[int]:
     """Connections to a port come up only once the gate holds something. Returns where dials are counted."""
-    connect, dials = Stream.connect.__func__, list[int]()  # type: ignore[attr-defined]
+    connect, dials = SocketStream.connect.__func__, list[int]()  # type: ignore[attr-defined]
 
     def late(
-        cls: type[Stream], loop: Scheduler, pool: Any, host: str, to: int, until_us: int, mail: bool
-    ) -> Stream:
+        cls: type[SocketStream], loop: Scheduler, pool: Any, host: str, to: int, until_us: int, mail: bool
+    ) -> SocketStream:
         if to == port():
             dials.append(to)
             while not gate:
                 if loop.wait(until_us=loop.now() + 1000, mail=mail) == MAIL:
-                    raise Called
+                    raise StreamInterruptedError
         return connect(cls, loop, pool, host, to, loop.now() + SECOND, mail)  # type: ignore[no-any-return]
 
-    monkeypatch.setattr(Stream, "connect", classmethod(late))
+    monkeypatch.setattr(SocketStream, "connect", classmethod(late))
     return dials
 
 
@@ -131,7 +131,7 @@
         leaving.close()
         peer.until(lambda: len(play.net.clients) == 1)
         gate.append(1)
-        peer.until(lambda: not play.reducer.hops)
+        peer.until(lambda: not play.reducer.attempts)
         peer.sleep(20_000)
         if not may_cancel:  # the connection was not wasted
             peer.say(ask())
@@ -149,15 +149,18 @@
     def client(peer: Peer) -> None:
         peer.say(ask())
         assert status(peer) == b"200"
-        request_came, before = play.reducer.request_came, play.reducer.numbers
+        request_came, before = play.reducer.on_request, play.reducer.numbers
 
-        def both(now: int, number: int, *told: Any) -> list[do.Effect]:
+        def both(now: int, number: int, *told: Any) -> list[do.Command]:
             carried = request_came(now, number, *told)
-            return [*carried, *play.reducer.client_went(now, number)]  # to carry and to call off, at once
+            return [
+                *carried,
+                *play.reducer.on_client_disconnected(now, number),
+            ]  # to carry and to call off, at once
 
-        play.reducer.request_came = both  # type: ignore[method-assign, assignment]
+        play.reducer.on_request = both  # type: ignore[method-assign, assignment]
         peer.say(ask())
-        peer.until(lambda: play.reducer.numbers > before and not play.reducer.hops)
+        peer.until(lambda: play.reducer.numbers > before and not play.reducer.attempts)
         peer.sleep(20_000)
 
     play.client(client)
@@ -219,14 +222,14 @@
     heard: list[bytes] = []
 
     def client(peer: Peer) -> None:
-        side = play.reducer.sidecar
+        side = play.reducer.load_balancer
         for _ in range(20):
             side.budget.take(play.loop.now())
         peer.say(ask(kind))
-        peer.until(lambda: play.reducer.hops)
+        peer.until(lambda: play.reducer.attempts)
         agent.rows.append(member("s1", play.ports[1]))
         peer.until(lambda: dials)
-        [tx] = play.reducer.txs
+        [tx] = play.reducer.pending_requests
         assert tx.fixed_endpoint is not None
         if late == "window over":
             tx.fixed_us -= 2 * SECOND
@@ -276,7 +279,7 @@
 
     play.client(client)
     play.run()
-    assert heard == [b"200"] and not play.reducer.heard_news
+    assert heard == [b"200"] and not play.reducer.has_endpoint_list
 
 
 def test_an_endpoint_that_leaves_while_a_request_to_it_still_comes_keeps_its_record() -> None:
@@ -293,7 +296,7 @@
     def client(peer: Peer) -> None:
         text = ask("write", body=BIG * 3)
         peer.say(text[: -len(BIG)])
-        peer.until(lambda: play.reducer.hops)
+        peer.until(lambda: play.reducer.attempts)
         peer.sleep(20_000)
         agent.rows.append(member("s0", play.ports[0], phase="removed"))
         peer.until(lambda: play.reducer.revision == 5)
@@ -302,7 +305,7 @@
 
     play.client(client)
     play.run()
-    assert heard == [b"200"] and not play.reducer.roster.addresses  # and the record goes with the hop
+    assert heard == [b"200"] and not play.reducer.registry.endpoints  # and the record goes with the hop
 
 
 # Answers
@@ -318,7 +321,7 @@
         while peer.hear():
             peer.say(reply(b"answer %d" % n))
             if not n:
-                peer.until(lambda: len(heard) == 1 and play.reducer.hops)  # the next one is on its way
+                peer.until(lambda: len(heard) == 1 and play.reducer.attempts)  # the next one is on its way
             peer.say(reply(b"answer %d" % n))
             n += 1
 
@@ -389,7 +392,7 @@
     def client(peer: Peer) -> None:
         leaving.append(socket.create_connection(play.at))
         leaving[0].sendall(ask())
-        peer.until(lambda: play.net.links and len(play.net.clients) == 1)
+        peer.until(lambda: play.net.connections and len(play.net.clients) == 1)
         peer.say(ask())
         assert status(peer) == b"200"
 
@@ -429,9 +432,9 @@
 
 def crossing(sock: socket.socket, late: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes of a client come right after a look at its connection that found none."""
-    read = Stream.read
+    read = SocketStream.read
 
-    def reads(stream: Stream) -> int:
+    def reads(stream: SocketStream) -> int:
         n = read(stream)
         if n == -1 and armed and stream.sock.getpeername() == sock.getsockname():
             armed.clear()
@@ -439,7 +442,7 @@
         return n
 
     armed = [1]
-    monkeypatch.setattr(Stream, "read", reads)
+    monkeypatch.setattr(SocketStream, "read", reads)
 
 
 def test_a_request_that_crosses_an_idle_close_meets_an_end_and_no_reset(
@@ -454,7 +457,7 @@
         assert status(peer) == b"200"
         peer.until(lambda: play.reducer.idle_clients)
         crossing(peer.sock, ask(), monkeypatch)
-        play.net.tell([play.reducer._shut_idle(1)])
+        play.net.dispatch([play.reducer._shut_idle(1)])
         heard.append(peer.sock.recv(100) if peer.loop.wait(peer.sock.fileno(), READ) else b"?")
         assert 1 in play.net.clients  # it is told the end at once, and then listened to for a while
         peer.sock.close()
@@ -472,7 +475,7 @@
         peer.say(ask())
         assert status(peer) == b"200"
         peer.until(lambda: play.reducer.idle_clients)
-        play.net.tell([play.reducer._shut_idle(1)])
+        play.net.dispatch([play.reducer._shut_idle(1)])
         peer.until(lambda: not play.net.clients)
 
     play.client(client)
@@ -487,14 +490,14 @@
     play = Play([Seen(reply(BIG * 8))])
     heard: list[bytes] = []
     if full:
-        play.reducer.room.clients = 2
-    written = Reducer.written
+        play.reducer.limits.clients = 2
+    written = StateMachine.on_response_written
 
-    def then(reducer: Reducer, now: int, client: int) -> list[do.Effect]:
+    def then(reducer: StateMachine, now: int, client: int) -> list[do.Command]:
         sock.send(b"GET /more HTTP/1.1\r\n")  # lies unread as the answer has been written
         return written(reducer, now, client)
 
-    monkeypatch.setattr(Reducer, "written", then)
+    monkeypatch.setattr(StateMachine, "on_response_written", then)
     sock = socket.socket()
 
     def client(peer: Peer) -> None:
@@ -502,7 +505,7 @@
         sock.connect(play.at)
         reader = Peer(play.loop, sock)
         reader.say(ask(Connection="close"))
-        peer.until(lambda: play.reducer.tally.final["read"]["answered"])
+        peer.until(lambda: play.reducer.counters.final["read"]["answered"])
         reader.hear()
         peer.sleep(20_000)
         heard.append(reader.take(len(BIG) * 8))
@@ -541,7 +544,7 @@
             return wait(*told, **more)
 
         play.loop.wait = counted  # type: ignore[method-assign]
-        play.loop.post(play.net.clients[1], do.Shut(1, True))
+        play.loop.post(play.net.clients[1], do.CloseClient(1, True))
         assert len(peer.take(600_000 - len(BIG) * 2)) == 600_000 - len(BIG) * 2
 
     play.client(client)
@@ -575,7 +578,7 @@
         waiting = [socket.create_connection(play.at) for _ in range(2)]
         for sock in waiting:
             sock.sendall(ask())
-        play.loop.post(play.net.listener, do.Listen(False, closed=True))  # type: ignore[arg-type]
+        play.loop.post(play.net.listener, do.AcceptClients(False, closed=True))  # type: ignore[arg-type]
         heard.extend(status(Peer(play.loop, sock)) for sock in waiting)
         for sock in waiting:
             sock.close()
@@ -681,7 +684,7 @@
 
     play.client(client)
     play.run()
-    assert play.reducer.heard_news and dribbled[0] >= 1
+    assert play.reducer.has_endpoint_list and dribbled[0] >= 1
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -709,7 +712,9 @@
     def client(peer: Peer) -> None:
         peer.until(lambda: play.reducer.revision == 7)
         peer.sleep(20_000)
-        assert not play.reducer.sidecar.endpoints[0].accepts_requests and not play.reducer.watch_fails
+        assert (
+            not play.reducer.load_balancer.endpoints[0].accepts_requests and not play.reducer.watch_failures
+        )
 
     play.client(client)
     play.run()
@@ -718,11 +723,11 @@
 # What the process can't do without
 
 
-@pytest.mark.parametrize("of", ["woke", "news", "client_came", "watch_ended"])
+@pytest.mark.parametrize("of", ["on_timer", "on_endpoint_list", "on_client_connected", "on_watch_ended"])
 def test_a_fault_in_what_the_process_needs_starts_it_again(of: str, monkeypatch: pytest.MonkeyPatch) -> None:
     endpoint = Seen()
     play = Play([endpoint], lambda peer: agent(peer))
-    right, faults, rounds = getattr(Reducer, of), [1], list[int]()
+    right, faults, rounds = getattr(StateMachine, of), [1], list[int]()
 
     def agent(peer: Peer) -> None:
         peer.hear()
@@ -734,7 +739,7 @@
             peer.sleep(50_000)
             peer.sock.close()
 
-    def wrong(reducer: Reducer, *told: Any) -> Any:
+    def wrong(reducer: StateMachine, *told: Any) -> Any:
         if faults:
             faults.clear()
             raise KeyError("as asked")
@@ -750,9 +755,9 @@
         later.close()
         peer.until(lambda: play.reducer.wake_us > play.loop.now())  # and the reducer is woken
 
-    monkeypatch.setattr(Reducer, of, wrong)
+    monkeypatch.setattr(StateMachine, of, wrong)
     play.client(client)
-    if of == "client_came":
+    if of == "on_client_connected":
         socket.create_connection(play.at).close()
     told: list[str] = []
     play.loop.on_fault = told.append
@@ -791,7 +796,7 @@
                 peer.say(reply(b"hello"))
 
     play = Play([slow], connect_timeout_us=500_000)
-    play.reducer.sidecar.endpoints[0].limit = 2.0  # so that most wait in the line
+    play.reducer.load_balancer.endpoints[0].limit = 2.0  # so that most wait in the line
     stood: list[int] = [0]  # the longest that the machine has let this process stand, which is not its fault
 
     def tick() -> None:
@@ -813,7 +818,7 @@
             if n % 3 == 0:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-        peer.until(lambda: len(play.net.clients) == 1 and not play.reducer.hops)
+        peer.until(lambda: len(play.net.clients) == 1 and not play.reducer.attempts)
 
     play.client(client)
     play.run()
@@ -842,11 +847,13 @@
         for _ in range(3):
             peer.say(ask())
             assert status(peer) == b"200"
-        play.net.tell(play.reducer.watch_ended(play.loop.now(), "as asked"))
-        play.net.tell(play.reducer.discovery_moved(play.loop.now(), ("127.0.0.1", play.ports[-1] ^ 1)))
+        play.net.dispatch(play.reducer.on_watch_ended(play.loop.now(), "as asked"))
+        play.net.dispatch(
+            play.reducer.on_discovery_address(play.loop.now(), ("127.0.0.1", play.ports[-1] ^ 1))
+        )
         peer.sleep(20_000)
 
     play.client(client)
     play.run()
-    assert told["watch"] == {do.Watch} and told["waker"] == {do.Wake}
-    assert told.get("listener", {do.Listen}) == {do.Listen}
+    assert told["watch"] == {do.WatchEndpoints} and told["waker"] == {do.SetTimer}
+    assert told.get("listener", {do.AcceptClients}) == {do.AcceptClients}
