--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -27,25 +27,25 @@
     UNREACHED,
     WHY,
     Decision,
+    DrainRequest,
     Epoch,
     Evidence,
-    Map,
     Post,
     Settings,
     Spread,
     Toward,
-    Wish,
     Zone,
+    ZoneTopology,
 )
 from cressrail.failover.planner import SPARE, STEP, Planner
 from cressrail.failover.simulation import Scenario, World
-from cressrail.failover.state_machine import Failover, Fleet
+from cressrail.failover.state_machine import FailoverStateMachine, Fleet
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.testbed.scenario_file import read
 
 SECOND = 1_000_000
 HERE = Path(__file__).resolve().parents[1]
-MAP = Map(("a", "b", "c"), ("n", "n", "s"))
+MAP = ZoneTopology(("a", "b", "c"), ("n", "n", "s"))
 WINDOW = 3 * SECOND // 2
 
 
@@ -229,7 +229,9 @@
         self.chance, self.now = RandomGenerator(seed), 0
         ids = range(1, size + 1)
         self.copies = {
-            n: Failover(Settings(MAP, n % 3, bear_us=3 * SECOND), n, RandomGenerator(seed * 100 + n), 0)
+            n: FailoverStateMachine(
+                Settings(MAP, n % 3, bear_us=3 * SECOND), n, RandomGenerator(seed * 100 + n), 0
+            )
             for n in ids
         }
         self.on_way: list[tuple[int, int, bytes]] = []
@@ -413,8 +415,8 @@
         codec.Vote(epoch.term, 2),
         codec.No(epoch.term, epoch),
         codec.Beat(epoch, 8, 4),
-        Wish(n - 1, now + 9 * SECOND, 5),
-        Wish(0, 0, 6),
+        DrainRequest(n - 1, now + 9 * SECOND, 5),
+        DrainRequest(0, 0, 6),
     ):
         text = codec.pack(one, now)
         assert codec.unpack(text, now) == one and len(text) <= codec.LONGEST
@@ -424,7 +426,7 @@
 @effort(max_examples=500)
 @given(some.binary(max_size=120), some.integers(0, 9), some.integers(0, 3))
 def test_odd_words_make_nobody_decide_and_no_table_of_other_zones(text: bytes, kind: int, by: int) -> None:
-    copy = Failover(Settings(MAP, 0), 1, RandomGenerator(1), 0)
+    copy = FailoverStateMachine(Settings(MAP, 0), 1, RandomGenerator(1), 0)
     copy.members(Fleet({2: 1, 3: 2}, 3, True))
     copy.heard(SECOND, by, bytes([kind]) + text)
     assert copy.decision is None or len(copy.decision.zones) == 3
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,8 +18,8 @@
 
 from cressrail.discovery.endpoint_list import read
 from cressrail.handover import state as estate
-from cressrail.handover.frame import HEAD, MARK, VERSION, Foreign, Frames, wrap
-from cressrail.network.handover_client import MOST_PATH, meeting, seek
+from cressrail.handover.frame import HEAD, MARK, VERSION, Frames, HandoverError, wrap
+from cressrail.network.handover_client import MOST_PATH, find_predecessor, rendezvous_path
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
@@ -51,7 +51,7 @@
 def test_a_torn_old_or_foreign_frame_is_refused(text: bytes) -> None:
     frames = Frames()
     frames.add(text)
-    with pytest.raises(Foreign):
+    with pytest.raises(HandoverError):
         frames.next()
 
 
@@ -69,39 +69,41 @@
 def beside() -> Front:
     """A process that waits for the one before it."""
     front = Front()
-    front.reducer.listening, front.reducer.elder = False, True
+    front.reducer.listening, front.reducer.has_predecessor = False, True
     return front
 
 
 def test_the_new_process_goes_on_from_what_the_old_one_knew() -> None:
     old, new = Front(), beside()
-    warm_up(old.reducer.sidecar, 50)
-    old.reducer.sidecar.endpoints[1].limit = 1.25
-    old.reducer.sidecar.on_connection_lost(SECOND, 0)
-    old.told += old.reducer.news(SECOND, news(9, False, member("s1", 9001, phase="draining")))
-    new.reducer.news(SECOND, read(old.reducer.listed()))
+    warm_up(old.reducer.load_balancer, 50)
+    old.reducer.load_balancer.endpoints[1].limit = 1.25
+    old.reducer.load_balancer.on_connection_lost(SECOND, 0)
+    old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
+    new.reducer.on_endpoint_list(SECOND, read(old.reducer.endpoint_list()))
     new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
-    side = new.reducer.sidecar
+    side = new.reducer.load_balancer
     assert (
         new.reducer.revision == 9
         and not side.endpoints[1].accepts_requests
         and side.endpoints[1].limit == 1.25
     )
     assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.taken) == 50
-    assert side.slow_start.carried == old.reducer.sidecar.slow_start.carried > 1
-    assert new.all(do.Listen) == [do.Listen(True)]
+    assert side.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
+    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_what_follows_from_what_is_told_goes_over_too() -> None:
     old, new = beside(), beside()
-    rule, side = old.reducer.sidecar.slow_start, old.reducer.sidecar
+    rule, side = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
     for n in range(200):
         rule.carry(n * SECOND // 40, side.zone_subsets[0])
         side._learn_usual(SECOND, (0.1, 0.3)[n % 2])
-    estate.settle(told(old, 5 * SECOND), new.reducer.sidecar, new.reducer.roster.names(), 5 * SECOND)
-    assert new.reducer.sidecar.zone_subsets[0].each == pytest.approx(side.zone_subsets[0].each, rel=0.15)
+    estate.restore(told(old, 5 * SECOND), new.reducer.load_balancer, new.reducer.registry.names(), 5 * SECOND)
+    assert new.reducer.load_balancer.zone_subsets[0].each == pytest.approx(
+        side.zone_subsets[0].each, rel=0.15
+    )
     before = side.late
-    for heir in (side, new.reducer.sidecar):
+    for heir in (side, new.reducer.load_balancer):
         heir._learn_usual(SECOND, 0.9)
         assert heir.late == pytest.approx(before)
 
@@ -119,27 +121,27 @@
 )
 def test_half_an_estate_is_none(spoil: Any) -> None:
     old, new = Front(), beside()
-    warm_up(old.reducer.sidecar)
-    old.reducer.sidecar.endpoints[0].limit = 1.25
+    warm_up(old.reducer.load_balancer)
+    old.reducer.load_balancer.endpoints[0].limit = 1.25
     found = told(old)
     spoil(found)
-    with pytest.raises(Foreign):
-        estate.settle(found, new.reducer.sidecar, new.reducer.roster.names(), SECOND)
+    with pytest.raises(HandoverError):
+        estate.restore(found, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
     new.told = new.reducer.take_over(SECOND, found, 0, 0)
-    assert not new.reducer.sidecar.budget.taken and new.reducer.sidecar.endpoints[0].limit != 1.25
-    assert new.all(do.Listen) == [do.Listen(True)]  # and yet it serves
+    assert not new.reducer.load_balancer.budget.taken and new.reducer.load_balancer.endpoints[0].limit != 1.25
+    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # and yet it serves
 
 
 def test_both_together_retry_no_more_and_fill_the_cold_no_more_than_one() -> None:
     front = Front()
-    warm_up(front.reducer.sidecar)
-    side, now = front.reducer.sidecar, SECOND
+    warm_up(front.reducer.load_balancer)
+    side, now = front.reducer.load_balancer, SECOND
     side.endpoints[0].started_us = side.endpoints[0].cold_us = 1
     e, own = side.endpoints[0], side.zone_subsets[0]
     assert side.slow_start.credit(e, 5 * SECOND, own, True)
     told(front)
     assert not side.budget.spend(now) and not side.slow_start.credit(e, 6 * SECOND, own, True)
-    front.reducer.heir_died(now)
+    front.reducer.on_successor_failed(now)
     assert side.budget.spend(now) and side.slow_start.credit(e, 7 * SECOND, own, True)
 
 
@@ -150,8 +152,8 @@
     new.told = new.reducer.take_over(SECOND, told(old), 0, 0)
     new.came(7)
     new.ask(7, now=SECOND)
-    assert [write.answer.status for write in new.all(do.Write)] == [400]
-    new.reducer.elder_left(SECOND, 0, 0)
+    assert [write.response.status for write in new.all(do.SendResponse)] == [400]
+    new.reducer.on_predecessor_exited(SECOND, 0, 0)
     new.ask(7, now=SECOND)
     assert new.hop()
 
@@ -160,21 +162,21 @@
     old, new = Front(), beside()
     call(old, control.OUT)
     new.told = new.reducer.take_over(SECOND, told(old), 0, 0)
-    assert not new.reducer.ready(SECOND) and call(new, control.READY, SECOND) == 200
+    assert not new.reducer.is_ready(SECOND) and call(new, control.READY, SECOND) == 200
     assert call(old, control.IN, SECOND) == 503  # it would be lost with the process
     call(new, control.IN, SECOND)
-    assert new.reducer.ready(SECOND)
+    assert new.reducer.is_ready(SECOND)
 
 
 def test_the_new_process_asks_only_once_it_can_serve_and_is_ready_only_after() -> None:
     new = beside()
     new.told = new.reducer.start(0, read({"revision": 1, "complete": True, "members": []}), True)
-    assert not new.all(do.TakeOver) and not new.all(do.Listen)
+    assert not new.all(do.BeginTakeover) and not new.all(do.AcceptClients)
     assert call(new, control.READY) == 503
-    new.told = new.reducer.news(1, news(4, True, member("s0", 9000)))
-    assert len(new.all(do.TakeOver)) == 1 and call(new, control.READY) == 503
+    new.told = new.reducer.on_endpoint_list(1, news(4, True, member("s0", 9000)))
+    assert len(new.all(do.BeginTakeover)) == 1 and call(new, control.READY) == 503
     new.told = new.reducer.take_over(2, None, 0, 0)
-    assert call(new, control.READY) == 200 and new.all(do.Listen) == [do.Listen(True)]
+    assert call(new, control.READY) == 200 and new.all(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_the_old_process_closes_no_idle_client_but_ends_with_each_answer() -> None:
@@ -183,35 +185,35 @@
     front.came(2)
     front.ask(2)
     told(front)
-    assert front.all(do.Listen)[-1] == do.Listen(False) and not front.all(do.Shut)
+    assert front.all(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.all(do.CloseClient)
     front.end(front.hop(), Outcome.SUCCEEDED)
     front.ask(1, now=SECOND)
     front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
-    assert [write.last for write in front.all(do.Write)] == [True, True]
-    front.told += front.reducer.stop(2 * SECOND)
-    assert front.reducer.ready(2 * SECOND)  # a front that asks here is not to leave a sidecar that serves
+    assert [write.closes_connection for write in front.all(do.SendResponse)] == [True, True]
+    front.told += front.reducer.on_stop_requested(2 * SECOND)
+    assert front.reducer.is_ready(2 * SECOND)  # a front that asks here is not to leave a sidecar that serves
     for client in (1, 2):
-        front.told += front.reducer.written(2 * SECOND, client)
-        front.told += front.reducer.client_left(2 * SECOND, client)
-    front.told += front.reducer.woke(2 * SECOND)
-    assert front.all(do.Leave) and not any(listen.closed for listen in front.all(do.Listen))
+        front.told += front.reducer.on_response_written(2 * SECOND, client)
+        front.told += front.reducer.on_client_closed(2 * SECOND, client)
+    front.told += front.reducer.on_timer(2 * SECOND)
+    assert front.all(do.Exit) and not any(listen.closed for listen in front.all(do.AcceptClients))
 
 
 def test_an_heir_that_dies_leaves_all_as_it_was_unless_told_to_stop() -> None:
     front = Front()
     told(front)
-    front.all(do.Listen)
-    front.told = front.reducer.heir_died(SECOND)
-    assert front.all(do.Listen) == [do.Listen(True)] and front.reducer.heir_us < 0
+    front.all(do.AcceptClients)
+    front.told = front.reducer.on_successor_failed(SECOND)
+    assert front.all(do.AcceptClients) == [do.AcceptClients(True)] and front.reducer.handed_over_us < 0
     told(front)
-    front.told = front.reducer.stop(2 * SECOND)
-    front.told += front.reducer.heir_died(2 * SECOND)
-    assert not front.all(do.Listen)
+    front.told = front.reducer.on_stop_requested(2 * SECOND)
+    front.told += front.reducer.on_successor_failed(2 * SECOND)
+    assert not front.all(do.AcceptClients)
 
 
 @pytest.mark.parametrize("tmp", [None, "", "/x" * MOST_PATH])
 def test_without_a_place_to_meet_there_is_none(tmp: str | None) -> None:
-    assert meeting(("127.0.0.1", 1), tmp) is None
+    assert rendezvous_path(("127.0.0.1", 1), tmp) is None
 
 
 def test_one_who_meets_with_junk_is_no_elder(tmp_path: Path) -> None:
@@ -225,9 +227,9 @@
             other.recv(4096)
             other.sendall(b"HTTP/1.1 400 Bad Request\r\n\r\n")
             os._exit(0)
-        assert seek(at, ("127.0.0.1", 1)) is None
+        assert find_predecessor(at, ("127.0.0.1", 1)) is None
         os.wait()
-    assert seek(at, ("127.0.0.1", 1)) is None  # nobody listens there any more
+    assert find_predecessor(at, ("127.0.0.1", 1)) is None  # nobody listens there any more
 
 
 # Whole processes
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from cressrail.buffers.pool import SIZE, Chain, Exhausted, Inlet, Pool
-from cressrail.http1.answer import Answer, AnswerReader
+from cressrail.buffers.pool import SIZE, BufferPoolExhaustedError, Chain, Inlet, Pool
+from cressrail.http1.answer import Response, ResponseReader
 from cressrail.http1.figures import span_us
-from cressrail.http1.head import Fields, Malformed
+from cressrail.http1.head import Fields, MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
 
 GET = b"GET /api?a=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: r1\r\n\r\n"
@@ -35,7 +35,7 @@
 ]
 
 
-def fed(reader: RequestReader | AnswerReader, pool: Pool, text: bytes, step: int) -> int:
+def fed(reader: RequestReader | ResponseReader, pool: Pool, text: bytes, step: int) -> int:
     """Feeds it through an inlet, so many bytes at a time; what is left over."""
     inlet = Inlet(pool)
     done = False
@@ -74,7 +74,7 @@
 def test_answers_of_any_framing(text: bytes, body: bytes, keep: bool, step: int) -> None:
     pool = Pool(100)
     chain = Chain(pool)
-    reader = AnswerReader(chain, 65536)
+    reader = ResponseReader(chain, 65536)
     fed(reader, pool, text, step)
     if not reader.done:
         reader.ended()
@@ -87,9 +87,9 @@
 def test_an_answer_cut_at_any_byte_looks_cut(text: bytes, body: bytes, keep: bool) -> None:
     for cut in range(len(text)):
         pool = Pool(10)
-        reader = AnswerReader(Chain(pool), 65536)
+        reader = ResponseReader(Chain(pool), 65536)
         fed(reader, pool, text[:cut], 5)
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             assert not reader.done
             reader.ended()
 
@@ -124,7 +124,7 @@
 )
 def test_what_is_no_request(text: bytes, status: int) -> None:
     pool = Pool(100)
-    with pytest.raises(Malformed) as fault:
+    with pytest.raises(MalformedMessageError) as fault:
         fed(RequestReader(Chain(pool)), pool, text, 1 << 20)
     assert fault.value.status == status
 
@@ -144,8 +144,8 @@
 )
 def test_what_is_no_answer(text: bytes) -> None:
     pool = Pool(100)
-    with pytest.raises(Malformed):
-        fed(AnswerReader(Chain(pool), 65536), pool, text, 1 << 20)
+    with pytest.raises(MalformedMessageError):
+        fed(ResponseReader(Chain(pool), 65536), pool, text, 1 << 20)
 
 
 def test_what_goes_on_to_an_endpoint() -> None:
@@ -178,19 +178,19 @@
     "answer, keep, head",
     [
         (
-            Answer(200, kind=b"text/plain"),
+            Response(200, content_type=b"text/plain"),
             True,
             b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\ncontent-type: text/plain\r\n\r\n",
         ),
         (
-            Answer(503, come_back_us=250_000),
+            Response(503, retry_after_us=250_000),
             False,
             b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n"
             b"retry-after: 0.250\r\nconnection: close\r\n\r\n",
         ),
     ],
 )
-def test_what_goes_out_to_a_client(answer: Answer, keep: bool, head: bytes) -> None:
+def test_what_goes_out_to_a_client(answer: Response, keep: bool, head: bytes) -> None:
     assert answer.head(keep) == head
 
 
@@ -217,7 +217,7 @@
     pool = Pool(2)
     chain = Chain(pool)
     chain.add(memoryview(b"a" * (SIZE + 1)))
-    with pytest.raises(Exhausted):
+    with pytest.raises(BufferPoolExhaustedError):
         pool.take()
     kept = chain.parts[0]
     chain.give_back()
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -11,12 +11,12 @@
 
 from cressrail.buffers.pool import Pool
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_config
 from cressrail.discovery.endpoint_list import read, read_line
 from cressrail.handover import state as estate
 from cressrail.handover.frame import Frames, wrap
-from cressrail.http1.head import Malformed
+from cressrail.http1.head import MalformedMessageError
 from cressrail.network.discovery_watch import MOST_LINE, LinesSink
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
@@ -40,7 +40,7 @@
 
 
 def at_work(front: Front) -> list[int]:
-    return [len(group.all) for group in front.reducer.sidecar.zone_subsets]
+    return [len(group.all) for group in front.reducer.load_balancer.zone_subsets]
 
 
 @pytest.mark.parametrize("n", SIZES)
@@ -50,8 +50,8 @@
         sink.add(memoryview(text[at : at + 1000]))
         lines += sink.lines()
     front = Front(0)
-    front.told += front.reducer.news(0, read_line(lines[0]))
-    assert sum(at_work(front)) == n == len(front.reducer.roster.addresses)
+    front.told += front.reducer.on_endpoint_list(0, read_line(lines[0]))
+    assert sum(at_work(front)) == n == len(front.reducer.registry.endpoints)
     half = n // 2
     for k, change in enumerate(
         (
@@ -60,10 +60,10 @@
             listed(0, half, 8, False, phase="removed"),
         )
     ):
-        front.told += front.reducer.news(k, read(change))
+        front.told += front.reducer.on_endpoint_list(k, read(change))
         assert sum(at_work(front)) == (n - half, n, n)[k]
-    side = front.reducer.sidecar
-    assert len(side.endpoints) == n == len(front.reducer.roster.addresses)
+    side = front.reducer.load_balancer
+    assert len(side.endpoints) == n == len(front.reducer.registry.endpoints)
     assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
     assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
     side.endpoints[n].limit = 1.25
@@ -71,25 +71,27 @@
     frames.add(wrap("estate", front.reducer.hand_over(SECOND)[0]))
     got = frames.next()
     assert got is not None
-    heir.reducer.news(SECOND, read(front.reducer.listed()))
-    estate.settle(got[1], heir.reducer.sidecar, heir.reducer.roster.names(), SECOND)
+    heir.reducer.on_endpoint_list(SECOND, read(front.reducer.endpoint_list()))
+    estate.restore(got[1], heir.reducer.load_balancer, heir.reducer.registry.names(), SECOND)
     assert sum(at_work(heir)) == n
-    assert [e.limit for e in heir.reducer.sidecar.endpoints.values()].count(1.25) == 1
+    assert [e.limit for e in heir.reducer.load_balancer.endpoints.values()].count(1.25) == 1
 
 
 @pytest.mark.parametrize("n", SIZES)
 def test_news_of_part_of_a_list_leave_what_news_of_it_whole_would(n: int) -> None:
     one, other = Front(0), Front(0)
-    one.reducer.news(0, read(listed(0, n)))
-    other.reducer.news(0, read(listed(0, n)))
+    one.reducer.on_endpoint_list(0, read(listed(0, n)))
+    other.reducer.on_endpoint_list(0, read(listed(0, n)))
     moved = listed(n - 9, 9, 6, False)["members"]
     for k, row in enumerate(moved):
         row.update(locality="ba"[k % 2], size=2.0, phase="up" if k % 3 else "draining")
-    one.reducer.news(1, read({"revision": 6, "complete": False, "members": moved}))
+    one.reducer.on_endpoint_list(1, read({"revision": 6, "complete": False, "members": moved}))
     whole = listed(0, n - 9, 6)
     whole["members"] += moved
-    other.reducer.news(1, read(whole))
-    for a, b in zip(one.reducer.sidecar.zone_subsets, other.reducer.sidecar.zone_subsets, strict=True):
+    other.reducer.on_endpoint_list(1, read(whole))
+    for a, b in zip(
+        one.reducer.load_balancer.zone_subsets, other.reducer.load_balancer.zone_subsets, strict=True
+    ):
         assert [e.index for e in a.all] == [e.index for e in b.all]
         assert [e.index for e in a.use] == [e.index for e in b.use]
         assert (a.whole, a.size, a.sharers, a.limit) == pytest.approx((b.whole, b.size, b.sharers, b.limit))
@@ -100,21 +102,21 @@
     endpoints: int, links: int, dearest: int
 ) -> None:
     front = Front(0, clients=40, links=links)
-    side = front.reducer.sidecar
+    side = front.reducer.load_balancer
     side.max_connections, side.instances, front.pool = links, 33.0, Pool(10_000)
-    front.reducer.news(0, read(listed(0, endpoints)))
+    front.reducer.on_endpoint_list(0, read(listed(0, endpoints)))
     opened = 0
     for k in range(3000):
         now = SECOND + k * 5000
         front.came(k, now)
         front.ask(k, now=now)
-        for carry in front.all(do.Carry):
-            opened += carry.fresh
+        for carry in front.all(do.SendAttempt):
+            opened += carry.is_new_connection
             front.end(carry, Outcome.SUCCEEDED, now + 1000)
-        front.told += front.reducer.client_left(now + 2000, k)
-    assert not [note for note in front.all(do.Note) if note.event == "no_room"]
-    assert not front.all(do.Drop) and opened <= dearest
-    assert len(front.reducer.links) <= links
+        front.told += front.reducer.on_client_closed(now + 2000, k)
+    assert not [note for note in front.all(do.LogEvent) if note.event == "no_room"]
+    assert not front.all(do.CloseEndpointConnection) and opened <= dearest
+    assert len(front.reducer.connections) <= links
 
 
 @pytest.mark.parametrize(
@@ -133,22 +135,22 @@
     config["settings"]["n_instances"] = copies
     start = read_config(config, {})
     if wrong:
-        with pytest.raises(Unfit, match=wrong):
-            parts.sidecar(start.told, 5, 0, ["a", "b"], [])
+        with pytest.raises(ConfigurationError, match=wrong):
+            parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
-    side = parts.sidecar(start.told, 5, 0, ["a", "b"], [])
-    assert side.instances == copies and len(start.known.rows) == 1024
+    side = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    assert side.instances == copies and len(start.known.entries) == 1024
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
     sink = LinesSink()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         for _ in range(MOST_LINE // 1000 + 1):
             sink.add(memoryview(b"x" * 1000))
     front = Front(0)
     twice = listed(0, 1024)
     twice["members"] += twice["members"][:9]
-    front.reducer.news(0, read(twice))
+    front.reducer.on_endpoint_list(0, read(twice))
     assert sum(at_work(front)) == 1024
 
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -16,18 +16,27 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from cressrail.discovery.endpoint_list import News, Row
+from cressrail.discovery.endpoint_list import EndpointEntry, EndpointListUpdate
 from cressrail.experiment.fleet_faults import figures
 from cressrail.experiment.play import play_world
 from cressrail.membership import codec
 from cressrail.membership.authentication import seal
 from cressrail.membership.live_count import BOUND, FADE, FALL, YOUNG, Live, Seen
-from cressrail.membership.load_reports import COLD, FAILING, KINDS, MOST_OF_ONE, WEIGHT, Hearsay, Hint, Hints
+from cressrail.membership.load_reports import (
+    COLD,
+    FAILING,
+    KINDS,
+    MOST_OF_ONE,
+    WEIGHT,
+    Hints,
+    LoadReport,
+    PeerReports,
+)
 from cressrail.membership.messages import ALIVE, USES, Record
 from cressrail.membership.peer_reports import Hearing
 from cressrail.membership.simulation import World
 from cressrail.policy.load_balancer import LEFT_OUT_US, TenantQuotas
-from cressrail.proxy.endpoint_registry import Roster
+from cressrail.proxy.endpoint_registry import EndpointRegistry
 from tests.fleets import SECOND, SHORTEN, Play, played, world
 from tests.helpers import cold_rule, entry, sidecar
 
@@ -55,7 +64,7 @@
         now += span_us
         before = live.believed
         copies = live.weigh(now, one)
-        assert max(1.0, figure / BOUND) <= copies.all <= figure * BOUND and 0 < copies.near <= copies.all
+        assert max(1.0, figure / BOUND) <= copies.all <= figure * BOUND and 0 < copies.in_zone <= copies.all
         assert copies.all >= min(one.alive, figure * BOUND)
         if now < YOUNG * BEAR or not one.sure or one.alive <= one.silent:  # no evidence of fewer
             assert copies.all >= min(before, figure)
@@ -164,7 +173,7 @@
 def test_limits_and_shares_follow_the_count_and_cold_starts_never_gain_by_it() -> None:
     made = [entry(n, zone=n % 2) for n in range(24)]
     shares = TenantQuotas([240.0], 12, 0.1)
-    side = sidecar(made, copies=12, shares=shares, cold_rule=cold_rule(shares.total))
+    side = sidecar(made, instances=12, quotas=shares, slow_start=cold_rule(shares.total))
     before = [(g.sharers, g.limit, g.size) for g in side.zone_subsets]
     even = side.slow_start.even
     side.update_instance_count(SECOND, 12.0, 6.0)  # just what the settings say
@@ -191,7 +200,7 @@
     some.integers(1, 3),  # by
     some.integers(0, 2),  # incarnation
     some.builds(
-        Hint,
+        LoadReport,
         some.sampled_from(KINDS),
         some.integers(0, 2),
         some.integers(0, 9),
@@ -202,8 +211,10 @@
 
 
 @given(some.lists(WORDS, max_size=8), some.randoms())
-def test_words_merge_the_same_in_any_order_and_twice(words: list[tuple[int, int, Hint]], chance: Any) -> None:
-    def merged(told: list[tuple[int, int, Hint]]) -> dict[int, dict[Any, Any]]:
+def test_words_merge_the_same_in_any_order_and_twice(
+    words: list[tuple[int, int, LoadReport]], chance: Any
+) -> None:
+    def merged(told: list[tuple[int, int, LoadReport]]) -> dict[int, dict[Any, Any]]:
         hints = Hints(PERIOD)
         for by, incarnation, one in told:
             hints.hear(OLD, by, incarnation, 0, one)
@@ -262,9 +273,13 @@
     assert hints.size == 0
 
 
-def roster(names: str) -> Roster:
-    known = Roster(["a", "b"])
-    known.heard(News(1, True, [Row(name, "127.0.0.1", 1, "a", 0, 1.0, True, False, 0) for name in names]))
+def roster(names: str) -> EndpointRegistry:
+    known = EndpointRegistry(["a", "b"])
+    known.apply(
+        EndpointListUpdate(
+            1, True, [EndpointEntry(name, "127.0.0.1", 1, "a", 0, 1.0, True, False, 0) for name in names]
+        )
+    )
     return known
 
 
@@ -277,7 +292,7 @@
     words = hearing.words(now + 2 * SECOND, one, roster("xyz"))
     x, y, z = map(hearing.number, "xyz")
     assert (FAILING, z, 1) in first and (COLD, y, 0) in first and (COLD, y, 2000) in words
-    meant = hearing.meant(Hearsay((z, 99), {y: 0.5, 98: 1.0}, 3.0), one, roster("zyx"))
+    meant = hearing.meant(PeerReports((z, 99), {y: 0.5, 98: 1.0}, 3.0), one, roster("zyx"))
     assert meant == ([0], {1: (0.5, 1.0)})  # a third of all traffic, by the two others' and its own size
 
 
@@ -309,7 +324,7 @@
     others: float, weight: float, low: int, high: int
 ) -> None:
     rule = cold_rule(20 / SECOND)
-    side = sidecar([entry(0, started_us=SECOND), entry(1)], cold_rule=rule, zones=1)
+    side = sidecar([entry(0, started_us=SECOND), entry(1)], slow_start=rule, zones=1)
     e = side.endpoints[0]
     side.apply_peer_warmup_load({0: (others * 10 / SECOND, weight * 10 / SECOND)} if others >= 0 else {})
     given, e.slow_start_credit = 0, 0.0
@@ -322,7 +337,7 @@
 
 def test_what_is_carried_here_is_not_taken_away_by_a_lie() -> None:
     rule = cold_rule()
-    side = sidecar([entry(0, started_us=9 * SECOND), entry(1)], cold_rule=rule, zones=1)
+    side = sidecar([entry(0, started_us=9 * SECOND), entry(1)], slow_start=rule, zones=1)
     for n in range(100):
         rule.carry(8 * SECOND + n * SECOND // 100, side.zone_subsets[0])
     side.apply_peer_warmup_load({0: (1e6, 0.0)})
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,10 +20,10 @@
 
 from cressrail.cli.commands import app
 from cressrail.configuration.membership import read_part
-from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.membership import codec
 from cressrail.membership.authentication import CODE, fresh, opened, seal
-from cressrail.membership.load_reports import MOST_AGE_MS, MOST_VALUE, Hint
+from cressrail.membership.load_reports import MOST_AGE_MS, MOST_VALUE, LoadReport
 from cressrail.membership.local_health import Suspicion
 from cressrail.membership.member_table import Table
 from cressrail.membership.messages import (
@@ -32,7 +32,7 @@
     SUSPECTED,
     Brief,
     Edge,
-    Note,
+    LogEvent,
     Record,
     Send,
     Settings,
@@ -42,7 +42,7 @@
 from cressrail.membership.reachability import CLEAR_AFTER, MARK_AFTER, Edges
 from cressrail.membership.scenarios import simulate
 from cressrail.membership.simulation import SECOND, World
-from cressrail.membership.state_machine import Membership
+from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 
 KEY = b"k" * 32
@@ -375,7 +375,7 @@
 BRIEFS = some.builds(Brief, U64, some.integers(0, 1 << 62), U32, some.integers(0, 3), U64)
 EDGES = some.builds(Edge, U64, U64, U32, some.booleans())
 HINTS = some.builds(
-    Hint, some.integers(0, 255), U64, some.integers(0, MOST_VALUE), U32, some.integers(0, MOST_AGE_MS)
+    LoadReport, some.integers(0, 255), U64, some.integers(0, MOST_VALUE), U32, some.integers(0, MOST_AGE_MS)
 )
 
 
@@ -393,7 +393,7 @@
     records: list[Record],
     briefs: list[Brief],
     edges: list[Edge],
-    hints: list[Hint],
+    hints: list[LoadReport],
     words: list[bytes],
     padding: int,
 ) -> None:
@@ -438,15 +438,15 @@
 def test_nothing_that_is_signed_but_odd_is_more_than_junk(data: bytes, at: int, own: Record) -> None:
     sound = codec.wrap(codec.PING, 1, codec.record(own) + codec.call(codec.Call(1, 0)))
     for text in (data, sound[:at] + data, sound + data):
-        with suppress(codec.Junk):
+        with suppress(codec.MalformedDatagramError):
             codec.read(text)
         copy = lone()
         for effect in copy.heard(0, seal(KEY, text)):
             assert not isinstance(effect, Send) or len(effect.data) <= len(text) + CODE
 
 
-def lone(most_bytes: int = 1400) -> Membership:
-    return Membership(
+def lone(most_bytes: int = 1400) -> MembershipStateMachine:
+    return MembershipStateMachine(
         Settings("one", "a", ("127.0.0.1", 1), (), (KEY,), most_bytes=most_bytes), RandomGenerator(1), 0, 1, 1
     )
 
@@ -464,13 +464,15 @@
         told += copy.heard(n, ping(n, key=b"x" * 32))
     told += copy.heard(5000, ping(1)) + copy.heard(5001, ping(1)) + copy.heard(5002, ping(2)[:60])
     told += copy.heard(5003, ping(3) + bytes(1400))
-    notes = [effect for effect in told if isinstance(effect, Note)]
+    notes = [effect for effect in told if isinstance(effect, LogEvent)]
     assert [note.event for note in notes] == ["membership_junk", "copy_joined"]
     assert len([effect for effect in told if isinstance(effect, Send)]) == 1  # to the one sound datagram
     later = next(
-        n for n in copy.heard(60 * SECOND, ping(2)[:-1]) if isinstance(n, Note) and n.event == notes[0].event
+        n
+        for n in copy.heard(60 * SECOND, ping(2)[:-1])
+        if isinstance(n, LogEvent) and n.event == notes[0].event
     )
-    assert later.what["count"] == 5003 and later.what["why"]["replayed"] == 1
+    assert later.fields["count"] == 5003 and later.fields["why"]["replayed"] == 1
 
 
 @pytest.mark.parametrize(
@@ -666,7 +668,7 @@
     key = "00" * 32 + "\n"
     for name, text in (("keys", key), ("odd", key + "xy\n"), ("many", key * 3), ("bad.toml", "=")):
         (tmp_path / name).write_text(text)
-    with pytest.raises(Unfit, match=why) as fault:
+    with pytest.raises(ConfigurationError, match=why) as fault:
         read_part(
             {**PART, **change} if isinstance(change, dict) else change, str(tmp_path / "c.json"), "n1", "a", 1
         )
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -10,7 +10,7 @@
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.logs.log_writer import Lines
+from cressrail.logs.log_writer import LogWriter
 from tests.helpers import CONFIG, Play, Script, reply
 from tests.test_sockets import asked, serving
 
@@ -37,8 +37,10 @@
     word = name.encode()
     text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
     assert asked(play, text) == [b"200 hello"]
-    assert play.reducer.sidecar.quotas.credit[0] < play.reducer.sidecar.quotas.most[0]  # counted as its own
-    assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.tally.text(0, 0, 0)
+    assert (
+        play.reducer.load_balancer.quotas.credit[0] < play.reducer.load_balancer.quotas.most[0]
+    )  # counted as its own
+    assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.counters.text(0, 0, 0)
 
 
 @pytest.mark.parametrize(
@@ -56,6 +58,6 @@
 
 
 def test_a_line_of_the_log_that_is_no_text_is_said_so_and_raises_nothing() -> None:
-    lines = Lines(1, lambda: 5, "n1")
-    lines.note("junk", {"what": "\udcff", "n": 1 << 70})
+    lines = LogWriter(1, lambda: 5, "n1")
+    lines.write_event("junk", {"what": "\udcff", "n": 1 << 70})
     assert b'"event":"junk"' in lines.waiting[0] and b"udcff" in lines.waiting[0]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -14,14 +14,14 @@
 import orjson
 import pytest
 
-from cressrail.configuration.settings_reader import Unfit
+from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_config
 from cressrail.network import admin_server as ops
 from cressrail.network import listener
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
-from cressrail.proxy.request_counters import Tally
+from cressrail.proxy.request_counters import RequestCounters
 from cressrail.proxy.state_machine import DRAIN_IDLE_US, FRESH_US
 from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
 from tests.helpers import entry as listed
@@ -30,7 +30,7 @@
 
 
 def figures(front: Front, now: int = 0) -> dict[str, int]:
-    told, _ = front.reducer.control(now, b"GET", control.COUNTERS)
+    told, _ = front.reducer.on_admin_call(now, b"GET", control.COUNTERS)
     return {
         name: int(value)
         for name, _, value in (line.partition(" ") for line in told.body.decode().splitlines())
@@ -38,7 +38,7 @@
 
 
 def call(front: Front, path: bytes, now: int = 0) -> int:
-    told, effects = front.reducer.control(now, control.METHODS[path], path)
+    told, effects = front.reducer.on_admin_call(now, control.METHODS[path], path)
     front.told += effects
     return told.status
 
@@ -91,12 +91,12 @@
     front = Front()
     front.came(1)
     front.ask(1)
-    front.told += front.reducer.client_left(0, 1)
+    front.told += front.reducer.on_client_closed(0, 1)
     assert figures(front)["app_current"] == 0
 
 
 def test_labels_are_escaped() -> None:
-    assert b'{group="a\\"b\\\\c\\nd"} 0' in Tally(['a"b\\c\nd']).text(0, 0, 0)
+    assert b'{group="a\\"b\\\\c\\nd"} 0' in RequestCounters(['a"b\\c\nd']).text(0, 0, 0)
 
 
 def test_the_module_says_which_endpoints_it_avoids() -> None:
@@ -116,7 +116,7 @@
     ],
 )
 def test_wrong_calls_are_told_apart(method: bytes, path: bytes, status: int, allow: bytes) -> None:
-    told, _ = Front().reducer.control(SECOND, method, path)
+    told, _ = Front().reducer.on_admin_call(SECOND, method, path)
     assert (told.status, told.allow) == (status, allow)
 
 
@@ -125,37 +125,37 @@
     front.rest(1)
     front.came(2)
     front.ask(2)
-    assert front.reducer.ready(SECOND)
+    assert front.reducer.is_ready(SECOND)
     for _ in range(2):  # a repeated call is harmless
         assert call(front, control.OUT, SECOND) == 200
-    assert not front.reducer.ready(SECOND) and call(front, control.READY, SECOND) == 200
-    assert not front.all(do.Shut)  # the front does not know yet: who is closed would come back
+    assert not front.reducer.is_ready(SECOND) and call(front, control.READY, SECOND) == 200
+    assert not front.all(do.CloseClient)  # the front does not know yet: who is closed would come back
     front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
-    [answer] = front.all(do.Write)
-    assert answer.last and answer.answer.status == 200
-    front.told += front.reducer.woke(SECOND + DRAIN_IDLE_US)
-    assert [(shut.client, shut.idle) for shut in front.all(do.Shut)] == [(1, True)]
+    [answer] = front.all(do.SendResponse)
+    assert answer.closes_connection and answer.response.status == 200
+    front.told += front.reducer.on_timer(SECOND + DRAIN_IDLE_US)
+    assert [(shut.client, shut.only_if_idle) for shut in front.all(do.CloseClient)] == [(1, True)]
     front.came(3, 2 * SECOND)  # one that comes meanwhile is served,
     front.ask(3, now=2 * SECOND)
     front.end(front.hop(), Outcome.SUCCEEDED, 2 * SECOND)
-    assert front.all(do.Write)[0].last
+    assert front.all(do.SendResponse)[0].closes_connection
     front.came(4, 2 * SECOND)  # one that says nothing is not held
-    front.told += front.reducer.woke(2 * SECOND + FRESH_US)
-    assert [shut.client for shut in front.all(do.Shut)] == [4]
-    assert call(front, control.IN, 2 * SECOND) == 200 and front.reducer.ready(2 * SECOND)
+    front.told += front.reducer.on_timer(2 * SECOND + FRESH_US)
+    assert [shut.client for shut in front.all(do.CloseClient)] == [4]
+    assert call(front, control.IN, 2 * SECOND) == 200 and front.reducer.is_ready(2 * SECOND)
     front.came(5, 3 * SECOND)
     front.ask(5, now=3 * SECOND)
     front.end(front.hop(), Outcome.SUCCEEDED, 3 * SECOND)
-    assert not front.all(do.Write)[0].last
+    assert not front.all(do.SendResponse)[0].closes_connection
 
 
 def test_a_drained_sidecar_that_is_stopped_ends_as_any() -> None:
     front = Front()
     call(front, control.OUT, SECOND)
-    front.told += front.reducer.stop(2 * SECOND)
+    front.told += front.reducer.on_stop_requested(2 * SECOND)
     assert call(front, control.READY, 2 * SECOND) == 503
-    front.told += front.reducer.woke(3 * SECOND)
-    assert front.all(do.Leave)
+    front.told += front.reducer.on_timer(3 * SECOND)
+    assert front.all(do.Exit)
 
 
 @pytest.mark.parametrize(
@@ -169,9 +169,9 @@
         config["ops"] = value
     else:
         env["BALANCER_OPS"] = value
-    with pytest.raises(Unfit, match=f"^{re.escape(says)}$"):
+    with pytest.raises(ConfigurationError, match=f"^{re.escape(says)}$"):
         read_config(config, env)
-    assert read_config(copy.deepcopy(CONFIG), {}).ops is None
+    assert read_config(copy.deepcopy(CONFIG), {}).admin is None
 
 
 def test_an_address_for_operators_that_is_taken_ends_the_start(tmp_path: Path) -> None:
@@ -193,9 +193,9 @@
     return made, at
 
 
-def opened() -> tuple[Play, ops.OpsTask, tuple[str, int]]:
+def opened() -> tuple[Play, ops.AdminServerTask, tuple[str, int]]:
     made = Play([serving(reply(b"hello"))])
-    door = ops.OpsTask(made.net, listener.bind("127.0.0.1", 0))
+    door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0))
     made.loop.spawn(door.run, first=True)
     return made, door, door.sock.getsockname()
 
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -13,10 +13,10 @@
 from cressrail.cli.launch import launch, look
 from cressrail.configuration import deployment_type as shape
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 from cressrail.configuration.startup import read_start
-from cressrail.discovery.endpoint_list import Junk, read_line
-from cressrail.network.configuration_reload import Reread
+from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
+from cressrail.network.configuration_reload import ConfigurationReload
 from tests.helpers import CONFIG, member, mesh
 
 
@@ -27,7 +27,7 @@
         self.said: list[str] = []
         self.log = self
 
-    def note(self, event: str, told: dict[str, Any]) -> None:
+    def write_event(self, event: str, told: dict[str, Any]) -> None:
         self.said.append(event)
 
 
@@ -40,7 +40,7 @@
 
 
 def test_nested_settings_read_as_pairs() -> None:
-    told = Told.nested(
+    told = SettingsReader.nested(
         {"a": {"b": 1, "on": True, "x": None}, "list": ["p, q", "r"], "deep": [{"n": 2.5}, {}]}
     )
     assert told.whole("a.b", 0) == 1 and told.yes("a.on") and "a.x" not in told.pairs
@@ -52,7 +52,7 @@
 def test_a_configuration_that_cannot_be_read_is_named(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text, encoding="latin-1")
-    with pytest.raises(Unfit, match=f"^{path}: (not JSON|no JSON object)"):
+    with pytest.raises(ConfigurationError, match=f"^{path}: (not JSON|no JSON object)"):
         read_start(str(path), {})
 
 
@@ -105,7 +105,10 @@
     path.write_text(json.dumps(CONFIG))
     start = read_start(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
-    assert {p.idempotency for p in parts.profiles(start.told).values()} == {"idempotent", "journalled"}
+    assert {p.idempotency for p in parts.request_classes(start.settings).values()} == {
+        "idempotent",
+        "journalled",
+    }
     assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
 
 
@@ -128,7 +131,7 @@
     ],
 )
 def test_a_line_of_discovery_that_is_no_list(line: bytes) -> None:
-    with pytest.raises(Junk):
+    with pytest.raises(MalformedEndpointListError):
         read_line(line)
 
 
@@ -156,7 +159,7 @@
 def test_entries_that_cannot_be_read_leave_the_rest(change: dict[str, Any], readable: bool) -> None:
     entries = [{**member("s1", 9001), **change}, member("s2", 9002)]
     news = read_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
-    assert [row.name for row in news.rows] == (["s1", "s2"] if readable else ["s2"])
+    assert [row.name for row in news.entries] == (["s1", "s2"] if readable else ["s2"])
     assert len(news.faults) == (0 if readable else 1)
     assert news.kept == ([] if readable or change.get("id", "s1") == 5 else [change.get("id", "s1")])
 
@@ -194,7 +197,7 @@
         assert command(str(path)) == 2
         said = capsys.readouterr().err
         assert said.startswith(f"cressrail: {path}: settings.{says}") and said.count("\n") == 1
-    reread, net = Reread(str(path), before), Heard()
+    reread, net = ConfigurationReload(str(path), before), Heard()
     reread.now(net)  # type: ignore[arg-type]
     assert net.said == ["config_kept"] and reread.start is before
 
@@ -212,7 +215,10 @@
     ],
 )
 def test_the_shape_follows_from_the_settings_alone(told: dict[str, str], name: str, beside: bool) -> None:
-    assert shape.checked(Told(told)).name == name and shape.beside(Told(told)) is beside
+    assert (
+        shape.checked(SettingsReader(told)).name == name
+        and shape.is_per_client(SettingsReader(told)) is beside
+    )
 
 
 @pytest.mark.parametrize("path", ["probes", "peers", "may_cancel", "parallel_tries", "retry_after"])
@@ -230,8 +236,8 @@
 
 @pytest.mark.parametrize("told", [{"domain_type": "mesh"}, {"domain_type": "proxy", "limits.multiplex": "9"}])
 def test_the_adapter_takes_any_mixture(told: dict[str, str]) -> None:
-    settings = {**Told.nested(CONFIG["settings"]).pairs, **told}
-    assert parts.tried(Told(settings), 1)
+    settings = {**SettingsReader.nested(CONFIG["settings"]).pairs, **told}
+    assert parts.tried(SettingsReader(settings), 1)
 
 
 def test_a_mesh_says_what_its_connections_carry(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -245,4 +251,4 @@
 @pytest.mark.parametrize("name, formed", [("config", "chain"), ("mesh", "mesh")])
 def test_the_examples_are_of_the_shape_they_say(name: str, formed: str) -> None:
     path = Path(__file__).parent.parent / "example" / f"{name}.json"
-    assert look(str(path)) == 0 and read_start(str(path), {}).shape == formed
+    assert look(str(path)) == 0 and read_start(str(path), {}).deployment_type == formed
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -6,8 +6,8 @@
 
 from cressrail.policy.load_balancer import (
     EndpointListPoller,
-    RandomGenerator,
     Outcome,
+    RandomGenerator,
     RetryBudget,
     TenantQuotas,
     priority_weights,
@@ -226,7 +226,7 @@
 
 @pytest.mark.parametrize("earns, least, most", [(1.0, 200, 200), (0.0, 70, 130)])
 def test_of_a_thin_limit_a_poor_earner_has_its_part(earns: float, least: int, most: int) -> None:
-    side = sidecar([entry(0)], copies=100)
+    side = sidecar([entry(0)], instances=100)
     hops = 0
     for _ in range(200):
         tx = side.start_request(0, profile(earns=earns), -1, SECOND)
@@ -240,7 +240,7 @@
 
 @pytest.mark.parametrize("copies, used", [(1, 20), (6, 20), (24, 5), (1000, 4)])
 def test_a_copy_uses_a_part_of_a_zone_and_fills_it_up_again(copies: int, used: int) -> None:
-    side = sidecar([entry(n) for n in range(20)], copies=copies)
+    side = sidecar([entry(n) for n in range(20)], instances=copies)
     before = side.zone_subsets[0].use[:]
     assert len(before) == used
     before[0].success_rate, before[0].last_outcome_us = 0.0, 0
@@ -253,7 +253,7 @@
 def test_the_parts_of_all_copies_leave_no_endpoint_out_or_crowded(copies: int, fleet: int) -> None:
     met = [0] * fleet
     for number in range(copies):
-        side = sidecar([entry(n) for n in range(fleet)], copies=copies, number=number)
+        side = sidecar([entry(n) for n in range(fleet)], instances=copies, number=number)
         for e in side.zone_subsets[0].use:
             met[e.index] += 1
     assert max(met) <= 1.3 * sum(met) / fleet and min(met) >= 0.7 * sum(met) / fleet
@@ -261,7 +261,7 @@
 
 @pytest.mark.parametrize("zones, own, other", [(1, 2.0, None), (2, 4.0, 2.0), (3, 6.0, 2.0)])
 def test_the_own_zones_limits_count_its_own_copies_only(zones: int, own: float, other: float | None) -> None:
-    side = sidecar([entry(n, n % zones) for n in range(6)], copies=3, zones=zones)
+    side = sidecar([entry(n, n % zones) for n in range(6)], instances=3, zones=zones)
     assert side.endpoints[0].limit == own and (other is None or side.endpoints[1].limit == other)
 
 
@@ -279,7 +279,7 @@
 def test_what_a_hop_tells_goes_to_all_in_use_where_limits_are_thin(
     how: Outcome, took_us: int, limit: float, told: float
 ) -> None:
-    side = sidecar([entry(n) for n in range(4)], copies=300)
+    side = sidecar([entry(n) for n in range(4)], instances=300)
     for e in side.endpoints.values():
         e.limit = limit
     side.update_endpoints(0, [], False)
@@ -292,7 +292,7 @@
 
 @pytest.mark.parametrize("out, zones_used", [(1, 1), (2, 1), (6, 1)])
 def test_only_a_copy_with_nothing_out_is_sure_of_a_hop(out: int, zones_used: int) -> None:
-    side = sidecar([entry(n, n % 2) for n in range(8)], copies=300)
+    side = sidecar([entry(n, n % 2) for n in range(8)], instances=300)
     for e in side.endpoints.values():
         e.limit = 0.0
     txs = [side.start_request(0, profile(), -1, SECOND) for _ in range(out)]
@@ -302,7 +302,7 @@
 @pytest.mark.parametrize("gone", range(0, 20, 3))
 def test_a_part_changes_by_little_when_the_list_changes_by_one(gone: int) -> None:
     for number in range(30):
-        side = sidecar([entry(n) for n in range(20)], copies=30, number=number)
+        side = sidecar([entry(n) for n in range(20)], instances=30, number=number)
         before = {e.index for e in side.zone_subsets[0].use}
         side.update_endpoints(0, [entry(gone, on=False)], False)
         after = {e.index for e in side.zone_subsets[0].use}
@@ -311,7 +311,7 @@
 
 @pytest.mark.parametrize("answer, asks", [(True, False), (False, True)])
 def test_the_list_of_a_start_is_no_answer(answer: bool, asks: bool) -> None:
-    side = sidecar([], asking=EndpointListPoller(True, 10 * SECOND, RandomGenerator(3)))
+    side = sidecar([], list_poller=EndpointListPoller(True, 10 * SECOND, RandomGenerator(3)))
     side.list_poller.due_us = SECOND
     side.update_endpoints(0, [entry(0)], True, answer)
     assert side.list_poller.is_due(2 * SECOND) is asks
@@ -338,7 +338,7 @@
 def test_the_line_serves_best_earners_first_at_the_door(
     earns: tuple[float, float], at_door: bool, leaves_first: int
 ) -> None:
-    side = sidecar([entry(0)], at_door=at_door)
+    side = sidecar([entry(0)], is_ingress=at_door)
     warm_up(side)
     side.endpoints[0].limit = 1.0
     busy = side.start_request(0, profile(), -1, 4 * SECOND)
@@ -363,7 +363,7 @@
 
 @pytest.mark.parametrize("at_door, floor", [(True, 1.0), (False, 6.0)])
 def test_behind_the_door_limits_stay_at_their_first_at_least(at_door: bool, floor: float) -> None:
-    side = sidecar([entry(0)], at_door=at_door)
+    side = sidecar([entry(0)], is_ingress=at_door)
     for _ in range(40):
         tx = side.start_request(0, profile(), -1, 4 * SECOND)
         tx.route(0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
 
 
 def after(kind: str, group: str, how: Outcome, parallel: bool = False) -> RoutedRequest:
-    side = sidecar([entry(0, 0, 0)], repeat_rule=RetryPolicy(3, parallel))
+    side = sidecar([entry(0, 0, 0)], retry_policy=RetryPolicy(3, parallel))
     tx = side.start_request(0, profile(kind, group), -1, 4 * SECOND)
     tx.route(0)
     tx.on_attempt_finished(0, 0, how, 0, False)
@@ -129,7 +129,7 @@
     ],
 )
 def test_a_hop_may_end_after_its_endpoint_has_left_or_moved(how: Outcome, told: list[EndpointUpdate]) -> None:
-    side = sidecar([entry(0)], copies=50)
+    side = sidecar([entry(0)], instances=50)
     tx = side.start_request(0, profile(), -1, 4 * SECOND)
     tx.route(0)
     side.update_endpoints(10, told, True)
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("age_s, most", [(0, 8), (5, 24), (9, 38)])
 def test_a_cold_endpoint_gets_its_part_of_what_a_warm_one_gets(age_s: int, most: int) -> None:
-    side = sidecar([entry(0), entry(1)], cold_rule=cold_rule())
+    side = sidecar([entry(0), entry(1)], slow_start=cold_rule())
     for ms in range(0, 20_000, 50):
         warm_up(side, 1, ms * 1000)
     start = 20 * SECOND
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("born_s, least, most", [(19, 1, 3), (0, 0, 1)])
 def test_a_copy_that_restarts_among_cold_endpoints_is_not_silent(born_s: int, least: int, most: int) -> None:
     start = 19 * SECOND
-    side = sidecar([], cold_rule=cold_rule(now=born_s * SECOND))
+    side = sidecar([], slow_start=cold_rule(now=born_s * SECOND))
     side.update_endpoints(start, [entry(0, started_us=start)], True)
     sent = 0
     for ms in range(0, 2000, 10):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,13 +19,13 @@
 import pytest
 
 from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, Scheduler
-from cressrail.logs.log_writer import MOST_WAITING, Lines
+from cressrail.logs.log_writer import MOST_WAITING, LogWriter
 from cressrail.network import client_connection as client
-from cressrail.network.endpoint_connection import LinkTask
-from cressrail.network.socket_stream import Stream
+from cressrail.network.endpoint_connection import EndpointConnectionTask
+from cressrail.network.socket_stream import SocketStream
 from cressrail.proxy import state_machine as reducer
-from cressrail.proxy.commands import Carry
-from cressrail.proxy.state_machine import FRESH_US, Room
+from cressrail.proxy.commands import SendAttempt
+from cressrail.proxy.state_machine import FRESH_US, ConnectionLimits
 from tests.helpers import CONFIG, Peer, Play, Script, ask, chunk, member, mesh, reply
 
 BIG = bytes(range(256)) * 256
@@ -134,7 +134,7 @@
     play.socks[0].close()
     play.socks[0] = socket.socket()  # nobody listens any more
     assert asked(play, ask("write")) == [b"503 "]
-    assert not play.reducer.sidecar.endpoints[0].is_available(play.loop.now())
+    assert not play.reducer.load_balancer.endpoints[0].is_available(play.loop.now())
 
 
 def test_a_request_is_written_once_and_not_to_a_connection_that_the_endpoint_has_closed() -> None:
@@ -176,25 +176,25 @@
     def client(peer: Peer) -> None:
         peer.say(ask())
         peer.hear(b"hello")
-        peer.until(lambda: not play.net.links)
+        peer.until(lambda: not play.net.connections)
 
     play.client(client)
     play.run()
-    assert play.reducer.sidecar.endpoints[0].is_available(play.loop.now()) is not abrupt
+    assert play.reducer.load_balancer.endpoints[0].is_available(play.loop.now()) is not abrupt
 
 
 def test_an_endpoint_is_not_blamed_for_a_hop_whose_time_was_over(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play([serving(reply())])
 
-    prepare = LinkTask._prepare
+    prepare = EndpointConnectionTask._prepare
 
-    def late(task: LinkTask, job: Carry) -> None:
+    def late(task: EndpointConnectionTask, job: SendAttempt) -> None:
         prepare(task, job)
         monkeypatch.setattr(play.net, "now", lambda: play.loop.now() + 10 * FRESH_US)
 
-    monkeypatch.setattr(LinkTask, "_prepare", late)
+    monkeypatch.setattr(EndpointConnectionTask, "_prepare", late)
     assert asked(play, ask("write")) == [b"503 "]
-    assert play.reducer.sidecar.endpoints[0].success_rate == 1.0
+    assert play.reducer.load_balancer.endpoints[0].success_rate == 1.0
 
 
 def test_a_client_that_leaves_closes_its_hops_connection() -> None:
@@ -247,7 +247,7 @@
         sock.setblocking(False)
         sock.connect_ex(("127.0.0.1", port))
     play = Play([serving(reply())], connect_timeout_us=50_000)
-    play.reducer.roster.addresses[0].port = port
+    play.reducer.registry.endpoints[0].port = port
     play.list = play.list.replace(b":%d" % play.ports[0], b":%d" % port)
     heard = asked(play, ask("write", Req_Deadline="2000m"))
     assert heard == [b"503 "]
@@ -309,7 +309,7 @@
         served.append(peer.sock.dup())
 
     def first(peer: Peer) -> None:
-        play.net.tell(play.reducer.stop(play.loop.now()))
+        play.net.dispatch(play.reducer.on_stop_requested(play.loop.now()))
         peer.sleep(100_000)
         play.client(late)
         served.append(peer.sock.dup())
@@ -339,7 +339,7 @@
 
     def client(peer: Peer) -> None:
         if not play.reducer.stop_us > 0:
-            play.net.tell(play.reducer.stop(play.loop.now()))
+            play.net.dispatch(play.reducer.on_stop_requested(play.loop.now()))
         while True:
             peer.say(ask())
             if not (head := peer.hear(b"hello")):
@@ -354,12 +354,12 @@
         with suppress(OSError):
             rest += sock.recv(1 << 16).count(b"hello")
     assert len(seen) > 4 and len(answered) + rest == len(seen)
-    assert not play.reducer.txs and not play.reducer.clients
+    assert not play.reducer.pending_requests and not play.reducer.clients
 
 
 def test_more_clients_than_there_is_room_for_are_each_answered() -> None:
     play = Play([serving(reply())])
-    play.reducer.room = Room(clients=4, surplus=2, links=4)
+    play.reducer.limits = ConnectionLimits(clients=4, extra_clients=2, endpoint_connections=4)
     heard: list[bytes] = []
 
     def client(peer: Peer) -> None:
@@ -375,7 +375,7 @@
 
 def test_one_that_stalls_amid_its_request_gives_its_place_up() -> None:
     play = Play([serving(reply())])
-    play.reducer.room = Room(clients=1, surplus=1, links=4)
+    play.reducer.limits = ConnectionLimits(clients=1, extra_clients=1, endpoint_connections=4)
     heard: list[bytes] = []
 
     def comes(peer: Peer) -> None:
@@ -456,7 +456,7 @@
     most, play.net.pool.most = play.net.pool.most, 0
 
     def client(peer: Peer) -> None:
-        peer.until(lambda: play.reducer.watch_fails)
+        peer.until(lambda: play.reducer.watch_failures)
         play.net.pool.most = most
         peer.until(lambda: len(play.open) == 3)  # this client, the first watch and another
 
@@ -509,9 +509,9 @@
 
 def test_a_log_that_nobody_reads_blocks_nothing_and_drops_the_newest() -> None:
     reading, writing = os.pipe()
-    lines = Lines(writing, lambda: 5, "n1")
+    lines = LogWriter(writing, lambda: 5, "n1")
     for n in range(MOST_WAITING + 10):
-        lines.note("x", {"n": n, "pad": "p" * 100})
+        lines.write_event("x", {"n": n, "pad": "p" * 100})
     lines.flush()
     assert lines.waiting and lines.dropped == 10
     first = os.read(reading, 1 << 16).split(b"\n")[0]
@@ -526,7 +526,7 @@
     now = [100]
     loop = Scheduler(lambda: now[0], lambda text: None)
     near, far = _tcp_pair()
-    stream = Stream(loop, Play([]).net.pool, near)
+    stream = SocketStream(loop, Play([]).net.pool, near)
     far.send(b"x")
     select.select([near], [], [])
     loop.since_us = 900
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -123,7 +123,7 @@
     play = Play([serving(text, close)])
     heard = heard_by_one(play, ask() if close else b"", 1)
     assert heard == [(b"200", body)]
-    assert play.reducer.tally.final["read"]["answered"] == 1
+    assert play.reducer.counters.final["read"]["answered"] == 1
 
 
 def test_a_connection_serves_on_after_a_large_answer() -> None:
@@ -187,7 +187,11 @@
     play.run()
     [(status, body)] = heard
     assert status == b"200" and body != LARGE and rest == [b""]  # and nothing follows
-    assert len(seen) == 1 and play.reducer.tally.final["read"] == {"answered": 0, "deferred": 0, "errored": 1}
+    assert len(seen) == 1 and play.reducer.counters.final["read"] == {
+        "answered": 0,
+        "deferred": 0,
+        "errored": 1,
+    }
 
 
 def test_to_an_old_client_an_answer_without_a_length_that_breaks_off_is_a_reset() -> None:
@@ -357,7 +361,7 @@
 
     play = Play([away, taking(seen, reply(b"hello"))])
     for _ in range(40):
-        play.reducer.sidecar.budget.take(play.loop.now())  # so that there is one for a retry
+        play.reducer.load_balancer.budget.take(play.loop.now())  # so that there is one for a retry
     heard: list[tuple[bytes, bytes]] = []
 
     def script(peer: Peer) -> None:
@@ -390,7 +394,7 @@
     play = Play([endpoint])
     play.client(script)
     play.run()
-    assert ends == [b""] and not play.reducer.tally.sends
+    assert ends == [b""] and not play.reducer.counters.sends
 
 
 @pytest.mark.parametrize("tail, status", [(b"", b"408"), (b"xyz\r\n", b"400")])
@@ -408,8 +412,8 @@
 
     play.client(script)
     play.run()
-    assert heard == [status] and not play.reducer.tally.sends
-    assert play.reducer.tally.final["read"]["errored"] == 1
+    assert heard == [status] and not play.reducer.counters.sends
+    assert play.reducer.counters.final["read"]["errored"] == 1
 
 
 def test_an_endpoint_that_dies_amid_a_large_request_is_one_that_never_ran_it() -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -11,16 +11,16 @@
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.configuration import policy_factory as parts
 from cressrail.configuration.startup import read_config
-from cressrail.discovery.endpoint_list import News, read
+from cressrail.discovery.endpoint_list import EndpointListUpdate, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import NON_IDEMPOTENT, RandomGenerator, Outcome
+from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome, RandomGenerator
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
-from cressrail.proxy.commands import Effect
-from cressrail.proxy.endpoint_registry import Roster
-from cressrail.proxy.state_machine import FRESH_US, SILENT_US, Reducer, Room
-from cressrail.proxy.zone_statistics import Towards
+from cressrail.proxy.commands import Command
+from cressrail.proxy.endpoint_registry import EndpointRegistry
+from cressrail.proxy.state_machine import FRESH_US, SILENT_US, ConnectionLimits, StateMachine
+from cressrail.proxy.zone_statistics import ZoneStatistics
 from tests.helpers import CONFIG, SECOND, member
 
 
@@ -39,13 +39,13 @@
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = read_config(config, {})
-        roster, members = Roster(["a", "b"]), parts.members(start.told)
-        self.reducer = Reducer(
-            parts.sidecar(start.told, 5, 0, ["a", "b"], list(members.values())),
-            parts.profiles(start.told),
+        roster, members = EndpointRegistry(["a", "b"]), parts.tenants(start.settings)
+        self.reducer = StateMachine(
+            parts.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            parts.request_classes(start.settings),
             dict.fromkeys(members, 0),
             roster,
-            Room(clients, 2, links),
+            ConnectionLimits(clients, 2, links),
             RandomGenerator(5),
             0,
             SECOND,
@@ -53,9 +53,9 @@
             grace_us,
         )
         self.pool = Pool(100)
-        self.told: list[Effect] = self.reducer.start(0, start.known)
+        self.told: list[Command] = self.reducer.start(0, start.known)
         if heard:
-            self.told += self.reducer.news(0, start.known)
+            self.told += self.reducer.on_endpoint_list(0, start.known)
 
     def all(self, kind: type) -> list[Any]:
         found = [effect for effect in self.told if isinstance(effect, kind)]
@@ -63,14 +63,14 @@
         return found
 
     def came(self, client: int, now: int = 0) -> None:
-        self.told += self.reducer.client_came(now, client)
+        self.told += self.reducer.on_client_connected(now, client)
 
     def rest(self, client: int, now: int = 0) -> None:
         """One that has had an answer, and keeps its connection."""
         self.came(client, now)
         self.ask(client, path="/_health")
-        self.told += self.reducer.written(now, client)
-        self.all(do.Write)
+        self.told += self.reducer.on_response_written(now, client)
+        self.all(do.SendResponse)
 
     def ask(
         self,
@@ -97,31 +97,31 @@
             True,
         )
         if began:
-            self.reducer.request_began(now, client)
+            self.reducer.on_request_started(now, client)
         arrived_us = now if arrived_us is None else arrived_us
-        self.told += self.reducer.request_came(now, client, request, arrived_us)
+        self.told += self.reducer.on_request(now, client, request, arrived_us)
 
-    def hop(self) -> do.Carry:
-        [carry] = self.all(do.Carry)
-        assert isinstance(carry, do.Carry)
+    def hop(self) -> do.SendAttempt:
+        [carry] = self.all(do.SendAttempt)
+        assert isinstance(carry, do.SendAttempt)
         return carry
 
-    def end(self, hop: do.Carry, how: Outcome, now: int = 1000, keep: bool = True) -> None:
+    def end(self, hop: do.SendAttempt, how: Outcome, now: int = 1000, keep: bool = True) -> None:
         body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
         if body:
             body.add(memoryview(b"y"))
-        self.told += self.reducer.hop_ended(now, hop.hop, how, keep, body)
+        self.told += self.reducer.on_attempt_finished(now, hop.attempt, how, keep, body)
 
     def settle(self) -> None:
         """Gives back what the effects ask to be, as the tasks on sockets would."""
         for effect in self.told:
-            if isinstance(effect, do.GiveBack):
+            if isinstance(effect, do.ReleaseBody):
                 effect.body.give_back()
-            if isinstance(effect, do.Write) and effect.answer.body:
-                effect.answer.body.give_back()
+            if isinstance(effect, do.SendResponse) and effect.response.body:
+                effect.response.body.give_back()
 
 
-def news(revision: int, full: bool, *members: dict[str, Any]) -> News:
+def news(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
     return read({"revision": revision, "complete": full, "members": list(members)})
 
 
@@ -144,9 +144,9 @@
     front.came(1)
     front.ask(1, kind)
     front.end(front.hop(), how)
-    assert [write.answer.status for write in front.told if isinstance(write, do.Write)] == [status]
+    assert [write.response.status for write in front.told if isinstance(write, do.SendResponse)] == [status]
     front.settle()
-    assert front.pool.lent == 0 and not front.reducer.txs and not front.reducer.hops
+    assert front.pool.lent == 0 and not front.reducer.pending_requests and not front.reducer.attempts
 
 
 @pytest.mark.parametrize(
@@ -164,10 +164,10 @@
 )
 def test_what_is_answered_without_a_hop(fields: dict[str, str | None], status: int | None) -> None:
     front = Front()
-    front.told += front.reducer.news(0, news(5, False))
+    front.told += front.reducer.on_endpoint_list(0, news(5, False))
     front.came(1)
     front.ask(1, **fields)  # type: ignore[arg-type]
-    assert [write.answer.status for write in front.all(do.Write)] == ([status] if status else [])
+    assert [write.response.status for write in front.all(do.SendResponse)] == ([status] if status else [])
 
 
 def test_an_id_is_of_one_request_until_that_has_its_answer_or_its_client_has_left() -> None:
@@ -177,13 +177,15 @@
     front.ask(1, req_id="same")
     front.ask(2, req_id="same")
     hop = front.hop()
-    assert [(write.client, write.answer.status) for write in front.all(do.Write)] == [(2, 400)]
-    front.told += front.reducer.client_left(0, 1)
+    assert [(write.client, write.response.status) for write in front.all(do.SendResponse)] == [(2, 400)]
+    front.told += front.reducer.on_client_closed(0, 1)
     front.ask(3, req_id="same")
     later = front.hop()
     front.end(hop, Outcome.CANCELLED)
     front.end(later, Outcome.SUCCEEDED)
-    assert [write.answer.status for write in front.all(do.Write)] == [200] and not front.reducer.open_ids
+    assert [write.response.status for write in front.all(do.SendResponse)] == [
+        200
+    ] and not front.reducer.open_request_ids
     front.ask(3, req_id="same")
     assert front.hop()
 
@@ -203,8 +205,8 @@
         front.came(client)
         front.ask(client, kind)
         front.end(front.hop(), Outcome.INVALID_REQUEST)
-        assert [write.answer.status for write in front.all(do.Write)] == [400]
-    assert all(e.success_rate == 1 for e in front.reducer.sidecar.endpoints.values())
+        assert [write.response.status for write in front.all(do.SendResponse)] == [400]
+    assert all(e.success_rate == 1 for e in front.reducer.load_balancer.endpoints.values())
 
 
 @pytest.mark.parametrize(
@@ -223,10 +225,10 @@
 ) -> None:
     front = Front(endpoints)
     if heard:
-        front.reducer.news(0, news(5, False))
+        front.reducer.on_endpoint_list(0, news(5, False))
     if stopping:
-        front.reducer.stop(0)
-    assert front.reducer.ready(after_us) is ready
+        front.reducer.on_stop_requested(0)
+    assert front.reducer.is_ready(after_us) is ready
 
 
 @pytest.mark.parametrize(
@@ -237,8 +239,8 @@
     front = Front()
     front.came(1)
     front.ask(1, now=SECOND, arrived_us=SECOND - waited_us, req_deadline=deadline)
-    assert [carry.until_us - SECOND for carry in front.all(do.Carry)] == ([left_us] if left_us else [])
-    assert len(front.all(do.Write)) == (0 if left_us else 1)
+    assert [carry.until_us - SECOND for carry in front.all(do.SendAttempt)] == ([left_us] if left_us else [])
+    assert len(front.all(do.SendResponse)) == (0 if left_us else 1)
 
 
 def test_a_journalled_transaction_without_its_mark_is_not_sent_again() -> None:
@@ -246,7 +248,7 @@
     front.came(1)
     front.ask(1, "note", idempotency_key=None)
     front.end(front.hop(), Outcome.CONNECTION_RESET)
-    assert [write.answer.status for write in front.all(do.Write)] == [502]
+    assert [write.response.status for write in front.all(do.SendResponse)] == [502]
 
 
 @pytest.mark.parametrize(
@@ -264,8 +266,8 @@
     front.came(1)
     front.ask(1)
     hop = front.hop()
-    front.told += front.reducer.news(1, news(5, False, {**member("s0", 9000), **change}))
-    how, _ = front.reducer.unsent(1, hop.hop) or (None, "")
+    front.told += front.reducer.on_endpoint_list(1, news(5, False, {**member("s0", 9000), **change}))
+    how, _ = front.reducer.check_before_send(1, hop.attempt) or (None, "")
     assert how is (None if wanted else Outcome.REJECTED_BY_ENDPOINT)
 
 
@@ -280,11 +282,11 @@
         (news(3, True), []),
     ],
 )
-def test_the_list_is_kept_and_changed(update: News, entries: list[int]) -> None:
+def test_the_list_is_kept_and_changed(update: EndpointListUpdate, entries: list[int]) -> None:
     front = Front(2)
-    front.reducer.news(0, news(4, True, member("s0", 9000), member("s1", 9001)))
-    front.reducer.news(1, update)
-    assert [e.index for e in front.reducer.sidecar.endpoints.values() if e.accepts_requests] == entries
+    front.reducer.on_endpoint_list(0, news(4, True, member("s0", 9000), member("s1", 9001)))
+    front.reducer.on_endpoint_list(1, update)
+    assert [e.index for e in front.reducer.load_balancer.endpoints.values() if e.accepts_requests] == entries
 
 
 def test_links_are_used_again_and_dropped_where_the_address_changes() -> None:
@@ -293,16 +295,19 @@
     front.ask(1)
     first = front.hop()
     front.end(first, Outcome.SUCCEEDED)
-    front.told += front.reducer.written(0, 1)
+    front.told += front.reducer.on_response_written(0, 1)
     front.ask(1)
     second = front.hop()
-    assert (first.fresh, second.fresh) == (True, False) and first.link == second.link
-    front.told += front.reducer.news(1, news(5, False, member("s0", 9500)))
+    assert (first.is_new_connection, second.is_new_connection) == (
+        True,
+        False,
+    ) and first.connection == second.connection
+    front.told += front.reducer.on_endpoint_list(1, news(5, False, member("s0", 9500)))
     front.end(second, Outcome.SUCCEEDED)
-    assert [drop.link for drop in front.all(do.Drop)] == [second.link]
-    front.told += front.reducer.written(0, 1)
+    assert [drop.connection for drop in front.all(do.CloseEndpointConnection)] == [second.connection]
+    front.told += front.reducer.on_response_written(0, 1)
     front.ask(1)
-    assert (third := front.hop()).fresh and third.port == 9500
+    assert (third := front.hop()).is_new_connection and third.port == 9500
 
 
 def test_one_that_has_left_is_forgotten_once_no_hop_to_it_is_out() -> None:
@@ -310,19 +315,23 @@
     front.came(1)
     front.ask(1)
     hop = front.hop()
-    front.told += front.reducer.news(0, news(5, False, member("s0", 9000, phase="removed")))
-    assert 0 in front.reducer.sidecar.endpoints
-    front.told += front.reducer.news(0, news(6, False, member("t0", 9000)))  # its address under a new id
+    front.told += front.reducer.on_endpoint_list(0, news(5, False, member("s0", 9000, phase="removed")))
+    assert 0 in front.reducer.load_balancer.endpoints
+    front.told += front.reducer.on_endpoint_list(
+        0, news(6, False, member("t0", 9000))
+    )  # its address under a new id
     front.end(hop, Outcome.SUCCEEDED)
-    assert front.all(do.Drop) == [do.Drop(hop.link)] and not front.reducer.link_reset(0, hop.link)
-    front.reducer.link_left(hop.link)
+    assert front.all(do.CloseEndpointConnection) == [
+        do.CloseEndpointConnection(hop.connection)
+    ] and not front.reducer.on_idle_connection_reset(0, hop.connection)
+    front.reducer.on_connection_closed(hop.connection)
     for k in range(7, 50):
         front.rest(k)
         front.ask(k)
         later = front.hop()
-        assert later.fresh
+        assert later.is_new_connection
         front.end(later, Outcome.SUCCEEDED)
-        front.told += front.reducer.news(
+        front.told += front.reducer.on_endpoint_list(
             0,
             news(
                 k,
@@ -331,14 +340,25 @@
                 *([member(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
             ),
         )
-        assert front.all(do.Drop) == [do.Drop(later.link)]
-        front.told += front.reducer.client_left(0, k)
-        front.told += front.reducer.link_left(later.link)
+        assert front.all(do.CloseEndpointConnection) == [do.CloseEndpointConnection(later.connection)]
+        front.told += front.reducer.on_client_closed(0, k)
+        front.told += front.reducer.on_connection_closed(later.connection)
         front.settle()
-        front.all(do.Write)
+        front.all(do.SendResponse)
     reducer = front.reducer
-    assert len(reducer.sidecar.endpoints) == len(reducer.roster.addresses) == len(reducer.roster.indices) == 1
-    assert len(reducer.links) == len(reducer.open_ids) == len(reducer.txs) == len(reducer.hops) == 0
+    assert (
+        len(reducer.load_balancer.endpoints)
+        == len(reducer.registry.endpoints)
+        == len(reducer.registry.indices)
+        == 1
+    )
+    assert (
+        len(reducer.connections)
+        == len(reducer.open_request_ids)
+        == len(reducer.pending_requests)
+        == len(reducer.attempts)
+        == 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -352,11 +372,11 @@
     front.ask(1)
     hop = front.hop()
     front.end(hop, Outcome.SUCCEEDED)
-    front.reducer.news(1, news(5, False, {**member("s0", 9000), **change}))
-    front.told = front.reducer.link_reset(2, hop.link)
-    assert [note.event for note in front.all(do.Note)] == (["died"] if died else [])
-    assert front.reducer.sidecar.endpoints[0].is_available(2) is not died
-    assert not front.reducer.idle_links
+    front.reducer.on_endpoint_list(1, news(5, False, {**member("s0", 9000), **change}))
+    front.told = front.reducer.on_idle_connection_reset(2, hop.connection)
+    assert [note.event for note in front.all(do.LogEvent)] == (["died"] if died else [])
+    assert front.reducer.load_balancer.endpoints[0].is_available(2) is not died
+    assert not front.reducer.idle_connections
 
 
 def test_where_links_are_many_the_longest_idle_goes_first_and_no_endpoint_is_blamed() -> None:
@@ -365,18 +385,20 @@
     for client in (1, 2, 3):
         front.came(client)
         front.ask(client, req_deadline="100m")
-        carries += front.all(do.Carry)
-    assert len(carries) == 2 and [write.client for write in front.all(do.Write)] == [3]
-    assert all(e.success_rate == 1.0 for e in front.reducer.sidecar.endpoints.values())
+        carries += front.all(do.SendAttempt)
+    assert len(carries) == 2 and [write.client for write in front.all(do.SendResponse)] == [3]
+    assert all(e.success_rate == 1.0 for e in front.reducer.load_balancer.endpoints.values())
     for carry in carries:
         front.end(carry, Outcome.SUCCEEDED)
     for _ in range(50):  # until an endpoint is drawn to which there is no link
-        front.told += front.reducer.written(0, 1)
+        front.told += front.reducer.on_response_written(0, 1)
         front.ask(1)
-        if (carry := front.hop()).fresh:
+        if (carry := front.hop()).is_new_connection:
             break
         front.end(carry, Outcome.SUCCEEDED)
-    assert [drop.link for drop in front.all(do.Drop)][:1] and len(front.reducer.idle_links) == 1
+    assert [drop.connection for drop in front.all(do.CloseEndpointConnection)][:1] and len(
+        front.reducer.idle_connections
+    ) == 1
 
 
 def test_clients_beyond_the_room_are_answered_and_idle_ones_close_first() -> None:
@@ -385,21 +407,21 @@
     front.rest(2)
     front.ask(1)
     front.came(3)
-    assert front.all(do.Shut) == [do.Shut(2, True)]
-    front.told += front.reducer.client_left(0, 2)
-    front.all(do.Listen)
+    assert front.all(do.CloseClient) == [do.CloseClient(2, True)]
+    front.told += front.reducer.on_client_closed(0, 2)
+    front.all(do.AcceptClients)
     front.ask(3)
     front.came(4)  # nobody is idle
     front.ask(4)
-    assert not front.all(do.Listen)
+    assert not front.all(do.AcceptClients)
     front.came(5)
-    assert front.all(do.Listen) == [do.Listen(False)]
-    [write] = front.all(do.Write)
-    assert (write.client, write.answer.status, write.last) == (4, 503, True)
-    front.told += front.reducer.written(0, 4)
-    assert do.Shut(4, False) in front.told
-    front.told += front.reducer.client_left(0, 4)
-    assert front.all(do.Listen) == [do.Listen(True)]
+    assert front.all(do.AcceptClients) == [do.AcceptClients(False)]
+    [write] = front.all(do.SendResponse)
+    assert (write.client, write.response.status, write.closes_connection) == (4, 503, True)
+    front.told += front.reducer.on_response_written(0, 4)
+    assert do.CloseClient(4, False) in front.told
+    front.told += front.reducer.on_client_closed(0, 4)
+    assert front.all(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 @pytest.mark.parametrize("idle", [True, False])
@@ -407,44 +429,44 @@
     front = Front(clients=1, heard=True)
     for client in (1, 2, 3):
         front.came(client)
-    assert front.all(do.Listen) == [do.Listen(True), do.Listen(False)]
+    assert front.all(do.AcceptClients) == [do.AcceptClients(True), do.AcceptClients(False)]
     if idle:
         front.ask(1, path="/_health")
-        front.told += front.reducer.written(0, 1)
+        front.told += front.reducer.on_response_written(0, 1)
     else:
-        front.reducer.woke(1)
+        front.reducer.on_timer(1)
         assert front.reducer.wake_us == SECOND
-        front.told += front.reducer.woke(SECOND)  # silent for as long as that
-    assert front.all(do.Listen) == [do.Listen(True)]
+        front.told += front.reducer.on_timer(SECOND)  # silent for as long as that
+    assert front.all(do.AcceptClients) == [do.AcceptClients(True)]
     front.came(4, now=SECOND)
-    assert front.all(do.Shut) == [do.Shut(1, True)]
+    assert front.all(do.CloseClient) == [do.CloseClient(1, True)]
 
 
 @pytest.mark.parametrize("began", [False, True])
-@pytest.mark.parametrize("silent_us, closed", [(0, []), (SECOND, [do.Shut(1, True)])])
+@pytest.mark.parametrize("silent_us, closed", [(0, []), (SECOND, [do.CloseClient(1, True)])])
 def test_a_new_client_is_not_closed_before_it_had_time_to_send(
-    silent_us: int, closed: list[Effect], began: bool
+    silent_us: int, closed: list[Command], began: bool
 ) -> None:
     front = Front(clients=1)
     front.came(1)
     if began:
-        front.reducer.request_began(0, 1)
+        front.reducer.on_request_started(0, 1)
     front.came(2, now=silent_us)
-    assert front.all(do.Shut) == closed
+    assert front.all(do.CloseClient) == closed
     front.ask(1, now=silent_us, began=not began)  # its request has come all the same
-    assert len(front.all(do.Carry)) == 1
+    assert len(front.all(do.SendAttempt)) == 1
 
 
 def test_the_one_that_halted_longest_goes_first_not_the_one_that_began_first() -> None:
     front = Front(clients=2)
     for client in (1, 2):
         front.came(client)
-        front.reducer.request_began(0, client)
-    front.reducer.request_goes_on(SECOND, 1)  # slow, and good
+        front.reducer.on_request_started(0, client)
+    front.reducer.on_request_progress(SECOND, 1)  # slow, and good
     front.came(3, now=FRESH_US)
-    assert front.all(do.Shut) == [do.Shut(2, True)]
+    assert front.all(do.CloseClient) == [do.CloseClient(2, True)]
     front.came(4, now=FRESH_US + 1)
-    assert not front.all(do.Shut)
+    assert not front.all(do.CloseClient)
 
 
 @pytest.mark.parametrize("began_us", [None, 0, SECOND])
@@ -455,14 +477,14 @@
     front.rest(1)
     front.came(2)
     if began_us is not None:
-        front.reducer.request_began(began_us, 2)
-    front.told = front.reducer.woke(SILENT_US - 1)
-    assert not front.all(do.Shut)
-    front.told = front.reducer.woke(SILENT_US)
-    assert front.all(do.Shut) == [do.Shut(2, True)]  # one that has had an answer may rest
-    front.reducer.request_began(SILENT_US, 1)
-    front.told = front.reducer.woke(2 * SILENT_US)
-    assert front.all(do.Shut) == [do.Shut(1, True)]
+        front.reducer.on_request_started(began_us, 2)
+    front.told = front.reducer.on_timer(SILENT_US - 1)
+    assert not front.all(do.CloseClient)
+    front.told = front.reducer.on_timer(SILENT_US)
+    assert front.all(do.CloseClient) == [do.CloseClient(2, True)]  # one that has had an answer may rest
+    front.reducer.on_request_started(SILENT_US, 1)
+    front.told = front.reducer.on_timer(2 * SILENT_US)
+    assert front.all(do.CloseClient) == [do.CloseClient(1, True)]
 
 
 def test_a_client_that_leaves_calls_its_hop_off_and_what_comes_of_it_is_given_back() -> None:
@@ -470,34 +492,36 @@
     front.came(1)
     front.ask(1)
     hop = front.hop()
-    front.told += front.reducer.client_left(0, 1)
-    assert front.all(do.CallOff) == [do.CallOff(hop.link, hop.hop)]
+    front.told += front.reducer.on_client_closed(0, 1)
+    assert front.all(do.CancelAttempt) == [do.CancelAttempt(hop.connection, hop.attempt)]
     front.end(hop, Outcome.SUCCEEDED)
-    assert not front.all(do.Write)
+    assert not front.all(do.SendResponse)
     front.settle()
-    assert front.pool.lent == 0 and not front.reducer.txs
+    assert front.pool.lent == 0 and not front.reducer.pending_requests
 
 
 def test_the_watch_is_asked_for_again_with_a_growing_pause_from_the_last_revision() -> None:
     front = Front()
-    [watch] = front.all(do.Watch)
-    assert watch.after == -1
-    front.reducer.news(0, news(9, True))
+    [watch] = front.all(do.WatchEndpoints)
+    assert watch.after_revision == -1
+    front.reducer.on_endpoint_list(0, news(9, True))
     waits = []
     for _ in range(8):
-        front.told = front.reducer.watch_ended(SECOND, "ended")
-        [watch] = front.all(do.Watch)
-        assert watch.after == 9
+        front.told = front.reducer.on_watch_ended(SECOND, "ended")
+        [watch] = front.all(do.WatchEndpoints)
+        assert watch.after_revision == 9
         waits.append(watch.at_us - SECOND)
     # No longer than so: a drain that is told meanwhile has to be heeded within two seconds.
     assert 25_000 <= waits[0] < 100_000 and all(250_000 <= wait < 750_000 for wait in waits[4:])
-    front.reducer.news(0, news(9, False))
-    front.told = front.reducer.watch_ended(SECOND, "ended")
-    assert front.all(do.Watch)[0].at_us < SECOND + 100_000
-    front.told = front.reducer.news(0, news(3, False))  # discovery may count anew: drains must not go unheard
-    [watch] = front.all(do.Watch)
-    assert watch.after == -1 and watch.at_us > 0  # and must not keep the loop busy if it goes on so
-    front.reducer.news(0, news(3, True))
+    front.reducer.on_endpoint_list(0, news(9, False))
+    front.told = front.reducer.on_watch_ended(SECOND, "ended")
+    assert front.all(do.WatchEndpoints)[0].at_us < SECOND + 100_000
+    front.told = front.reducer.on_endpoint_list(
+        0, news(3, False)
+    )  # discovery may count anew: drains must not go unheard
+    [watch] = front.all(do.WatchEndpoints)
+    assert watch.after_revision == -1 and watch.at_us > 0  # and must not keep the loop busy if it goes on so
+    front.reducer.on_endpoint_list(0, news(3, True))
     assert front.reducer.revision == 3
 
 
@@ -507,32 +531,34 @@
     front.rest(2)
     front.ask(1)
     hop = front.hop()
-    front.told = front.reducer.stop(0)
-    assert not front.reducer.stop(1)
+    front.told = front.reducer.on_stop_requested(0)
+    assert not front.reducer.on_stop_requested(1)
     front.came(3, now=SECOND // 2)  # still taken in; and the end is put off
-    front.told = front.reducer.woke(600_000)
-    assert not front.all(do.Listen)
+    front.told = front.reducer.on_timer(600_000)
+    assert not front.all(do.AcceptClients)
     front.came(4, now=SECOND * 6 // 10)  # and another; but not for ever
-    front.told = front.reducer.woke(700_000)
-    assert front.all(do.Listen) == [do.Listen(False, True)]
-    assert not front.all(do.Shut)
+    front.told = front.reducer.on_timer(700_000)
+    assert front.all(do.AcceptClients) == [do.AcceptClients(False, True)]
+    assert not front.all(do.CloseClient)
     front.ask(2, now=SECOND)  # one that was there may have nobody else to go to
     late = front.hop()
     assert late.until_us <= 700_000 + SECOND - 200_000  # and has its answer before the process may be killed
     front.end(late, Outcome.SUCCEEDED, now=SECOND + 1000)
-    assert [write.last for write in front.all(do.Write)] == [False]
-    front.told += front.reducer.written(SECOND, 2)
-    front.told = front.reducer.woke(1_200_000)
-    assert front.all(do.Shut) == [do.Shut(2, True)]
+    assert [write.closes_connection for write in front.all(do.SendResponse)] == [False]
+    front.told += front.reducer.on_response_written(SECOND, 2)
+    front.told = front.reducer.on_timer(1_200_000)
+    assert front.all(do.CloseClient) == [do.CloseClient(2, True)]
     front.end(hop, Outcome.SUCCEEDED, now=1_400_000)
-    [write] = front.all(do.Write)
-    assert write.answer.status == 200 and write.last and not front.all(do.Leave)
-    front.told = front.reducer.woke(SECOND * 16 // 10)  # those who never sent a request
-    assert front.all(do.Shut) == [do.Shut(3, True), do.Shut(4, True)]
-    front.told = [effect for client in (2, 3, 4) for effect in front.reducer.client_left(0, client)]
-    assert not front.all(do.Leave)
-    front.told = front.reducer.written(SECOND * 16 // 10, 1) + front.reducer.client_left(SECOND * 16 // 10, 1)
-    assert len(front.all(do.Leave)) == 1
+    [write] = front.all(do.SendResponse)
+    assert write.response.status == 200 and write.closes_connection and not front.all(do.Exit)
+    front.told = front.reducer.on_timer(SECOND * 16 // 10)  # those who never sent a request
+    assert front.all(do.CloseClient) == [do.CloseClient(3, True), do.CloseClient(4, True)]
+    front.told = [effect for client in (2, 3, 4) for effect in front.reducer.on_client_closed(0, client)]
+    assert not front.all(do.Exit)
+    front.told = front.reducer.on_response_written(SECOND * 16 // 10, 1) + front.reducer.on_client_closed(
+        SECOND * 16 // 10, 1
+    )
+    assert len(front.all(do.Exit)) == 1
 
 
 @pytest.mark.parametrize("waited_us, looked", [(0, False), (99_999, False), (100_000, True), (900_000, True)])
@@ -543,9 +569,11 @@
     front.came(1)
     front.ask(1, now=SECOND, arrived_us=SECOND - waited_us)
     hop = front.hop()
-    assert front.reducer.asker(SECOND, hop.hop) == (1 if looked else 0)
-    front.told += front.reducer.client_went(SECOND, 1)
-    assert front.reducer.asker(SECOND, hop.hop) == 0 and front.reducer.unsent(SECOND, hop.hop)
+    assert front.reducer.waiting_client(SECOND, hop.attempt) == (1 if looked else 0)
+    front.told += front.reducer.on_client_disconnected(SECOND, 1)
+    assert front.reducer.waiting_client(SECOND, hop.attempt) == 0 and front.reducer.check_before_send(
+        SECOND, hop.attempt
+    )
 
 
 @pytest.mark.parametrize(
@@ -565,42 +593,46 @@
     """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
     front = Front(heard=True)
     if kind == "once":
-        front.reducer.profiles["once"] = replace(front.reducer.profiles["read"], kind=NON_IDEMPOTENT)
-        front.reducer.tally.final["once"] = dict(front.reducer.tally.final["read"])
+        front.reducer.request_classes["once"] = replace(
+            front.reducer.request_classes["read"], idempotency=NON_IDEMPOTENT
+        )
+        front.reducer.counters.final["once"] = dict(front.reducer.counters.final["read"])
     if not sent:  # nowhere to go: it waits in the line
-        front.reducer.sidecar.update_endpoints(0, [], full=True)
+        front.reducer.load_balancer.update_endpoints(0, [], full=True)
     front.came(1)
     front.ask(1, kind)
-    hops = front.all(do.Carry)
+    hops = front.all(do.SendAttempt)
     assert len(hops) == sent
-    front.told = front.reducer.stop(0)
+    front.told = front.reducer.on_stop_requested(0)
     if not sent:
-        [tx] = front.reducer.txs
+        [tx] = front.reducer.pending_requests
         tx.queue_until_us = tx.deadline_us  # the line would let it go sooner
-        front.reducer.sidecar.line_due_us = tx.deadline_us
+        front.reducer.load_balancer.line_due_us = tx.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
-        front.told += front.reducer.woke(now)
-    assert not front.all(do.Write) and front.reducer.wake_us == 1_500_000
-    front.told = front.reducer.woke(1_500_000)
-    [write] = front.all(do.Write)
-    assert (write.client, write.answer.status, write.last) == (1, answer, True)
-    assert front.all(do.CallOff) == [do.CallOff(hop.link, hop.hop) for hop in hops]
+        front.told += front.reducer.on_timer(now)
+    assert not front.all(do.SendResponse) and front.reducer.wake_us == 1_500_000
+    front.told = front.reducer.on_timer(1_500_000)
+    [write] = front.all(do.SendResponse)
+    assert (write.client, write.response.status, write.closes_connection) == (1, answer, True)
+    assert front.all(do.CancelAttempt) == [do.CancelAttempt(hop.connection, hop.attempt) for hop in hops]
     for hop in hops:  # what comes after it changes nothing
         front.end(hop, Outcome.SUCCEEDED, now=1_600_000)
-    assert not front.all(do.Write)
-    front.told += front.reducer.written(1_600_000, 1) + front.reducer.client_left(1_600_000, 1)
+    assert not front.all(do.SendResponse)
+    front.told += front.reducer.on_response_written(1_600_000, 1) + front.reducer.on_client_closed(
+        1_600_000, 1
+    )
     front.settle()
-    assert front.all(do.Leave) and front.pool.lent == 0 and not front.reducer.txs
+    assert front.all(do.Exit) and front.pool.lent == 0 and not front.reducer.pending_requests
 
 
 def _calls() -> dict[str, Any]:
     return {
-        "stop": lambda front, now: front.reducer.stop(now),
-        "sighup": lambda front, now: front.reducer.discovery_moved(now, ("127.0.0.1", 7)),
-        "drain": lambda front, now: front.reducer.control(now, b"POST", control.OUT)[1],
-        "undrain": lambda front, now: front.reducer.control(now, b"POST", control.IN)[1],
+        "stop": lambda front, now: front.reducer.on_stop_requested(now),
+        "sighup": lambda front, now: front.reducer.on_discovery_address(now, ("127.0.0.1", 7)),
+        "drain": lambda front, now: front.reducer.on_admin_call(now, b"POST", control.OUT)[1],
+        "undrain": lambda front, now: front.reducer.on_admin_call(now, b"POST", control.IN)[1],
         "hand over": lambda front, now: front.reducer.hand_over(now)[1],
-        "heir died": lambda front, now: front.reducer.heir_died(now),
+        "heir died": lambda front, now: front.reducer.on_successor_failed(now),
     }
 
 
@@ -615,7 +647,7 @@
     front.came(2)
     front.ask(2)
     front.came(3)
-    front.reducer.request_began(0, 3)
+    front.reducer.on_request_started(0, 3)
     hop = front.hop()
     front.told = []
     open_ = {1, 2, 3}
@@ -624,26 +656,26 @@
         """What the tasks on sockets would do."""
         while front.told:
             effect = front.told.pop(0)
-            if isinstance(effect, do.Write):
-                answered.append((effect.client, effect.answer.status))
-                front.told += front.reducer.written(now, effect.client)
-            elif isinstance(effect, do.Shut) and effect.client in open_:
+            if isinstance(effect, do.SendResponse):
+                answered.append((effect.client, effect.response.status))
+                front.told += front.reducer.on_response_written(now, effect.client)
+            elif isinstance(effect, do.CloseClient) and effect.client in open_:
                 open_.remove(effect.client)
-                front.told += front.reducer.client_left(now, effect.client)
-            elif isinstance(effect, do.Leave):
+                front.told += front.reducer.on_client_closed(now, effect.client)
+            elif isinstance(effect, do.Exit):
                 left.append(now)
 
     answered, left = list[tuple[int, int]](), list[int]()
     for at, name in ((0, first), (apart_us, second)):
         for now in range(0 if at == 0 else 1, at + 1, 50_000):
-            front.told += front.reducer.woke(now)
+            front.told += front.reducer.on_timer(now)
             follow(now)
         front.told += _calls()[name](front, at)
         follow(at)
     front.end(hop, Outcome.SUCCEEDED, now=apart_us + 1000)
     follow(apart_us + 1000)
     for now in range(apart_us + 2000, 12 * SECOND, 50_000):
-        front.told += front.reducer.woke(now)
+        front.told += front.reducer.on_timer(now)
         follow(now)
     assert (2, 200) in answered and [client for client, _ in answered].count(2) == 1
     ends = "stop" in (first, second)
@@ -653,14 +685,14 @@
 def test_a_stop_does_not_wait_for_ever_for_a_request_that_never_becomes_whole() -> None:
     front = Front()
     front.came(1)
-    front.reducer.request_began(0, 1)
-    front.reducer.stop(0)
-    front.told = front.reducer.woke(SECOND)
-    assert not front.all(do.Leave)
-    front.told = front.reducer.woke(3 * SECOND)
-    assert not front.all(do.Leave)
-    front.told = front.reducer.woke(4 * SECOND)
-    assert len(front.all(do.Leave)) == 1
+    front.reducer.on_request_started(0, 1)
+    front.reducer.on_stop_requested(0)
+    front.told = front.reducer.on_timer(SECOND)
+    assert not front.all(do.Exit)
+    front.told = front.reducer.on_timer(3 * SECOND)
+    assert not front.all(do.Exit)
+    front.told = front.reducer.on_timer(4 * SECOND)
+    assert len(front.all(do.Exit)) == 1
 
 
 def test_short_of_descriptors_what_nobody_needs_goes() -> None:
@@ -668,17 +700,19 @@
     front.came(1)
     front.ask(1)
     front.end(front.hop(), Outcome.SUCCEEDED)
-    front.told += front.reducer.written(0, 1)
-    front.told = front.reducer.short(0)
-    assert len(front.all(do.Drop)) == 1 and front.all(do.Shut) == [do.Shut(1, True)]
-    assert not front.all(do.Shut) and not front.reducer.idle_links
+    front.told += front.reducer.on_response_written(0, 1)
+    front.told = front.reducer.on_descriptors_exhausted(0)
+    assert len(front.all(do.CloseEndpointConnection)) == 1 and front.all(do.CloseClient) == [
+        do.CloseClient(1, True)
+    ]
+    assert not front.all(do.CloseClient) and not front.reducer.idle_connections
 
 
 def test_what_was_decided_in_common_ends_with_the_talk() -> None:
-    front, towards = Front(), Towards()
+    front, towards = Front(), ZoneStatistics()
     reducer = front.reducer
-    reducer.count_zones(0, towards)
-    reducer.shares(0, (0.0, 1.0), 1.0)
-    assert reducer.towards is towards and reducer.sidecar.decided == 1.0
-    reducer.count_zones(1, None)
-    assert reducer.towards is None and reducer.sidecar.decided == 0.0
+    reducer.set_zone_statistics(0, towards)
+    reducer.on_zone_weights(0, (0.0, 1.0), 1.0)
+    assert reducer.zone_statistics is towards and reducer.load_balancer.decided == 1.0
+    reducer.set_zone_statistics(1, None)
+    assert reducer.zone_statistics is None and reducer.load_balancer.decided == 0.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cressrail.wirehost.codec import Unreadable
+from cressrail.wirehost.codec import MalformedLineError
 from cressrail.wirehost.host import serve
 
 BORN = (
@@ -69,7 +69,7 @@
     ],
 )
 def test_what_cannot_be_read_is_named_with_its_line(events: list[str], wrong: str) -> None:
-    with pytest.raises(Unreadable, match="^" + wrong):
+    with pytest.raises(MalformedLineError, match="^" + wrong):
         play(*events)
 
 
@@ -85,5 +85,5 @@
     if wrong is None:
         serve(io.StringIO(text), io.StringIO())
         return
-    with pytest.raises(Unreadable, match=wrong):
+    with pytest.raises(MalformedLineError, match=wrong):
         serve(io.StringIO(text), io.StringIO())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,20 +13,22 @@
 
 from cressrail.cli.commands import app
 from cressrail.configuration.failover import read_part
-from cressrail.configuration.settings_reader import Told, Unfit
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 from cressrail.configuration.startup import read_start
 from cressrail.experiment.play import play_world
 from cressrail.failover.host import Host
-from cressrail.failover.messages import Decision, Epoch, Map, Settings, Zone
+from cressrail.failover.messages import Decision, Epoch, Settings, Zone, ZoneTopology
 from cressrail.policy.load_balancer import Outcome
-from cressrail.proxy.zone_statistics import Ended, Towards
+from cressrail.proxy.zone_statistics import AttemptCounts, ZoneStatistics
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import views
 from cressrail.testbed.scenario import World
 from tests.fleets import BEAR_MS, Play, played
 from tests.helpers import CONFIG, SECOND, entry, profile, sidecar, warm_up
 
-DCS = Told.nested({"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}})
+DCS = SettingsReader.nested(
+    {"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}}
+)
 
 
 def world(**more: Any) -> World:
@@ -131,7 +133,7 @@
 
 
 def test_counts_by_zone_tell_what_never_came_from_what_failed_and_was_late() -> None:
-    towards = Towards()
+    towards = ZoneStatistics()
     for how, late in (
         (Outcome.SUCCEEDED, False),
         (Outcome.SUCCEEDED, True),
@@ -141,18 +143,18 @@
         (Outcome.REJECTED_BY_ENDPOINT, False),
         (Outcome.CANCELLED, False),
     ):
-        towards.ended(1, how, 1000, late)
-    assert towards.zones == {1: Ended(6, 1, 2, 2, 2, 2000)}
+        towards.on_attempt_finished(1, how, 1000, late)
+    assert towards.zones == {1: AttemptCounts(6, 1, 2, 2, 2, 2000)}
 
 
 def test_evidence_is_of_the_last_moments_and_what_it_bears_of_limits() -> None:
-    settings = Settings(Map(("a", "b"), ("", "")), 0)
-    side, towards = sidecar([entry(0), entry(1, 1)]), Towards()
+    settings = Settings(ZoneTopology(("a", "b"), ("", "")), 0)
+    side, towards = sidecar([entry(0), entry(1, 1)]), ZoneStatistics()
     host = Host(settings, 1, side.rng, 0)
     warm_up(side, 30)
     host.evidence(0, side, towards)
     for _ in range(20):
-        towards.ended(0, Outcome.SUCCEEDED, 50_000, False)
+        towards.on_attempt_finished(0, Outcome.SUCCEEDED, 50_000, False)
     seen = host.evidence(SECOND, side, towards)
     assert seen.demand == 0 and seen.towards[0].hops == 20 and seen.towards[1].hops == 0
     assert seen.towards[0].bears == pytest.approx(side.zone_subsets[0].limit * 20)
@@ -231,16 +233,16 @@
     ],
 )
 def test_a_part_that_cannot_be_used_is_one_line(tmp_path: Path, part: Any, why: str) -> None:
-    with pytest.raises(Unfit, match=why):
+    with pytest.raises(ConfigurationError, match=why):
         read_part(part, str(tmp_path / "c.json"), DCS, 3 * SECOND)
 
 
 def test_a_part_names_regions_and_needs_membership(tmp_path: Path) -> None:
     settings = read_part({"regions": {"n": ["a", "b"], "s": ["c"]}, "way_ms": 30}, "c.json", DCS, 3 * SECOND)
-    assert settings.map == Map(("a", "b", "c"), ("n", "n", "s"), 30_000) and settings.zone == 1
+    assert settings.map == ZoneTopology(("a", "b", "c"), ("n", "n", "s"), 30_000) and settings.zone == 1
     assert [settings.map.near(1, w) for w in range(3)] == [1, 0, 2]
     (tmp_path / "c.json").write_bytes(orjson.dumps({**CONFIG, "failover": {}}))
-    with pytest.raises(Unfit, match="failover needs the part membership"):
+    with pytest.raises(ConfigurationError, match="failover needs the part membership"):
         read_start(str(tmp_path / "c.json"), {})
     zones = (Zone(0, 0, 0),) * 3
     assert Decision(Epoch(2, 3), 1, zones, ()).epoch.number == 2_000_003
