--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -14,8 +14,8 @@
 from cressrail.http1.head import MalformedMessageError, split_head
 from cressrail.http1.request import parts_of
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.network.listener import SHORT_PAUSE_US
-from cressrail.network.socket_stream import SHORT
+from cressrail.network.listener import NO_DESCRIPTORS_PAUSE_US
+from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
 from cressrail.proxy.admin import AdminResponse
 
 CALLS = 8  # at once; the oldest that is unfinished makes room for one more
@@ -31,15 +31,15 @@
 class AdminServerTask:
     """The listener, and the calls that are open."""
 
-    def __init__(self, net: CommandDispatcher, sock: socket.socket) -> None:
-        self.net = net
+    def __init__(self, dispatcher: CommandDispatcher, sock: socket.socket) -> None:
+        self.dispatcher = dispatcher
         self.sock = sock
         self.calls: dict[Task, None] = {}  # the oldest first
 
     def run(self) -> None:
         try:
             while True:
-                if self.net.loop.wait(self.sock.fileno(), READ) == MAIL:
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), READ) == MAIL:
                     return
                 self._accept()
         finally:
@@ -49,16 +49,20 @@
         try:
             sock, _ = self.sock.accept()
         except OSError as fault:
-            if fault.errno in SHORT:  # guards against a loop that spins on a caller it can't take in
-                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
+            if (
+                fault.errno in DESCRIPTORS_EXHAUSTED
+            ):  # guards against a loop that spins on a caller it can't take in
+                self.dispatcher.scheduler.wait(
+                    until_us=self.dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, mail=False
+                )
             return
         if len(self.calls) >= CALLS:
             # Guards against callers that finish no call keeping out those who would.
             oldest = next(iter(self.calls))
             del self.calls[oldest]
-            self.net.loop.post(oldest, HANG_UP)
+            self.dispatcher.scheduler.post(oldest, HANG_UP)
         call = Call(self, sock)
-        self.calls[self.net.loop.spawn(call.run, first=True)] = None
+        self.calls[self.dispatcher.scheduler.spawn(call.run, first=True)] = None
 
 
 def _of_zones(status: int, told: Any) -> AdminResponse:
@@ -72,12 +76,12 @@
 class Call:
     def __init__(self, door: AdminServerTask, sock: socket.socket) -> None:
         self.door = door
-        self.net = door.net
+        self.dispatcher = door.dispatcher
         self.sock = sock
         sock.setblocking(False)
 
     def run(self) -> None:
-        task = self.net.loop.current
+        task = self.dispatcher.scheduler.current
         assert task is not None
         try:
             told = self._asked()
@@ -91,7 +95,7 @@
 
     def _asked(self) -> AdminResponse | None:
         """What the call is answered; nothing for one that is not whole in time or leaves."""
-        text, until_us = bytearray(), self.net.now() + UNFINISHED_US
+        text, until_us = bytearray(), self.dispatcher.now() + UNFINISHED_US
         while True:
             data = self._more(until_us)
             if not data:
@@ -104,18 +108,18 @@
                 method, target = parts_of(found[1])
             except MalformedMessageError as fault:
                 return AdminResponse(400, f"{fault}\n".encode())
-            if target == PAGE and self.net.gossip is not None:
+            if target == PAGE and self.dispatcher.membership is not None:
                 return (
-                    AdminResponse(200, self.net.gossip.page(), JSON)
+                    AdminResponse(200, self.dispatcher.membership.page(), JSON)
                     if method == b"GET"
                     else AdminResponse(405, b"not by this method\n", allow=b"GET")
                 )
-            if target.startswith(ZONES) and self.net.gossip is not None:
-                return _of_zones(*self.net.gossip.asked(method, target))
-            told, effects = self.net.state_machine.on_admin_call(
-                self.net.now(), method, target.partition(b"?")[0]
+            if target.startswith(ZONES) and self.dispatcher.membership is not None:
+                return _of_zones(*self.dispatcher.membership.asked(method, target))
+            told, effects = self.dispatcher.state_machine.on_admin_call(
+                self.dispatcher.now(), method, target.partition(b"?")[0]
             )
-            self.net.dispatch(effects)
+            self.dispatcher.dispatch(effects)
             return told
 
     def _more(self, until_us: int) -> bytes:
@@ -123,7 +127,7 @@
             try:
                 return self.sock.recv(PIECE)
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), READ, until_us) in (MAIL, 0):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), READ, until_us) in (MAIL, 0):
                     return b""
 
     def _say(self, told: AdminResponse) -> None:
@@ -137,15 +141,15 @@
         if told.allow:
             lines.append(b"allow: " + told.allow)
         left = memoryview(b"\r\n".join(lines) + b"\r\n\r\n" + told.body)
-        until_us = self.net.now() + UNFINISHED_US
+        until_us = self.dispatcher.now() + UNFINISHED_US
         while left:
             try:
                 left = left[self.sock.send(left) :]
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, 0):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, 0):
                     return
         # Guards against a close with bytes unread, which would reset the answer on its way.
         self.sock.shutdown(socket.SHUT_WR)
-        until_us = self.net.now() + READ_ON_US
+        until_us = self.dispatcher.now() + READ_ON_US
         while self._more(until_us):
             pass
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -7,7 +7,7 @@
 from cressrail.configuration.startup import StartupConfiguration, differing, read_again
 from cressrail.network.dispatcher import CommandDispatcher
 
-NAMED = 8  # of the paths that a new start would follow
+MAX_NAMED_PATHS = 8  # of the paths that a new start would follow
 
 
 class ConfigurationReload:
@@ -17,25 +17,25 @@
         self.path = path
         self.start = start
 
-    def now(self, net: CommandDispatcher) -> None:
+    def reload(self, dispatcher: CommandDispatcher) -> None:
         try:
             start = read_again(self.path, self.start)
             with under(f"{self.path}: settings."):
                 parts.tried(start.settings, start.seed)
         except ConfigurationError as fault:
-            net.log.write_event("config_kept", {"why": str(fault)})
+            dispatcher.log.write_event("config_kept", {"why": str(fault)})
             return
         waiting = differing(self.start, start)
-        net.log.write_event(
+        dispatcher.log.write_event(
             "config",
             {
                 "discovery": ":".join(map(str, start.discovery)),
-                "needs_restart": waiting[:NAMED],
-                "more": len(waiting[NAMED:]),
+                "needs_restart": waiting[:MAX_NAMED_PATHS],
+                "more": len(waiting[MAX_NAMED_PATHS:]),
             },
         )
         # What takes a new start stays named at each reading until there was one.
         self.start.discovery, self.start.filed = start.discovery, start.filed
-        if net.gossip is not None and start.membership is not None:
-            net.gossip.rekey(start.membership)
-        net.dispatch(net.state_machine.on_discovery_address(net.now(), start.discovery))
+        if dispatcher.membership is not None and start.membership is not None:
+            dispatcher.membership.rekey(start.membership)
+        dispatcher.dispatch(dispatcher.state_machine.on_discovery_address(dispatcher.now(), start.discovery))
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -63,40 +63,42 @@
 
 
 class DiscoveryWatchTask:
-    def __init__(self, net: CommandDispatcher) -> None:
-        self.net = net
+    def __init__(self, dispatcher: CommandDispatcher) -> None:
+        self.dispatcher = dispatcher
         self.under_way = False
 
     def run(self) -> None:
-        task = self.net.loop.current
+        task = self.dispatcher.scheduler.current
         assert task is not None
         if self.under_way:  # a fault has ended it amid one
-            self.net.dispatch(self.net.state_machine.on_watch_ended(self.net.now(), "fault"))
+            self.dispatcher.dispatch(
+                self.dispatcher.state_machine.on_watch_ended(self.dispatcher.now(), "fault")
+            )
         while True:
             while not task.mail:
-                self.net.loop.wait()
+                self.dispatcher.scheduler.wait()
             message = task.mail.popleft()
             assert isinstance(message, WatchEndpoints)  # nothing else is posted here, see Net
-            while self.net.loop.wait(until_us=message.at_us) == MAIL:
+            while self.dispatcher.scheduler.wait(until_us=message.at_us) == MAIL:
                 message = task.mail.popleft()
             stream: SocketStream | None = None
             why, self.under_way = "ended", True
             try:
                 # Guards against news told late: one time for the way there and the first word.
                 patience_us = min(SILENT_US, ANSWER_US << min(message.consecutive_failures, 2))
-                until_us = self.net.now() + patience_us
+                until_us = self.dispatcher.now() + patience_us
                 stream = SocketStream.connect(
-                    self.net.loop,
-                    self.net.pool,
+                    self.dispatcher.scheduler,
+                    self.dispatcher.pool,
                     message.source[0],
                     message.source[1],
-                    min(until_us, self.net.now() + self.net.connect_us),
+                    min(until_us, self.dispatcher.now() + self.dispatcher.connect_timeout_us),
                     mail=True,
                 )
                 after = message.after_revision
                 if after < 0:
                     after = self._whole(task, stream, message.source, until_us)
-                    until_us = self.net.now() + patience_us
+                    until_us = self.dispatcher.now() + patience_us
                 self._ask(stream, message.source, f"?watch=1&after={after}", until_us)
                 self._follow(task, stream, LinesSink(), until_us)
             except StreamInterruptedError:
@@ -113,7 +115,7 @@
             finally:
                 if stream is not None:
                     stream.close()
-            self.net.dispatch(self.net.state_machine.on_watch_ended(self.net.now(), why))
+            self.dispatcher.dispatch(self.dispatcher.state_machine.on_watch_ended(self.dispatcher.now(), why))
 
     def _ask(self, stream: SocketStream, source: tuple[str, int], query: str, until_us: int) -> None:
         asked = (
@@ -130,7 +132,7 @@
         news = read_line(bytes(sink.text))
         if not news.is_complete:
             raise MalformedEndpointListError("not the whole list")
-        self.net.dispatch(self.net.state_machine.on_endpoint_list(self.net.now(), news))
+        self.dispatcher.dispatch(self.dispatcher.state_machine.on_endpoint_list(self.dispatcher.now(), news))
         return news.revision
 
     def _follow(self, task: Task, stream: SocketStream, sink: LinesSink, until_us: int) -> None:
@@ -145,14 +147,14 @@
             if n == 0:
                 reader.ended()
             elif n < 0:
-                stream.await_(READ, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
+                stream.wait(READ, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
             else:
-                stream.inlet.use(reader.feed(stream.inlet.unread()))
+                stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
                 if reader.status not in (0, 200):
                     raise MalformedEndpointListError(f"status {reader.status}")
                 if reader.begun and sink.ended > ended:
-                    until_us, ended = self.net.now() + SILENT_US, sink.ended
+                    until_us, ended = self.dispatcher.now() + SILENT_US, sink.ended
                 for line in sink.lines():
-                    self.net.dispatch(
-                        self.net.state_machine.on_endpoint_list(self.net.now(), read_line(line))
+                    self.dispatcher.dispatch(
+                        self.dispatcher.state_machine.on_endpoint_list(self.dispatcher.now(), read_line(line))
                     )
--- a/cressrail/network/dispatcher.py
+++ b/cressrail/network/dispatcher.py
@@ -16,63 +16,65 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-STIR = "stir"  # the other side of a pipe has done something
-SHORT_US = 5_000  # a look again where the pool is short
+PIPE_CHANGED = "stir"  # the other side of a pipe has done something
+BUFFER_RETRY_US = 5_000  # a look again where the pool is short
 
 
-def purge(mail: Any) -> None:
+def discard_pipe_messages(mailbox: Any) -> None:
     """Takes out stirs that came for a wait that is over."""
-    for _ in range(len(mail)):
-        if (message := mail.popleft()) is not STIR:
-            mail.append(message)
+    for _ in range(len(mailbox)):
+        if (message := mailbox.popleft()) is not PIPE_CHANGED:
+            mailbox.append(message)
 
 
 class CommandDispatcher:
     def __init__(
         self,
-        loop: Scheduler,
+        scheduler: Scheduler,
         pool: Pool,
         state_machine: StateMachine,
         log: LogWriter,
         *,
-        connect_us: int,
-        idle_us: int,
-        patience_us: int,
+        connect_timeout_us: int,
+        endpoint_idle_timeout_us: int,
+        peer_timeout_us: int,
     ) -> None:
-        self.loop = loop
-        self.now = loop.now
+        self.scheduler = scheduler
+        self.now = scheduler.now
         self.pool = pool
         self.state_machine = state_machine
         self.log = log
-        self.connect_us = connect_us  # for a connection to come up
-        self.idle_us = idle_us  # after which an endpoint may close an idle one
-        self.patience_us = patience_us  # with a client that sends or reads slowly
+        self.connect_timeout_us = connect_timeout_us  # for a connection to come up
+        self.endpoint_idle_timeout_us = (
+            endpoint_idle_timeout_us  # after which an endpoint may close an idle one
+        )
+        self.peer_timeout_us = peer_timeout_us  # with a client that sends or reads slowly
         self.clients: dict[int, Task] = {}
-        self.client_fds: dict[int, int] = {}
-        self.look = select.poll()  # holds one descriptor, for the time of a look
+        self.client_descriptors: dict[int, int] = {}
+        self.disconnect_poll = select.poll()  # holds one descriptor, for the time of a look
         self.connections: dict[int, Task] = {}
-        self.listener: Task | None = None
-        self.watch: Task | None = None
-        self.waker: Task | None = None
-        self.relay: Task | None = None  # takes over from the process before this one
-        self.gossip: MembershipTransport | None = None  # the talk with other copies, where it is on
+        self.listener_task: Task | None = None
+        self.watch_task: Task | None = None
+        self.timer_task: Task | None = None
+        self.handover_task: Task | None = None  # takes over from the process before this one
+        self.membership: MembershipTransport | None = None  # the talk with other copies, where it is on
         self.at_end: list[Callable[[], None]] = []  # once the loop has ended, and wait for nothing
-        self.start_link: Callable[[int], Callable[[], None]] | None = None
+        self.start_connection: Callable[[int], Callable[[], None]] | None = None
         # By kind, looked up once an effect: there are half a dozen of them to each transaction.
         self.handlers: dict[type[Command], Callable[[Any], None]] = {
             do.ReadRequest: self._to_client,
             do.SendResponse: self._to_client,
             do.CloseClient: self._to_client,
-            do.SendAttempt: self._carry,
-            do.CancelAttempt: self._to_link,
-            do.CloseEndpointConnection: self._to_link,
-            do.ReleaseBody: self._give_back,
-            do.LogEvent: self._note,
-            do.Exit: self._leave,
-            do.AcceptClients: self._listen,
-            do.WatchEndpoints: self._watch,
-            do.SetTimer: self._wake,
-            do.BeginTakeover: self._take_over,
+            do.SendAttempt: self._send_attempt,
+            do.CancelAttempt: self._to_connection,
+            do.CloseEndpointConnection: self._to_connection,
+            do.ReleaseBody: self._release_body,
+            do.LogEvent: self._log_event,
+            do.Exit: self._exit,
+            do.AcceptClients: self._accept_clients,
+            do.WatchEndpoints: self._watch_endpoints,
+            do.SetTimer: self._set_timer,
+            do.BeginTakeover: self._begin_takeover,
         }
 
     def dispatch(self, effects: list[Command]) -> None:
@@ -81,54 +83,56 @@
             self.handlers[type(effect)](effect)
 
     def _to_client(self, effect: do.ReadRequest | do.SendResponse | do.CloseClient) -> None:
-        self.loop.post(self.clients[effect.client], effect)
+        self.scheduler.post(self.clients[effect.client], effect)
 
-    def _carry(self, effect: do.SendAttempt) -> None:
+    def _send_attempt(self, effect: do.SendAttempt) -> None:
         if effect.is_new_connection:
-            assert self.start_link is not None
-            self.connections[effect.connection] = self.loop.spawn(self.start_link(effect.connection))
-        self.loop.post(self.connections[effect.connection], effect)
+            assert self.start_connection is not None
+            self.connections[effect.connection] = self.scheduler.spawn(
+                self.start_connection(effect.connection)
+            )
+        self.scheduler.post(self.connections[effect.connection], effect)
 
-    def _to_link(self, effect: do.CancelAttempt | do.CloseEndpointConnection) -> None:
-        self.loop.post(self.connections[effect.connection], effect)
+    def _to_connection(self, effect: do.CancelAttempt | do.CloseEndpointConnection) -> None:
+        self.scheduler.post(self.connections[effect.connection], effect)
 
-    def _give_back(self, effect: do.ReleaseBody) -> None:
+    def _release_body(self, effect: do.ReleaseBody) -> None:
         effect.body.give_back()
 
-    def _note(self, effect: do.LogEvent) -> None:
+    def _log_event(self, effect: do.LogEvent) -> None:
         self.log.write_event(effect.event, effect.fields)
 
-    def _leave(self, _: do.Exit) -> None:
-        self.loop.stopped = True
+    def _exit(self, _: do.Exit) -> None:
+        self.scheduler.stopped = True
 
-    def _listen(self, effect: do.AcceptClients) -> None:
-        assert self.listener is not None
-        self.loop.post(self.listener, effect)
+    def _accept_clients(self, effect: do.AcceptClients) -> None:
+        assert self.listener_task is not None
+        self.scheduler.post(self.listener_task, effect)
 
-    def _watch(self, effect: do.WatchEndpoints) -> None:
-        assert self.watch is not None
-        self.loop.post(self.watch, effect)
+    def _watch_endpoints(self, effect: do.WatchEndpoints) -> None:
+        assert self.watch_task is not None
+        self.scheduler.post(self.watch_task, effect)
 
-    def _wake(self, effect: do.SetTimer) -> None:
-        assert self.waker is not None
-        self.loop.post(self.waker, effect)
+    def _set_timer(self, effect: do.SetTimer) -> None:
+        assert self.timer_task is not None
+        self.scheduler.post(self.timer_task, effect)
 
-    def _take_over(self, effect: do.BeginTakeover) -> None:
-        assert self.relay is not None
-        self.loop.post(self.relay, effect)
+    def _begin_takeover(self, effect: do.BeginTakeover) -> None:
+        assert self.handover_task is not None
+        self.scheduler.post(self.handover_task, effect)
 
-    def has_left(self, client: int) -> bool:
+    def has_client_disconnected(self, client: int) -> bool:
         """Whether a client's connection has ended, also where its task is still to hear of it."""
-        fd = self.client_fds.get(client, -1)
+        fd = self.client_descriptors.get(client, -1)
         if fd < 0:
             return False
-        self.look.register(fd, LEFT)
-        seen = self.look.poll(0)
-        self.look.unregister(fd)
+        self.disconnect_poll.register(fd, LEFT)
+        seen = self.disconnect_poll.poll(0)
+        self.disconnect_poll.unregister(fd)
         return bool(seen)
 
     def client_connection_closed(self, number: int) -> None:
-        del self.clients[number], self.client_fds[number]
+        del self.clients[number], self.client_descriptors[number]
         self.dispatch(self.state_machine.on_client_closed(self.now(), number))
 
     def endpoint_connection_closed(self, number: int) -> None:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -12,10 +12,12 @@
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
 from cressrail.network.dispatcher import CommandDispatcher
 
-SPAN_S = 1.0  # for the first answer; a process that serves gives it within a round of its loop
-SPAN_US = 1_000_000  # for the estate
-PIECE = 65536
-MOST_PATH = 100  # bytes; the system takes few more
+FIRST_ANSWER_TIMEOUT_S = (
+    1.0  # for the first answer; a process that serves gives it within a round of its loop
+)
+STATE_TIMEOUT_US = 1_000_000  # for the estate
+READ_BYTES = 65536
+MAX_PATH_BYTES = 100  # bytes; the system takes few more
 
 
 def rendezvous_path(listen: tuple[str, int], tmp: str | None) -> str | None:
@@ -23,7 +25,7 @@
     if not tmp:
         return None
     path = os.path.join(tmp, f"cressrail-{listen[0].replace(':', '_')}-{listen[1]}")
-    return path if len(os.fsencode(path)) <= MOST_PATH else None
+    return path if len(os.fsencode(path)) <= MAX_PATH_BYTES else None
 
 
 class Predecessor:
@@ -33,22 +35,22 @@
         self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: Frames
     ) -> None:
         self.sock = sock
-        self.listening = listening
-        self.known = known
+        self.listening_socket = listening
+        self.endpoint_list = known
         self.frames = frames
 
 
 def find_predecessor(path: str, listen: tuple[str, int]) -> Predecessor | None:
     """Nothing if there is none, or one that is not to be relied on: a start from nothing, then. Waits."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    sock.settimeout(SPAN_S)
+    sock.settimeout(FIRST_ANSWER_TIMEOUT_S)
     fds: list[int] = []
     try:
         sock.connect(path)
         sock.sendall(wrap(HELLO, {"listen": list(listen)}))
         frames = Frames()
         while (got := frames.next()) is None:
-            data, more, _, _ = socket.recv_fds(sock, PIECE, 1)
+            data, more, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
             fds += more
             if not data:
                 raise HandoverError("ended")
@@ -76,71 +78,77 @@
 class HandoverClientTask:
     """Takes over once the reducer asks for it, and hears when the other has left."""
 
-    def __init__(self, net: CommandDispatcher, elder: Predecessor) -> None:
-        self.net = net
-        self.elder = elder
-        self.clients = self.links = self.buffers = 0  # that are the other's
+    def __init__(self, dispatcher: CommandDispatcher, predecessor: Predecessor) -> None:
+        self.dispatcher = dispatcher
+        self.predecessor = predecessor
+        self.clients = self.connections = self.buffers = 0  # that are the other's
 
-    def take(self) -> None:
-        task = self.net.loop.current
+    def take_over(self) -> None:
+        task = self.dispatcher.scheduler.current
         assert task is not None
         while not task.mail:
-            self.net.loop.wait()
+            self.dispatcher.scheduler.wait()
         task.mail.clear()
-        told = self._estate()
-        self._count(told)
-        self.net.pool.most -= self.buffers
-        self.net.dispatch(self.net.state_machine.take_over(self.net.now(), told, self.clients, self.links))
+        told = self._receive_state()
+        self._count_held_resources(told)
+        self.dispatcher.pool.most -= self.buffers
+        self.dispatcher.dispatch(
+            self.dispatcher.state_machine.take_over(
+                self.dispatcher.now(), told, self.clients, self.connections
+            )
+        )
 
-    def outlive(self) -> None:
+    def wait_for_exit(self) -> None:
         """What is the other's comes to this process once it has ended; nothing else comes from it."""
         try:
-            while self._more(None):
+            while self._receive(None):
                 pass
         except OSError:  # as good as an end
             pass
         finally:
-            self.elder.sock.close()
-            self.net.pool.most += self.buffers
-            self.net.dispatch(
-                self.net.state_machine.on_predecessor_exited(self.net.now(), self.clients, self.links)
+            self.predecessor.sock.close()
+            self.dispatcher.pool.most += self.buffers
+            self.dispatcher.dispatch(
+                self.dispatcher.state_machine.on_predecessor_exited(
+                    self.dispatcher.now(), self.clients, self.connections
+                )
             )
 
-    def farewell(self) -> None:
+    def announce_exit(self) -> None:
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
-        if self.net.state_machine.handed_over_us >= 0:
+        if self.dispatcher.state_machine.handed_over_us >= 0:
             with suppress(OSError):
-                self.elder.sock.send(wrap(BYE, {}))
+                self.predecessor.sock.send(wrap(BYE, {}))
 
-    def _estate(self) -> dict[str, Any] | None:
-        until_us = self.net.now() + SPAN_US
+    def _receive_state(self) -> dict[str, Any] | None:
+        until_us = self.dispatcher.now() + STATE_TIMEOUT_US
         try:
-            self.elder.sock.sendall(wrap(TAKE, {}))
-            while (got := self.elder.frames.next()) is None:
-                if not (data := self._more(until_us)):
+            self.predecessor.sock.sendall(wrap(TAKE, {}))
+            while (got := self.predecessor.frames.next()) is None:
+                if not (data := self._receive(until_us)):
                     return None
-                self.elder.frames.add(data)
+                self.predecessor.frames.add(data)
         except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
-            self.net.log.write_event("estate_lost", {"why": str(fault)})
+            self.dispatcher.log.write_event("estate_lost", {"why": str(fault)})
             return None
         return got[1] if got[0] == ESTATE else None
 
-    def _count(self, told: dict[str, Any] | None) -> None:
+    def _count_held_resources(self, told: dict[str, Any] | None) -> None:
         held = told.get("held") if told else None
         if isinstance(held, list) and len(held) == 3 and all(isinstance(n, int) and n >= 0 for n in held):
-            self.clients, self.links, self.buffers = held
-            self.buffers = min(self.buffers, self.net.pool.most * 3 // 4)
+            self.clients, self.connections, self.buffers = held
+            self.buffers = min(self.buffers, self.dispatcher.pool.most * 3 // 4)
 
-    def _more(self, until_us: int | None) -> bytes:
+    def _receive(self, until_us: int | None) -> bytes:
         while True:
             try:
-                return self.elder.sock.recv(PIECE)
+                return self.predecessor.sock.recv(READ_BYTES)
             except BlockingIOError:
-                sock = self.elder.sock.fileno()
+                sock = self.predecessor.sock.fileno()
                 why = (
-                    self.net.loop.wait(sock, READ, mail=False)
+                    self.dispatcher.scheduler.wait(sock, READ, mail=False)
                     if until_us is None
-                    else self.net.loop.wait(sock, READ, until_us, mail=False)
+                    else self.dispatcher.scheduler.wait(sock, READ, until_us, mail=False)
                 )
                 if why == 0:
                     return b""
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -12,36 +12,36 @@
 from cressrail.network.dispatcher import CommandDispatcher
 
 DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
-SPAN_US = 1_000_000  # to say who it is
-PIECE = 65536
-FIXED = 24  # descriptors that a process holds beside clients' and endpoints'
-KEPT_PART = 4  # of the buffers a process that hands over keeps one such part, or what it has lent out
+HELLO_TIMEOUT_US = 1_000_000  # to say who it is
+READ_BYTES = 65536
+FIXED_DESCRIPTORS = 24  # descriptors that a process holds beside clients' and endpoints'
+KEPT_DIVISOR = 4  # of the buffers a process that hands over keeps one such part, or what it has lent out
 
 
 class HandoverServerTask:
     def __init__(
-        self, net: CommandDispatcher, path: str, listening: socket.socket, listen: tuple[str, int]
+        self, dispatcher: CommandDispatcher, path: str, listening: socket.socket, listen: tuple[str, int]
     ) -> None:
-        self.net = net
+        self.dispatcher = dispatcher
         self.path = path
-        self.listening = listening
+        self.listening_socket = listening
         self.listen = listen
-        self.place: socket.socket | None = None
+        self.rendezvous_socket: socket.socket | None = None
 
     def run(self) -> None:
         try:
             while self._publish():
-                assert self.place is not None
-                if self.net.loop.wait(self.place.fileno(), READ) == MAIL:
+                assert self.rendezvous_socket is not None
+                if self.dispatcher.scheduler.wait(self.rendezvous_socket.fileno(), READ) == MAIL:
                     return
                 with suppress(OSError):
-                    self._serve(self.place.accept()[0])
+                    self._serve(self.rendezvous_socket.accept()[0])
         finally:
-            self._withdraw()
+            self._unpublish()
 
     def _publish(self) -> bool:
         """Under a name of its own first, then in place of whoever was there before, in one step."""
-        if self.place is not None:
+        if self.rendezvous_socket is not None:
             return True
         place = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         own = f"{self.path}.{os.getpid()}"
@@ -55,15 +55,15 @@
             os.rename(own, self.path)
         except OSError as fault:  # no upgrade beside it then, and all else as ever
             place.close()
-            self.net.log.write_event("no_meeting", {"why": str(fault)})
+            self.dispatcher.log.write_event("no_meeting", {"why": str(fault)})
             return False
-        self.place = place
+        self.rendezvous_socket = place
         return True
 
-    def _withdraw(self) -> None:
-        if self.place is not None:
-            self.place.close()
-            self.place = None
+    def _unpublish(self) -> None:
+        if self.rendezvous_socket is not None:
+            self.rendezvous_socket.close()
+            self.rendezvous_socket = None
 
     def _serve(self, sock: socket.socket) -> None:
         """One who would take over, to the end of its connection. Only one at a time."""
@@ -72,56 +72,58 @@
             sock.setblocking(False)
             if not _same_user(sock):
                 return
-            got = self._next(sock, frames, self.net.now() + SPAN_US)
+            got = self._receive_frame(sock, frames, self.dispatcher.now() + HELLO_TIMEOUT_US)
             if got is None or got[0] != HELLO or got[1].get("listen") != list(self.listen):
                 return
-            here = wrap(HERE, {"list": self.net.state_machine.endpoint_list()})
-            sent = socket.send_fds(sock, [here], [self.listening.fileno()])
+            here = wrap(HERE, {"list": self.dispatcher.state_machine.endpoint_list()})
+            sent = socket.send_fds(sock, [here], [self.listening_socket.fileno()])
             self._send(sock, here[sent:])
-            got = self._next(sock, frames, None)
+            got = self._receive_frame(sock, frames, None)
             if got is None or got[0] != TAKE:
                 return
-            told, effects = self.net.state_machine.hand_over(self.net.now())
+            told, effects = self.dispatcher.state_machine.hand_over(self.dispatcher.now())
             over = True
-            self.net.dispatch(effects)
-            self._send(sock, wrap(ESTATE, {**told, "held": self._held()}))
-            if self.net.gossip is not None:
-                self.net.gossip.tell("cede")
-            self._withdraw()
-            got = self._next(sock, frames, None)
+            self.dispatcher.dispatch(effects)
+            self._send(sock, wrap(ESTATE, {**told, "held": self._held_resources()}))
+            if self.dispatcher.membership is not None:
+                self.dispatcher.membership.tell("cede")
+            self._unpublish()
+            got = self._receive_frame(sock, frames, None)
             if got is not None and got[0] == BYE:
                 over = False  # a later one serves: no reason to come back
         except (OSError, HandoverError, ValueError) as fault:
-            self.net.log.write_event("heir_junk", {"why": str(fault)})
+            self.dispatcher.log.write_event("heir_junk", {"why": str(fault)})
         finally:
             sock.close()
             if over:
-                self.net.pool.most = self.most
-                if self.net.gossip is not None and self.net.state_machine.stop_us < 0:
-                    self.net.gossip.tell("resume")
-                self.net.dispatch(self.net.state_machine.on_successor_failed(self.net.now()))
+                self.dispatcher.pool.most = self.buffers_before
+                if self.dispatcher.membership is not None and self.dispatcher.state_machine.stop_us < 0:
+                    self.dispatcher.membership.tell("resume")
+                self.dispatcher.dispatch(
+                    self.dispatcher.state_machine.on_successor_failed(self.dispatcher.now())
+                )
 
-    def _held(self) -> list[int]:
+    def _held_resources(self) -> list[int]:
         """Clients, links and buffers that stay with this process; it lends and opens no more than these."""
-        reducer, pool = self.net.state_machine, self.net.pool
-        self.most = pool.most
-        pool.most = max(pool.lent, pool.most // KEPT_PART)
+        reducer, pool = self.dispatcher.state_machine, self.dispatcher.pool
+        self.buffers_before = pool.most
+        pool.most = max(pool.lent, pool.most // KEPT_DIVISOR)
         pool.trim()
         reducer.limits.endpoint_connections = max(
-            len(reducer.connections), reducer.limits.endpoint_connections // KEPT_PART
+            len(reducer.connections), reducer.limits.endpoint_connections // KEPT_DIVISOR
         )
-        return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.most]
+        return [len(reducer.clients) + FIXED_DESCRIPTORS, reducer.limits.endpoint_connections, pool.most]
 
-    def _next(
+    def _receive_frame(
         self, sock: socket.socket, frames: Frames, until_us: int | None
     ) -> tuple[str, dict[str, object]] | None:
         while (got := frames.next()) is None:
             try:
-                data = sock.recv(PIECE)
+                data = sock.recv(READ_BYTES)
             except BlockingIOError:
                 if until_us is None:
-                    self.net.loop.wait(sock.fileno(), READ, mail=False)
-                elif self.net.loop.wait(sock.fileno(), READ, until_us, mail=False) == 0:
+                    self.dispatcher.scheduler.wait(sock.fileno(), READ, mail=False)
+                elif self.dispatcher.scheduler.wait(sock.fileno(), READ, until_us, mail=False) == 0:
                     return None
                 continue
             if not data:
@@ -131,12 +133,12 @@
 
     def _send(self, sock: socket.socket, data: bytes) -> None:
         left = memoryview(data)
-        until_us = self.net.now() + SPAN_US
+        until_us = self.dispatcher.now() + HELLO_TIMEOUT_US
         while left:
             try:
                 left = left[sock.send(left) :]
             except BlockingIOError:
-                if self.net.loop.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
+                if self.dispatcher.scheduler.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
                     raise HandoverError("does not read") from None
 
 
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -62,7 +62,7 @@
         self.copy = self._copy()
         self.hearing = Hearing()
         self.zones: FailoverDriver | None = None
-        self.task = net.loop.spawn(self.run, first=True)
+        self.task = net.scheduler.spawn(self.run, first=True)
 
     def _copy(self) -> MembershipStateMachine:
         now = self.net.now()
@@ -79,7 +79,7 @@
         return FailoverDriver(self.net, self.part.failover, self.copy)
 
     def run(self) -> None:
-        task = self.net.loop.current
+        task = self.net.scheduler.current
         assert task is not None
         try:
             while True:
@@ -96,7 +96,7 @@
                     return
                 self._close()
                 while not task.mail:
-                    self.net.loop.wait()
+                    self.net.scheduler.wait()
                 if task.mail.popleft() != RESUME:
                     return
                 self.copy = self._copy()  # the other process was this copy meanwhile: this one begins anew
@@ -109,7 +109,7 @@
                 self.sock = bind(self.part)
                 return True
             except OSError:
-                self.net.loop.wait(until_us=self.net.now() + AGAIN_US)
+                self.net.scheduler.wait(until_us=self.net.now() + AGAIN_US)
         return False
 
     def _close(self) -> None:
@@ -121,7 +121,7 @@
         """Until told to cede; false once it has left for good."""
         while True:
             wake_us = self.copy.wake_us if self.zones is None else min(self.copy.wake_us, self.zones.wake_us)
-            why = self.net.loop.wait(sock.fileno(), READ, wake_us)
+            why = self.net.scheduler.wait(sock.fileno(), READ, wake_us)
             if mail:
                 told = mail.popleft()
                 self._carry(self.copy.leave(self.net.now(), tell=told == LEAVE))
@@ -188,7 +188,7 @@
     # What other tasks ask of it
 
     def tell(self, what: str) -> None:
-        self.net.loop.post(self.task, what)
+        self.net.scheduler.post(self.task, what)
 
     def rekey(self, part: MembershipConfiguration) -> None:
         self.copy.rekey(part.settings.keys)
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -26,24 +26,28 @@
     rendezvous_path,
 )
 from cressrail.network.handover_server import HandoverServerTask
-from cressrail.network.signals import heed_signals
-from cressrail.network.timer_task import wake_task
+from cressrail.network.signals import handle_signals
+from cressrail.network.timer_task import timer_task
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.state_machine import ConnectionLimits, StateMachine
 
-SPARE = 16  # descriptors for all that is neither client nor endpoint, and for those on their way out
-LINKS_SHARE = 3 / 8  # of the descriptors; a link carries one hop after another, clients come in crowds
+SPARE_DESCRIPTORS = (
+    16  # descriptors for all that is neither client nor endpoint, and for those on their way out
+)
+ENDPOINT_CONNECTIONS_SHARE = (
+    3 / 8
+)  # of the descriptors; a link carries one hop after another, clients come in crowds
 BUFFERS_SHARE = 0.5  # of the memory limit
-YOUNG = 5_000  # objects between two collections
+YOUNG_OBJECTS = 5_000  # objects between two collections
 
 
-def room(sockets: int, aside: int = 0) -> ConnectionLimits:
+def connection_limits(sockets: int, aside: int = 0) -> ConnectionLimits:
     """Each side gets a part, so that neither can crowd the other out; `aside` go to nobody."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    both = max(16, min(sockets, soft if soft > 0 else sockets) - SPARE - aside)
+    both = max(16, min(sockets, soft if soft > 0 else sockets) - SPARE_DESCRIPTORS - aside)
     surplus = max(4, both // 16)
-    links = int(both * LINKS_SHARE)
+    links = int(both * ENDPOINT_CONNECTIONS_SHARE)
     return ConnectionLimits(clients=both - links - surplus, extra_clients=surplus, endpoint_connections=links)
 
 
@@ -58,7 +62,7 @@
     roster = EndpointRegistry(start.settings.names("dcs"))
     now = clock.now()
     aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
-    rooms = room(start.sockets, aside)
+    rooms = connection_limits(start.sockets, aside)
     sidecar = parts.load_balancer(
         start.settings,
         start.seed,
@@ -81,29 +85,35 @@
     )
     pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
     connect_us, idle_us = parts.waits(start.settings)
-    net = CommandDispatcher(
-        loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us
+    dispatcher = CommandDispatcher(
+        loop,
+        pool,
+        reducer,
+        log,
+        connect_timeout_us=connect_us,
+        endpoint_idle_timeout_us=idle_us,
+        peer_timeout_us=longest_us,
     )
     # Only with a door for operators: without it nothing is written under $TMPDIR, and nothing shared.
     path = rendezvous_path(start.listen, os.environ.get("TMPDIR")) if start.admin else None
     elder = find_predecessor(path, start.listen) if path else None
     door = listener.ListenerTask(
-        net,
-        elder.listening if elder else listener.bind(*start.listen, shared=start.admin is not None),
+        dispatcher,
+        elder.listening_socket if elder else listener.bind(*start.listen, shared=start.admin is not None),
         None if elder else now,
     )
     if start.admin:
-        loop.spawn(ops.AdminServerTask(net, listener.bind(*start.admin)).run, first=True)
+        loop.spawn(ops.AdminServerTask(dispatcher, listener.bind(*start.admin)).run, first=True)
     if start.membership is not None:
         from cressrail.network.membership_transport import (
             MembershipTransport,  # nothing of it is loaded where it is off
         )
 
-        net.gossip = MembershipTransport(net, start.membership, waits=elder is not None)
-    net.start_link = lambda number: EndpointConnectionTask(net, number).run
-    net.watch = loop.spawn(DiscoveryWatchTask(net).run, first=True, vital=True)
-    net.listener = loop.spawn(door.run, vital=True)
-    net.waker = loop.spawn(lambda: wake_task(net), vital=True)
+        dispatcher.membership = MembershipTransport(dispatcher, start.membership, waits=elder is not None)
+    dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
+    dispatcher.watch_task = loop.spawn(DiscoveryWatchTask(dispatcher).run, first=True, vital=True)
+    dispatcher.listener_task = loop.spawn(door.run, vital=True)
+    dispatcher.timer_task = loop.spawn(lambda: timer_task(dispatcher), vital=True)
     log.write_event(
         "start",
         {
@@ -118,32 +128,36 @@
         },
     )
     if path:
-        successor = HandoverServerTask(net, path, door.sock, start.listen)
-        net.relay = loop.spawn(lambda: _relay(net, elder, successor), first=True)
-    net.dispatch(reducer.start(now, elder.known if elder else start.known, elder is not None))
-    return net, door
+        successor = HandoverServerTask(dispatcher, path, door.sock, start.listen)
+        dispatcher.handover_task = loop.spawn(
+            lambda: _take_over_then_serve_successor(dispatcher, elder, successor), first=True
+        )
+    dispatcher.dispatch(reducer.start(now, elder.endpoint_list if elder else start.known, elder is not None))
+    return dispatcher, door
 
 
-def _relay(net: CommandDispatcher, elder: Predecessor | None, successor: HandoverServerTask) -> None:
+def _take_over_then_serve_successor(
+    dispatcher: CommandDispatcher, elder: Predecessor | None, successor: HandoverServerTask
+) -> None:
     """First what this process takes over, then whoever takes over from it."""
     if elder is not None:
-        before = HandoverClientTask(net, elder)
-        before.take()
-        net.at_end.append(before.farewell)
-        net.loop.spawn(before.outlive, first=True)
+        before = HandoverClientTask(dispatcher, elder)
+        before.take_over()
+        dispatcher.at_end.append(before.announce_exit)
+        dispatcher.scheduler.spawn(before.wait_for_exit, first=True)
     successor.run()
 
 
-def run(net: CommandDispatcher, reread: ConfigurationReload) -> int:
-    with heed_signals(net, reread):
+def run(dispatcher: CommandDispatcher, configuration_reload: ConfigurationReload) -> int:
+    with handle_signals(dispatcher, configuration_reload):
         gc.collect()
         gc.freeze()  # what is here stays; later collections look at what is new
         # Transactions leave few circles behind: a look at the young each 700 objects was a look every few of
         # them.
-        gc.set_threshold(YOUNG, 10, 50)
-        net.loop.run()
-    for last in net.at_end:
+        gc.set_threshold(YOUNG_OBJECTS, 10, 50)
+        dispatcher.scheduler.run()
+    for last in dispatcher.at_end:
         last()
-    net.log.write_event("end", {"failed": True} if net.loop.failed else {})
-    net.log.flush()
-    return int(net.loop.failed)
+    dispatcher.log.write_event("end", {"failed": True} if dispatcher.scheduler.failed else {})
+    dispatcher.log.flush()
+    return int(dispatcher.scheduler.failed)
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -13,7 +13,9 @@
 
 
 @contextmanager
-def heed_signals(net: CommandDispatcher, reread: ConfigurationReload) -> Iterator[None]:
+def handle_signals(
+    dispatcher: CommandDispatcher, configuration_reload: ConfigurationReload
+) -> Iterator[None]:
     """While in here. A signal ends no poll by itself, so it comes as a byte on a socket that is polled."""
     woken, waking = socket.socketpair()
     woken.setblocking(False)
@@ -21,19 +23,19 @@
 
     def task() -> None:
         while True:
-            net.loop.wait(woken.fileno(), READ)
+            dispatcher.scheduler.wait(woken.fileno(), READ)
             heard = woken.recv(64)  # a byte for each signal, its number
             if signal.SIGHUP in heard:
-                reread.now(net)
+                configuration_reload.reload(dispatcher)
             if signal.SIGTERM in heard or signal.SIGINT in heard:
-                net.dispatch(net.state_machine.on_stop_requested(net.now()))
-                if net.gossip is not None:
-                    net.gossip.tell("leave")
+                dispatcher.dispatch(dispatcher.state_machine.on_stop_requested(dispatcher.now()))
+                if dispatcher.membership is not None:
+                    dispatcher.membership.tell("leave")
 
     signal.set_wakeup_fd(waking.fileno(), warn_on_full_buffer=False)
     for name in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(name, lambda *_: None)
-    net.loop.spawn(task, vital=True)
+    dispatcher.scheduler.spawn(task, vital=True)
     try:
         yield
     finally:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -10,11 +10,16 @@
 from cressrail.buffers.pool import BufferPoolExhaustedError, Inlet, Pool
 from cressrail.event_loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
 
-PARTS = 64  # of a write
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # own lack, nobody else's fault
+MAX_BUFFERS_PER_WRITE = 64  # of a write
+DESCRIPTORS_EXHAUSTED = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # own lack, nobody else's fault
 
 
-class Rest(Enum):
+class IdleState(Enum):
     QUIET = "quiet"  # open, with nothing to read: fit to carry another request
     RESET = "reset"  # by a process that died
     OVER = "over"  # ended, or with bytes that nobody asked for
@@ -29,27 +34,27 @@
 
 
 class SocketStream:
-    def __init__(self, loop: Scheduler, pool: Pool, sock: socket.socket) -> None:
-        self.loop = loop
+    def __init__(self, scheduler: Scheduler, pool: Pool, sock: socket.socket) -> None:
+        self.scheduler = scheduler
         self.sock = sock
         self.fd = sock.fileno()
-        self.inlet = Inlet(pool)
-        self.arrived_us = loop.arrived_us  # of what was read last
+        self.input_buffer = Inlet(pool)
+        self.arrived_us = scheduler.arrived_us  # of what was read last
         self._accepted_with = True  # its first bytes may have come with the connection
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
     def connect(
-        cls, loop: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool
+        cls, scheduler: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool
     ) -> SocketStream:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
-            stream = cls(loop, pool, sock)
+            stream = cls(scheduler, pool, sock)
             code = sock.connect_ex((host, port))
             if code == errno.EINPROGRESS:
-                stream.await_(WRITE, until_us, mail)
+                stream.wait(WRITE, until_us, mail)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
@@ -58,8 +63,8 @@
             sock.close()
             raise
 
-    def await_(self, mask: int, until_us: int = NEVER, mail: bool = False, rest: bool = False) -> int:
-        why = self.loop.wait(self.fd, mask, until_us, mail, rest)
+    def wait(self, mask: int, until_us: int = NEVER, mail: bool = False, rest: bool = False) -> int:
+        why = self.scheduler.wait(self.fd, mask, until_us, mail, rest)
         if why == TIMED_OUT:
             raise StreamTimeoutError
         if why == MAIL:
@@ -69,13 +74,13 @@
     def send(self, parts: list[memoryview], until_us: int = NEVER, mail: bool = False) -> None:
         parts = [part for part in parts if part]
         while parts:
-            if not self.some(parts):
-                self.await_(WRITE, until_us, mail)
+            if not self.send_some(parts):
+                self.wait(WRITE, until_us, mail)
 
-    def some(self, parts: list[memoryview]) -> bool:
+    def send_some(self, parts: list[memoryview]) -> bool:
         """Writes what goes without waiting, and takes it out; false if nothing did."""
         try:
-            n = self.sock.sendmsg(parts[:PARTS])
+            n = self.sock.sendmsg(parts[:MAX_BUFFERS_PER_WRITE])
         except BlockingIOError:
             return False
         while parts and n >= len(parts[0]):
@@ -87,43 +92,43 @@
     def read(self) -> int:
         """How many bytes more there are to use: 0 at the end, -1 if none have come yet."""
         try:
-            n = self.sock.recv_into(self.inlet.room())
+            n = self.sock.recv_into(self.input_buffer.room())
         except BlockingIOError:
             self._accepted_with = False
-            if not self.inlet.unread():
-                self.inlet.give_back()
+            if not self.input_buffer.unread():
+                self.input_buffer.give_back()
             return -1
         if not self._accepted_with:
-            self.arrived_us = self.loop.arrived_us
+            self.arrived_us = self.scheduler.arrived_us
         self._accepted_with = False  # guards against later requests timed from the connection's start
-        self.inlet.came(n)
+        self.input_buffer.came(n)
         return n
 
-    def at_rest(self) -> Rest:
+    def idle_state(self) -> IdleState:
         """How a connection fares on which nothing is out."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            return Rest.QUIET
+            return IdleState.QUIET
         except ConnectionResetError:
-            return Rest.RESET
+            return IdleState.RESET
         except OSError:
-            return Rest.OVER
-        return Rest.OVER
+            return IdleState.OVER
+        return IdleState.OVER
 
     def linger(self, until_us: int) -> None:
         """Until the other side has seen the end and closed as well, for so long at most; what it still sends
         is dropped. Guards against a close with bytes unread, which would reset the answer that is on its
         way, and against a request that crosses the close being taken for one that is answered."""
-        self.inlet.give_back()
+        self.input_buffer.give_back()
         try:
             self.sock.shutdown(socket.SHUT_WR)
             while self.read() != 0:
-                self.inlet.give_back()
-                self.await_(READ, until_us)
+                self.input_buffer.give_back()
+                self.wait(READ, until_us)
         except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
 
     def close(self) -> None:
-        self.inlet.give_back()
+        self.input_buffer.give_back()
         self.sock.close()
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -5,19 +5,19 @@
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.proxy.commands import SetTimer
 
-LATEST_US = 1_000_000  # unless the reducer says otherwise
+MAX_WAIT_US = 1_000_000  # unless the reducer says otherwise
 
 
-def wake_task(net: CommandDispatcher) -> None:
-    task = net.loop.current
+def timer_task(dispatcher: CommandDispatcher) -> None:
+    task = dispatcher.scheduler.current
     assert task is not None
-    due_us = net.state_machine.wake_us
+    due_us = dispatcher.state_machine.wake_us
     while True:
-        net.loop.wait(until_us=due_us)
+        dispatcher.scheduler.wait(until_us=due_us)
         while task.mail:
             message = task.mail.popleft()
             assert isinstance(message, SetTimer)
             due_us = message.at_us
-        if net.now() >= due_us:
-            due_us = net.now() + LATEST_US
-            net.dispatch(net.state_machine.on_timer(net.now()))
+        if dispatcher.now() >= due_us:
+            due_us = dispatcher.now() + MAX_WAIT_US
+            dispatcher.dispatch(dispatcher.state_machine.on_timer(dispatcher.now()))
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -78,28 +78,28 @@
 
 def answers_twice() -> None:
     """Rule 1: something is sent after the final answer."""
-    write = ClientConnectionTask._write
+    write = ClientConnectionTask._send_response
 
     def twice(self: ClientConnectionTask, message: SendResponse) -> None:
         write(self, message)
         if self.number % 3 == 0:
-            self.stream.send([memoryview(Response(503).head(True))], self.net.now() + 100_000)
+            self.stream.send([memoryview(Response(503).head(True))], self.dispatcher.now() + 100_000)
 
-    ClientConnectionTask._write = twice  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = twice  # type: ignore[method-assign]
 
 
 def swallows() -> None:
     """Rule 1: some that were taken get no answer."""
-    write = ClientConnectionTask._write
+    write = ClientConnectionTask._send_response
 
     def eats(self: ClientConnectionTask, message: SendResponse) -> None:
-        if message.response.body is None or self.net.state_machine.numbers % 7:
+        if message.response.body is None or self.dispatcher.state_machine.numbers % 7:
             write(self, message)
             return
         message.response.body.give_back()
         raise OSError("swallowed on purpose")
 
-    ClientConnectionTask._write = eats  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = eats  # type: ignore[method-assign]
 
 
 def repeats() -> None:
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -168,8 +168,8 @@
         elder.join()
     assert found is not None
     found.sock.close()
-    found.listening.close()
+    found.listening_socket.close()
     [(kind, told)] = read_back(heard[0])
     assert (kind, list(told)) == ("hello", list(orjson.loads(case("hello")[2])))
     assert told["listen"] == list(listen)
-    assert listed(found.known.entries, 41) == orjson.loads(case("here")[2])["list"]
+    assert listed(found.endpoint_list.entries, 41) == orjson.loads(case("here")[2])["list"]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -236,7 +236,7 @@
         start.listen = ("127.0.0.1", 0)
         self.fd = os.open("/dev/null", os.O_WRONLY) if log is None else log
         self.net, self.door = assemble(start, self.fd)
-        self.loop, self.reducer = self.net.loop, self.net.state_machine
+        self.loop, self.reducer = self.net.scheduler, self.net.state_machine
         self.faults: list[str] = []
         self.loop.on_fault = self.faults.append
         self.at = self.door.sock.getsockname()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -108,7 +108,7 @@
         leaving = socket.create_connection(play.at)
         leaving.sendall(b"".join(ask() for _ in range(many)))
         leaving.close()
-        peer.until(lambda: play.door.numbers == 2 and len(play.net.clients) == 1)
+        peer.until(lambda: play.door.accepted_clients == 2 and len(play.net.clients) == 1)
         peer.sleep(20_000)
 
     play.client(client)
@@ -578,7 +578,7 @@
         waiting = [socket.create_connection(play.at) for _ in range(2)]
         for sock in waiting:
             sock.sendall(ask())
-        play.loop.post(play.net.listener, do.AcceptClients(False, closed=True))  # type: ignore[arg-type]
+        play.loop.post(play.net.listener_task, do.AcceptClients(False, closed=True))  # type: ignore[arg-type]
         heard.extend(status(Peer(play.loop, sock)) for sock in waiting)
         for sock in waiting:
             sock.close()
@@ -835,7 +835,11 @@
     play = Play([Seen()])
     told: dict[str, set[type]] = {}
     post = play.loop.post
-    names = {id(play.net.watch): "watch", id(play.net.listener): "listener", id(play.net.waker): "waker"}
+    names = {
+        id(play.net.watch_task): "watch",
+        id(play.net.listener_task): "listener",
+        id(play.net.timer_task): "waker",
+    }
 
     def posting(task: Any, message: Any) -> None:
         told.setdefault(names.get(id(task), "other"), set()).add(type(message))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 from cressrail.discovery.endpoint_list import read
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HEAD, MARK, VERSION, Frames, HandoverError, wrap
-from cressrail.network.handover_client import MOST_PATH, find_predecessor, rendezvous_path
+from cressrail.network.handover_client import MAX_PATH_BYTES, find_predecessor, rendezvous_path
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
@@ -211,7 +211,7 @@
     assert not front.all(do.AcceptClients)
 
 
-@pytest.mark.parametrize("tmp", [None, "", "/x" * MOST_PATH])
+@pytest.mark.parametrize("tmp", [None, "", "/x" * MAX_PATH_BYTES])
 def test_without_a_place_to_meet_there_is_none(tmp: str | None) -> None:
     assert rendezvous_path(("127.0.0.1", 1), tmp) is None
 
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -198,7 +198,7 @@
         said = capsys.readouterr().err
         assert said.startswith(f"cressrail: {path}: settings.{says}") and said.count("\n") == 1
     reread, net = ConfigurationReload(str(path), before), Heard()
-    reread.now(net)  # type: ignore[arg-type]
+    reread.reload(net)  # type: ignore[arg-type]
     assert net.said == ["config_kept"] and reread.start is before
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -186,13 +186,13 @@
 def test_an_endpoint_is_not_blamed_for_a_hop_whose_time_was_over(monkeypatch: pytest.MonkeyPatch) -> None:
     play = Play([serving(reply())])
 
-    prepare = EndpointConnectionTask._prepare
+    prepare = EndpointConnectionTask._open
 
     def late(task: EndpointConnectionTask, job: SendAttempt) -> None:
         prepare(task, job)
         monkeypatch.setattr(play.net, "now", lambda: play.loop.now() + 10 * FRESH_US)
 
-    monkeypatch.setattr(EndpointConnectionTask, "_prepare", late)
+    monkeypatch.setattr(EndpointConnectionTask, "_open", late)
     assert asked(play, ask("write")) == [b"503 "]
     assert play.reducer.load_balancer.endpoints[0].success_rate == 1.0
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -401,7 +401,7 @@
 def test_a_large_request_that_halts_or_turns_to_junk_is_told(
     tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client, "PACE_US", 100_000)
+    monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 100_000)
     seen: list[tuple[bytes, bytes]] = []
     play = Play([hung_up_on(taking(seen, reply(b"hello")))])
     heard: list[bytes] = []
@@ -474,8 +474,8 @@
 def test_a_lull_is_made_good_by_a_faster_pace_before_and_a_slow_request_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client, "PACE_US", 400_000)
-    monkeypatch.setattr(client, "PACE_BYTES_PER_S", 100_000)
+    monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 400_000)
+    monkeypatch.setattr(client, "MIN_UPLOAD_BYTES_PER_S", 100_000)
     seen: list[tuple[bytes, bytes]] = []
     play = Play([hung_up_on(taking(seen, reply(b"hello")))])
     heard: dict[int, bytes] = {}
@@ -499,7 +499,7 @@
 
 
 def test_an_answer_that_is_long_in_coming_is_no_request_that_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client, "PACE_US", 50_000)
+    monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 50_000)
     heard: list[tuple[bytes, bytes]] = []
 
     def endpoint(peer: Peer) -> None:
