--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -11,7 +11,7 @@
 
 from cressrail.cli.output import address, fail
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_start
+from cressrail.configuration.startup import read_startup_configuration
 
 if TYPE_CHECKING:
     from rich.table import (
@@ -28,7 +28,7 @@
     except ValueError:
         pass
     try:
-        start = read_start(of)
+        start = read_startup_configuration(of)
     except ConfigurationError as fault:
         fail(str(fault))
     if start.admin is None:
--- a/cressrail/cli/launch.py
+++ b/cressrail/cli/launch.py
@@ -6,8 +6,8 @@
 
 from cressrail.configuration import deployment_type as shape
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import ConfigurationError, under
-from cressrail.configuration.startup import read_start
+from cressrail.configuration.settings_reader import ConfigurationError, error_prefix
+from cressrail.configuration.startup import read_startup_configuration
 
 
 def launch(config: str) -> int:
@@ -15,8 +15,8 @@
     from cressrail.network.server import assemble, run
 
     try:
-        start = read_start(config)
-        with under(f"{config}: settings."):
+        start = read_startup_configuration(config)
+        with error_prefix(f"{config}: settings."):
             net, _ = assemble(start)
         return run(net, ConfigurationReload(config, start))
     except ConfigurationError as fault:
@@ -29,19 +29,19 @@
 
 def look(config: str) -> int:
     try:
-        start = read_start(config)
-        with under(f"{config}: settings."):
-            profiles, members = parts.tried(start.settings, start.seed)
+        start = read_startup_configuration(config)
+        with error_prefix(f"{config}: settings."):
+            profiles, members = parts.check_policy_settings(start.settings, start.seed)
     except ConfigurationError as fault:
         print(f"cressrail: {fault}", file=sys.stderr)
         return 2
     print(
         f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, {len(profiles)} profiles, "
-        f"{len(members)} members, {len(start.known.entries)} endpoints known, {start.deployment_type}"
+        f"{len(members)} members, {len(start.known_endpoints.entries)} endpoints known, {start.deployment_type}"
     )
     if start.deployment_type == shape.MESH:
         print(
             f"{config}: a connection carries one transaction at a time here, of the "
-            f"{start.settings.word('limits.multiplex')} that limits.multiplex allows"
+            f"{start.settings.text('limits.multiplex')} that limits.multiplex allows"
         )
     return 0
--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -13,7 +13,7 @@
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 
 CHAIN, MESH = "chain", "mesh"
-MOST_STREAMS = 1 << 20
+MAX_STREAMS = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,43 +21,43 @@
     """What the words of a shape imply: the bounds of whole numbers, by path."""
 
     name: str
-    within: dict[str, tuple[int, int]]
-    needed: tuple[str, ...] = ()
+    allowed_ranges: dict[str, tuple[int, int]]
+    required_paths: tuple[str, ...] = ()
 
 
-SHAPES = {
+DEPLOYMENT_TYPES = {
     CHAIN: DeploymentType(CHAIN, {"limits.multiplex": (1, 1)}),
     MESH: DeploymentType(
-        MESH, {"limits.multiplex": (2, MOST_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)
+        MESH, {"limits.multiplex": (2, MAX_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)
     ),
 }
-PERMITS = tuple(
+PERMISSION_PATHS = tuple(
     f"limits.{name}" for name in ("probes", "peers", "may_cancel", "parallel_tries", "retry_after")
 )
 
 
 def is_per_client(told: SettingsReader) -> bool:
     """Whether each client process has a sidecar of its own; of any mixture, as the adapter needs it."""
-    return told.pairs.get("domain_type", CHAIN) == MESH
+    return told.values.get("domain_type", CHAIN) == MESH
 
 
-def checked(told: SettingsReader) -> DeploymentType:
+def read_deployment_type(told: SettingsReader) -> DeploymentType:
     """Raises `Unfit` that names the first key which belongs to the other shape."""
-    name = told.pairs.get("domain_type", CHAIN)
-    if name not in SHAPES:
-        raise ConfigurationError(f"domain_type is none of {', '.join(SHAPES)}: {name[:40]}")
-    shape = SHAPES[name]
-    for path in shape.needed:
-        if path not in told.pairs:
+    name = told.values.get("domain_type", CHAIN)
+    if name not in DEPLOYMENT_TYPES:
+        raise ConfigurationError(f"domain_type is none of {', '.join(DEPLOYMENT_TYPES)}: {name[:40]}")
+    shape = DEPLOYMENT_TYPES[name]
+    for path in shape.required_paths:
+        if path not in told.values:
             raise ConfigurationError(f"{path} is missing, which domain_type {name} needs")
     if name == MESH and len(told.names("tiers")) != 1:
         raise ConfigurationError(
-            f"tiers does not go with domain_type {name}, which has one: {told.word('tiers')[:40]}"
+            f"tiers does not go with domain_type {name}, which has one: {told.text('tiers')[:40]}"
         )
-    for path, (least, most) in shape.within.items():
-        if path in told.pairs and not least <= (value := told.whole(path, 0)) <= most:
+    for path, (least, most) in shape.allowed_ranges.items():
+        if path in told.values and not least <= (value := told.whole_number(path, 0)) <= most:
             raise ConfigurationError(f"{path} does not go with domain_type {name}: {value}")
-    for path in PERMITS:
-        if path in told.pairs:
-            told.yes(path)
+    for path in PERMISSION_PATHS:
+        if path in told.values:
+            told.flag(path)
     return shape
--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -5,24 +5,24 @@
 import os
 from typing import Any
 
-from cressrail.configuration.files import part_of_file
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
+from cressrail.configuration.files import read_section_file
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
 from cressrail.failover.messages import MOST_ZONES, Settings, ZoneTopology
 
 KNOWN = ("regions", "way_ms")
 
 
-def read_part(told: Any, config: str, settings: SettingsReader, bear_us: int) -> Settings:
+def read_failover_section(told: Any, config: str, settings: SettingsReader, bear_us: int) -> Settings:
     """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `settings`
     the sidecar's. Raises `Unfit`."""
     if isinstance(told, str):
         path = os.path.join(os.path.dirname(config), told)
-        part = part_of_file(path)
-        with under(f"{path}: "):
+        part = read_section_file(path)
+        with error_prefix(f"{path}: "):
             return _part(part, settings, bear_us)
     if not isinstance(told, dict):
         raise ConfigurationError(f"{config}: failover is neither a part nor the path of one")
-    with under(f"{config}: failover."):
+    with error_prefix(f"{config}: failover."):
         return _part(told, settings, bear_us)
 
 
@@ -49,12 +49,12 @@
     missing = [name for name in zones if name not in of]
     if missing:
         raise ConfigurationError(f"regions: {missing[0][:40]} is in none")
-    way = SettingsReader.nested({"way_ms": part.get("way_ms", 0)}).whole("way_ms", 0)
+    way = SettingsReader.from_nested({"way_ms": part.get("way_ms", 0)}).whole_number("way_ms", 0)
     map_ = ZoneTopology(tuple(zones), tuple(of[name] for name in zones), way * 1000)
     return Settings(
         map_,
-        zones.index(settings.word("zone")),
-        settings.real("contract.cold_from", 0, 1),
-        settings.whole("contract.warm_within_us", 1),
+        zones.index(settings.text("zone")),
+        settings.number("contract.cold_from", 0, 1),
+        settings.whole_number("contract.warm_within_us", 1),
         bear_us,
     )
--- a/cressrail/configuration/files.py
+++ b/cressrail/configuration/files.py
@@ -10,7 +10,7 @@
 from cressrail.configuration.settings_reader import ConfigurationError
 
 
-def part_of_file(path: str) -> dict[str, Any]:
+def read_section_file(path: str) -> dict[str, Any]:
     """TOML, or JSON by its name. Raises `Unfit`."""
     try:
         with open(path, "rb") as file:
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrail.configuration.files import part_of_file
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
+from cressrail.configuration.files import read_section_file
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
 from cressrail.membership.messages import (
     LEAST_BYTES,
     LONGEST_NAME,
@@ -31,40 +31,42 @@
     failover: Any = None  # settings of what is decided on zones in common, if anything
 
 
-def read_part(told: Any, config: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
+def read_membership_section(
+    told: Any, config: str, name: str, zone: str, copies: int
+) -> MembershipConfiguration:
     """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `copies`
     the settings' figure. Raises `Unfit`."""
     if isinstance(told, str):
         path = os.path.join(os.path.dirname(config), told)
-        part = part_of_file(path)
-        with under(f"{path}: "):
+        part = read_section_file(path)
+        with error_prefix(f"{path}: "):
             return _part(part, os.path.dirname(path), name, zone, copies)
     if not isinstance(told, dict):
         raise ConfigurationError(f"{config}: membership is neither a part nor the path of one")
-    with under(f"{config}: membership."):
+    with error_prefix(f"{config}: membership."):
         return _part(told, os.path.dirname(config), name, zone, copies)
 
 
 def _part(part: dict[str, Any], folder: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
-    told = SettingsReader.nested(part)
+    told = SettingsReader.from_nested(part)
     for key in part:
         if key not in KNOWN:
             raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN)}")
-    listen = _address("listen", told.word("listen"))
-    advertise = _address("advertise", told.pairs["advertise"]) if "advertise" in told.pairs else listen
+    listen = _address("listen", told.text("listen"))
+    advertise = _address("advertise", told.values["advertise"]) if "advertise" in told.values else listen
     if ipaddress.ip_address(advertise[0]).is_unspecified:
         raise ConfigurationError(
-            f"{'advertise' if 'advertise' in told.pairs else 'listen'} is no address to send to: "
+            f"{'advertise' if 'advertise' in told.values else 'listen'} is no address to send to: "
             f"{advertise[0]}"
         )
-    zone = told.pairs.get("zone", zone)
+    zone = told.values.get("zone", zone)
     for path, text, longest in (("zone", zone, LONGEST_ZONE), ("name", name, LONGEST_NAME)):
         if not text or len(text.encode()) > longest:
             raise ConfigurationError(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
-    most = told.whole("most_bytes", LEAST_BYTES, absent=MOST_BYTES)
+    most = told.whole_number("most_bytes", LEAST_BYTES, absent=MOST_BYTES)
     if most > MOST_BYTES:
         raise ConfigurationError(f"most_bytes is above {MOST_BYTES}: {most}")
-    bear = told.whole("bear_pause_ms", 300, absent=3000)
+    bear = told.whole_number("bear_pause_ms", 300, absent=3000)
     if bear > 600_000:
         raise ConfigurationError(f"bear_pause_ms is above 600000: {bear}")
     seeds = tuple(_address(f"seeds.{n}", seed) for n, seed in enumerate(_list(part, "seeds")))
@@ -72,7 +74,7 @@
     for n, word in enumerate(use):
         if word not in USES:
             raise ConfigurationError(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
-    keys = _keys(os.path.join(folder, told.word("keys")))
+    keys = _keys(os.path.join(folder, told.text("keys")))
     return MembershipConfiguration(
         listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use))
     )
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -10,7 +10,7 @@
 import orjson
 
 from cressrail.configuration import deployment_type as shape
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
 
 if TYPE_CHECKING:
@@ -22,19 +22,19 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    filed: str  # discovery as the file words it; the environment may stand above it
+    discovery_in_file: str  # discovery as the file words it; the environment may stand above it
     seed: int
-    memory_mb: float
-    sockets: int
-    known: EndpointListUpdate
+    memory_limit_mb: float
+    max_sockets: int
+    known_endpoints: EndpointListUpdate
     settings: SettingsReader
-    environment: SettingsReader  # what stands beside the settings
+    process_settings: SettingsReader  # what stands beside the settings
     deployment_type: str
     admin: tuple[str, int] | None = None  # where operators call, if anywhere
     membership: MembershipConfiguration | None = None  # the talk between copies, if any
 
 
-def read_start(path: str, env: Mapping[str, str] = os.environ) -> StartupConfiguration:
+def read_startup_configuration(path: str, env: Mapping[str, str] = os.environ) -> StartupConfiguration:
     """Raises `Unfit` with one line that names the path of what is wrong."""
     try:
         with open(path, "rb") as file:
@@ -45,17 +45,19 @@
         raise ConfigurationError(f"{path}: not JSON: {fault}") from None
     if not isinstance(config, dict):
         raise ConfigurationError(f"{path}: no JSON object")
-    with under(f"{path}: "):
-        start = read_config(config, env)
+    with error_prefix(f"{path}: "):
+        start = parse_configuration(config, env)
     if config.get("membership") is not None:
-        from cressrail.configuration.membership import read_part  # nothing of it is loaded where it is off
+        from cressrail.configuration.membership import (
+            read_membership_section,
+        )  # nothing of it is loaded where it is off
 
-        start.membership = read_part(
+        start.membership = read_membership_section(
             config["membership"],
             path,
             start.name,
-            start.settings.word("zone"),
-            start.settings.whole("n_instances", 1),
+            start.settings.text("zone"),
+            start.settings.whole_number("n_instances", 1),
         )
     if config.get("failover") is not None:
         if start.membership is None:
@@ -66,38 +68,38 @@
         start.membership = replace(
             start.membership,
             settings=replace(start.membership.settings, words=True),
-            failover=failover.read_part(config["failover"], path, start.settings, bear_us),
+            failover=failover.read_failover_section(config["failover"], path, start.settings, bear_us),
         )
     return start
 
 
-def read_again(
+def reread_startup_configuration(
     path: str, before: StartupConfiguration, env: Mapping[str, str] = os.environ
 ) -> StartupConfiguration:
     """The same file later on. An address of discovery that it has changed is newer than the environment."""
-    start = read_start(path, env)
-    if start.filed in ("", before.filed):
-        start.discovery, start.filed = before.discovery, before.filed
+    start = read_startup_configuration(path, env)
+    if start.discovery_in_file in ("", before.discovery_in_file):
+        start.discovery, start.discovery_in_file = before.discovery, before.discovery_in_file
     else:
-        with under(f"{path}: "):
-            start.discovery = _address("discovery", start.filed)
+        with error_prefix(f"{path}: "):
+            start.discovery = _address("discovery", start.discovery_in_file)
     return start
 
 
-def differing(before: StartupConfiguration, after: StartupConfiguration) -> list[str]:
+def paths_needing_restart(before: StartupConfiguration, after: StartupConfiguration) -> list[str]:
     """Paths of what takes a new start to be followed."""
     found = []
     for at, a, b in (
-        ("", before.environment, after.environment),
+        ("", before.process_settings, after.process_settings),
         ("settings.", before.settings, after.settings),
     ):
-        paths = {**a.pairs, **b.pairs}
-        found += [at + path for path in paths if a.pairs.get(path) != b.pairs.get(path)]
+        paths = {**a.values, **b.values}
+        found += [at + path for path in paths if a.values.get(path) != b.values.get(path)]
     return [path for path in found if path not in ("seed", "discovery")]
 
 
-def read_config(config: dict[str, Any], env: Mapping[str, str]) -> StartupConfiguration:
-    told = SettingsReader.nested(
+def parse_configuration(config: dict[str, Any], env: Mapping[str, str]) -> StartupConfiguration:
+    told = SettingsReader.from_nested(
         {key: value for key, value in config.items() if key not in ("settings", "known")}
     )
     settings = config.get("settings")
@@ -107,30 +109,30 @@
         known = read(config["known"]) if config.get("known") is not None else EndpointListUpdate(0, True)
     except MalformedEndpointListError as fault:
         raise ConfigurationError(f"known: {fault}") from None
-    unfolded = SettingsReader.nested(settings)
-    with under("settings."):
-        formed = shape.checked(unfolded)
-    seed = told.word("seed")
+    unfolded = SettingsReader.from_nested(settings)
+    with error_prefix("settings."):
+        formed = shape.read_deployment_type(unfolded)
+    seed = told.text("seed")
     try:
         number = int(seed, 16)
     except ValueError:
         raise ConfigurationError(f"seed is no hexadecimal number: {seed[:40]}") from None
-    listen = _address("listen", env.get("BALANCER_LISTEN") or told.word("listen"))
-    ops = env.get("BALANCER_OPS") or told.pairs.get("ops")
+    listen = _address("listen", env.get("BALANCER_LISTEN") or told.text("listen"))
+    ops = env.get("BALANCER_OPS") or told.values.get("ops")
     if ops is not None and _address("ops", ops) == listen:
         raise ConfigurationError(f"ops is the same as listen: {ops[:60]}")
     return StartupConfiguration(
-        name=env.get("BALANCER_NAME") or told.word("name"),
+        name=env.get("BALANCER_NAME") or told.text("name"),
         listen=listen,
         admin=None if ops is None else _address("ops", ops),
-        discovery=_address("discovery", env.get("BALANCER_DISCOVERY") or told.word("discovery")),
+        discovery=_address("discovery", env.get("BALANCER_DISCOVERY") or told.text("discovery")),
         seed=number,
-        memory_mb=told.real("limits.memory_mb", 32, 1e9),
-        sockets=told.whole("limits.sockets", 32),
-        known=known,
+        memory_limit_mb=told.number("limits.memory_mb", 32, 1e9),
+        max_sockets=told.whole_number("limits.sockets", 32),
+        known_endpoints=known,
         settings=unfolded,
-        environment=told,
-        filed=told.pairs.get("discovery", ""),
+        process_settings=told,
+        discovery_in_file=told.values.get("discovery", ""),
         deployment_type=formed.name,
     )
 
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -3,8 +3,12 @@
 from __future__ import annotations
 
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import ConfigurationError, under
-from cressrail.configuration.startup import StartupConfiguration, differing, read_again
+from cressrail.configuration.settings_reader import ConfigurationError, error_prefix
+from cressrail.configuration.startup import (
+    StartupConfiguration,
+    paths_needing_restart,
+    reread_startup_configuration,
+)
 from cressrail.network.dispatcher import CommandDispatcher
 
 NAMED = 8  # of the paths that a new start would follow
@@ -19,13 +23,13 @@
 
     def now(self, net: CommandDispatcher) -> None:
         try:
-            start = read_again(self.path, self.start)
-            with under(f"{self.path}: settings."):
-                parts.tried(start.settings, start.seed)
+            start = reread_startup_configuration(self.path, self.start)
+            with error_prefix(f"{self.path}: settings."):
+                parts.check_policy_settings(start.settings, start.seed)
         except ConfigurationError as fault:
             net.log.write_event("config_kept", {"why": str(fault)})
             return
-        waiting = differing(self.start, start)
+        waiting = paths_needing_restart(self.start, start)
         net.log.write_event(
             "config",
             {
@@ -35,7 +39,7 @@
             },
         )
         # What takes a new start stays named at each reading until there was one.
-        self.start.discovery, self.start.filed = start.discovery, start.filed
+        self.start.discovery, self.start.discovery_in_file = start.discovery, start.discovery_in_file
         if net.gossip is not None and start.membership is not None:
             net.gossip.rekey(start.membership)
         net.dispatch(net.state_machine.on_discovery_address(net.now(), start.discovery))
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -53,13 +53,13 @@
     log = LogWriter(log_fd, clock.now, start.name)
     loop = Scheduler(clock.now, lambda text: log.write_event("fault", {"trace": text}))
     loop.after_round = log.flush
-    profiles = parts.request_classes(start.settings)
-    members = parts.tenants(start.settings)
+    profiles = parts.read_request_classes(start.settings)
+    members = parts.read_tenant_quotas(start.settings)
     roster = EndpointRegistry(start.settings.names("dcs"))
     now = clock.now()
     aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
-    rooms = room(start.sockets, aside)
-    sidecar = parts.load_balancer(
+    rooms = room(start.max_sockets, aside)
+    sidecar = parts.build_load_balancer(
         start.settings,
         start.seed,
         now,
@@ -77,10 +77,10 @@
         now,
         longest_us := max(p.deadline_us for p in profiles.values()),
         start.discovery,
-        start.settings.whole("contract.stop_sending_within_us", 0, absent=0),
+        start.settings.whole_number("contract.stop_sending_within_us", 0, absent=0),
     )
-    pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
-    connect_us, idle_us = parts.waits(start.settings)
+    pool = Pool(int(start.memory_limit_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
+    connect_us, idle_us = parts.read_connection_timeouts(start.settings)
     net = CommandDispatcher(
         loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us
     )
@@ -111,8 +111,8 @@
             "ops": ":".join(map(str, start.admin)) if start.admin else None,
             "discovery": ":".join(map(str, start.discovery)),
             "shape": start.deployment_type,
-            "stage": start.settings.whole("stage", 0),
-            "known": len(start.known.entries),
+            "stage": start.settings.whole_number("stage", 0),
+            "known": len(start.known_endpoints.entries),
             "clients": reducer.limits.clients,
             "links": reducer.limits.endpoint_connections,
         },
@@ -120,7 +120,7 @@
     if path:
         successor = HandoverServerTask(net, path, door.sock, start.listen)
         net.relay = loop.spawn(lambda: _relay(net, elder, successor), first=True)
-    net.dispatch(reducer.start(now, elder.known if elder else start.known, elder is not None))
+    net.dispatch(reducer.start(now, elder.known if elder else start.known_endpoints, elder is not None))
     return net, door
 
 
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -24,11 +24,11 @@
 
     def __init__(self, name: str, seed: int, now: int, told: SettingsReader) -> None:
         self.name = name
-        self.profiles = parts.request_classes(told)
-        members = parts.tenants(told)
+        self.profiles = parts.read_request_classes(told)
+        members = parts.read_tenant_quotas(told)
         self.members = {member: n for n, member in enumerate(members)}
         self.zones = {zone: n for n, zone in enumerate(told.names("dcs"))}
-        self.sidecar = parts.load_balancer(told, seed, now, list(self.zones), list(members.values()))
+        self.sidecar = parts.build_load_balancer(told, seed, now, list(self.zones), list(members.values()))
         self.addresses: list[str] = []
         self.indices: dict[str, int] = {}
         self.txs: dict[str, brain.RoutedRequest] = {}
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -35,8 +35,8 @@
 
 
 def sidecar(shape: str, now: int) -> LoadBalancer:
-    told = SettingsReader.nested(CONFIGS[shape]["settings"])
-    side = parts.load_balancer(told, 5, 0, ["a", "b"], list(parts.tenants(told).values()))
+    told = SettingsReader.from_nested(CONFIGS[shape]["settings"])
+    side = parts.build_load_balancer(told, 5, 0, ["a", "b"], list(parts.read_tenant_quotas(told).values()))
     side.update_endpoints(now, fleet(), True)
     return side
 
@@ -44,7 +44,9 @@
 def work(side: LoadBalancer, shape: str, since: int, until: int) -> None:
     """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
     random = Random(since)
-    profiles = list(parts.request_classes(SettingsReader.nested(CONFIGS[shape]["settings"])).values())
+    profiles = list(
+        parts.read_request_classes(SettingsReader.from_nested(CONFIGS[shape]["settings"])).values()
+    )
     endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
         tx = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,7 @@
 from itertools import count
 from typing import Any
 
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.event_loop.scheduler import READ, WRITE, Scheduler
 from cressrail.network import listener
 from cressrail.network.server import assemble
@@ -232,7 +232,7 @@
         config["discovery"] = f"127.0.0.1:{self.ports[-1]}"
         config["known"]["members"] = [member(f"s{n}", port) for n, port in enumerate(self.ports[:-1][:known])]
         self.list = json.dumps(config["known"]).encode()
-        start = read_config(config, {})
+        start = parse_configuration(config, {})
         start.listen = ("127.0.0.1", 0)
         self.fd = os.open("/dev/null", os.O_WRONLY) if log is None else log
         self.net, self.door = assemble(start, self.fd)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -12,7 +12,7 @@
 from cressrail.buffers.pool import Pool
 from cressrail.configuration import policy_factory as parts
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import read, read_line
 from cressrail.handover import state as estate
 from cressrail.handover.frame import Frames, wrap
@@ -133,13 +133,13 @@
     config = copy.deepcopy(CONFIG)
     config["known"] = listed(0, 1024)
     config["settings"]["n_instances"] = copies
-    start = read_config(config, {})
+    start = parse_configuration(config, {})
     if wrong:
         with pytest.raises(ConfigurationError, match=wrong):
-            parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+            parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
-    side = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert side.instances == copies and len(start.known.entries) == 1024
+    side = parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    assert side.instances == copies and len(start.known_endpoints.entries) == 1024
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
 from typer.testing import CliRunner
 
 from cressrail.cli.commands import app
-from cressrail.configuration.membership import read_part
+from cressrail.configuration.membership import read_membership_section
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.membership import codec
 from cressrail.membership.authentication import CODE, fresh, opened, seal
@@ -628,7 +628,7 @@
     (tmp_path / "own.json").write_bytes(orjson.dumps({**PART, "seeds": ["[::1]:7"]}))
     config = str(tmp_path / "config.json")
     parts = [
-        read_part(told, config, "n1", "a", 1)
+        read_membership_section(told, config, "n1", "a", 1)
         for told in ("own.toml", "own.json", {**PART, "seeds": ["[::1]:7"]})
     ]
     assert parts[0] == parts[1] == parts[2]
@@ -636,7 +636,7 @@
         bytes(32),
         b"\x11" * 32,
     )
-    used = read_part({**PART, "use": ["copies"]}, config, "n1", "a", 7)
+    used = read_membership_section({**PART, "use": ["copies"]}, config, "n1", "a", 7)
     assert parts[0].settings.use == () and used.settings.use == ("copies",) and used.settings.figure == 7
     assert parts[0].settings.seeds == (("::1", 7),) and parts[0].settings.zone == "a"
 
@@ -669,7 +669,7 @@
     for name, text in (("keys", key), ("odd", key + "xy\n"), ("many", key * 3), ("bad.toml", "=")):
         (tmp_path / name).write_text(text)
     with pytest.raises(ConfigurationError, match=why) as fault:
-        read_part(
+        read_membership_section(
             {**PART, **change} if isinstance(change, dict) else change, str(tmp_path / "c.json"), "n1", "a", 1
         )
     assert "\n" not in str(fault.value) and re.match(r"/.*\.(json|toml): ", str(fault.value))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.network import admin_server as ops
 from cressrail.network import listener
 from cressrail.policy.load_balancer import Outcome
@@ -170,8 +170,8 @@
     else:
         env["BALANCER_OPS"] = value
     with pytest.raises(ConfigurationError, match=f"^{re.escape(says)}$"):
-        read_config(config, env)
-    assert read_config(copy.deepcopy(CONFIG), {}).admin is None
+        parse_configuration(config, env)
+    assert parse_configuration(copy.deepcopy(CONFIG), {}).admin is None
 
 
 def test_an_address_for_operators_that_is_taken_ends_the_start(tmp_path: Path) -> None:
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -14,7 +14,7 @@
 from cressrail.configuration import deployment_type as shape
 from cressrail.configuration import policy_factory as parts
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
-from cressrail.configuration.startup import read_start
+from cressrail.configuration.startup import read_startup_configuration
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
 from cressrail.network.configuration_reload import ConfigurationReload
 from tests.helpers import CONFIG, member, mesh
@@ -40,12 +40,12 @@
 
 
 def test_nested_settings_read_as_pairs() -> None:
-    told = SettingsReader.nested(
+    told = SettingsReader.from_nested(
         {"a": {"b": 1, "on": True, "x": None}, "list": ["p, q", "r"], "deep": [{"n": 2.5}, {}]}
     )
-    assert told.whole("a.b", 0) == 1 and told.yes("a.on") and "a.x" not in told.pairs
-    assert told.names("list") == ["p, q", "r"] and told.real("deep.0.n", 0, 9) == 2.5
-    assert told.whole("deep.count", 0) == 2
+    assert told.whole_number("a.b", 0) == 1 and told.flag("a.on") and "a.x" not in told.values
+    assert told.names("list") == ["p, q", "r"] and told.number("deep.0.n", 0, 9) == 2.5
+    assert told.whole_number("deep.count", 0) == 2
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'])
@@ -53,7 +53,7 @@
     path = tmp_path / "config.json"
     path.write_text(text, encoding="latin-1")
     with pytest.raises(ConfigurationError, match=f"^{path}: (not JSON|no JSON object)"):
-        read_start(str(path), {})
+        read_startup_configuration(str(path), {})
 
 
 @pytest.mark.parametrize(
@@ -103,9 +103,9 @@
 def test_a_good_configuration_makes_the_parts(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
-    start = read_start(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
+    start = read_startup_configuration(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
-    assert {p.idempotency for p in parts.request_classes(start.settings).values()} == {
+    assert {p.idempotency for p in parts.read_request_classes(start.settings).values()} == {
         "idempotent",
         "journalled",
     }
@@ -190,7 +190,7 @@
     config = mesh() if of == "mesh" else copy.deepcopy(CONFIG)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
-    before = read_start(str(path), {})
+    before = read_startup_configuration(str(path), {})
     change(config["settings"], at, value)
     path.write_text(json.dumps(config))
     for command in (look, launch):
@@ -216,7 +216,7 @@
 )
 def test_the_shape_follows_from_the_settings_alone(told: dict[str, str], name: str, beside: bool) -> None:
     assert (
-        shape.checked(SettingsReader(told)).name == name
+        shape.read_deployment_type(SettingsReader(told)).name == name
         and shape.is_per_client(SettingsReader(told)) is beside
     )
 
@@ -236,8 +236,8 @@
 
 @pytest.mark.parametrize("told", [{"domain_type": "mesh"}, {"domain_type": "proxy", "limits.multiplex": "9"}])
 def test_the_adapter_takes_any_mixture(told: dict[str, str]) -> None:
-    settings = {**SettingsReader.nested(CONFIG["settings"]).pairs, **told}
-    assert parts.tried(SettingsReader(settings), 1)
+    settings = {**SettingsReader.from_nested(CONFIG["settings"]).values, **told}
+    assert parts.check_policy_settings(SettingsReader(settings), 1)
 
 
 def test_a_mesh_says_what_its_connections_carry(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -251,4 +251,4 @@
 @pytest.mark.parametrize("name, formed", [("config", "chain"), ("mesh", "mesh")])
 def test_the_examples_are_of_the_shape_they_say(name: str, formed: str) -> None:
     path = Path(__file__).parent.parent / "example" / f"{name}.json"
-    assert look(str(path)) == 0 and read_start(str(path), {}).deployment_type == formed
+    assert look(str(path)) == 0 and read_startup_configuration(str(path), {}).deployment_type == formed
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -10,7 +10,7 @@
 
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import EndpointListUpdate, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
@@ -38,11 +38,11 @@
         """`heard`: discovery has told the list that the configuration holds."""
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
-        start = read_config(config, {})
-        roster, members = EndpointRegistry(["a", "b"]), parts.tenants(start.settings)
+        start = parse_configuration(config, {})
+        roster, members = EndpointRegistry(["a", "b"]), parts.read_tenant_quotas(start.settings)
         self.reducer = StateMachine(
-            parts.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
-            parts.request_classes(start.settings),
+            parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            parts.read_request_classes(start.settings),
             dict.fromkeys(members, 0),
             roster,
             ConnectionLimits(clients, 2, links),
@@ -53,9 +53,9 @@
             grace_us,
         )
         self.pool = Pool(100)
-        self.told: list[Command] = self.reducer.start(0, start.known)
+        self.told: list[Command] = self.reducer.start(0, start.known_endpoints)
         if heard:
-            self.told += self.reducer.on_endpoint_list(0, start.known)
+            self.told += self.reducer.on_endpoint_list(0, start.known_endpoints)
 
     def all(self, kind: type) -> list[Any]:
         found = [effect for effect in self.told if isinstance(effect, kind)]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,9 +12,9 @@
 from typer.testing import CliRunner
 
 from cressrail.cli.commands import app
-from cressrail.configuration.failover import read_part
+from cressrail.configuration.failover import read_failover_section
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
-from cressrail.configuration.startup import read_start
+from cressrail.configuration.startup import read_startup_configuration
 from cressrail.experiment.play import play_world
 from cressrail.failover.host import Host
 from cressrail.failover.messages import Decision, Epoch, Settings, Zone, ZoneTopology
@@ -26,7 +26,7 @@
 from tests.fleets import BEAR_MS, Play, played
 from tests.helpers import CONFIG, SECOND, entry, profile, sidecar, warm_up
 
-DCS = SettingsReader.nested(
+DCS = SettingsReader.from_nested(
     {"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}}
 )
 
@@ -234,15 +234,17 @@
 )
 def test_a_part_that_cannot_be_used_is_one_line(tmp_path: Path, part: Any, why: str) -> None:
     with pytest.raises(ConfigurationError, match=why):
-        read_part(part, str(tmp_path / "c.json"), DCS, 3 * SECOND)
+        read_failover_section(part, str(tmp_path / "c.json"), DCS, 3 * SECOND)
 
 
 def test_a_part_names_regions_and_needs_membership(tmp_path: Path) -> None:
-    settings = read_part({"regions": {"n": ["a", "b"], "s": ["c"]}, "way_ms": 30}, "c.json", DCS, 3 * SECOND)
+    settings = read_failover_section(
+        {"regions": {"n": ["a", "b"], "s": ["c"]}, "way_ms": 30}, "c.json", DCS, 3 * SECOND
+    )
     assert settings.map == ZoneTopology(("a", "b", "c"), ("n", "n", "s"), 30_000) and settings.zone == 1
     assert [settings.map.near(1, w) for w in range(3)] == [1, 0, 2]
     (tmp_path / "c.json").write_bytes(orjson.dumps({**CONFIG, "failover": {}}))
     with pytest.raises(ConfigurationError, match="failover needs the part membership"):
-        read_start(str(tmp_path / "c.json"), {})
+        read_startup_configuration(str(tmp_path / "c.json"), {})
     zones = (Zone(0, 0, 0),) * 3
     assert Decision(Epoch(2, 3), 1, zones, ()).epoch.number == 2_000_003
