--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -1,24 +1,32 @@
-"""The shape of a deployment: which of the two is in force follows from the settings alone.
+"""The deployment type, chain or mesh, and which settings go with which of them.
 
-Where services call services (`domain_type` chain, and wherever it is not told) a pool of sidecars stands
-before each tier. In a mesh each client process has a sidecar of its own before one fleet. The simulator may
-mix them at will, so the module's parts are made of any mixture; a configuration's file that mixes them was
-most likely put together from two, and is refused. What a deployment permits, probes among it, goes with
-either shape."""
+In a chain, where services call services, a pool of sidecars stands before each tier. In a mesh each client
+process has a sidecar of its own before one fleet. The type follows from the settings alone; chain is the
+default. The simulator may mix settings of both, so the policy is built from any mixture; a configuration
+file that mixes them was most likely put together from two, and is refused. Permissions, such as probing, go
+with both types.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
+from cressrail.configuration import setting_names as names
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
 
 CHAIN, MESH = "chain", "mesh"
-MAX_STREAMS = 1 << 20
+MAX_STREAMS = 1 << 20  # requests at a time on one connection
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentType:
-    """What the words of a shape imply: the bounds of whole numbers, by path."""
+    """What a deployment type implies for other settings.
+
+    Attributes:
+        name: As the settings write it.
+        allowed_ranges: Least and greatest value of whole numbers, by path.
+        required_paths: Settings that may not be missing.
+    """
 
     name: str
     allowed_ranges: dict[str, tuple[int, int]]
@@ -26,38 +34,61 @@
 
 
 DEPLOYMENT_TYPES = {
-    CHAIN: DeploymentType(CHAIN, {"limits.multiplex": (1, 1)}),
+    CHAIN: DeploymentType(CHAIN, {names.MAX_STREAMS_PER_CONNECTION: (1, 1)}),
     MESH: DeploymentType(
-        MESH, {"limits.multiplex": (2, MAX_STREAMS), "stage": (0, 0)}, ("limits.multiplex",)
+        MESH,
+        {names.MAX_STREAMS_PER_CONNECTION: (2, MAX_STREAMS), names.TIER_INDEX: (0, 0)},
+        (names.MAX_STREAMS_PER_CONNECTION,),
     ),
 }
-PERMISSION_PATHS = tuple(
-    f"limits.{name}" for name in ("probes", "peers", "may_cancel", "parallel_tries", "retry_after")
+PERMISSION_PATHS = (
+    names.MAY_PROBE,
+    names.MAY_SHARE_WITH_PEERS,
+    names.MAY_CANCEL,
+    names.MAY_HEDGE,
+    names.MAY_SEND_RETRY_AFTER,
 )
 
 
-def is_per_client(told: SettingsReader) -> bool:
-    """Whether each client process has a sidecar of its own; of any mixture, as the adapter needs it."""
-    return told.values.get("domain_type", CHAIN) == MESH
+def is_per_client(settings: SettingsReader) -> bool:
+    """Returns whether each client process has a sidecar of its own; takes any mixture of settings."""
+    return settings.values.get(names.DEPLOYMENT_TYPE, CHAIN) == MESH
+
 
+def read_deployment_type(settings: SettingsReader) -> DeploymentType:
+    """Returns the deployment type of a configuration file's settings.
 
-def read_deployment_type(told: SettingsReader) -> DeploymentType:
-    """Raises `Unfit` that names the first key which belongs to the other shape."""
-    name = told.values.get("domain_type", CHAIN)
+    Raises:
+        ConfigurationError: Names the first setting that does not go with the type.
+    """
+    name = settings.values.get(names.DEPLOYMENT_TYPE, CHAIN)
     if name not in DEPLOYMENT_TYPES:
-        raise ConfigurationError(f"domain_type is none of {', '.join(DEPLOYMENT_TYPES)}: {name[:40]}")
-    shape = DEPLOYMENT_TYPES[name]
-    for path in shape.required_paths:
-        if path not in told.values:
-            raise ConfigurationError(f"{path} is missing, which domain_type {name} needs")
-    if name == MESH and len(told.names("tiers")) != 1:
         raise ConfigurationError(
-            f"tiers does not go with domain_type {name}, which has one: {told.text('tiers')[:40]}"
+            names.DEPLOYMENT_TYPE, f"is none of {', '.join(DEPLOYMENT_TYPES)}: {shown(name)}"
+        )
+    deployment_type = DEPLOYMENT_TYPES[name]
+    for path in deployment_type.required_paths:
+        if path not in settings.values:
+            raise ConfigurationError(path, f"is missing, which {names.DEPLOYMENT_TYPE} {name} needs")
+    if name == MESH and len(settings.names(names.TIERS)) != 1:
+        raise ConfigurationError(
+            names.TIERS,
+            f"does not go with {names.DEPLOYMENT_TYPE} {name}, which has one: "
+            f"{shown(settings.text(names.TIERS))}",
         )
-    for path, (least, most) in shape.allowed_ranges.items():
-        if path in told.values and not least <= (value := told.whole_number(path, 0)) <= most:
-            raise ConfigurationError(f"{path} does not go with domain_type {name}: {value}")
+    _check_ranges(settings, deployment_type)
     for path in PERMISSION_PATHS:
-        if path in told.values:
-            told.flag(path)
-    return shape
+        if path in settings.values:
+            settings.flag(path)
+    return deployment_type
+
+
+def _check_ranges(settings: SettingsReader, deployment_type: DeploymentType) -> None:
+    for path, (least, most) in deployment_type.allowed_ranges.items():
+        if path not in settings.values:
+            continue
+        value = settings.whole_number(path, 0)
+        if not least <= value <= most:
+            raise ConfigurationError(
+                path, f"does not go with {names.DEPLOYMENT_TYPE} {deployment_type.name}: {value}"
+            )
--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -1,60 +1,84 @@
-"""The part `failover` of a configuration: which zones make up a region, and what a way between them costs."""
+"""The section `failover` of a configuration: which zones make up a region, and the time between regions."""
 
 from __future__ import annotations
 
 import os
 from typing import Any
 
+from cressrail.configuration import setting_names as names
 from cressrail.configuration.files import read_section_file
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
+from cressrail.configuration.settings_reader import (
+    ConfigurationError,
+    SettingsReader,
+    error_prefix,
+    shown,
+)
 from cressrail.failover.messages import MOST_ZONES, Settings, ZoneTopology
 
-KNOWN = ("regions", "way_ms")
+REGIONS, ROUND_TRIP_MS = "regions", "way_ms"
+KNOWN_SETTINGS = (REGIONS, ROUND_TRIP_MS)
 
 
-def read_failover_section(told: Any, config: str, settings: SettingsReader, bear_us: int) -> Settings:
-    """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `settings`
-    the sidecar's. Raises `Unfit`."""
-    if isinstance(told, str):
-        path = os.path.join(os.path.dirname(config), told)
-        part = read_section_file(path)
+def read_failover_section(
+    value: Any, config_path: str, settings: SettingsReader, suspicion_floor_us: int
+) -> Settings:
+    """Returns the section of a configuration.
+
+    Args:
+        value: The section itself, or the path of its file, counted from the folder of `config_path`.
+        config_path: Path of the configuration.
+        settings: Of the tier.
+        suspicion_floor_us: Pause of a peer that membership tolerates.
+
+    Raises:
+        ConfigurationError: A setting is missing or impossible.
+    """
+    if isinstance(value, str):
+        path = os.path.join(os.path.dirname(config_path), value)
+        section = read_section_file(path)
         with error_prefix(f"{path}: "):
-            return _part(part, settings, bear_us)
-    if not isinstance(told, dict):
-        raise ConfigurationError(f"{config}: failover is neither a part nor the path of one")
-    with error_prefix(f"{config}: failover."):
-        return _part(told, settings, bear_us)
-
-
-def _part(part: dict[str, Any], settings: SettingsReader, bear_us: int) -> Settings:
-    for key in part:
-        if key not in KNOWN:
-            raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN)}")
-    zones = settings.names("dcs")
+            return _parse(section, settings, suspicion_floor_us)
+    if not isinstance(value, dict):
+        raise ConfigurationError(f"{config_path}: failover", "is neither a part nor the path of one")
+    with error_prefix(f"{config_path}: failover."):
+        return _parse(value, settings, suspicion_floor_us)
+
+
+def _parse(section: dict[str, Any], settings: SettingsReader, suspicion_floor_us: int) -> Settings:
+    for name in section:
+        if name not in KNOWN_SETTINGS:
+            raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
+    zones = settings.names(names.ZONES)
     if len(zones) > MOST_ZONES:
         raise ConfigurationError(
-            f"regions can't be: there are {len(zones)} zones, {MOST_ZONES} at most are decided on"
+            REGIONS, f"can't be: there are {len(zones)} zones, {MOST_ZONES} at most are decided on"
         )
-    regions = part.get("regions", {"": zones})
-    if not isinstance(regions, dict) or not all(isinstance(of, list) for of in regions.values()):
-        raise ConfigurationError("regions is no object of lists of zones")
-    of: dict[str, str] = {}
-    for region, names in regions.items():
-        for name in names:
-            if name not in zones:
-                raise ConfigurationError(f"regions.{region[:40]}: no zone is {str(name)[:40]}")
-            if name in of:
-                raise ConfigurationError(f"regions.{region[:40]}: {name[:40]} is in {of[name][:40]} already")
-            of[name] = region
-    missing = [name for name in zones if name not in of]
-    if missing:
-        raise ConfigurationError(f"regions: {missing[0][:40]} is in none")
-    way = SettingsReader.from_nested({"way_ms": part.get("way_ms", 0)}).whole_number("way_ms", 0)
-    map_ = ZoneTopology(tuple(zones), tuple(of[name] for name in zones), way * 1000)
+    region_of = _read_regions(section.get(REGIONS, {"": zones}), zones)
+    reader = SettingsReader.from_nested({ROUND_TRIP_MS: section.get(ROUND_TRIP_MS, 0)})
+    round_trip_us = reader.whole_number(ROUND_TRIP_MS, 0) * 1000
     return Settings(
-        map_,
-        zones.index(settings.text("zone")),
-        settings.number("contract.cold_from", 0, 1),
-        settings.whole_number("contract.warm_within_us", 1),
-        bear_us,
+        ZoneTopology(tuple(zones), tuple(region_of[zone] for zone in zones), round_trip_us),
+        zones.index(settings.text(names.OWN_ZONE)),
+        settings.number(names.WARMUP_START_FRACTION, 0, 1),
+        settings.whole_number(names.WARMUP_US, 1),
+        suspicion_floor_us,
     )
+
+
+def _read_regions(regions: Any, zones: list[str]) -> dict[str, str]:
+    """Returns the region of each zone; each zone must be in exactly one."""
+    if not isinstance(regions, dict) or not all(isinstance(members, list) for members in regions.values()):
+        raise ConfigurationError(REGIONS, "is no object of lists of zones")
+    region_of: dict[str, str] = {}
+    for region, zone_names in regions.items():
+        path = f"{REGIONS}.{shown(region)}"
+        for zone in zone_names:
+            if zone not in zones:
+                raise ConfigurationError(path, f"no zone is {shown(zone)}", ": ")
+            if zone in region_of:
+                raise ConfigurationError(path, f"{shown(zone)} is in {shown(region_of[zone])} already", ": ")
+            region_of[zone] = region
+    for zone in zones:
+        if zone not in region_of:
+            raise ConfigurationError(REGIONS, f"{shown(zone)} is in none", ": ")
+    return region_of
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -1,5 +1,4 @@
-"""The part `membership` of a configuration: who a copy is to the others, whom it asks first, what signs its
-words."""
+"""The section `membership` of a configuration: address, seeds and keys of an instance among its peers."""
 
 from __future__ import annotations
 
@@ -8,8 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
+from cressrail.configuration.addresses import read_ip_port
 from cressrail.configuration.files import read_section_file
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
+from cressrail.configuration.settings_reader import (
+    ConfigurationError,
+    SettingsReader,
+    error_prefix,
+    shown,
+)
 from cressrail.membership.messages import (
     LEAST_BYTES,
     LONGEST_NAME,
@@ -20,101 +25,156 @@
     Settings,
 )
 
-MOST_KEYS = 2
-KNOWN = ("listen", "advertise", "seeds", "keys", "zone", "bear_pause_ms", "most_bytes", "use")
+LISTEN, ADVERTISE, SEEDS, KEYS = "listen", "advertise", "seeds", "keys"
+ZONE, SUSPICION_FLOOR_MS, MAX_DATAGRAM_BYTES, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
+KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, SUSPICION_FLOOR_MS, MAX_DATAGRAM_BYTES, USED_FOR)
+
+MAX_KEYS = 2  # the first signs, both are accepted: one can replace the other without a gap
+KEY_BYTES = 32
+MAX_KEY_FILE_BYTES = 4096
+LEAST_SUSPICION_FLOOR_MS, DEFAULT_SUSPICION_FLOOR_MS, MAX_SUSPICION_FLOOR_MS = 300, 3000, 600_000
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfiguration:
+    """What the membership protocol of one instance is started with.
+
+    Attributes:
+        listen: Where datagrams are read and sent from.
+        settings: Of the protocol's state machine.
+        failover: Settings of the failover between zones, where that is configured.
+    """
+
     listen: Address
     settings: Settings
-    failover: Any = None  # settings of what is decided on zones in common, if anything
+    failover: Any = None
 
 
 def read_membership_section(
-    told: Any, config: str, name: str, zone: str, copies: int
+    value: Any, config_path: str, instance_name: str, zone: str, instance_count: int
 ) -> MembershipConfiguration:
-    """`told` is the part itself or the path of a file that holds it, from the folder of `config`; `copies`
-    the settings' figure. Raises `Unfit`."""
-    if isinstance(told, str):
-        path = os.path.join(os.path.dirname(config), told)
-        part = read_section_file(path)
+    """Returns the section of a configuration.
+
+    Args:
+        value: The section itself, or the path of its file, counted from the folder of `config_path`.
+        config_path: Path of the configuration.
+        instance_name: Name of this instance among its peers.
+        zone: Zone of the tier's settings; the section may name another.
+        instance_count: Instances of the tier by its settings.
+
+    Raises:
+        ConfigurationError: A setting is missing or impossible.
+    """
+    if isinstance(value, str):
+        path = os.path.join(os.path.dirname(config_path), value)
+        section = read_section_file(path)
         with error_prefix(f"{path}: "):
-            return _part(part, os.path.dirname(path), name, zone, copies)
-    if not isinstance(told, dict):
-        raise ConfigurationError(f"{config}: membership is neither a part nor the path of one")
-    with error_prefix(f"{config}: membership."):
-        return _part(told, os.path.dirname(config), name, zone, copies)
-
-
-def _part(part: dict[str, Any], folder: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
-    told = SettingsReader.from_nested(part)
-    for key in part:
-        if key not in KNOWN:
-            raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN)}")
-    listen = _address("listen", told.text("listen"))
-    advertise = _address("advertise", told.values["advertise"]) if "advertise" in told.values else listen
-    if ipaddress.ip_address(advertise[0]).is_unspecified:
-        raise ConfigurationError(
-            f"{'advertise' if 'advertise' in told.values else 'listen'} is no address to send to: "
-            f"{advertise[0]}"
-        )
-    zone = told.values.get("zone", zone)
-    for path, text, longest in (("zone", zone, LONGEST_ZONE), ("name", name, LONGEST_NAME)):
-        if not text or len(text.encode()) > longest:
-            raise ConfigurationError(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
-    most = told.whole_number("most_bytes", LEAST_BYTES, absent=MOST_BYTES)
-    if most > MOST_BYTES:
-        raise ConfigurationError(f"most_bytes is above {MOST_BYTES}: {most}")
-    bear = told.whole_number("bear_pause_ms", 300, absent=3000)
-    if bear > 600_000:
-        raise ConfigurationError(f"bear_pause_ms is above 600000: {bear}")
-    seeds = tuple(_address(f"seeds.{n}", seed) for n, seed in enumerate(_list(part, "seeds")))
-    use = _list(part, "use")
-    for n, word in enumerate(use):
-        if word not in USES:
-            raise ConfigurationError(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
-    keys = _keys(os.path.join(folder, told.text("keys")))
+            return _parse(section, os.path.dirname(path), instance_name, zone, instance_count)
+    if not isinstance(value, dict):
+        raise ConfigurationError(f"{config_path}: membership", "is neither a part nor the path of one")
+    with error_prefix(f"{config_path}: membership."):
+        return _parse(value, os.path.dirname(config_path), instance_name, zone, instance_count)
+
+
+def _parse(
+    section: dict[str, Any], folder: str, instance_name: str, zone: str, instance_count: int
+) -> MembershipConfiguration:
+    reader = SettingsReader.from_nested(section)
+    for name in section:
+        if name not in KNOWN_SETTINGS:
+            raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
+    listen = read_ip_port(LISTEN, reader.text(LISTEN))
+    advertise = _read_advertised_address(reader, listen)
+    zone = reader.values.get(ZONE, zone)
+    _check_length(ZONE, zone, LONGEST_ZONE)
+    _check_length("name", instance_name, LONGEST_NAME)
+    max_bytes = _read_bounded(reader, MAX_DATAGRAM_BYTES, LEAST_BYTES, MOST_BYTES, absent=MOST_BYTES)
+    suspicion_floor_ms = _read_bounded(
+        reader,
+        SUSPICION_FLOOR_MS,
+        LEAST_SUSPICION_FLOOR_MS,
+        MAX_SUSPICION_FLOOR_MS,
+        absent=DEFAULT_SUSPICION_FLOOR_MS,
+    )
+    seeds = tuple(
+        read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section, SEEDS))
+    )
+    uses = _read_list(section, USED_FOR)
+    for index, use in enumerate(uses):
+        if use not in USES:
+            raise ConfigurationError(f"{USED_FOR}.{index}", f"is none of {', '.join(USES)}: {shown(use)}")
+    keys = _read_keys(os.path.join(folder, reader.text(KEYS)))
     return MembershipConfiguration(
-        listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use))
+        listen,
+        Settings(
+            instance_name,
+            zone,
+            advertise,
+            seeds,
+            keys,
+            suspicion_floor_ms * 1000,
+            max_bytes,
+            instance_count,
+            tuple(uses),
+        ),
     )
 
 
-def _list(part: dict[str, Any], path: str) -> list[str]:
-    value = part.get(path, [])
+def _read_advertised_address(reader: SettingsReader, listen: Address) -> Address:
+    """Returns where peers reach this instance; an unspecified address can't be sent to."""
+    is_named = ADVERTISE in reader.values
+    advertise = read_ip_port(ADVERTISE, reader.values[ADVERTISE]) if is_named else listen
+    if ipaddress.ip_address(advertise[0]).is_unspecified:
+        path = ADVERTISE if is_named else LISTEN
+        raise ConfigurationError(path, f"is no address to send to: {advertise[0]}")
+    return advertise
+
+
+def _check_length(path: str, text: str, max_bytes: int) -> None:
+    if not text or len(text.encode()) > max_bytes:
+        raise ConfigurationError(path, f"is not within 1 and {max_bytes} bytes: {text[:80]}")
+
+
+def _read_bounded(reader: SettingsReader, path: str, least: int, most: int, absent: int) -> int:
+    value = reader.whole_number(path, least, absent=absent)
+    if value > most:
+        raise ConfigurationError(path, f"is above {most}: {value}")
+    return value
+
+
+def _read_list(section: dict[str, Any], path: str) -> list[str]:
+    value = section.get(path, [])
     if not isinstance(value, list):
-        raise ConfigurationError(f"{path} is no list: {str(value)[:40]}")
+        raise ConfigurationError(path, f"is no list: {shown(value)}")
     return [str(item) for item in value]
 
 
-def _keys(path: str) -> tuple[bytes, ...]:
+def _read_keys(path: str) -> tuple[bytes, ...]:
+    """Reads the keys that authenticate datagrams, one a line in hexadecimal digits."""
+    path_in_message = f"{KEYS}: {path}"
     try:
         with open(path, "rb") as file:
-            lines = [line for line in file.read(4096).split(b"\n") if line.strip()]
-    except OSError as fault:
-        raise ConfigurationError(f"keys: {path}: {fault.strerror}") from None
-    if not 1 <= len(lines) <= MOST_KEYS:
-        raise ConfigurationError(f"keys: {path}: holds {len(lines)} keys, one or {MOST_KEYS} are wanted")
+            lines = [line for line in file.read(MAX_KEY_FILE_BYTES).split(b"\n") if line.strip()]
+    except OSError as error:
+        raise ConfigurationError(path_in_message, str(error.strerror), ": ") from None
+    if not 1 <= len(lines) <= MAX_KEYS:
+        raise ConfigurationError(
+            path_in_message, f"holds {len(lines)} keys, one or {MAX_KEYS} are wanted", ": "
+        )
     keys = []
-    for n, line in enumerate(lines, 1):
-        try:
-            key = bytes.fromhex(line.decode("ascii").strip())
-        except ValueError:
-            key = b""
-        if len(key) != 32:
-            raise ConfigurationError(f"keys: {path}: line {n} is no key of 64 hexadecimal digits")
+    for number, line in enumerate(lines, 1):
+        key = _parse_key(line)
+        if key is None:
+            raise ConfigurationError(
+                path_in_message, f"line {number} is no key of {2 * KEY_BYTES} hexadecimal digits", ": "
+            )
         keys.append(key)
     return tuple(keys)
 
 
-def _address(path: str, text: str) -> Address:
-    """Names would have to be looked up, and what answers could change under way: addresses only."""
-    host, _, port = text.rpartition(":")
-    host = host.strip("[]")
+def _parse_key(line: bytes) -> bytes | None:
     try:
-        ipaddress.ip_address(host)
-        if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536) or "%" in host:
-            raise ValueError
+        key = bytes.fromhex(line.decode("ascii").strip())
     except ValueError:
-        raise ConfigurationError(f"{path} is no address:port: {text[:60]}") from None
-    return host, int(port)
+        return None
+    return key if len(key) == KEY_BYTES else None
--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -1,9 +1,13 @@
-"""Makes the parts of the module from what a sidecar is told at its start."""
+"""Builds the parts of the policy from the settings."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+from cressrail.configuration import setting_names as names
 from cressrail.configuration.deployment_type import is_per_client
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
+from cressrail.configuration.setting_names import count_path, entry_path
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
 from cressrail.policy.load_balancer import (
     ALL,
     CELL,
@@ -23,59 +27,106 @@
 )
 
 SECOND_US = 1_000_000
-KINDS = {"safe": IDEMPOTENT, "keyed": IDEMPOTENT_WITH_KEY, "unsafe": NON_IDEMPOTENT}
-GROUPS = {"all": ALL, "zone": ZONE, "cell": CELL}
-
-
-def read_request_classes(told: SettingsReader) -> dict[str, RequestClass]:
-    found = {}
-    count = told.whole_number("profiles.count", 1)
-    by_work = told.choice("revenue_basis", {"work": "1", "request": ""}) == "1"
-    earns = priority_weights(
-        [told.number(f"profiles.{n}.revenue", 0, 1e12) for n in range(count)],
-        [told.whole_number(f"profiles.{n}.service_goal_us", 1) for n in range(count)],
-        by_work,
-        told.number("goal.worst_class", 0, 1, absent=0.0),
+MAX_QUANTITY = 1e12  # of priorities and quotas
+IDEMPOTENCY_BY_SETTING = {"safe": IDEMPOTENT, "keyed": IDEMPOTENT_WITH_KEY, "unsafe": NON_IDEMPOTENT}
+KEY_SCOPE_BY_SETTING = {"all": ALL, "zone": ZONE, "cell": CELL}
+IS_PRIORITY_BY_WORK = {"work": True, "request": False}
+IS_LIST_POLLED = {"automatic": False, "subscribe": True}
+
+
+class ConnectionTimeouts(NamedTuple):
+    """Times, in microseconds, that bound a connection to an endpoint.
+
+    Attributes:
+        connect_us: For the connection to be established.
+        idle_us: After which the endpoint may close a connection without requests.
+    """
+
+    connect_us: int
+    idle_us: int
+
+
+def read_request_classes(settings: SettingsReader) -> dict[str, RequestClass]:
+    """Returns the request classes by name, in the order of the settings.
+
+    Raises:
+        ConfigurationError: A setting of a class is missing or impossible.
+    """
+    count = settings.whole_number(count_path(names.REQUEST_CLASSES), 1)
+    is_by_work = settings.choice(names.PRIORITY_BASIS, IS_PRIORITY_BY_WORK)
+    priorities = priority_weights(
+        [
+            settings.number(_class_path(index, names.CLASS_PRIORITY), 0, MAX_QUANTITY)
+            for index in range(count)
+        ],
+        [
+            settings.whole_number(_class_path(index, names.CLASS_LATENCY_OBJECTIVE_US), 1)
+            for index in range(count)
+        ],
+        is_by_work,
+        settings.number(names.WORST_CLASS_WEIGHT, 0, 1, absent=0.0),
     )
-    for n in range(count):
-        at = f"profiles.{n}."
-        kind = told.choice(at + "repeat", KINDS)
-        group, window_us = ALL, 0
-        if kind == IDEMPOTENT_WITH_KEY:
-            group = told.choice(at + "key_scope", GROUPS)
-            window_us = told.whole_number(at + "window_us", 1)
-        found[told.text(at + "name")] = RequestClass(
-            kind,
-            group,
+    classes = {}
+    for index, priority in enumerate(priorities):
+        idempotency = settings.choice(_class_path(index, names.CLASS_IDEMPOTENCY), IDEMPOTENCY_BY_SETTING)
+        key_scope, window_us = ALL, 0
+        if idempotency == IDEMPOTENT_WITH_KEY:
+            key_scope = settings.choice(_class_path(index, names.CLASS_KEY_SCOPE), KEY_SCOPE_BY_SETTING)
+            window_us = settings.whole_number(_class_path(index, names.CLASS_IDEMPOTENCY_WINDOW_US), 1)
+        classes[settings.text(_class_path(index, names.CLASS_NAME))] = RequestClass(
+            idempotency,
+            key_scope,
             window_us,
-            told.whole_number(at + "service_goal_us", 1),
-            told.whole_number(at + "hard_limit_us", 1),
-            earns[n],
-            told.number(at + "overdue_revenue", 0, 1, absent=1.0),
+            settings.whole_number(_class_path(index, names.CLASS_LATENCY_OBJECTIVE_US), 1),
+            settings.whole_number(_class_path(index, names.CLASS_DEADLINE_US), 1),
+            priority,
+            settings.number(_class_path(index, names.CLASS_OVERDUE_PRIORITY), 0, 1, absent=1.0),
         )
-    return found
+    return classes
+
+
+def _class_path(index: int, name: str) -> str:
+    return entry_path(names.REQUEST_CLASSES, index, name)
 
 
-def read_tenant_quotas(told: SettingsReader) -> dict[str, float]:
+def read_tenant_quotas(settings: SettingsReader) -> dict[str, float]:
+    """Returns the tenants' quotas by name, in requests a second over all instances.
+
+    Raises:
+        ConfigurationError: A setting of a tenant is missing or impossible.
+    """
     return {
-        told.text(f"tenants.{n}.name"): told.number(f"tenants.{n}.allowance_per_s", 0, 1e12)
-        for n in range(told.whole_number("tenants.count", 0, absent=0))
+        settings.text(entry_path(names.TENANTS, index, names.TENANT_NAME)): settings.number(
+            entry_path(names.TENANTS, index, names.TENANT_QUOTA_PER_S), 0, MAX_QUANTITY
+        )
+        for index in range(settings.whole_number(count_path(names.TENANTS), 0, absent=0))
     }
 
 
-def read_connection_timeouts(told: SettingsReader) -> tuple[int, int]:
-    """For a connection to come up, and until an endpoint may close one that is idle."""
-    return told.whole_number("limits.connect_timeout_us", 1), told.whole_number("limits.conn_idle_us", 1)
+def read_connection_timeouts(settings: SettingsReader) -> ConnectionTimeouts:
+    """Returns the times that bound connections to endpoints.
+
+    Raises:
+        ConfigurationError: One of them is missing or impossible.
+    """
+    return ConnectionTimeouts(
+        settings.whole_number(names.CONNECT_TIMEOUT_US, 1),
+        settings.whole_number(names.CONNECTION_IDLE_US, 1),
+    )
 
 
 def check_policy_settings(
-    told: SettingsReader, seed: int
+    settings: SettingsReader, seed: int
 ) -> tuple[dict[str, RequestClass], dict[str, float]]:
-    """Raises `Unfit` for settings of which no sidecar can be made; its profiles and members otherwise."""
-    allowances = read_tenant_quotas(told)
-    read_connection_timeouts(told)
-    build_load_balancer(told, seed, 0, told.names("dcs"), list(allowances.values()))
-    return read_request_classes(told), allowances
+    """Returns request classes and tenant quotas, after building everything once to check the settings.
+
+    Raises:
+        ConfigurationError: No policy can be built from the settings.
+    """
+    quotas = read_tenant_quotas(settings)
+    read_connection_timeouts(settings)
+    build_load_balancer(settings, seed, 0, settings.names(names.ZONES), list(quotas.values()))
+    return read_request_classes(settings), quotas
 
 
 def build_load_balancer(
@@ -86,47 +137,72 @@
     quotas_per_s: list[float],
     max_connections: int = NEVER_US,
 ) -> LoadBalancer:
-    if settings.text("zone") not in zones:
-        raise ConfigurationError(f"zone is not one of dcs: {settings.text('zone')[:40]}")
-    tiers, stage = settings.names("tiers"), settings.whole_number("stage", 0)
-    if stage >= len(tiers):
-        raise ConfigurationError(f"stage is not below the number of tiers: {stage}")
-    subscribes = settings.choice("membership_mode", {"automatic": "", "subscribe": "1"}) == "1"
-    chance = RandomGenerator(seed)
-    copies = settings.whole_number("n_instances", 1)
-    shares = TenantQuotas(
-        quotas_per_s, copies, settings.number("surplus_revenue", 0, 1) if quotas_per_s else 1.0
-    )
+    """Builds the policy of one instance.
+
+    Args:
+        settings: Of the tier.
+        seed: Of the random values that decisions draw.
+        now_us: Time of the start.
+        zones: Names of all zones; the policy goes by their indices.
+        quotas_per_s: Tenant quotas in requests a second, in the order of the tenants' indices.
+        max_connections: To endpoints, at a time.
+
+    Raises:
+        ConfigurationError: A setting is missing or impossible.
+    """
+    if settings.text(names.OWN_ZONE) not in zones:
+        raise ConfigurationError(
+            names.OWN_ZONE, f"is not one of {names.ZONES}: {shown(settings.text(names.OWN_ZONE))}"
+        )
+    tiers, tier_index = settings.names(names.TIERS), settings.whole_number(names.TIER_INDEX, 0)
+    if tier_index >= len(tiers):
+        raise ConfigurationError(names.TIER_INDEX, f"is not below the number of tiers: {tier_index}")
+    is_list_polled = settings.choice(names.LIST_DELIVERY, IS_LIST_POLLED)
+    random_generator = RandomGenerator(seed)
+    instance_count = settings.whole_number(names.INSTANCE_COUNT, 1)
+    over_quota_priority = settings.number(names.OVER_QUOTA_PRIORITY, 0, 1) if quotas_per_s else 1.0
+    quotas = TenantQuotas(quotas_per_s, instance_count, over_quota_priority)
     return LoadBalancer(
-        rng=chance,
-        zone=zones.index(settings.text("zone")),
+        rng=random_generator,
+        zone=zones.index(settings.text(names.OWN_ZONE)),
         zones=len(zones),
-        tiers_to_go=(len(tiers) - stage) / len(tiers),
-        last_tier=stage == len(tiers) - 1,
-        is_ingress=stage == 0,
-        round_us=settings.whole_number("round_us", 1),
-        come_back_us=settings.whole_number("limits.max_retry_after_us", 0)
-        if settings.flag("limits.retry_after")
-        else 0,
-        may_cancel=settings.flag("limits.may_cancel"),
+        tiers_to_go=(len(tiers) - tier_index) / len(tiers),
+        last_tier=tier_index == len(tiers) - 1,
+        is_ingress=tier_index == 0,
+        round_us=settings.whole_number(names.ROUND_US, 1),
+        come_back_us=_max_retry_after_us(settings),
+        may_cancel=settings.flag(names.MAY_CANCEL),
         list_poller=EndpointListPoller(
-            subscribes, settings.whole_number("contract.ask_every_us", 1) if subscribes else 0, chance
+            is_list_polled,
+            settings.whole_number(names.POLL_INTERVAL_US, 1) if is_list_polled else 0,
+            random_generator,
         ),
         retry_policy=RetryPolicy(
-            settings.whole_number("limits.most_hops", 1), settings.flag("limits.parallel_tries")
+            settings.whole_number(names.MAX_ATTEMPTS, 1), settings.flag(names.MAY_HEDGE)
         ),
-        slow_start=SlowStart(
-            settings.number("contract.cold_from", 0, 1),
-            settings.whole_number("contract.warm_within_us", 1),
-            now_us,
-            shares.total,
-            settings.number("contract.fall_multiple", 0.1, 1e6, absent=1.0),
-            settings.whole_number("contract.fall_us", 1, absent=SECOND_US),
-        ),
-        quotas=shares,
-        instances=copies,
-        number=settings.whole_number("slot_no", 0, absent=0),
+        slow_start=_build_slow_start(settings, now_us, quotas.total),
+        quotas=quotas,
+        instances=instance_count,
+        number=settings.whole_number(names.INSTANCE_INDEX, 0, absent=0),
         now=now_us,
         is_per_client=is_per_client(settings),
         max_connections=max_connections,
     )
+
+
+def _max_retry_after_us(settings: SettingsReader) -> int:
+    """Returns the longest retry-after that may be sent; zero where none may be."""
+    if not settings.flag(names.MAY_SEND_RETRY_AFTER):
+        return 0
+    return settings.whole_number(names.MAX_RETRY_AFTER_US, 0)
+
+
+def _build_slow_start(settings: SettingsReader, now_us: int, total_quota_per_us: float) -> SlowStart:
+    return SlowStart(
+        settings.number(names.WARMUP_START_FRACTION, 0, 1),
+        settings.whole_number(names.WARMUP_US, 1),
+        now_us,
+        total_quota_per_us,
+        settings.number(names.OVERLOAD_COLLAPSE_FACTOR, 0.1, 1e6, absent=1.0),
+        settings.whole_number(names.OVERLOAD_COLLAPSE_US, 1, absent=SECOND_US),
+    )
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -1,4 +1,4 @@
-"""What one real sidecar is told at its start, from its configuration and its environment."""
+"""Reads what one sidecar process is started with, from its configuration file and its environment."""
 
 from __future__ import annotations
 
@@ -9,136 +9,222 @@
 
 import orjson
 
-from cressrail.configuration import deployment_type as shape
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, error_prefix
+from cressrail.configuration import setting_names as names
+from cressrail.configuration.addresses import read_host_port
+from cressrail.configuration.deployment_type import read_deployment_type
+from cressrail.configuration.settings_reader import (
+    ConfigurationError,
+    SettingsReader,
+    error_prefix,
+    shown,
+)
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
 
 if TYPE_CHECKING:
     from cressrail.configuration.membership import MembershipConfiguration
 
+# Variables of the environment that stand above the file's settings.
+LISTEN_VARIABLE = "BALANCER_LISTEN"
+ADMIN_VARIABLE = "BALANCER_OPS"
+NAME_VARIABLE = "BALANCER_NAME"
+DISCOVERY_VARIABLE = "BALANCER_DISCOVERY"
+
+LEAST_MEMORY_MB, MAX_MEMORY_MB = 32, 1e9
+LEAST_SOCKETS = 32
+FOLLOWED_WITHOUT_RESTART = (names.RANDOM_SEED, names.DISCOVERY_ADDRESS)
+
 
 @dataclass(slots=True)
 class StartupConfiguration:
+    """What one sidecar process is started with.
+
+    Attributes:
+        name: Of this instance, in the log and among its peers.
+        listen: Host and port for clients.
+        discovery: Host and port of discovery.
+        discovery_in_file: The same as the file writes it; the environment may stand above it.
+        seed: Of all random values.
+        memory_limit_mb: Of the process.
+        max_sockets: Of the process, at a time.
+        known_endpoints: The list to start from until discovery answers.
+        settings: Shared by the tier's instances.
+        process_settings: All others, of this process alone.
+        deployment_type: Chain or mesh.
+        admin: Host and port of the admin API, where it is on.
+        membership: Of the protocol between instances, where it is on.
+    """
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    discovery_in_file: str  # discovery as the file words it; the environment may stand above it
+    discovery_in_file: str
     seed: int
     memory_limit_mb: float
     max_sockets: int
     known_endpoints: EndpointListUpdate
     settings: SettingsReader
-    process_settings: SettingsReader  # what stands beside the settings
+    process_settings: SettingsReader
     deployment_type: str
-    admin: tuple[str, int] | None = None  # where operators call, if anywhere
-    membership: MembershipConfiguration | None = None  # the talk between copies, if any
+    admin: tuple[str, int] | None = None
+    membership: MembershipConfiguration | None = None
 
 
-def read_startup_configuration(path: str, env: Mapping[str, str] = os.environ) -> StartupConfiguration:
-    """Raises `Unfit` with one line that names the path of what is wrong."""
-    try:
-        with open(path, "rb") as file:
-            config = orjson.loads(file.read())
-    except OSError as fault:
-        raise ConfigurationError(f"{path}: {fault.strerror}") from None
-    except orjson.JSONDecodeError as fault:
-        raise ConfigurationError(f"{path}: not JSON: {fault}") from None
-    if not isinstance(config, dict):
-        raise ConfigurationError(f"{path}: no JSON object")
+def read_startup_configuration(
+    path: str, environment: Mapping[str, str] = os.environ
+) -> StartupConfiguration:
+    """Reads a configuration file with all its sections.
+
+    Raises:
+        ConfigurationError: One line that starts with the file and the path of what is wrong.
+    """
+    config = _read_json_object(path)
     with error_prefix(f"{path}: "):
-        start = parse_configuration(config, env)
-    if config.get("membership") is not None:
-        from cressrail.configuration.membership import (
-            read_membership_section,
-        )  # nothing of it is loaded where it is off
-
-        start.membership = read_membership_section(
-            config["membership"],
-            path,
-            start.name,
-            start.settings.text("zone"),
-            start.settings.whole_number("n_instances", 1),
-        )
-    if config.get("failover") is not None:
+        start = parse_configuration(config, environment)
+    if config.get(names.MEMBERSHIP_SECTION) is not None:
+        start.membership = _read_membership(config[names.MEMBERSHIP_SECTION], path, start)
+    if config.get(names.FAILOVER_SECTION) is not None:
         if start.membership is None:
-            raise ConfigurationError(f"{path}: failover needs the part membership, by which sidecars talk")
-        from cressrail.configuration import failover
-
-        bear_us = start.membership.settings.bear_us
-        start.membership = replace(
-            start.membership,
-            settings=replace(start.membership.settings, words=True),
-            failover=failover.read_failover_section(config["failover"], path, start.settings, bear_us),
+            raise ConfigurationError(f"{path}: failover", "needs the part membership, by which sidecars talk")
+        start.membership = _with_failover(
+            start.membership, config[names.FAILOVER_SECTION], path, start.settings
         )
     return start
 
 
+def _read_json_object(path: str) -> dict[str, Any]:
+    try:
+        with open(path, "rb") as file:
+            config = orjson.loads(file.read())
+    except OSError as error:
+        raise ConfigurationError(path, str(error.strerror), ": ") from None
+    except orjson.JSONDecodeError as error:
+        raise ConfigurationError(path, f"not JSON: {error}", ": ") from None
+    if not isinstance(config, dict):
+        raise ConfigurationError(path, "no JSON object", ": ")
+    return config
+
+
+def _read_membership(value: Any, path: str, start: StartupConfiguration) -> MembershipConfiguration:
+    # Imported here so that a sidecar without membership loads nothing of it.
+    from cressrail.configuration.membership import read_membership_section
+
+    return read_membership_section(
+        value,
+        path,
+        start.name,
+        start.settings.text(names.OWN_ZONE),
+        start.settings.whole_number(names.INSTANCE_COUNT, 1),
+    )
+
+
+def _with_failover(
+    membership: MembershipConfiguration, value: Any, path: str, settings: SettingsReader
+) -> MembershipConfiguration:
+    # Imported here so that a sidecar without failover loads nothing of it.
+    from cressrail.configuration.failover import read_failover_section
+
+    return replace(
+        membership,
+        settings=replace(membership.settings, words=True),
+        failover=read_failover_section(value, path, settings, membership.settings.bear_us),
+    )
+
+
 def reread_startup_configuration(
-    path: str, before: StartupConfiguration, env: Mapping[str, str] = os.environ
+    path: str, before: StartupConfiguration, environment: Mapping[str, str] = os.environ
 ) -> StartupConfiguration:
-    """The same file later on. An address of discovery that it has changed is newer than the environment."""
-    start = read_startup_configuration(path, env)
+    """Reads the file of a running sidecar again.
+
+    An address of discovery that has changed in the file is newer than the environment's, and replaces it.
+
+    Raises:
+        ConfigurationError: As `read_startup_configuration`.
+    """
+    start = read_startup_configuration(path, environment)
     if start.discovery_in_file in ("", before.discovery_in_file):
         start.discovery, start.discovery_in_file = before.discovery, before.discovery_in_file
     else:
         with error_prefix(f"{path}: "):
-            start.discovery = _address("discovery", start.discovery_in_file)
+            start.discovery = read_host_port(names.DISCOVERY_ADDRESS, start.discovery_in_file)
     return start
 
 
 def paths_needing_restart(before: StartupConfiguration, after: StartupConfiguration) -> list[str]:
-    """Paths of what takes a new start to be followed."""
-    found = []
-    for at, a, b in (
-        ("", before.process_settings, after.process_settings),
-        ("settings.", before.settings, after.settings),
-    ):
-        paths = {**a.values, **b.values}
-        found += [at + path for path in paths if a.values.get(path) != b.values.get(path)]
-    return [path for path in found if path not in ("seed", "discovery")]
-
-
-def parse_configuration(config: dict[str, Any], env: Mapping[str, str]) -> StartupConfiguration:
-    told = SettingsReader.from_nested(
-        {key: value for key, value in config.items() if key not in ("settings", "known")}
+    """Returns the paths of changed settings that a running process can't follow."""
+    changed = _changed_paths(before.process_settings, after.process_settings)
+    changed += [f"{names.SETTINGS}.{path}" for path in _changed_paths(before.settings, after.settings)]
+    return [path for path in changed if path not in FOLLOWED_WITHOUT_RESTART]
+
+
+def _changed_paths(before: SettingsReader, after: SettingsReader) -> list[str]:
+    paths = {**before.values, **after.values}
+    return [path for path in paths if before.values.get(path) != after.values.get(path)]
+
+
+def parse_configuration(config: dict[str, Any], environment: Mapping[str, str]) -> StartupConfiguration:
+    """Returns a configuration without its sections `membership` and `failover`.
+
+    Raises:
+        ConfigurationError: A setting is missing or impossible.
+    """
+    process_settings = SettingsReader.from_nested(
+        {name: value for name, value in config.items() if name not in (names.SETTINGS, names.KNOWN_ENDPOINTS)}
     )
-    settings = config.get("settings")
-    if not isinstance(settings, dict):
-        raise ConfigurationError("settings is missing")
-    try:
-        known = read(config["known"]) if config.get("known") is not None else EndpointListUpdate(0, True)
-    except MalformedEndpointListError as fault:
-        raise ConfigurationError(f"known: {fault}") from None
-    unfolded = SettingsReader.from_nested(settings)
-    with error_prefix("settings."):
-        formed = shape.read_deployment_type(unfolded)
-    seed = told.text("seed")
-    try:
-        number = int(seed, 16)
-    except ValueError:
-        raise ConfigurationError(f"seed is no hexadecimal number: {seed[:40]}") from None
-    listen = _address("listen", env.get("BALANCER_LISTEN") or told.text("listen"))
-    ops = env.get("BALANCER_OPS") or told.values.get("ops")
-    if ops is not None and _address("ops", ops) == listen:
-        raise ConfigurationError(f"ops is the same as listen: {ops[:60]}")
+    nested_settings = config.get(names.SETTINGS)
+    if not isinstance(nested_settings, dict):
+        raise ConfigurationError(names.SETTINGS, "is missing")
+    known_endpoints = _read_known_endpoints(config.get(names.KNOWN_ENDPOINTS))
+    settings = SettingsReader.from_nested(nested_settings)
+    with error_prefix(f"{names.SETTINGS}."):
+        deployment_type = read_deployment_type(settings)
+    seed = _read_seed(process_settings.text(names.RANDOM_SEED))
+    listen = read_host_port(
+        names.LISTEN_ADDRESS, environment.get(LISTEN_VARIABLE) or process_settings.text(names.LISTEN_ADDRESS)
+    )
+    admin = _read_admin_address(process_settings, environment, listen)
     return StartupConfiguration(
-        name=env.get("BALANCER_NAME") or told.text("name"),
+        name=environment.get(NAME_VARIABLE) or process_settings.text(names.INSTANCE_NAME),
         listen=listen,
-        admin=None if ops is None else _address("ops", ops),
-        discovery=_address("discovery", env.get("BALANCER_DISCOVERY") or told.text("discovery")),
-        seed=number,
-        memory_limit_mb=told.number("limits.memory_mb", 32, 1e9),
-        max_sockets=told.whole_number("limits.sockets", 32),
-        known_endpoints=known,
-        settings=unfolded,
-        process_settings=told,
-        discovery_in_file=told.values.get("discovery", ""),
-        deployment_type=formed.name,
+        admin=admin,
+        discovery=read_host_port(
+            names.DISCOVERY_ADDRESS,
+            environment.get(DISCOVERY_VARIABLE) or process_settings.text(names.DISCOVERY_ADDRESS),
+        ),
+        seed=seed,
+        memory_limit_mb=process_settings.number(names.MEMORY_LIMIT_MB, LEAST_MEMORY_MB, MAX_MEMORY_MB),
+        max_sockets=process_settings.whole_number(names.MAX_SOCKETS, LEAST_SOCKETS),
+        known_endpoints=known_endpoints,
+        settings=settings,
+        process_settings=process_settings,
+        discovery_in_file=process_settings.values.get(names.DISCOVERY_ADDRESS, ""),
+        deployment_type=deployment_type.name,
     )
 
 
-def _address(path: str, text: str) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigurationError(f"{path} is no host:port: {text[:60]}")
-    return host.strip("[]"), int(port)
+def _read_known_endpoints(value: Any) -> EndpointListUpdate:
+    if value is None:
+        return EndpointListUpdate(0, True)
+    try:
+        return read(value)
+    except MalformedEndpointListError as error:
+        raise ConfigurationError(names.KNOWN_ENDPOINTS, str(error), ": ") from None
+
+
+def _read_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise ConfigurationError(names.RANDOM_SEED, f"is no hexadecimal number: {shown(text)}") from None
+
+
+def _read_admin_address(
+    process_settings: SettingsReader, environment: Mapping[str, str], listen: tuple[str, int]
+) -> tuple[str, int] | None:
+    """Returns the address of the admin API; None where none is configured."""
+    text = environment.get(ADMIN_VARIABLE) or process_settings.values.get(names.ADMIN_ADDRESS)
+    if text is None:
+        return None
+    admin = read_host_port(names.ADMIN_ADDRESS, text)
+    if admin == listen:
+        raise ConfigurationError(names.ADMIN_ADDRESS, f"is the same as {names.LISTEN_ADDRESS}: {text[:60]}")
+    return admin
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError, error_prefix
 from cressrail.configuration.startup import (
     StartupConfiguration,
@@ -25,7 +25,7 @@
         try:
             start = reread_startup_configuration(self.path, self.start)
             with error_prefix(f"{self.path}: settings."):
-                parts.check_policy_settings(start.settings, start.seed)
+                policy_factory.check_policy_settings(start.settings, start.seed)
         except ConfigurationError as fault:
             net.log.write_event("config_kept", {"why": str(fault)})
             return
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -7,7 +7,7 @@
 import resource
 
 from cressrail.buffers.pool import SIZE, Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
 from cressrail.event_loop.scheduler import Scheduler
@@ -53,13 +53,13 @@
     log = LogWriter(log_fd, clock.now, start.name)
     loop = Scheduler(clock.now, lambda text: log.write_event("fault", {"trace": text}))
     loop.after_round = log.flush
-    profiles = parts.read_request_classes(start.settings)
-    members = parts.read_tenant_quotas(start.settings)
-    roster = EndpointRegistry(start.settings.names("dcs"))
+    profiles = policy_factory.read_request_classes(start.settings)
+    members = policy_factory.read_tenant_quotas(start.settings)
+    roster = EndpointRegistry(start.settings.names(setting_names.ZONES))
     now = clock.now()
     aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
     rooms = room(start.max_sockets, aside)
-    sidecar = parts.build_load_balancer(
+    sidecar = policy_factory.build_load_balancer(
         start.settings,
         start.seed,
         now,
@@ -77,10 +77,10 @@
         now,
         longest_us := max(p.deadline_us for p in profiles.values()),
         start.discovery,
-        start.settings.whole_number("contract.stop_sending_within_us", 0, absent=0),
+        start.settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
     pool = Pool(int(start.memory_limit_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
-    connect_us, idle_us = parts.read_connection_timeouts(start.settings)
+    connect_us, idle_us = policy_factory.read_connection_timeouts(start.settings)
     net = CommandDispatcher(
         loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us
     )
@@ -111,7 +111,7 @@
             "ops": ":".join(map(str, start.admin)) if start.admin else None,
             "discovery": ":".join(map(str, start.discovery)),
             "shape": start.deployment_type,
-            "stage": start.settings.whole_number("stage", 0),
+            "stage": start.settings.whole_number(setting_names.TIER_INDEX, 0),
             "known": len(start.known_endpoints.entries),
             "clients": reducer.limits.clients,
             "links": reducer.limits.endpoint_connections,
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cressrail.cli.launch import launch
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.discovery.endpoint_list import EndpointListUpdate
 from cressrail.http1.answer import Response
 from cressrail.network.client_connection import ClientConnectionTask
@@ -149,7 +149,7 @@
     if broken:
         BREAKS[broken]()
     if policy in POLICIES:
-        vars(parts)["LoadBalancer"] = POLICIES[policy]
+        vars(policy_factory)["LoadBalancer"] = POLICIES[policy]
     return launch(config)
 
 
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -6,7 +6,7 @@
 from typing import TextIO
 from zlib import crc32
 
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
 from cressrail.policy import load_balancer as brain
 from cressrail.wirehost import codec
@@ -24,11 +24,13 @@
 
     def __init__(self, name: str, seed: int, now: int, told: SettingsReader) -> None:
         self.name = name
-        self.profiles = parts.read_request_classes(told)
-        members = parts.read_tenant_quotas(told)
+        self.profiles = policy_factory.read_request_classes(told)
+        members = policy_factory.read_tenant_quotas(told)
         self.members = {member: n for n, member in enumerate(members)}
-        self.zones = {zone: n for n, zone in enumerate(told.names("dcs"))}
-        self.sidecar = parts.build_load_balancer(told, seed, now, list(self.zones), list(members.values()))
+        self.zones = {zone: n for n, zone in enumerate(told.names(setting_names.ZONES))}
+        self.sidecar = policy_factory.build_load_balancer(
+            told, seed, now, list(self.zones), list(members.values())
+        )
         self.addresses: list[str] = []
         self.indices: dict[str, int] = {}
         self.txs: dict[str, brain.RoutedRequest] = {}
--- /dev/null
+++ b/tests/configuration/test_deployment_type.py
@@ -0,0 +1,119 @@
+"""Which settings go with a chain and with a mesh."""
+
+from __future__ import annotations
+
+import copy
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from cressrail.cli.launch import launch, look
+from cressrail.configuration import policy_factory
+from cressrail.configuration.deployment_type import is_per_client, read_deployment_type
+from cressrail.configuration.settings_reader import SettingsReader
+from cressrail.configuration.startup import read_startup_configuration
+from cressrail.network.configuration_reload import ConfigurationReload
+from tests.configuration.support import RecordedEvents, set_path
+from tests.helpers import CONFIG, mesh
+
+ROOT = Path(__file__).parents[2]
+
+
+@pytest.mark.parametrize(
+    "base, setting, value, message",
+    [
+        ("mesh", "limits.multiplex", 1, "limits.multiplex does not go with domain_type mesh: 1"),
+        ("mesh", "limits.multiplex", None, "limits.multiplex is missing, which domain_type mesh needs"),
+        ("mesh", "limits.probes", "often", "limits.probes is none of true, 1, false, 0: often"),
+        ("mesh", "limits.peers", 7, "limits.peers is none of true, 1, false, 0: 7"),
+        ("mesh", "tiers", ["x", "y"], "tiers does not go with domain_type mesh, which has one: x,y"),
+        ("mesh", "stage", 1, "stage does not go with domain_type mesh: 1"),
+        ("mesh", "domain_type", "chain", "limits.multiplex does not go with domain_type chain: 100"),
+        ("mesh", "domain_type", None, "limits.multiplex does not go with domain_type chain: 100"),
+        ("mesh", "domain_type", "ring", "domain_type is none of chain, mesh: ring"),
+        ("mesh", "profiles.0.overdue_revenue", 2, "profiles.0.overdue_revenue is not within 0 and 1: 2.0"),
+        ("chain", "domain_type", "mesh", "limits.multiplex is missing, which domain_type mesh needs"),
+        ("chain", "limits.multiplex", 100, "limits.multiplex does not go with domain_type chain: 100"),
+        ("chain", "limits.probes", 2, "limits.probes is none of true, 1, false, 0: 2"),
+        ("chain", "limits.peers", "", "limits.peers is none of true, 1, false, 0: "),
+        ("chain", "limits.parallel_tries", "no", "limits.parallel_tries is none of true, 1, false, 0: no"),
+    ],
+)
+def test_settings_of_the_other_deployment_type_are_refused_by_name_at_start_and_on_sighup(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], base: str, setting: str, value: Any, message: str
+) -> None:
+    config = mesh() if base == "mesh" else copy.deepcopy(CONFIG)
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(config))
+    before = read_startup_configuration(str(path), {})
+    set_path(config["settings"], setting, value)
+    path.write_text(json.dumps(config))
+    for command in (look, launch):
+        assert command(str(path)) == 2
+        output = capsys.readouterr().err
+        assert output.startswith(f"cressrail: {path}: settings.{message}") and output.count("\n") == 1
+    reread, net = ConfigurationReload(str(path), before), RecordedEvents()
+    reread.now(net)  # type: ignore[arg-type]
+    assert net.events == ["config_kept"] and reread.start is before
+
+
+@pytest.mark.parametrize(
+    "values, name, per_client",
+    [
+        ({}, "chain", False),
+        ({"domain_type": "chain", "limits.multiplex": "1", "limits.probes": "true"}, "chain", False),
+        (
+            {"domain_type": "mesh", "limits.multiplex": "9", "limits.probes": "false", "tiers": "x"},
+            "mesh",
+            True,
+        ),
+    ],
+)
+def test_deployment_type_follows_from_the_settings_alone(
+    values: dict[str, str], name: str, per_client: bool
+) -> None:
+    assert (
+        read_deployment_type(SettingsReader(values)).name == name
+        and is_per_client(SettingsReader(values)) is per_client
+    )
+
+
+@pytest.mark.parametrize("path", ["probes", "peers", "may_cancel", "parallel_tries", "retry_after"])
+@pytest.mark.parametrize("permitted", [True, False])
+@pytest.mark.parametrize("make_config", [copy.deepcopy, mesh])
+def test_permissions_go_with_either_deployment_type(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], make_config: Any, permitted: bool, path: str
+) -> None:
+    config = make_config(CONFIG)
+    config["settings"]["limits"].update({"max_retry_after_us": 1_000_000, path: permitted})
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(config))
+    assert look(str(file)) == 0
+
+
+@pytest.mark.parametrize(
+    "mixture", [{"domain_type": "mesh"}, {"domain_type": "proxy", "limits.multiplex": "9"}]
+)
+def test_policy_is_built_from_any_mixture_of_deployment_types(mixture: dict[str, str]) -> None:
+    settings = {**SettingsReader.from_nested(CONFIG["settings"]).values, **mixture}
+    assert policy_factory.check_policy_settings(SettingsReader(settings), 1)
+
+
+def test_check_of_a_mesh_reports_requests_per_connection(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(mesh()))
+    assert look(str(path)) == 0
+    output = capsys.readouterr().out
+    assert "endpoints known, mesh" in output and "one transaction at a time here, of the 100" in output
+
+
+@pytest.mark.parametrize("name, deployment_type", [("config", "chain"), ("mesh", "mesh")])
+def test_examples_have_the_deployment_type_of_their_name(name: str, deployment_type: str) -> None:
+    path = ROOT / "example" / f"{name}.json"
+    assert (
+        look(str(path)) == 0 and read_startup_configuration(str(path), {}).deployment_type == deployment_type
+    )
--- /dev/null
+++ b/tests/configuration/test_settings_reader.py
@@ -0,0 +1,14 @@
+"""Reading single settings by path."""
+
+from __future__ import annotations
+
+from cressrail.configuration.settings_reader import SettingsReader
+
+
+def test_from_nested_gives_the_paths_of_nested_settings() -> None:
+    settings = SettingsReader.from_nested(
+        {"a": {"b": 1, "on": True, "x": None}, "list": ["p, q", "r"], "deep": [{"n": 2.5}, {}]}
+    )
+    assert settings.whole_number("a.b", 0) == 1 and settings.flag("a.on") and "a.x" not in settings.values
+    assert settings.names("list") == ["p, q", "r"] and settings.number("deep.0.n", 0, 9) == 2.5
+    assert settings.whole_number("deep.count", 0) == 2
--- /dev/null
+++ b/tests/configuration/test_startup.py
@@ -0,0 +1,91 @@
+"""Reading the configuration file of one sidecar."""
+
+from __future__ import annotations
+
+import copy
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from cressrail.cli.launch import look
+from cressrail.configuration import policy_factory
+from cressrail.configuration.settings_reader import ConfigurationError
+from cressrail.configuration.startup import read_startup_configuration
+from tests.configuration.support import set_path
+from tests.helpers import CONFIG
+
+
+@pytest.mark.parametrize("text", ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'])
+def test_read_startup_configuration_names_the_file_it_cannot_read(tmp_path: Path, text: str) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(text, encoding="latin-1")
+    with pytest.raises(ConfigurationError, match=f"^{path}: (not JSON|no JSON object)"):
+        read_startup_configuration(str(path), {})
+
+
+@pytest.mark.parametrize(
+    "setting, value, message",
+    [
+        ("settings", None, "settings is missing"),
+        ("seed", "xyz", "seed is no hexadecimal number: xyz"),
+        ("seed", None, "seed is missing"),
+        ("listen", "here", "listen is no host:port: here"),
+        ("listen", "1.2.3.4:99999", "listen is no host:port"),
+        ("discovery", None, "discovery is missing"),
+        ("limits.sockets", "many", "limits.sockets is not a whole number: many"),
+        ("limits.memory_mb", 1, "limits.memory_mb is not within"),
+        ("known", {"revision": 1}, "known: no members"),
+        ("settings.profiles", [], "settings.profiles.count is below 1"),
+        ("settings.profiles.1.window_us", 0, "settings.profiles.1.window_us is below 1: 0"),
+        ("settings.profiles.1.window_us", -5, "settings.profiles.1.window_us is below 1: -5"),
+        ("settings.profiles.0.hard_limit_us", 0, "settings.profiles.0.hard_limit_us is below 1: 0"),
+        ("settings.profiles.0.service_goal_us", -1, "settings.profiles.0.service_goal_us is below 1: -1"),
+        ("settings.profiles.0.repeat", "often", "settings.profiles.0.repeat is none of safe, keyed, unsafe"),
+        ("settings.profiles.1.key_scope", "town", "settings.profiles.1.key_scope is none of all, zone, cell"),
+        ("settings.profiles.0.name", None, "settings.profiles.0.name is missing"),
+        ("known", [], "known: no members"),
+        ("known", {"revision": 4, "complete": True, "members": {}}, "known: no members"),
+        ("settings.stage", 7, "settings.stage is not below"),
+        ("settings.contract.cold_from", 7, "settings.contract.cold_from is not within 0 and 1"),
+        ("settings.contract.fall_multiple", 0, "settings.contract.fall_multiple is not within 0.1"),
+        ("settings.contract.fall_us", 0, "settings.contract.fall_us is below 1"),
+        ("settings.contract.warm_within_us", 0, "settings.contract.warm_within_us is below 1"),
+        ("settings.zone", "nowhere", "settings.zone is not one of dcs: nowhere"),
+        ("settings.tiers", None, "settings.tiers is missing"),
+        ("settings.limits.conn_idle_us", 0, "settings.limits.conn_idle_us is below 1"),
+    ],
+)
+def test_check_names_the_wrong_setting_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], setting: str, value: Any, message: str
+) -> None:
+    config = copy.deepcopy(CONFIG)
+    set_path(config, setting, value)
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(config))
+    assert look(str(path)) == 2
+    error = capsys.readouterr().err
+    assert error.startswith(f"cressrail: {path}: {message}") and error.count("\n") == 1
+
+
+def test_check_accepts_a_good_configuration_and_environment_overrides_it(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG))
+    start = read_startup_configuration(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
+    assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
+    assert {
+        request_class.idempotency
+        for request_class in policy_factory.read_request_classes(start.settings).values()
+    } == {
+        "idempotent",
+        "journalled",
+    }
+    assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
+
+
+def test_check_reports_a_missing_file(capsys: pytest.CaptureFixture[str]) -> None:
+    assert look("/nowhere/config.json") == 2
+    assert capsys.readouterr().err == "cressrail: /nowhere/config.json: No such file or directory\n"
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import SettingsReader
 from cressrail.discovery.endpoint_list import read
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
@@ -36,7 +36,9 @@
 
 def sidecar(shape: str, now: int) -> LoadBalancer:
     told = SettingsReader.from_nested(CONFIGS[shape]["settings"])
-    side = parts.build_load_balancer(told, 5, 0, ["a", "b"], list(parts.read_tenant_quotas(told).values()))
+    side = policy_factory.build_load_balancer(
+        told, 5, 0, ["a", "b"], list(policy_factory.read_tenant_quotas(told).values())
+    )
     side.update_endpoints(now, fleet(), True)
     return side
 
@@ -45,7 +47,7 @@
     """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
     random = Random(since)
     profiles = list(
-        parts.read_request_classes(SettingsReader.from_nested(CONFIGS[shape]["settings"])).values()
+        policy_factory.read_request_classes(SettingsReader.from_nested(CONFIGS[shape]["settings"])).values()
     )
     endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cressrail.buffers.pool import Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import read, read_line
@@ -136,9 +136,9 @@
     start = parse_configuration(config, {})
     if wrong:
         with pytest.raises(ConfigurationError, match=wrong):
-            parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
-    side = parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    side = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
     assert side.instances == copies and len(start.known_endpoints.entries) == 1024
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cressrail.buffers.pool import Chain, Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import EndpointListUpdate, read
 from cressrail.http1.head import Fields
@@ -39,10 +39,10 @@
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = parse_configuration(config, {})
-        roster, members = EndpointRegistry(["a", "b"]), parts.read_tenant_quotas(start.settings)
+        roster, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.reducer = StateMachine(
-            parts.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
-            parts.read_request_classes(start.settings),
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            policy_factory.read_request_classes(start.settings),
             dict.fromkeys(members, 0),
             roster,
             ConnectionLimits(clients, 2, links),
