--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -1,31 +1,41 @@
-"""The configuration's file read again, as SIGHUP asks."""
+"""Reads the configuration file again, as SIGHUP asks."""
 
 from __future__ import annotations
 
-from cressrail.configuration import policy_factory as parts
-from cressrail.configuration.settings_reader import ConfigurationError, under
-from cressrail.configuration.startup import StartupConfiguration, differing, read_again
+from typing import TYPE_CHECKING
+
+from cressrail.configuration import policy_factory
+from cressrail.configuration.settings_reader import ConfigurationError, error_prefix
+from cressrail.configuration.startup import (
+    StartupConfiguration,
+    paths_needing_restart,
+    reread_startup_configuration,
+)
 from cressrail.network.dispatcher import CommandDispatcher
 
-MAX_NAMED_PATHS = 8  # of the paths that a new start would follow
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
+MAX_NAMED_PATHS = 8  # in one log event, of the settings that wait for a restart
 
 
 class ConfigurationReload:
-    """Holds what was read last; a file that cannot be used leaves it as it was."""
+    """Holds the configuration that was read last; a file that cannot be used leaves it as it was."""
 
     def __init__(self, path: str, start: StartupConfiguration) -> None:
         self.path = path
         self.start = start
 
-    def reload(self, dispatcher: CommandDispatcher) -> None:
+    def reload(self, dispatcher: CommandDispatcher, membership: MembershipTransport | None = None) -> None:
+        """Applies the address of discovery and the membership keys; names in the log what needs a restart."""
         try:
-            start = read_again(self.path, self.start)
-            with under(f"{self.path}: settings."):
-                parts.tried(start.settings, start.seed)
+            start = reread_startup_configuration(self.path, self.start)
+            with error_prefix(f"{self.path}: settings."):
+                policy_factory.check_policy_settings(start.settings, start.seed)
         except ConfigurationError as fault:
             dispatcher.log.write_event("config_kept", {"why": str(fault)})
             return
-        waiting = differing(self.start, start)
+        waiting = paths_needing_restart(self.start, start)
         dispatcher.log.write_event(
             "config",
             {
@@ -34,8 +44,8 @@
                 "more": len(waiting[MAX_NAMED_PATHS:]),
             },
         )
-        # What takes a new start stays named at each reading until there was one.
-        self.start.discovery, self.start.filed = start.discovery, start.filed
-        if dispatcher.membership is not None and start.membership is not None:
-            dispatcher.membership.rekey(start.membership)
+        # The other settings stay as they were, so that each reload names them until a restart.
+        self.start.discovery, self.start.discovery_in_file = start.discovery, start.discovery_in_file
+        if membership is not None and start.membership is not None:
+            membership.rekey(start.membership)
         dispatcher.dispatch(dispatcher.state_machine.on_discovery_address(dispatcher.now(), start.discovery))
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -6,11 +6,15 @@
 import socket
 import struct
 from contextlib import suppress
+from typing import TYPE_CHECKING
 
 from cressrail.event_loop.scheduler import MAIL, READ, WRITE
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
 from cressrail.network.dispatcher import CommandDispatcher
 
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
 DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
 HELLO_TIMEOUT_US = 1_000_000  # to say who it is
 READ_BYTES = 65536
@@ -20,8 +24,14 @@
 
 class HandoverServerTask:
     def __init__(
-        self, dispatcher: CommandDispatcher, path: str, listening: socket.socket, listen: tuple[str, int]
+        self,
+        dispatcher: CommandDispatcher,
+        path: str,
+        listening: socket.socket,
+        listen: tuple[str, int],
+        membership: MembershipTransport | None,
     ) -> None:
+        self.membership = membership
         self.dispatcher = dispatcher
         self.path = path
         self.listening_socket = listening
@@ -85,8 +95,8 @@
             over = True
             self.dispatcher.dispatch(effects)
             self._send(sock, wrap(ESTATE, {**told, "held": self._held_resources()}))
-            if self.dispatcher.membership is not None:
-                self.dispatcher.membership.tell("cede")
+            if self.membership is not None:
+                self.membership.tell("cede")
             self._unpublish()
             got = self._receive_frame(sock, frames, None)
             if got is not None and got[0] == BYE:
@@ -97,8 +107,8 @@
             sock.close()
             if over:
                 self.dispatcher.pool.most = self.buffers_before
-                if self.dispatcher.membership is not None and self.dispatcher.state_machine.stop_us < 0:
-                    self.dispatcher.membership.tell("resume")
+                if self.membership is not None and self.dispatcher.state_machine.stop_us < 0:
+                    self.membership.tell("resume")
                 self.dispatcher.dispatch(
                     self.dispatcher.state_machine.on_successor_failed(self.dispatcher.now())
                 )
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -1,20 +1,22 @@
-"""Puts the parts of a running sidecar together and runs it."""
+"""Builds the parts of a running sidecar and runs them until the event loop ends."""
 
 from __future__ import annotations
 
 import gc
 import os
 import resource
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
 
 from cressrail.buffers.pool import SIZE, Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
 from cressrail.event_loop.scheduler import Scheduler
 from cressrail.logs.log_writer import LogWriter
-from cressrail.network import admin_server as ops
-from cressrail.network import handover_server as heir
-from cressrail.network import listener
+from cressrail.network import admin_server, handover_server, listener
+from cressrail.network.admin_server import AdminServerTask
 from cressrail.network.configuration_reload import ConfigurationReload
 from cressrail.network.discovery_watch import DiscoveryWatchTask
 from cressrail.network.dispatcher import CommandDispatcher
@@ -26,138 +28,204 @@
     rendezvous_path,
 )
 from cressrail.network.handover_server import HandoverServerTask
+from cressrail.network.listener import ListenerTask
 from cressrail.network.signals import handle_signals
 from cressrail.network.timer_task import timer_task
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.proxy.commands import AcceptClients, BeginTakeover, SetTimer, WatchEndpoints
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.state_machine import ConnectionLimits, StateMachine
 
-SPARE_DESCRIPTORS = (
-    16  # descriptors for all that is neither client nor endpoint, and for those on their way out
-)
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
+SPARE_DESCRIPTORS = 16  # for all but clients and endpoints, and for connections being closed
+MIN_CONNECTIONS = 16  # of both sides together
 ENDPOINT_CONNECTIONS_SHARE = (
     3 / 8
-)  # of the descriptors; a link carries one hop after another, clients come in crowds
+)  # of the descriptors: endpoint connections are reused, clients come in bursts
+EXTRA_CLIENTS_DIVISOR = 16  # of the descriptors, for clients that are answered 503
+MIN_EXTRA_CLIENTS = 4
 BUFFERS_SHARE = 0.5  # of the memory limit
-YOUNG_OBJECTS = 5_000  # objects between two collections
+BYTES_PER_MB = 1 << 20
+YOUNG_OBJECTS = 5_000  # allocations between two garbage collections: requests leave few reference cycles
+
 
+@dataclass(frozen=True, slots=True)
+class Server:
+    """A sidecar whose parts are connected and whose first tasks wait for the event loop."""
 
-def connection_limits(sockets: int, aside: int = 0) -> ConnectionLimits:
-    """Each side gets a part, so that neither can crowd the other out; `aside` go to nobody."""
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    both = max(16, min(sockets, soft if soft > 0 else sockets) - SPARE_DESCRIPTORS - aside)
-    surplus = max(4, both // 16)
-    links = int(both * ENDPOINT_CONNECTIONS_SHARE)
-    return ConnectionLimits(clients=both - links - surplus, extra_clients=surplus, endpoint_connections=links)
+    dispatcher: CommandDispatcher
+    listener: ListenerTask
+    membership: MembershipTransport | None
 
 
-def assemble(start: StartupConfiguration, log_fd: int = 1) -> tuple[CommandDispatcher, listener.ListenerTask]:
-    """Everything in its place and the first tasks waiting; nothing runs until the loop does."""
+def connection_limits(max_descriptors: int, reserved: int = 0) -> ConnectionLimits:
+    """Splits the descriptors so that neither clients nor endpoints can crowd out the other side.
+
+    Args:
+        max_descriptors: what the configuration allows; the limit of the process holds too.
+        reserved: descriptors for other purposes, beside `SPARE_DESCRIPTORS`.
+    """
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    available = min(max_descriptors, soft_limit if soft_limit > 0 else max_descriptors)
+    shared = max(MIN_CONNECTIONS, available - SPARE_DESCRIPTORS - reserved)
+    extra_clients = max(MIN_EXTRA_CLIENTS, shared // EXTRA_CLIENTS_DIVISOR)
+    endpoint_connections = int(shared * ENDPOINT_CONNECTIONS_SHARE)
+    return ConnectionLimits(
+        clients=shared - endpoint_connections - extra_clients,
+        extra_clients=extra_clients,
+        endpoint_connections=endpoint_connections,
+    )
+
+
+def assemble(configuration: StartupConfiguration, log_descriptor: int = 1) -> Server:
+    """Connects the parts and spawns the first tasks; nothing runs before the event loop does.
+
+    Raises:
+        ConfigurationError: a setting cannot be used.
+        OSError: an address cannot be listened on.
+    """
     clock = Clock()
-    log = LogWriter(log_fd, clock.now, start.name)
-    loop = Scheduler(clock.now, lambda text: log.write_event("fault", {"trace": text}))
-    loop.after_round = log.flush
-    profiles = parts.request_classes(start.settings)
-    members = parts.tenants(start.settings)
-    roster = EndpointRegistry(start.settings.names("dcs"))
+    log = LogWriter(log_descriptor, clock.now, configuration.name)
+    scheduler = Scheduler(clock.now, lambda trace: log.write_event("fault", {"trace": trace}))
+    scheduler.after_round = log.flush
     now = clock.now()
-    aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
-    rooms = connection_limits(start.sockets, aside)
-    sidecar = parts.load_balancer(
-        start.settings,
-        start.seed,
-        now,
-        list(roster.zones),
-        list(members.values()),
-        rooms.endpoint_connections,
+    state_machine = _build_state_machine(configuration, now)
+    dispatcher = _build_dispatcher(configuration, scheduler, state_machine, log)
+    # Without an admin address nothing is written under $TMPDIR and no socket is shared.
+    path = rendezvous_path(configuration.listen, os.environ.get("TMPDIR")) if configuration.admin else None
+    predecessor = find_predecessor(path, configuration.listen) if path else None
+    listener_task = _build_listener(configuration, dispatcher, predecessor, now)
+    admin_socket = listener.bind(*configuration.admin) if configuration.admin else None
+    membership = _start_membership(configuration, dispatcher, waits=predecessor is not None)
+    if admin_socket is not None:
+        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, first=True)
+    dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
+    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, first=True, vital=True)
+    dispatcher.send_to_task(WatchEndpoints, watch)
+    dispatcher.send_to_task(AcceptClients, scheduler.spawn(listener_task.run, vital=True))
+    dispatcher.send_to_task(SetTimer, scheduler.spawn(partial(timer_task, dispatcher), vital=True))
+    _log_start(configuration, log, state_machine)
+    if path:
+        successor = HandoverServerTask(dispatcher, path, listener_task.sock, configuration.listen, membership)
+        handover = partial(_take_over_then_serve_successor, dispatcher, predecessor, successor)
+        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, first=True))
+    known = predecessor.endpoint_list if predecessor else configuration.known_endpoints
+    dispatcher.dispatch(state_machine.start(now, known, predecessor is not None))
+    return Server(dispatcher, listener_task, membership)
+
+
+def run(server: Server, configuration_reload: ConfigurationReload) -> int:
+    """Runs the event loop to its end; returns the exit status of the process."""
+    dispatcher = server.dispatcher
+    with handle_signals(dispatcher, configuration_reload, server.membership):
+        gc.collect()
+        gc.freeze()  # what exists now stays; later collections look at new objects only
+        gc.set_threshold(YOUNG_OBJECTS, 10, 50)
+        dispatcher.scheduler.run()
+    for callback in dispatcher.at_end:
+        callback()
+    has_failed = dispatcher.scheduler.failed
+    dispatcher.log.write_event("end", {"failed": True} if has_failed else {})
+    dispatcher.log.flush()
+    return int(has_failed)
+
+
+def _build_state_machine(configuration: StartupConfiguration, now_us: int) -> StateMachine:
+    settings = configuration.settings
+    request_classes = policy_factory.read_request_classes(settings)
+    quotas = policy_factory.read_tenant_quotas(settings)
+    registry = EndpointRegistry(settings.names(setting_names.ZONES))
+    reserved = admin_server.DESCRIPTORS + handover_server.DESCRIPTORS if configuration.admin else 0
+    limits = connection_limits(configuration.max_sockets, reserved + (configuration.membership is not None))
+    load_balancer = policy_factory.build_load_balancer(
+        settings,
+        configuration.seed,
+        now_us,
+        list(registry.zones),
+        list(quotas.values()),
+        limits.endpoint_connections,
     )
-    reducer = StateMachine(
-        sidecar,
-        profiles,
-        {member: n for n, member in enumerate(members)},
-        roster,
-        rooms,
-        RandomGenerator(start.seed ^ 1),
-        now,
-        longest_us := max(p.deadline_us for p in profiles.values()),
-        start.discovery,
-        start.settings.whole("contract.stop_sending_within_us", 0, absent=0),
+    return StateMachine(
+        load_balancer,
+        request_classes,
+        {tenant: index for index, tenant in enumerate(quotas)},
+        registry,
+        limits,
+        RandomGenerator(configuration.seed ^ 1),  # not the policy's own sequence
+        now_us,
+        max(request_class.deadline_us for request_class in request_classes.values()),
+        configuration.discovery,
+        settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
-    pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
-    connect_us, idle_us = parts.waits(start.settings)
-    dispatcher = CommandDispatcher(
-        loop,
-        pool,
-        reducer,
+
+
+def _build_dispatcher(
+    configuration: StartupConfiguration,
+    scheduler: Scheduler,
+    state_machine: StateMachine,
+    log: LogWriter,
+) -> CommandDispatcher:
+    pool_bytes = int(configuration.memory_limit_mb * BUFFERS_SHARE * BYTES_PER_MB)
+    connect_timeout_us, idle_timeout_us = policy_factory.read_connection_timeouts(configuration.settings)
+    return CommandDispatcher(
+        scheduler,
+        Pool(pool_bytes // SIZE),
+        state_machine,
         log,
-        connect_timeout_us=connect_us,
-        endpoint_idle_timeout_us=idle_us,
-        peer_timeout_us=longest_us,
-    )
-    # Only with a door for operators: without it nothing is written under $TMPDIR, and nothing shared.
-    path = rendezvous_path(start.listen, os.environ.get("TMPDIR")) if start.admin else None
-    elder = find_predecessor(path, start.listen) if path else None
-    door = listener.ListenerTask(
-        dispatcher,
-        elder.listening_socket if elder else listener.bind(*start.listen, shared=start.admin is not None),
-        None if elder else now,
+        connect_timeout_us=connect_timeout_us,
+        endpoint_idle_timeout_us=idle_timeout_us,
+        peer_timeout_us=state_machine.max_deadline_us,
     )
-    if start.admin:
-        loop.spawn(ops.AdminServerTask(dispatcher, listener.bind(*start.admin)).run, first=True)
-    if start.membership is not None:
-        from cressrail.network.membership_transport import (
-            MembershipTransport,  # nothing of it is loaded where it is off
-        )
-
-        dispatcher.membership = MembershipTransport(dispatcher, start.membership, waits=elder is not None)
-    dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
-    dispatcher.watch_task = loop.spawn(DiscoveryWatchTask(dispatcher).run, first=True, vital=True)
-    dispatcher.listener_task = loop.spawn(door.run, vital=True)
-    dispatcher.timer_task = loop.spawn(lambda: timer_task(dispatcher), vital=True)
+
+
+def _build_listener(
+    configuration: StartupConfiguration,
+    dispatcher: CommandDispatcher,
+    predecessor: Predecessor | None,
+    now_us: int,
+) -> ListenerTask:
+    if predecessor is not None:
+        return ListenerTask(dispatcher, predecessor.listening_socket)
+    sock = listener.bind(*configuration.listen, shared=configuration.admin is not None)
+    return ListenerTask(dispatcher, sock, now_us)
+
+
+def _start_membership(
+    configuration: StartupConfiguration, dispatcher: CommandDispatcher, waits: bool
+) -> MembershipTransport | None:
+    if configuration.membership is None:
+        return None
+    # Imported here: a sidecar without membership loads nothing of it.
+    from cressrail.network.membership_transport import MembershipTransport
+
+    return MembershipTransport(dispatcher, configuration.membership, waits=waits)
+
+
+def _log_start(configuration: StartupConfiguration, log: LogWriter, state_machine: StateMachine) -> None:
     log.write_event(
         "start",
         {
-            "listen": ":".join(map(str, start.listen)),
-            "ops": ":".join(map(str, start.admin)) if start.admin else None,
-            "discovery": ":".join(map(str, start.discovery)),
-            "shape": start.deployment_type,
-            "stage": start.settings.whole("stage", 0),
-            "known": len(start.known.entries),
-            "clients": reducer.limits.clients,
-            "links": reducer.limits.endpoint_connections,
+            "listen": ":".join(map(str, configuration.listen)),
+            "ops": ":".join(map(str, configuration.admin)) if configuration.admin else None,
+            "discovery": ":".join(map(str, configuration.discovery)),
+            "shape": configuration.deployment_type,
+            "stage": configuration.settings.whole_number(setting_names.TIER_INDEX, 0),
+            "known": len(configuration.known_endpoints.entries),
+            "clients": state_machine.limits.clients,
+            "links": state_machine.limits.endpoint_connections,
         },
     )
-    if path:
-        successor = HandoverServerTask(dispatcher, path, door.sock, start.listen)
-        dispatcher.handover_task = loop.spawn(
-            lambda: _take_over_then_serve_successor(dispatcher, elder, successor), first=True
-        )
-    dispatcher.dispatch(reducer.start(now, elder.endpoint_list if elder else start.known, elder is not None))
-    return dispatcher, door
 
 
 def _take_over_then_serve_successor(
-    dispatcher: CommandDispatcher, elder: Predecessor | None, successor: HandoverServerTask
+    dispatcher: CommandDispatcher, predecessor: Predecessor | None, successor: HandoverServerTask
 ) -> None:
-    """First what this process takes over, then whoever takes over from it."""
-    if elder is not None:
-        before = HandoverClientTask(dispatcher, elder)
-        before.take_over()
-        dispatcher.at_end.append(before.announce_exit)
-        dispatcher.scheduler.spawn(before.wait_for_exit, first=True)
+    """Takes over from the predecessor, if there is one, then waits for a successor."""
+    if predecessor is not None:
+        client = HandoverClientTask(dispatcher, predecessor)
+        client.take_over()
+        dispatcher.at_end.append(client.announce_exit)
+        dispatcher.scheduler.spawn(client.wait_for_exit, first=True)
     successor.run()
-
-
-def run(dispatcher: CommandDispatcher, configuration_reload: ConfigurationReload) -> int:
-    with handle_signals(dispatcher, configuration_reload):
-        gc.collect()
-        gc.freeze()  # what is here stays; later collections look at what is new
-        # Transactions leave few circles behind: a look at the young each 700 objects was a look every few of
-        # them.
-        gc.set_threshold(YOUNG_OBJECTS, 10, 50)
-        dispatcher.scheduler.run()
-    for last in dispatcher.at_end:
-        last()
-    dispatcher.log.write_event("end", {"failed": True} if dispatcher.scheduler.failed else {})
-    dispatcher.log.flush()
-    return int(dispatcher.scheduler.failed)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -578,7 +578,7 @@
         waiting = [socket.create_connection(play.at) for _ in range(2)]
         for sock in waiting:
             sock.sendall(ask())
-        play.loop.post(play.net.listener_task, do.AcceptClients(False, closed=True))  # type: ignore[arg-type]
+        play.loop.post(play.net.command_tasks[do.AcceptClients], do.AcceptClients(False, closed=True))
         heard.extend(status(Peer(play.loop, sock)) for sock in waiting)
         for sock in waiting:
             sock.close()
@@ -836,9 +836,9 @@
     told: dict[str, set[type]] = {}
     post = play.loop.post
     names = {
-        id(play.net.watch_task): "watch",
-        id(play.net.listener_task): "listener",
-        id(play.net.timer_task): "waker",
+        id(play.net.command_tasks[do.WatchEndpoints]): "watch",
+        id(play.net.command_tasks[do.AcceptClients]): "listener",
+        id(play.net.command_tasks[do.SetTimer]): "waker",
     }
 
     def posting(task: Any, message: Any) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.network import admin_server as ops
 from cressrail.network import listener
 from cressrail.policy.load_balancer import Outcome
@@ -170,8 +170,8 @@
     else:
         env["BALANCER_OPS"] = value
     with pytest.raises(ConfigurationError, match=f"^{re.escape(says)}$"):
-        read_config(config, env)
-    assert read_config(copy.deepcopy(CONFIG), {}).admin is None
+        parse_configuration(config, env)
+    assert parse_configuration(copy.deepcopy(CONFIG), {}).admin is None
 
 
 def test_an_address_for_operators_that_is_taken_ends_the_start(tmp_path: Path) -> None:
@@ -195,7 +195,7 @@
 
 def opened() -> tuple[Play, ops.AdminServerTask, tuple[str, int]]:
     made = Play([serving(reply(b"hello"))])
-    door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0))
+    door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0), None)
     made.loop.spawn(door.run, first=True)
     return made, door, door.sock.getsockname()
 
@@ -251,7 +251,7 @@
     seen: list[Any] = []
 
     def script(peer: Peer) -> None:
-        socks = [Peer(peer.loop, socket.create_connection(at)) for _ in range(ops.CALLS - 1)]
+        socks = [Peer(peer.loop, socket.create_connection(at)) for _ in range(ops.MAX_OPEN_CALLS - 1)]
         for n in range(3):
             last = Peer(peer.loop, socket.create_connection(at))
             last.say(get("/control/counters"))
@@ -259,7 +259,7 @@
             last.sock.close()
             if n == 0:  # the script's own connection and those above fill all places
                 socks += [Peer(peer.loop, socket.create_connection(at)) for _ in range(2)]
-        assert len(door.calls) <= ops.CALLS
+        assert len(door.calls) <= ops.MAX_OPEN_CALLS
         seen.append(peer.hear(b"never"))  # the oldest: closed to make room
         for other in socks:
             other.sock.close()
