--- a/cressrail/load/record.py
+++ b/cressrail/load/record.py
@@ -8,9 +8,13 @@
 import orjson
 
 from cressrail.load.trace import BadRow
+from cressrail.proxy import events
 
 Row = tuple[int, str, str, int, str]
-ENDED = ("rolled_back", "abandoned")  # events of a sidecar's log that end a transaction
+# Events of an instance's log that end a request without an answer of an endpoint, and those of earlier
+# versions.
+ENDED = (events.REQUEST_REJECTED, events.REQUEST_FAILED)
+OLD_ENDED = (events.OLD_REQUEST_REJECTED, events.OLD_REQUEST_FAILED)
 
 
 def recorded(path: Path, size: int = 0) -> Iterator[Row]:
@@ -43,6 +47,10 @@
             int(str(said.get("size", size))),
             str(said.get("key", "")),
         )
-    if said["event"] not in ENDED:
+    if said["event"] in ENDED:
+        request_class, tenant = said["request_class"], said["tenant"]
+    elif said["event"] in OLD_ENDED:
+        request_class, tenant = said["profile"], said["member"]
+    else:
         return None
-    return int(str(said["at_us"])), str(said["profile"]), str(said["member"] or ""), size, ""
+    return int(str(said["at_us"])), str(request_class), str(tenant or ""), size, ""
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -15,7 +15,6 @@
 from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 from cressrail.proxy.commands import CloseClient, ReadRequest, SendResponse
-from cressrail.proxy.state_machine import FRESH_US
 
 LINGER_US = 500_000
 UPLOAD_LINGER_US = 2_000_000  # the rest of a request that is answered before it is whole
@@ -191,7 +190,7 @@
                     if n:
                         self._linger(LINGER_US)
                     return False  # between requests; what has come meanwhile is still answered
-                if reader is not None and self.net.now() - moved_us >= FRESH_US:
+                if reader is not None and self.net.state_machine.has_client_stalled(self.net.now(), moved_us):
                     return self._junk(408, "request long in coming")
                 if reader is not None:  # it goes on, and may be asked for its place another time
                     self.net.dispatch(self.net.state_machine.on_request_started(self.net.now(), self.number))
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -21,6 +21,7 @@
     StreamTimeoutError,
 )
 from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import CancelAttempt, SendAttempt, SendResponse
 
 REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
@@ -96,12 +97,14 @@
                 self.net.state_machine.on_attempt_finished(
                     self.net.now(),
                     job.attempt,
-                    end.how,
-                    end.keep,
-                    body if whole and not self.passed else None,
-                    kind,
-                    end.why,
-                    end.refused,
+                    AttemptResult(
+                        end.how,
+                        end.keep,
+                        body if whole and not self.passed else None,
+                        kind,
+                        end.why,
+                        end.refused,
+                    ),
                 )
             )
         return end.keep
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -108,7 +108,7 @@
 
     def farewell(self) -> None:
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
-        if self.net.state_machine.handed_over_us >= 0:
+        if self.net.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
                 self.elder.sock.send(wrap(BYE, {}))
 
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -97,7 +97,7 @@
             sock.close()
             if over:
                 self.net.pool.most = self.most
-                if self.net.gossip is not None and self.net.state_machine.stop_us < 0:
+                if self.net.gossip is not None and not self.net.state_machine.lifecycle.is_stopping:
                     self.net.gossip.tell("resume")
                 self.net.dispatch(self.net.state_machine.on_successor_failed(self.net.now()))
 
@@ -107,10 +107,8 @@
         self.most = pool.most
         pool.most = max(pool.lent, pool.most // KEPT_PART)
         pool.trim()
-        reducer.limits.endpoint_connections = max(
-            len(reducer.connections), reducer.limits.endpoint_connections // KEPT_PART
-        )
-        return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.most]
+        connections_kept = reducer.keep_connections(KEPT_PART)
+        return [len(reducer.clients.open) + FIXED, connections_kept, pool.most]
 
     def _next(
         self, sock: socket.socket, frames: Frames, until_us: int | None
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -29,8 +29,10 @@
 from cressrail.network.signals import heed_signals
 from cressrail.network.timer_task import wake_task
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry
-from cressrail.proxy.state_machine import ConnectionLimits, StateMachine
+from cressrail.proxy.settings import ProxySettings
+from cressrail.proxy.state_machine import StateMachine
 
 SPARE = 16  # descriptors for all that is neither client nor endpoint, and for those on their way out
 LINKS_SHARE = 3 / 8  # of the descriptors; a link carries one hop after another, clients come in crowds
@@ -67,17 +69,20 @@
         list(members.values()),
         rooms.endpoint_connections,
     )
+    longest_us = max(p.deadline_us for p in profiles.values())
     reducer = StateMachine(
+        ProxySettings(
+            request_classes=profiles,
+            tenants={member: n for n, member in enumerate(members)},
+            max_deadline_us=longest_us,
+            discovery=start.discovery,
+            drain_notice_us=start.settings.whole("contract.stop_sending_within_us", 0, absent=0),
+        ),
         sidecar,
-        profiles,
-        {member: n for n, member in enumerate(members)},
         roster,
         rooms,
         RandomGenerator(start.seed ^ 1),
         now,
-        longest_us := max(p.deadline_us for p in profiles.values()),
-        start.discovery,
-        start.settings.whole("contract.stop_sending_within_us", 0, absent=0),
     )
     pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
     connect_us, idle_us = parts.waits(start.settings)
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -11,7 +11,7 @@
 def wake_task(net: CommandDispatcher) -> None:
     task = net.loop.current
     assert task is not None
-    due_us = net.state_machine.wake_us
+    due_us = net.state_machine.timer_us
     while True:
         net.loop.wait(until_us=due_us)
         while task.mail:
--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -1,4 +1,4 @@
-"""The operators' calls: which there are, and what is answered. What they do stands in the reducer."""
+"""The operators' calls: which there are, and what is answered to calls that there are not."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 
 
 class AdminResponse(NamedTuple):
-    """What a caller is told."""
+    """The answer to an operator's call.
+
+    Attributes:
+        status: HTTP status.
+        body: Text, or the JSON of another part of the program.
+        kind: Content type of the body.
+        allow: The method that the path takes, where it was called by another one.
+    """
 
     status: int
     body: bytes = b""
@@ -19,8 +26,15 @@
     allow: bytes = b""
 
 
+IS_READY = AdminResponse(200, b"ready\n")
+IS_NOT_READY = AdminResponse(503, b"not ready\n")
+IS_OUT_OF_SERVICE = AdminResponse(200, b"out of service\n")
+IS_IN_SERVICE = AdminResponse(200, b"in service\n")
+HAS_HANDED_OVER = AdminResponse(503, b"another process has taken over\n")
+
+
 def refused(method: bytes, path: bytes) -> AdminResponse | None:
-    """The answer to a call that there is none of; nothing for one of the four."""
+    """Returns the answer to a call that there is none of; None for one that there is."""
     allowed = METHODS.get(path)
     if allowed is None:
         return AdminResponse(404, b"no such call\n")
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -1,8 +1,9 @@
-"""The endpoints' names and addresses, small indices on one side and discovery's ids on the other."""
+"""The endpoints' names and addresses, with indices on this side and discovery's ids on the other."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 from zlib import crc32
 
 from cressrail.discovery.endpoint_list import EndpointEntry, EndpointListUpdate
@@ -11,67 +12,117 @@
 
 @dataclass(slots=True)
 class RegisteredEndpoint:
-    """How an endpoint is reached; what is decided on stands in the module's own record."""
+    """How an endpoint is reached; what decisions go by is in the load balancer's record of it.
+
+    Attributes:
+        name: Its id at discovery.
+        host: Address that connections are made to.
+        port: Port that connections are made to.
+        entry: As it was listed last.
+        idle: Connections with no attempt in flight, the latest used last; `EndpointConnections` alone changes
+            it.
+    """
 
     name: str
     host: str
     port: int
     entry: EndpointEntry
-    idle: list[int] = field(default_factory=list)  # connections with nothing out, the latest used last
+    idle: list[int] = field(default_factory=list)
+
+
+class RegistryChanges(NamedTuple):
+    """What an update of the list changes.
+
+    Attributes:
+        updates: For the load balancer.
+        stale_connections: Idle connections to addresses or processes that are no longer listed.
+        removed: Indices of endpoints that have left the list.
+    """
+
+    updates: list[EndpointUpdate]
+    stale_connections: list[int]
+    removed: list[int]
 
 
 class EndpointRegistry:
+    """Gives each listed endpoint an index, and keeps its address and entry.
+
+    Attributes:
+        zones: Indices of the zones, by their names.
+        indices: Indices of the endpoints, by their names.
+        endpoints: By index.
+    """
+
     def __init__(self, zones: list[str]) -> None:
-        self.zones = {zone: n for n, zone in enumerate(zones)}
+        self.zones = {zone: index for index, zone in enumerate(zones)}
         self.indices: dict[str, int] = {}
         self.endpoints: dict[int, RegisteredEndpoint] = {}
-        self.numbers = 0
-
-    def apply(self, news: EndpointListUpdate) -> tuple[list[EndpointUpdate], list[int], list[int]]:
-        """The entries for the module, the connections to addresses that are no longer used, and those who
-        have left."""
-        entries, stale, left = [], [], []
-        kept = [self.endpoints[self.indices[name]].entry for name in news.kept if name in self.indices]
-        for row in [*news.entries, *kept]:
-            ix = self.indices.get(row.name)
-            if ix is None:
-                if row.is_removed:  # one that is gone before it was ever named says nothing
-                    continue
-                ix = self.indices[row.name] = self.numbers
-                self.numbers += 1
-                self.endpoints[ix] = RegisteredEndpoint(row.name, row.host, row.port, row)
-            at = self.endpoints[ix]
-            moved = (at.host, at.port) != (row.host, row.port) and not row.is_removed
-            if moved or row.is_removed or at.entry.started_us != row.started_us:
-                stale += at.idle
-            if moved:
-                at.host, at.port = row.host, row.port
-            at.entry = row
-            zone = self.zones.setdefault(row.zone, len(self.zones))
-            entries.append(
-                (
-                    ix,
-                    zone,
-                    row.cell,
-                    row.scale,
-                    row.accepts_requests,
-                    row.started_us,
-                    crc32(row.name.encode()),
-                )
+        self.next_index = 0
+
+    def apply(self, update: EndpointListUpdate) -> RegistryChanges:
+        """Takes an update of the list over. Entries that could not be read stay as they were."""
+        changes = RegistryChanges([], [], [])
+        kept = [self.endpoints[self.indices[name]].entry for name in update.kept if name in self.indices]
+        entries = [*update.entries, *kept]
+        for entry in entries:
+            self._apply_entry(entry, changes)
+        if update.is_complete:
+            self._remove_all_but({entry.name for entry in entries}, changes)
+        return changes
+
+    def _apply_entry(self, entry: EndpointEntry, changes: RegistryChanges) -> None:
+        index = self.indices.get(entry.name)
+        if index is None:
+            if entry.is_removed:  # it has left before it was ever listed
+                return
+            index = self._add(entry)
+        registered = self.endpoints[index]
+        has_moved = (registered.host, registered.port) != (entry.host, entry.port) and not entry.is_removed
+        if has_moved or entry.is_removed or registered.entry.started_us != entry.started_us:
+            changes.stale_connections.extend(registered.idle)
+        if has_moved:
+            registered.host, registered.port = entry.host, entry.port
+        registered.entry = entry
+        zone = self.zones.setdefault(entry.zone, len(self.zones))
+        changes.updates.append(
+            (
+                index,
+                zone,
+                entry.cell,
+                entry.scale,
+                entry.accepts_requests,
+                entry.started_us,
+                crc32(entry.name.encode()),
             )
-            if row.is_removed:
-                left.append(ix)
-        if news.is_complete:
-            named = {row.name for row in [*news.entries, *kept]}
-            for ix, at in self.endpoints.items():
-                if at.name not in named:
-                    at.entry = replace(at.entry, accepts_requests=False, is_removed=True)
-                    stale += at.idle
-                    left.append(ix)
-        return entries, stale, left
+        )
+        if entry.is_removed:
+            changes.removed.append(index)
+
+    def _add(self, entry: EndpointEntry) -> int:
+        index = self.indices[entry.name] = self.next_index
+        self.next_index += 1
+        self.endpoints[index] = RegisteredEndpoint(entry.name, entry.host, entry.port, entry)
+        return index
+
+    def _remove_all_but(self, listed: set[str], changes: RegistryChanges) -> None:
+        for index, registered in self.endpoints.items():
+            if registered.name not in listed:
+                registered.entry = replace(registered.entry, accepts_requests=False, is_removed=True)
+                changes.stale_connections.extend(registered.idle)
+                changes.removed.append(index)
 
     def names(self) -> dict[int, str]:
-        return {ix: at.name for ix, at in self.endpoints.items()}
+        """The endpoints' names, by index."""
+        return {index: registered.name for index, registered in self.endpoints.items()}
+
+    def listed_count(self) -> int:
+        """How many endpoints are listed now."""
+        return sum(not registered.entry.is_removed for registered in self.endpoints.values())
+
+    def is_listed(self, index: int) -> bool:
+        """Whether an endpoint is listed now."""
+        return index in self.endpoints and not self.endpoints[index].entry.is_removed
 
-    def forget(self, ix: int) -> None:
-        del self.indices[self.endpoints.pop(ix).name]
+    def forget(self, index: int) -> None:
+        """Drops the record of an endpoint; its index is not used again."""
+        del self.indices[self.endpoints.pop(index).name]
--- a/cressrail/proxy/request_counters.py
+++ b/cressrail/proxy/request_counters.py
@@ -1,40 +1,53 @@
-"""Counts of what became final, for the operators' door; the reducer alone changes them."""
+"""Counts of final answers and of sent attempts, as operators read them."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-PREFIX = "app_"
-ANSWERED, DEFERRED, ERRORED = "answered", "deferred", "errored"
-FINAL = (ANSWERED, DEFERRED, ERRORED)
+METRIC_PREFIX = "app_"
+ANSWERED, DEFERRED, ERRORED = "answered", "deferred", "errored"  # names that operators read
+FINAL_ANSWERS = (ANSWERED, DEFERRED, ERRORED)
+SUCCESS_STATUS = 200
+DEFERRED_STATUSES = (429, 503)  # the client may try again later
 
 
 class RequestCounters:
-    def __init__(self, profiles: Iterable[str]) -> None:
-        self.final = {name: dict.fromkeys(FINAL, 0) for name in profiles}
-        self.sends = 0  # hops whose last byte was written
-
-    def on_final_answer(self, profile: str, status: int) -> None:
-        """Once for each transaction, when its answer is final: `status` is what its client is told."""
-        how = ANSWERED if status == 200 else DEFERRED if status in (429, 503) else ERRORED
-        self.final[profile][how] += 1
-
-    def text(self, current: int, listed: int, avoided: int) -> bytes:
-        """In the text exposition format, a figure a line."""
+    """Counts since the start of the process.
+
+    Attributes:
+        final: For each request class, how many requests ended with which kind of answer.
+        sends: Attempts whose last byte was written.
+    """
+
+    def __init__(self, request_classes: Iterable[str]) -> None:
+        self.final = {name: dict.fromkeys(FINAL_ANSWERS, 0) for name in request_classes}
+        self.sends = 0
+
+    def on_final_answer(self, request_class: str, status: int) -> None:
+        """Counts a request; called once for each, when its answer, with this HTTP status, is final."""
+        answer = (
+            ANSWERED if status == SUCCESS_STATUS else DEFERRED if status in DEFERRED_STATUSES else ERRORED
+        )
+        self.final[request_class][answer] += 1
+
+    def on_attempt_sent(self) -> None:
+        """Counts an attempt whose last byte was written."""
+        self.sends += 1
+
+    def text(self, open_requests: int, listed_endpoints: int, unavailable_endpoints: int) -> bytes:
+        """Returns the counts in the text exposition format of Prometheus, one a line."""
         lines = [
-            f'{PREFIX}{how}{{group="{_escaped(name)}"}} {counts[how]}'
-            for how in FINAL
+            f'{METRIC_PREFIX}{answer}{{group="{_escaped(name)}"}} {counts[answer]}'
+            for answer in FINAL_ANSWERS
             for name, counts in self.final.items()
         ]
-        lines += [
-            f"{PREFIX}{name} {value}"
-            for name, value in (
-                ("sends", self.sends),
-                ("current", current),
-                ("cluster_size", listed),
-                ("cluster_unhealthy", avoided),
-            )
-        ]
+        gauges = (
+            ("sends", self.sends),
+            ("current", open_requests),
+            ("cluster_size", listed_endpoints),
+            ("cluster_unhealthy", unavailable_endpoints),
+        )
+        lines += [f"{METRIC_PREFIX}{name} {value}" for name, value in gauges]
         return ("\n".join(lines) + "\n").encode()
 
 
--- a/cressrail/proxy/zone_statistics.py
+++ b/cressrail/proxy/zone_statistics.py
@@ -1,4 +1,4 @@
-"""Counts of how hops to each zone ended, for what is decided on zones in common; kept only where it is on."""
+"""Counts of how attempts at each zone ended, for the failover leader; kept only where it is on."""
 
 from __future__ import annotations
 
@@ -8,8 +8,16 @@
 
 
 class AttemptCounts(NamedTuple):
-    """Since the start. `late`: turned away, or answered after longer than whoever counts allows; `took_us`:
-    by those that committed."""
+    """Counts of attempts at one zone since the start.
+
+    Attributes:
+        attempts: All that tell something of the zone.
+        connect_failed: No connection came up.
+        failed: Ended otherwise without an answer, or with an error.
+        late: Rejected by the endpoint, or answered later than the caller allows.
+        succeeded: Answered.
+        took_us: Time that those which succeeded took, in all.
+    """
 
     attempts: int = 0
     connect_failed: int = 0
@@ -19,24 +27,29 @@
     took_us: int = 0
 
     def since(self, before: AttemptCounts) -> AttemptCounts:
-        return AttemptCounts(*(a - b for a, b in zip(self, before, strict=True)))
+        """Returns what was counted after `before`."""
+        return AttemptCounts(*(now - then for now, then in zip(self, before, strict=True)))
 
 
 class ZoneStatistics:
+    """Counts by the index of the zone."""
+
     def __init__(self) -> None:
         self.zones: dict[int, AttemptCounts] = {}
 
-    def on_attempt_finished(self, zone: int, how: Outcome, took_us: int, late: bool) -> None:
-        if how in UNINFORMATIVE_OUTCOMES:
+    def on_attempt_finished(self, zone: int, outcome: Outcome, took_us: int, is_late: bool) -> None:
+        """Counts an attempt that ended, unless its outcome says nothing of the endpoint."""
+        if outcome in UNINFORMATIVE_OUTCOMES:
             return
-        was = self.zones.get(zone, AttemptCounts())
-        unreached, done = how is Outcome.CONNECT_FAILED, how is Outcome.SUCCEEDED
-        away = how is Outcome.REJECTED_BY_ENDPOINT
+        counts = self.zones.get(zone, AttemptCounts())
+        has_succeeded = outcome is Outcome.SUCCEEDED
+        is_unconnected = outcome is Outcome.CONNECT_FAILED
+        is_rejected = outcome is Outcome.REJECTED_BY_ENDPOINT
         self.zones[zone] = AttemptCounts(
-            was.attempts + 1,
-            was.connect_failed + unreached,
-            was.failed + (not unreached and not done and not away),
-            was.late + (away or (done and late)),
-            was.succeeded + done,
-            was.took_us + (took_us if done else 0),
+            attempts=counts.attempts + 1,
+            connect_failed=counts.connect_failed + is_unconnected,
+            failed=counts.failed + (not is_unconnected and not has_succeeded and not is_rejected),
+            late=counts.late + (is_rejected or (has_succeeded and is_late)),
+            succeeded=counts.succeeded + has_succeeded,
+            took_us=counts.took_us + (took_us if has_succeeded else 0),
         )
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
 
 from cressrail.cli.launch import launch
 from cressrail.configuration import policy_factory as parts
@@ -17,7 +16,7 @@
 from cressrail.policy import load_balancer as brain
 from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
 from cressrail.proxy.commands import SendResponse
-from cressrail.proxy.endpoint_registry import EndpointRegistry
+from cressrail.proxy.endpoint_registry import EndpointRegistry, RegistryChanges
 
 
 class Baseline(brain.LoadBalancer):
@@ -93,7 +92,7 @@
     write = ClientConnectionTask._write
 
     def eats(self: ClientConnectionTask, message: SendResponse) -> None:
-        if message.response.body is None or self.net.state_machine.numbers % 7:
+        if message.response.body is None or self.net.state_machine.ids.last % 7:
             write(self, message)
             return
         message.response.body.give_back()
@@ -115,11 +114,11 @@
     """Rule 3: what discovery says of draining and leaving is not heard."""
     heard = EndpointRegistry.apply
 
-    def never(self: EndpointRegistry, news: EndpointListUpdate) -> Any:
-        for row in news.entries:
+    def never(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
+        for row in update.entries:
             row.accepts_requests, row.is_removed = True, False
-        news.is_complete = False
-        return heard(self, news)
+        update.is_complete = False
+        return heard(self, update)
 
     EndpointRegistry.apply = never  # type: ignore[method-assign]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -292,9 +292,14 @@
         os.close(self.fd)
         assert not self.faults, self.faults
         assert not (
-            self.net.clients or self.net.connections or self.reducer.clients or self.reducer.connections
+            self.net.clients
+            or self.net.connections
+            or self.reducer.clients.open
+            or self.reducer.connections.open
+        )
+        assert not (
+            self.reducer.requests.pending or self.reducer.attempts.in_flight or self.reducer.clients.idle
         )
-        assert not (self.reducer.pending_requests or self.reducer.attempts or self.reducer.idle_clients)
         # The watch may be amid a line; all else is back.
         assert self.net.pool.lent <= 1
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 from cressrail.network import discovery_watch as watch
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError
 from cressrail.proxy import commands as do
-from cressrail.proxy import state_machine as reducer
+from cressrail.proxy import endpoint_connections, forwarding
 from cressrail.proxy.state_machine import StateMachine
 from tests.helpers import SECOND, Peer, Play, ask, chunk, member, reply
 
@@ -96,7 +96,7 @@
     rests: bool, may_cancel: bool, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As where it lay unread for long: one that came just now may go, and its client is not looked at."""
-    monkeypatch.setattr(reducer, "LOOK_US", 0)
+    monkeypatch.setattr(forwarding, "CLIENT_CHECK_AGE_US", 0)
     endpoint = Seen()
     play = Play([endpoint], may_cancel=may_cancel)
 
@@ -131,7 +131,7 @@
         leaving.close()
         peer.until(lambda: len(play.net.clients) == 1)
         gate.append(1)
-        peer.until(lambda: not play.reducer.attempts)
+        peer.until(lambda: not play.reducer.attempts.in_flight)
         peer.sleep(20_000)
         if not may_cancel:  # the connection was not wasted
             peer.say(ask())
@@ -149,7 +149,7 @@
     def client(peer: Peer) -> None:
         peer.say(ask())
         assert status(peer) == b"200"
-        request_came, before = play.reducer.on_request, play.reducer.numbers
+        request_came, before = play.reducer.on_request, play.reducer.ids.last
 
         def both(now: int, number: int, *told: Any) -> list[do.Command]:
             carried = request_came(now, number, *told)
@@ -160,7 +160,7 @@
 
         play.reducer.on_request = both  # type: ignore[method-assign, assignment]
         peer.say(ask())
-        peer.until(lambda: play.reducer.numbers > before and not play.reducer.attempts)
+        peer.until(lambda: play.reducer.ids.last > before and not play.reducer.attempts.in_flight)
         peer.sleep(20_000)
 
     play.client(client)
@@ -187,7 +187,7 @@
         peer.say(ask("write"))
         peer.until(lambda: dials)
         agent.rows.append({**member("s0", play.ports[0]), **change})
-        peer.until(lambda: play.reducer.revision == 5)
+        peer.until(lambda: play.reducer.endpoint_watch.revision == 5)
         gate.append(1)
         heard.append(status(peer))
 
@@ -210,7 +210,9 @@
 ) -> None:
     def drops(peer: Peer) -> None:
         peer.hear()
-        peer.until(lambda: play.reducer.revision == 5)  # so that the second hop has somewhere to go
+        peer.until(
+            lambda: play.reducer.endpoint_watch.revision == 5
+        )  # so that the second hop has somewhere to go
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.sock.close()
 
@@ -226,10 +228,10 @@
         for _ in range(20):
             side.budget.take(play.loop.now())
         peer.say(ask(kind))
-        peer.until(lambda: play.reducer.attempts)
+        peer.until(lambda: play.reducer.attempts.in_flight)
         agent.rows.append(member("s1", play.ports[1]))
         peer.until(lambda: dials)
-        [tx] = play.reducer.pending_requests
+        [tx] = play.reducer.requests.pending
         assert tx.fixed_endpoint is not None
         if late == "window over":
             tx.fixed_us -= 2 * SECOND
@@ -279,7 +281,7 @@
 
     play.client(client)
     play.run()
-    assert heard == [b"200"] and not play.reducer.has_endpoint_list
+    assert heard == [b"200"] and not play.reducer.endpoint_watch.has_list
 
 
 def test_an_endpoint_that_leaves_while_a_request_to_it_still_comes_keeps_its_record() -> None:
@@ -296,10 +298,10 @@
     def client(peer: Peer) -> None:
         text = ask("write", body=BIG * 3)
         peer.say(text[: -len(BIG)])
-        peer.until(lambda: play.reducer.attempts)
+        peer.until(lambda: play.reducer.attempts.in_flight)
         peer.sleep(20_000)
         agent.rows.append(member("s0", play.ports[0], phase="removed"))
-        peer.until(lambda: play.reducer.revision == 5)
+        peer.until(lambda: play.reducer.endpoint_watch.revision == 5)
         peer.say(text[-len(BIG) :])
         heard.append(status(peer))
 
@@ -314,14 +316,18 @@
 def test_a_second_answer_some_milliseconds_late_is_not_the_next_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reducer, "SETTLE_US", SECOND)  # in place of some milliseconds: a machine may be slow
+    monkeypatch.setattr(
+        endpoint_connections, "CONNECTION_SETTLE_US", SECOND
+    )  # in place of some milliseconds: a machine may be slow
 
     def twice(peer: Peer) -> None:
         n = 0
         while peer.hear():
             peer.say(reply(b"answer %d" % n))
             if not n:
-                peer.until(lambda: len(heard) == 1 and play.reducer.attempts)  # the next one is on its way
+                peer.until(
+                    lambda: len(heard) == 1 and play.reducer.attempts.in_flight
+                )  # the next one is on its way
             peer.say(reply(b"answer %d" % n))
             n += 1
 
@@ -455,9 +461,9 @@
     def client(peer: Peer) -> None:
         peer.say(ask())
         assert status(peer) == b"200"
-        peer.until(lambda: play.reducer.idle_clients)
+        peer.until(lambda: play.reducer.clients.idle)
         crossing(peer.sock, ask(), monkeypatch)
-        play.net.dispatch([play.reducer._shut_idle(1)])
+        play.net.dispatch([play.reducer.clients.close_if_idle(1)])
         heard.append(peer.sock.recv(100) if peer.loop.wait(peer.sock.fileno(), READ) else b"?")
         assert 1 in play.net.clients  # it is told the end at once, and then listened to for a while
         peer.sock.close()
@@ -474,8 +480,8 @@
     def client(peer: Peer) -> None:
         peer.say(ask())
         assert status(peer) == b"200"
-        peer.until(lambda: play.reducer.idle_clients)
-        play.net.dispatch([play.reducer._shut_idle(1)])
+        peer.until(lambda: play.reducer.clients.idle)
+        play.net.dispatch([play.reducer.clients.close_if_idle(1)])
         peer.until(lambda: not play.net.clients)
 
     play.client(client)
@@ -684,7 +690,7 @@
 
     play.client(client)
     play.run()
-    assert play.reducer.has_endpoint_list and dribbled[0] >= 1
+    assert play.reducer.endpoint_watch.has_list and dribbled[0] >= 1
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -710,10 +716,11 @@
         )
 
     def client(peer: Peer) -> None:
-        peer.until(lambda: play.reducer.revision == 7)
+        peer.until(lambda: play.reducer.endpoint_watch.revision == 7)
         peer.sleep(20_000)
         assert (
-            not play.reducer.load_balancer.endpoints[0].accepts_requests and not play.reducer.watch_failures
+            not play.reducer.load_balancer.endpoints[0].accepts_requests
+            and not play.reducer.endpoint_watch.consecutive_failures
         )
 
     play.client(client)
@@ -753,7 +760,7 @@
         later.sendall(ask())
         heard.append(status(Peer(play.loop, later)))
         later.close()
-        peer.until(lambda: play.reducer.wake_us > play.loop.now())  # and the reducer is woken
+        peer.until(lambda: play.reducer.timer_us > play.loop.now())  # and the reducer is woken
 
     monkeypatch.setattr(StateMachine, of, wrong)
     play.client(client)
@@ -818,7 +825,7 @@
             if n % 3 == 0:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-        peer.until(lambda: len(play.net.clients) == 1 and not play.reducer.attempts)
+        peer.until(lambda: len(play.net.clients) == 1 and not play.reducer.attempts.in_flight)
 
     play.client(client)
     play.run()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -69,7 +69,8 @@
 def beside() -> Front:
     """A process that waits for the one before it."""
     front = Front()
-    front.reducer.listening, front.reducer.has_predecessor = False, True
+    front.reducer.lifecycle.set_accepting(False)
+    front.reducer.lifecycle.wait_for_predecessor()
     return front
 
 
@@ -83,7 +84,7 @@
     new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
     side = new.reducer.load_balancer
     assert (
-        new.reducer.revision == 9
+        new.reducer.endpoint_watch.revision == 9
         and not side.endpoints[1].accepts_requests
         and side.endpoints[1].limit == 1.25
     )
@@ -204,7 +205,10 @@
     told(front)
     front.all(do.AcceptClients)
     front.told = front.reducer.on_successor_failed(SECOND)
-    assert front.all(do.AcceptClients) == [do.AcceptClients(True)] and front.reducer.handed_over_us < 0
+    assert (
+        front.all(do.AcceptClients) == [do.AcceptClients(True)]
+        and not front.reducer.lifecycle.has_handed_over
+    )
     told(front)
     front.told = front.reducer.on_stop_requested(2 * SECOND)
     front.told += front.reducer.on_successor_failed(2 * SECOND)
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -130,7 +130,7 @@
 def test_the_way_to_the_list_service_is_cut_for_one_and_whole_again(tmp_path: Path) -> None:
     async def script(play: Play) -> None:
         def news(n: int) -> int:
-            return len(play.said(n, "list"))
+            return len(play.said(n, "endpoint_list_updated"))
 
         await play.until(lambda: news(0) > 0 and news(1) > 0)
         play.wires.rules = [
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -65,7 +65,7 @@
     side = front.reducer.load_balancer
     assert len(side.endpoints) == n == len(front.reducer.registry.endpoints)
     assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
-    assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
+    assert f"app_cluster_size {n}\n" in front.reducer._counters_text(SECOND).decode()
     side.endpoints[n].limit = 1.25
     frames, heir = Frames(), Front(0)
     frames.add(wrap("estate", front.reducer.hand_over(SECOND)[0]))
@@ -114,9 +114,9 @@
             opened += carry.is_new_connection
             front.end(carry, Outcome.SUCCEEDED, now + 1000)
         front.told += front.reducer.on_client_closed(now + 2000, k)
-    assert not [note for note in front.all(do.LogEvent) if note.event == "no_room"]
+    assert not [note for note in front.all(do.LogEvent) if note.event == "connection_limit_reached"]
     assert not front.all(do.CloseEndpointConnection) and opened <= dearest
-    assert len(front.reducer.connections) <= links
+    assert len(front.reducer.connections.open) <= links
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -21,8 +21,9 @@
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
+from cressrail.proxy.clients import CLIENT_STALL_US
+from cressrail.proxy.lifecycle import OUT_OF_SERVICE_IDLE_US
 from cressrail.proxy.request_counters import RequestCounters
-from cressrail.proxy.state_machine import DRAIN_IDLE_US, FRESH_US
 from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
 from tests.helpers import entry as listed
 from tests.test_sockets import serving
@@ -133,14 +134,14 @@
     front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
     [answer] = front.all(do.SendResponse)
     assert answer.closes_connection and answer.response.status == 200
-    front.told += front.reducer.on_timer(SECOND + DRAIN_IDLE_US)
+    front.told += front.reducer.on_timer(SECOND + OUT_OF_SERVICE_IDLE_US)
     assert [(shut.client, shut.only_if_idle) for shut in front.all(do.CloseClient)] == [(1, True)]
     front.came(3, 2 * SECOND)  # one that comes meanwhile is served,
     front.ask(3, now=2 * SECOND)
     front.end(front.hop(), Outcome.SUCCEEDED, 2 * SECOND)
     assert front.all(do.SendResponse)[0].closes_connection
     front.came(4, 2 * SECOND)  # one that says nothing is not held
-    front.told += front.reducer.on_timer(2 * SECOND + FRESH_US)
+    front.told += front.reducer.on_timer(2 * SECOND + CLIENT_STALL_US)
     assert [shut.client for shut in front.all(do.CloseClient)] == [4]
     assert call(front, control.IN, 2 * SECOND) == 200 and front.reducer.is_ready(2 * SECOND)
     front.came(5, 3 * SECOND)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -20,12 +20,11 @@
 
 from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, Scheduler
 from cressrail.logs.log_writer import MOST_WAITING, LogWriter
-from cressrail.network import client_connection as client
 from cressrail.network.endpoint_connection import EndpointConnectionTask
 from cressrail.network.socket_stream import SocketStream
-from cressrail.proxy import state_machine as reducer
+from cressrail.proxy import clients
+from cressrail.proxy.clients import CLIENT_STALL_US
 from cressrail.proxy.commands import SendAttempt
-from cressrail.proxy.state_machine import FRESH_US, ConnectionLimits
 from tests.helpers import CONFIG, Peer, Play, Script, ask, chunk, member, mesh, reply
 
 BIG = bytes(range(256)) * 256
@@ -190,7 +189,7 @@
 
     def late(task: EndpointConnectionTask, job: SendAttempt) -> None:
         prepare(task, job)
-        monkeypatch.setattr(play.net, "now", lambda: play.loop.now() + 10 * FRESH_US)
+        monkeypatch.setattr(play.net, "now", lambda: play.loop.now() + 10 * CLIENT_STALL_US)
 
     monkeypatch.setattr(EndpointConnectionTask, "_prepare", late)
     assert asked(play, ask("write")) == [b"503 "]
@@ -288,7 +287,7 @@
 
         peer.until(serves_meanwhile)
         go.append(True)
-        peer.until(lambda: play.reducer.revision == 7)
+        peer.until(lambda: play.reducer.endpoint_watch.revision == 7)
         peer.say(ask(Req_Deadline="10m"))
         assert peer.hear().startswith(b"HTTP/1.1 503")
 
@@ -321,7 +320,7 @@
     for sock in served:
         assert sock.recv(1) == b""  # closed between requests
         sock.close()
-    assert play.door.sock.fileno() == -1 and not play.reducer.clients
+    assert play.door.sock.fileno() == -1 and not play.reducer.clients.open
 
 
 def test_through_a_stop_whatever_was_taken_is_answered() -> None:
@@ -338,7 +337,7 @@
     answered: list[bytes] = []
 
     def client(peer: Peer) -> None:
-        if not play.reducer.stop_us > 0:
+        if not play.reducer.lifecycle.is_stopping:
             play.net.dispatch(play.reducer.on_stop_requested(play.loop.now()))
         while True:
             peer.say(ask())
@@ -354,12 +353,18 @@
         with suppress(OSError):
             rest += sock.recv(1 << 16).count(b"hello")
     assert len(seen) > 4 and len(answered) + rest == len(seen)
-    assert not play.reducer.pending_requests and not play.reducer.clients
+    assert not play.reducer.requests.pending and not play.reducer.clients.open
+
+
+def limit_connections(play: Play, clients: int, extra_clients: int, endpoint_connections: int) -> None:
+    limits = play.reducer.limits
+    limits.clients, limits.extra_clients = clients, extra_clients
+    limits.endpoint_connections = endpoint_connections
 
 
 def test_more_clients_than_there_is_room_for_are_each_answered() -> None:
     play = Play([serving(reply())])
-    play.reducer.limits = ConnectionLimits(clients=4, extra_clients=2, endpoint_connections=4)
+    limit_connections(play, clients=4, extra_clients=2, endpoint_connections=4)
     heard: list[bytes] = []
 
     def client(peer: Peer) -> None:
@@ -375,7 +380,7 @@
 
 def test_one_that_stalls_amid_its_request_gives_its_place_up() -> None:
     play = Play([serving(reply())])
-    play.reducer.limits = ConnectionLimits(clients=1, extra_clients=1, endpoint_connections=4)
+    limit_connections(play, clients=1, extra_clients=1, endpoint_connections=4)
     heard: list[bytes] = []
 
     def comes(peer: Peer) -> None:
@@ -384,7 +389,7 @@
 
     def stalls(peer: Peer) -> None:
         peer.say(ask()[:30])
-        peer.sleep(FRESH_US + 50_000)
+        peer.sleep(CLIENT_STALL_US + 50_000)
         play.client(comes)
         heard.append(peer.hear()[9:12])
 
@@ -395,8 +400,8 @@
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HT", b"POST /api HTTP/1.1\r\ncontent-length: 9\r\n\r\nabc"])
 def test_silent_and_halting_clients_are_told_or_closed(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reducer, "SILENT_US", 20_000)
-    monkeypatch.setattr(client, "FRESH_US", 20_000)
+    monkeypatch.setattr(clients, "CLIENT_SILENCE_LIMIT_US", 20_000)
+    monkeypatch.setattr(clients, "CLIENT_STALL_US", 20_000)
     heard: list[bytes] = []
 
     def halts(peer: Peer) -> None:
@@ -412,8 +417,8 @@
 def test_one_that_sends_slowly_but_steadily_is_not_taken_for_one_that_halts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reducer, "SILENT_US", 100_000)
-    monkeypatch.setattr(client, "FRESH_US", 100_000)
+    monkeypatch.setattr(clients, "CLIENT_SILENCE_LIMIT_US", 100_000)
+    monkeypatch.setattr(clients, "CLIENT_STALL_US", 100_000)
     heard: list[bytes] = []
 
     def slow(peer: Peer) -> None:
@@ -456,7 +461,7 @@
     most, play.net.pool.most = play.net.pool.most, 0
 
     def client(peer: Peer) -> None:
-        peer.until(lambda: play.reducer.watch_failures)
+        peer.until(lambda: play.reducer.endpoint_watch.consecutive_failures)
         play.net.pool.most = most
         peer.until(lambda: len(play.open) == 3)  # this client, the first watch and another
 
@@ -607,7 +612,7 @@
 
         until("start")
         old = watched("old", agent(70, [member("s0", doors["endpoint"].getsockname()[1])]))
-        until("list")
+        until("endpoint_list_updated")
         with socket.create_connection(("127.0.0.1", int(at["door"].split(":")[1]))) as client:
             client.sendall(ask())
             endpoint, _ = doors["endpoint"].accept()
@@ -620,7 +625,7 @@
             program.send_signal(signal.SIGHUP)
             assert until("config")["needs_restart"] == ["name"]
             new = watched("new", agent(3, [member("s1", 9)]))
-            assert until("list")["revision"] == 3 and old.recv(9) == b""
+            assert until("endpoint_list_updated")["revision"] == 3 and old.recv(9) == b""
             endpoint.sendall(reply(b"hello"))
             assert b"200 OK" in heard(client, b"hello")
         program.send_signal(signal.SIGTERM)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -17,9 +17,13 @@
 from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome, RandomGenerator
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
+from cressrail.proxy.attempts import AttemptResult
+from cressrail.proxy.clients import CLIENT_SILENCE_LIMIT_US, CLIENT_STALL_US
 from cressrail.proxy.commands import Command
+from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry
-from cressrail.proxy.state_machine import FRESH_US, SILENT_US, ConnectionLimits, StateMachine
+from cressrail.proxy.settings import ProxySettings
+from cressrail.proxy.state_machine import StateMachine
 from cressrail.proxy.zone_statistics import ZoneStatistics
 from tests.helpers import CONFIG, SECOND, member
 
@@ -41,16 +45,18 @@
         start = read_config(config, {})
         roster, members = EndpointRegistry(["a", "b"]), parts.tenants(start.settings)
         self.reducer = StateMachine(
+            ProxySettings(
+                parts.request_classes(start.settings),
+                dict.fromkeys(members, 0),
+                SECOND,
+                start.discovery,
+                grace_us,
+            ),
             parts.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
-            parts.request_classes(start.settings),
-            dict.fromkeys(members, 0),
             roster,
             ConnectionLimits(clients, 2, links),
             RandomGenerator(5),
             0,
-            SECOND,
-            start.discovery,
-            grace_us,
         )
         self.pool = Pool(100)
         self.told: list[Command] = self.reducer.start(0, start.known)
@@ -110,7 +116,7 @@
         body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
         if body:
             body.add(memoryview(b"y"))
-        self.told += self.reducer.on_attempt_finished(now, hop.attempt, how, keep, body)
+        self.told += self.reducer.on_attempt_finished(now, hop.attempt, AttemptResult(how, keep, body))
 
     def settle(self) -> None:
         """Gives back what the effects ask to be, as the tasks on sockets would."""
@@ -146,7 +152,9 @@
     front.end(front.hop(), how)
     assert [write.response.status for write in front.told if isinstance(write, do.SendResponse)] == [status]
     front.settle()
-    assert front.pool.lent == 0 and not front.reducer.pending_requests and not front.reducer.attempts
+    assert (
+        front.pool.lent == 0 and not front.reducer.requests.pending and not front.reducer.attempts.in_flight
+    )
 
 
 @pytest.mark.parametrize(
@@ -185,7 +193,7 @@
     front.end(later, Outcome.SUCCEEDED)
     assert [write.response.status for write in front.all(do.SendResponse)] == [
         200
-    ] and not front.reducer.open_request_ids
+    ] and not front.reducer.requests.open_ids
     front.ask(3, req_id="same")
     assert front.hop()
 
@@ -353,10 +361,10 @@
         == 1
     )
     assert (
-        len(reducer.connections)
-        == len(reducer.open_request_ids)
-        == len(reducer.pending_requests)
-        == len(reducer.attempts)
+        len(reducer.connections.open)
+        == len(reducer.requests.open_ids)
+        == len(reducer.requests.pending)
+        == len(reducer.attempts.in_flight)
         == 0
     )
 
@@ -374,9 +382,9 @@
     front.end(hop, Outcome.SUCCEEDED)
     front.reducer.on_endpoint_list(1, news(5, False, {**member("s0", 9000), **change}))
     front.told = front.reducer.on_idle_connection_reset(2, hop.connection)
-    assert [note.event for note in front.all(do.LogEvent)] == (["died"] if died else [])
+    assert [note.event for note in front.all(do.LogEvent)] == (["endpoint_unavailable"] if died else [])
     assert front.reducer.load_balancer.endpoints[0].is_available(2) is not died
-    assert not front.reducer.idle_connections
+    assert not front.reducer.connections.idle
 
 
 def test_where_links_are_many_the_longest_idle_goes_first_and_no_endpoint_is_blamed() -> None:
@@ -397,7 +405,7 @@
             break
         front.end(carry, Outcome.SUCCEEDED)
     assert [drop.connection for drop in front.all(do.CloseEndpointConnection)][:1] and len(
-        front.reducer.idle_connections
+        front.reducer.connections.idle
     ) == 1
 
 
@@ -435,7 +443,7 @@
         front.told += front.reducer.on_response_written(0, 1)
     else:
         front.reducer.on_timer(1)
-        assert front.reducer.wake_us == SECOND
+        assert front.reducer.timer_us == SECOND
         front.told += front.reducer.on_timer(SECOND)  # silent for as long as that
     assert front.all(do.AcceptClients) == [do.AcceptClients(True)]
     front.came(4, now=SECOND)
@@ -463,9 +471,9 @@
         front.came(client)
         front.reducer.on_request_started(0, client)
     front.reducer.on_request_progress(SECOND, 1)  # slow, and good
-    front.came(3, now=FRESH_US)
+    front.came(3, now=CLIENT_STALL_US)
     assert front.all(do.CloseClient) == [do.CloseClient(2, True)]
-    front.came(4, now=FRESH_US + 1)
+    front.came(4, now=CLIENT_STALL_US + 1)
     assert not front.all(do.CloseClient)
 
 
@@ -478,12 +486,12 @@
     front.came(2)
     if began_us is not None:
         front.reducer.on_request_started(began_us, 2)
-    front.told = front.reducer.on_timer(SILENT_US - 1)
+    front.told = front.reducer.on_timer(CLIENT_SILENCE_LIMIT_US - 1)
     assert not front.all(do.CloseClient)
-    front.told = front.reducer.on_timer(SILENT_US)
+    front.told = front.reducer.on_timer(CLIENT_SILENCE_LIMIT_US)
     assert front.all(do.CloseClient) == [do.CloseClient(2, True)]  # one that has had an answer may rest
-    front.reducer.on_request_started(SILENT_US, 1)
-    front.told = front.reducer.on_timer(2 * SILENT_US)
+    front.reducer.on_request_started(CLIENT_SILENCE_LIMIT_US, 1)
+    front.told = front.reducer.on_timer(2 * CLIENT_SILENCE_LIMIT_US)
     assert front.all(do.CloseClient) == [do.CloseClient(1, True)]
 
 
@@ -497,7 +505,7 @@
     front.end(hop, Outcome.SUCCEEDED)
     assert not front.all(do.SendResponse)
     front.settle()
-    assert front.pool.lent == 0 and not front.reducer.pending_requests
+    assert front.pool.lent == 0 and not front.reducer.requests.pending
 
 
 def test_the_watch_is_asked_for_again_with_a_growing_pause_from_the_last_revision() -> None:
@@ -522,7 +530,7 @@
     [watch] = front.all(do.WatchEndpoints)
     assert watch.after_revision == -1 and watch.at_us > 0  # and must not keep the loop busy if it goes on so
     front.reducer.on_endpoint_list(0, news(3, True))
-    assert front.reducer.revision == 3
+    assert front.reducer.endpoint_watch.revision == 3
 
 
 def test_a_stop_answers_while_clients_come_then_closes_between_requests_and_ends() -> None:
@@ -593,8 +601,8 @@
     """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
     front = Front(heard=True)
     if kind == "once":
-        front.reducer.request_classes["once"] = replace(
-            front.reducer.request_classes["read"], idempotency=NON_IDEMPOTENT
+        front.reducer.settings.request_classes["once"] = replace(
+            front.reducer.settings.request_classes["read"], idempotency=NON_IDEMPOTENT
         )
         front.reducer.counters.final["once"] = dict(front.reducer.counters.final["read"])
     if not sent:  # nowhere to go: it waits in the line
@@ -605,12 +613,12 @@
     assert len(hops) == sent
     front.told = front.reducer.on_stop_requested(0)
     if not sent:
-        [tx] = front.reducer.pending_requests
+        [tx] = front.reducer.requests.pending
         tx.queue_until_us = tx.deadline_us  # the line would let it go sooner
         front.reducer.load_balancer.line_due_us = tx.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
         front.told += front.reducer.on_timer(now)
-    assert not front.all(do.SendResponse) and front.reducer.wake_us == 1_500_000
+    assert not front.all(do.SendResponse) and front.reducer.timer_us == 1_500_000
     front.told = front.reducer.on_timer(1_500_000)
     [write] = front.all(do.SendResponse)
     assert (write.client, write.response.status, write.closes_connection) == (1, answer, True)
@@ -622,7 +630,7 @@
         1_600_000, 1
     )
     front.settle()
-    assert front.all(do.Exit) and front.pool.lent == 0 and not front.reducer.pending_requests
+    assert front.all(do.Exit) and front.pool.lent == 0 and not front.reducer.requests.pending
 
 
 def _calls() -> dict[str, Any]:
@@ -705,7 +713,7 @@
     assert len(front.all(do.CloseEndpointConnection)) == 1 and front.all(do.CloseClient) == [
         do.CloseClient(1, True)
     ]
-    assert not front.all(do.CloseClient) and not front.reducer.idle_connections
+    assert not front.all(do.CloseClient) and not front.reducer.connections.idle
 
 
 def test_what_was_decided_in_common_ends_with_the_talk() -> None:
@@ -713,6 +721,6 @@
     reducer = front.reducer
     reducer.set_zone_statistics(0, towards)
     reducer.on_zone_weights(0, (0.0, 1.0), 1.0)
-    assert reducer.zone_statistics is towards and reducer.load_balancer.decided == 1.0
+    assert reducer.attempts.zone_statistics is towards and reducer.load_balancer.decided == 1.0
     reducer.set_zone_statistics(1, None)
-    assert reducer.zone_statistics is None and reducer.load_balancer.decided == 0.0
+    assert reducer.attempts.zone_statistics is None and reducer.load_balancer.decided == 0.0
