--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -26,16 +26,17 @@
     StreamTimeoutError,
 )
 from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import CancelAttempt, SendAttempt, SendResponse
 
 REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
 
 
-class AttemptResult(NamedTuple):
+class AttemptEnd(NamedTuple):
     outcome: Outcome
     reason: str = ""
-    keeps_connection: bool = False
-    is_refused: bool = False
+    is_connection_reusable: bool = False
+    has_endpoint_refused: bool = False
 
 
 class EndpointConnectionTask:
@@ -86,34 +87,36 @@
         """One hop; true if the connection is fit for another."""
         body, kind = Kept(self.dispatcher.pool), b""
         reader = ResponseReader(body, MOST, command.request.method == b"HEAD")
-        result = AttemptResult(Outcome.CANCELLED, "fault")
+        end = AttemptEnd(Outcome.CANCELLED, "fault")
         self.is_streaming = False
         try:
-            result = self._attempt(command, reader, body)
+            end = self._attempt(command, reader, body)
             kind = reader.get(b"content-type")
         finally:
-            whole = result.outcome is Outcome.SUCCEEDED
+            whole = end.outcome is Outcome.SUCCEEDED
             if self.is_streaming and body.rest is not None:  # it is the client's, who learns how it ended
                 (body.rest.close if whole else body.rest.fail)()
             elif not whole:
                 body.give_back()
-            if not result.keeps_connection:
+            if not end.is_connection_reusable:
                 self._close()
             self.dispatcher.dispatch(
                 self.dispatcher.state_machine.on_attempt_finished(
                     self.dispatcher.now(),
                     command.attempt,
-                    result.outcome,
-                    result.keeps_connection,
-                    body if whole and not self.is_streaming else None,
-                    kind,
-                    result.reason,
-                    result.is_refused,
+                    AttemptResult(
+                        end.outcome,
+                        end.is_connection_reusable,
+                        body if whole and not self.is_streaming else None,
+                        kind,
+                        end.reason,
+                        end.has_endpoint_refused,
+                    ),
                 )
             )
-        return result.keeps_connection
+        return end.is_connection_reusable
 
-    def _attempt(self, command: SendAttempt, reader: ResponseReader, body: Kept) -> AttemptResult:
+    def _attempt(self, command: SendAttempt, reader: ResponseReader, body: Kept) -> AttemptEnd:
         try:
             self._open(command)
         except (StreamTimeoutError, OSError) as fault:
@@ -121,14 +124,14 @@
                 self.dispatcher.dispatch(
                     self.dispatcher.state_machine.on_descriptors_exhausted(self.dispatcher.now())
                 )
-                return AttemptResult(Outcome.NOT_SENT, str(fault))
-            return AttemptResult(
+                return AttemptEnd(Outcome.NOT_SENT, str(fault))
+            return AttemptEnd(
                 Outcome.CONNECT_FAILED,
                 str(fault) or "no connection in time",
-                is_refused=isinstance(fault, ConnectionRefusedError),
+                has_endpoint_refused=isinstance(fault, ConnectionRefusedError),
             )
         except StreamInterruptedError:
-            return AttemptResult(Outcome.CANCELLED)
+            return AttemptEnd(Outcome.CANCELLED)
         stream = self.stream
         assert stream is not None
         now, until_us = self.dispatcher.now(), command.until_us
@@ -138,9 +141,9 @@
             # Guards against work for those who left while their request lay unread, or a connection came up.
             self.dispatcher.dispatch(self.dispatcher.state_machine.on_client_disconnected(now, client))
         if (unsent := self.dispatcher.state_machine.check_before_send(now, command.attempt)) is not None:
-            return AttemptResult(*unsent, keeps_connection=unsent[0] is not Outcome.REJECTED_BY_ENDPOINT)
+            return AttemptEnd(*unsent, is_connection_reusable=unsent[0] is not Outcome.REJECTED_BY_ENDPOINT)
         if now >= until_us:  # guards against an endpoint blamed for the time that its hop was given
-            return AttemptResult(Outcome.NOT_SENT, "no time left", keeps_connection=True)
+            return AttemptEnd(Outcome.NOT_SENT, "no time left", is_connection_reusable=True)
         try:
             host = f"[{command.host}]" if ":" in command.host else command.host
             left_us = min(
@@ -152,9 +155,9 @@
                 kept = chunk(kept, command.request.body.size)
             stream.send([head, *kept], min(until_us, now + self.dispatcher.peer_timeout_us), mail=True)
         except (StreamTimeoutError, OSError) as fault:  # before the last byte was written: it never ran
-            return AttemptResult(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
+            return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
         except StreamInterruptedError:
-            return AttemptResult(Outcome.CANCELLED)
+            return AttemptEnd(Outcome.CANCELLED)
         if command.request.streams:
             early = self._upload(command.request, stream, reader)
             if early is not None:
@@ -163,7 +166,7 @@
         self.dispatcher.state_machine.on_attempt_sent(self.dispatcher.now(), command.attempt)
         return self._read_response(command, stream, reader, body, until_us)
 
-    def _upload(self, request: Request, stream: SocketStream, reader: ResponseReader) -> AttemptResult | None:
+    def _upload(self, request: Request, stream: SocketStream, reader: ResponseReader) -> AttemptEnd | None:
         """The rest of a large request as it comes; nothing once all of it is written, else how the hop ended.
         Before its last byte is written nothing of it runs. An answer that comes before is looked out for."""
         task = self.dispatcher.scheduler.current
@@ -177,7 +180,7 @@
                     rest.used(held)  # not before: what is not written whole may be sent anew
                     held = 0
                     if rest.failed:
-                        return AttemptResult(Outcome.CANCELLED, "its client broke off")
+                        return AttemptEnd(Outcome.CANCELLED, "its client broke off")
                     if last:
                         return None
                     if parts := rest.peek():
@@ -198,11 +201,11 @@
                         stream.fd, READ | WRITE, self.dispatcher.now() + self.dispatcher.peer_timeout_us
                     )
                 if why == TIMED_OUT:
-                    return AttemptResult(Outcome.CONNECT_FAILED, "not written in time")
+                    return AttemptEnd(Outcome.CONNECT_FAILED, "not written in time")
                 if why == MAIL:
                     discard_pipe_messages(task.mail)
                     if task.mail:
-                        return AttemptResult(Outcome.CANCELLED)
+                        return AttemptEnd(Outcome.CANCELLED)
                 elif why & ~WRITE and self._read_early_response(stream, reader):
                     return self._result_of(reader, False)
         except (OSError, MalformedMessageError) as fault:
@@ -210,9 +213,9 @@
             with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
                 if reader.done or self._read_early_response(stream, reader):
                     return self._result_of(reader, False)
-            return AttemptResult(Outcome.CONNECT_FAILED, str(fault) or "ended")
+            return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "ended")
         except BufferPoolExhaustedError:
-            return AttemptResult(Outcome.CANCELLED, "no buffer left")
+            return AttemptEnd(Outcome.CANCELLED, "no buffer left")
         finally:
             left.clear()
             discard_pipe_messages(
@@ -247,7 +250,7 @@
 
     def _read_response(
         self, command: SendAttempt, stream: SocketStream, reader: ResponseReader, body: Kept, until_us: int
-    ) -> AttemptResult:
+    ) -> AttemptEnd:
         try:
             stream.wait(READ, until_us, mail=True)  # a look so soon would find nothing
             while not reader.done:
@@ -258,7 +261,7 @@
                     n = stream.read()
                 except BufferPoolExhaustedError:
                     if not self.is_streaming:
-                        return AttemptResult(Outcome.CANCELLED, "no buffer left")
+                        return AttemptEnd(Outcome.CANCELLED, "no buffer left")
                     self.dispatcher.scheduler.wait(
                         until_us=self.dispatcher.now() + BUFFER_RETRY_US, mail=False
                     )
@@ -283,18 +286,18 @@
                     ):
                         break
         except StreamTimeoutError:
-            return AttemptResult(
+            return AttemptEnd(
                 Outcome.CONNECTION_RESET if self.is_streaming else Outcome.TIMED_OUT,
                 "silent" if self.is_streaming else "",
             )
         except StreamInterruptedError:
-            return AttemptResult(Outcome.CANCELLED)
+            return AttemptEnd(Outcome.CANCELLED)
         except BufferPoolExhaustedError:
-            return AttemptResult(Outcome.CANCELLED, "no buffer left")
+            return AttemptEnd(Outcome.CANCELLED, "no buffer left")
         except (OSError, MalformedMessageError) as fault:
-            return AttemptResult(Outcome.CONNECTION_RESET, str(fault))
+            return AttemptEnd(Outcome.CONNECTION_RESET, str(fault))
         if reader.status == 200 and not reader.done:
-            return AttemptResult(Outcome.CANCELLED)  # nobody wants it any more
+            return AttemptEnd(Outcome.CANCELLED)  # nobody wants it any more
         return self._result_of(reader, reader.done and reader.keep and not stream.input_buffer.unread())
 
     def _start_streaming(self, command: SendAttempt, reader: ResponseReader, body: Kept) -> bool:
@@ -328,9 +331,9 @@
         if task.mail:
             raise StreamInterruptedError
 
-    def _result_of(self, reader: ResponseReader, keep: bool) -> AttemptResult:
+    def _result_of(self, reader: ResponseReader, keep: bool) -> AttemptEnd:
         if reader.status == 200:
-            return AttemptResult(Outcome.SUCCEEDED, keeps_connection=keep)
+            return AttemptEnd(Outcome.SUCCEEDED, is_connection_reusable=keep)
         declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
         # Guards against endpoints left out, and retries spent, for what bad clients send.
         rejected = 400 <= reader.status < 500 and reader.status not in (408, 429)
@@ -341,7 +344,7 @@
             if rejected
             else Outcome.ERROR
         )
-        return AttemptResult(how, f"status {reader.status}", keep)
+        return AttemptEnd(how, f"status {reader.status}", keep)
 
     def _close(self) -> None:
         if self.stream is not None:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -116,7 +116,7 @@
 
     def announce_exit(self) -> None:
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
-        if self.dispatcher.state_machine.handed_over_us >= 0:
+        if self.dispatcher.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
                 self.predecessor.sock.send(wrap(BYE, {}))
 
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -107,7 +107,7 @@
             sock.close()
             if over:
                 self.dispatcher.pool.most = self.buffers_before
-                if self.membership is not None and self.dispatcher.state_machine.stop_us < 0:
+                if self.membership is not None and not self.dispatcher.state_machine.lifecycle.is_stopping:
                     self.membership.tell("resume")
                 self.dispatcher.dispatch(
                     self.dispatcher.state_machine.on_successor_failed(self.dispatcher.now())
@@ -119,10 +119,8 @@
         self.buffers_before = pool.most
         pool.most = max(pool.lent, pool.most // KEPT_DIVISOR)
         pool.trim()
-        reducer.limits.endpoint_connections = max(
-            len(reducer.connections), reducer.limits.endpoint_connections // KEPT_DIVISOR
-        )
-        return [len(reducer.clients) + FIXED_DESCRIPTORS, reducer.limits.endpoint_connections, pool.most]
+        connections_kept = reducer.keep_connections(KEPT_DIVISOR)
+        return [len(reducer.clients.open) + FIXED_DESCRIPTORS, connections_kept, pool.most]
 
     def _receive_frame(
         self, sock: socket.socket, frames: Frames, until_us: int | None
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -33,17 +33,18 @@
 from cressrail.network.timer_task import timer_task
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.commands import AcceptClients, BeginTakeover, SetTimer, WatchEndpoints
+from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry
-from cressrail.proxy.state_machine import ConnectionLimits, StateMachine
+from cressrail.proxy.settings import ProxySettings
+from cressrail.proxy.state_machine import StateMachine
 
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
 SPARE_DESCRIPTORS = 16  # for all but clients and endpoints, and for connections being closed
 MIN_CONNECTIONS = 16  # of both sides together
-ENDPOINT_CONNECTIONS_SHARE = (
-    3 / 8
-)  # of the descriptors: endpoint connections are reused, clients come in bursts
+# Of the descriptors: endpoint connections are reused, clients come in bursts.
+ENDPOINT_CONNECTIONS_SHARE = 3 / 8
 EXTRA_CLIENTS_DIVISOR = 16  # of the descriptors, for clients that are answered 503
 MIN_EXTRA_CLIENTS = 4
 BUFFERS_SHARE = 0.5  # of the memory limit
@@ -147,18 +148,15 @@
         list(quotas.values()),
         limits.endpoint_connections,
     )
-    return StateMachine(
-        load_balancer,
-        request_classes,
-        {tenant: index for index, tenant in enumerate(quotas)},
-        registry,
-        limits,
-        RandomGenerator(configuration.seed ^ 1),  # not the policy's own sequence
-        now_us,
-        max(request_class.deadline_us for request_class in request_classes.values()),
-        configuration.discovery,
-        settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
+    proxy_settings = ProxySettings(
+        request_classes=request_classes,
+        tenants={tenant: index for index, tenant in enumerate(quotas)},
+        max_deadline_us=max(request_class.deadline_us for request_class in request_classes.values()),
+        discovery=configuration.discovery,
+        drain_notice_us=settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
+    rng = RandomGenerator(configuration.seed ^ 1)  # not the policy's own sequence
+    return StateMachine(proxy_settings, load_balancer, registry, limits, rng, now_us)
 
 
 def _build_dispatcher(
@@ -176,7 +174,7 @@
         log,
         connect_timeout_us=connect_timeout_us,
         endpoint_idle_timeout_us=idle_timeout_us,
-        peer_timeout_us=state_machine.max_deadline_us,
+        peer_timeout_us=state_machine.settings.max_deadline_us,
     )
 
 
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -11,7 +11,7 @@
     """Runs for the life of the process; `SetTimer` commands in its mailbox move the time."""
     scheduler = dispatcher.scheduler
     task = scheduler.current_task()
-    due_us = dispatcher.state_machine.wake_us
+    due_us = dispatcher.state_machine.timer_us
     while True:
         scheduler.wait(until_us=due_us)
         while task.mail:
