--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -1,4 +1,4 @@
-"""`cressrail failover`: plays in virtual time of how zones' traffic is decided on in common."""
+"""`cressrail failover`: simulations of how the sidecars of a tier decide jointly on zones."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 def simulate(
     scenario: Annotated[Path, typer.Argument(help="TOML; examples stand in example/failover/.")],
     seed: int = 1,
-    json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
 ) -> None:
-    """Play a scenario in virtual time, by the same reducer as in service."""
-    from cressrail.failover.simulation import Scenario
-    from cressrail.failover.simulation import simulate as play
+    """Simulate a scenario on a virtual clock, by the same state machine as in service."""
+    from cressrail.failover.simulation.scenario import Scenario
+    from cressrail.failover.simulation.simulator import simulate as run_simulation
     from cressrail.testbed.scenario_file import Unusable, read
 
     try:
-        told = play(read(scenario, Scenario), seed)
-    except Unusable as fault:
-        fail(str(fault))
-    tell(told, json)
+        figures = run_simulation(read(scenario, Scenario), seed)
+    except Unusable as error:
+        fail(str(error))
+    tell(figures, json)
--- a/cressrail/failover/codec.py
+++ b/cressrail/failover/codec.py
@@ -1,189 +1,280 @@
-"""The words of failover as bytes: a kind, then fields of fixed size. What can't be read is nothing; bytes
-behind what is known are passed over, so two releases understand each other."""
+"""Maps failover messages to bytes and back: one byte for the kind, then fields of fixed size.
+
+Bytes behind the known fields are ignored, so that a release can read messages of a later one.
+"""
 
 from __future__ import annotations
 
 import struct
-from typing import NamedTuple
+from collections.abc import Callable
+from enum import IntEnum
 
 from cressrail.failover.messages import (
-    MOST_ZONES,
-    PARTS,
-    STATES,
-    WHY,
+    MAX_ZONES,
+    WEIGHT_UNITS,
+    Acknowledgement,
     Decision,
     DrainRequest,
     Epoch,
     Evidence,
-    Toward,
-    Zone,
+    Heartbeat,
+    Message,
+    Report,
+    VoteDenied,
+    VoteGranted,
+    VoteRequest,
+    ZoneDrain,
+    ZoneObservation,
+    ZoneReason,
+    ZoneState,
+    ZoneStatus,
 )
 
-REPORT, ACK, ASK, VOTE, NO, BEAT, DECIDED, WISHED = range(1, 9)
-LONGEST = 240
-SECOND = 1_000_000
-MOST_TERM = 1 << 30
+MAX_MESSAGE_BYTES = 240
+MAX_TERM = 1 << 30
+SECOND_US = 1_000_000
+_MAX_U16 = (1 << 16) - 1
+_MAX_U32 = (1 << 32) - 1
+_RATE_UNITS = 1000  # rates a second travel in thousandths
+_WEIGHT_SUM_TOLERANCE = 1e-9
+
+_EPOCH = struct.Struct("!II")  # term, step
+_REPORT = struct.Struct("!IIIBIB")  # acknowledged number, epoch, zone, demand, number of observations
+_OBSERVATION = struct.Struct("!HHHHI")  # counts, capacity
+_ACKNOWLEDGEMENT = struct.Struct("!III")  # number, epoch
+_VOTE_REQUEST = struct.Struct("!IIII")  # term, number, epoch
+_VOTE_GRANTED = struct.Struct("!II")  # term, number
+_VOTE_DENIED = struct.Struct("!III")  # term, epoch
+_HEARTBEAT = struct.Struct("!IIQI")  # epoch, leader, sequence
+_DECISION = struct.Struct("!IIQB")  # epoch, leader, number of zones
+_ZONE_STATUS = struct.Struct("!BBH")  # state, reason, age in seconds
+_ZONE_DRAIN = struct.Struct("!BH")  # zone, remaining seconds
+_DRAIN_REQUEST = struct.Struct("!BHQ")  # zone, remaining seconds, sequence
+
+
+class MessageKind(IntEnum):
+    """The first byte of an encoded message."""
+
+    REPORT = 1
+    ACKNOWLEDGEMENT = 2
+    VOTE_REQUEST = 3
+    VOTE_GRANTED = 4
+    VOTE_DENIED = 5
+    HEARTBEAT = 6
+    DECISION = 7
+    DRAIN_REQUEST = 8
+
+
+class FailoverMessageError(ValueError):
+    """An encoded failover message holds a value that is not allowed."""
+
+
+def encode(message: Message, now_us: int = 0) -> bytes:
+    """Encodes a message.
+
+    Args:
+        message: What to encode; counts and rates that don't fit are clipped.
+        now_us: Time of sending, from which ages and remaining times are counted.
+
+    Returns:
+        The kind and the fields.
+    """
+    kind, encode_fields = _ENCODERS[type(message)]
+    return bytes([kind]) + encode_fields(message, now_us)
+
+
+def decode(data: bytes, now_us: int = 0) -> Message | None:
+    """Decodes a message.
+
+    Args:
+        data: What was received.
+        now_us: Time of receipt, to which ages and remaining times are applied.
+
+    Returns:
+        The message, or None where it is truncated, of an unknown kind or holds values that are not allowed.
+    """
+    try:
+        decode_fields = _DECODERS.get(data[0])
+        return decode_fields(data[1:], now_us) if decode_fields is not None else None
+    except (struct.error, IndexError, FailoverMessageError):
+        return None
 
-_EPOCH = struct.Struct("!II")
-_REPORT = struct.Struct("!IIIBIB")  # number echoed, epoch, zone, demand in thousandths, zones
-_TOWARD = struct.Struct("!HHHHI")
-_DECIDED = struct.Struct("!IIQB")
-_ZONE = struct.Struct("!BBH")  # state, why, age in seconds
-_DRAIN = struct.Struct("!BH")  # zone, seconds left
-_WISH = struct.Struct("!BHQ")
 
+def _clip(value: float, maximum: int) -> int:
+    return max(0, min(maximum, int(value)))
 
-class Report(NamedTuple):
-    """Of a copy to whoever decides: the last of its acks that came, the decision held, and evidence."""
 
-    echo: int
-    held: Epoch
-    evidence: Evidence
+def _seconds(duration_us: int) -> int:
+    return _clip(duration_us / SECOND_US, _MAX_U16)
 
 
-class Ack(NamedTuple):
-    number: int
-    epoch: Epoch
+def _encode_report(message: Report, _now_us: int) -> bytes:
+    evidence = message.evidence
+    demand = _clip(evidence.demand * _RATE_UNITS, _MAX_U32)
+    data = _REPORT.pack(
+        message.acknowledged, *message.held_epoch, evidence.zone, demand, len(evidence.observations)
+    )
+    for observation in evidence.observations:
+        counts = (_clip(count, _MAX_U16) for count in observation[:4])
+        data += _OBSERVATION.pack(*counts, _clip(observation.capacity * _RATE_UNITS, _MAX_U32))
+    return data
 
 
-class Ask(NamedTuple):
-    """To be voted for in that term, by one who holds that epoch."""
+def _encode_acknowledgement(message: Acknowledgement, _now_us: int) -> bytes:
+    return _ACKNOWLEDGEMENT.pack(message.number, *message.epoch)
 
-    term: int
-    epoch: Epoch
-    number: int
 
+def _encode_vote_request(message: VoteRequest, _now_us: int) -> bytes:
+    return _VOTE_REQUEST.pack(message.term, message.number, *message.epoch)
 
-class Vote(NamedTuple):
-    term: int
-    number: int
 
+def _encode_vote_granted(message: VoteGranted, _now_us: int) -> bytes:
+    return _VOTE_GRANTED.pack(*message)
 
-class No(NamedTuple):
-    """Not now: there is a greater term, or somebody decides already."""
 
-    term: int
-    epoch: Epoch
+def _encode_vote_denied(message: VoteDenied, _now_us: int) -> bytes:
+    return _VOTE_DENIED.pack(message.term, *message.epoch)
 
 
-class Beat(NamedTuple):
-    """Whoever decides in that term still hears a majority; of its beats the later counts."""
+def _encode_heartbeat(message: Heartbeat, _now_us: int) -> bytes:
+    return _HEARTBEAT.pack(*message.epoch, message.leader, message.sequence)
 
-    epoch: Epoch
-    by: int
-    nth: int
 
+def _encode_decision(message: Decision, now_us: int) -> bytes:
+    data = _DECISION.pack(*message.epoch, message.leader, len(message.zones))
+    for status in message.zones:
+        data += _ZONE_STATUS.pack(status.state, status.reason, _seconds(now_us - status.since_us))
+    data += bytes(
+        _clip(weight * WEIGHT_UNITS + 0.5, WEIGHT_UNITS) for row in message.weights for weight in row
+    )
+    for zone, until_us in message.drains:
+        data += _ZONE_DRAIN.pack(zone, _seconds(until_us - now_us))
+    return data
 
-Said = Report | Ack | Ask | Vote | No | Beat | Decision | DrainRequest
 
+def _encode_drain_request(message: DrainRequest, now_us: int) -> bytes:
+    # 0 seconds stand for the end of a drain, so that a drain about to end travels as one second.
+    remaining_s = 0 if message.until_us <= 0 else max(1, _seconds(message.until_us - now_us))
+    return _DRAIN_REQUEST.pack(message.zone, remaining_s, message.sequence)
 
-def _clip(value: float, most: int) -> int:
-    return max(0, min(most, int(value)))
 
+def _decode_report(body: bytes, _now_us: int) -> Report:
+    acknowledged, term, step, zone, demand, count = _REPORT.unpack_from(body)
+    if count > MAX_ZONES or zone >= count:
+        raise FailoverMessageError("report: zone or number of zones out of range")
+    observations = tuple(
+        _decode_observation(body, _REPORT.size + index * _OBSERVATION.size) for index in range(count)
+    )
+    evidence = Evidence(zone, demand / _RATE_UNITS, observations)
+    return Report(acknowledged, Epoch(_checked_term(term), step), evidence)
 
-def pack(told: Said, now: int = 0) -> bytes:
-    """`now` where it tells of ages."""
-    if isinstance(told, Report):
-        e = told.evidence
-        demand = _clip(e.demand * 1000, (1 << 32) - 1)
-        text = _REPORT.pack(told.echo, *told.held, e.zone, demand, len(e.towards))
-        for t in e.towards:
-            counts = (_clip(n, 65535) for n in (t.hops, t.unreached, t.failed, t.late))
-            text += _TOWARD.pack(*counts, _clip(t.bears * 1000, (1 << 32) - 1))
-        return bytes([REPORT]) + text
-    if isinstance(told, Ack):
-        return bytes([ACK]) + struct.pack("!I", told.number) + _EPOCH.pack(*told.epoch)
-    if isinstance(told, Ask):
-        return bytes([ASK]) + struct.pack("!II", told.term, told.number) + _EPOCH.pack(*told.epoch)
-    if isinstance(told, Vote):
-        return bytes([VOTE]) + struct.pack("!II", *told)
-    if isinstance(told, No):
-        return bytes([NO]) + struct.pack("!I", told.term) + _EPOCH.pack(*told.epoch)
-    if isinstance(told, Beat):
-        return bytes([BEAT]) + _EPOCH.pack(*told.epoch) + struct.pack("!QI", told.by, told.nth)
-    if isinstance(told, DrainRequest):
-        left_s = 0 if told.until_us <= 0 else max(1, _clip((told.until_us - now) / SECOND, 65535))
-        return bytes([WISHED]) + _WISH.pack(told.zone, left_s, told.nth)
-    text = _DECIDED.pack(*told.epoch, told.by, len(told.zones))
-    for zone in told.zones:
-        text += _ZONE.pack(zone.state, zone.why, _clip((now - zone.since_us) / SECOND, 65535))
-    text += bytes(_clip(share * PARTS + 0.5, PARTS) for row in told.shares for share in row)
-    for at, until_us in told.drains:
-        text += _DRAIN.pack(at, _clip((until_us - now) / SECOND, 65535))
-    return bytes([DECIDED]) + text
 
+def _decode_observation(body: bytes, offset: int) -> ZoneObservation:
+    attempts, connect_failures, failures, slow, capacity = _OBSERVATION.unpack_from(body, offset)
+    if connect_failures + failures + slow > attempts:
+        raise FailoverMessageError("report: more attempts ended badly than were sent")
+    return ZoneObservation(attempts, connect_failures, failures, slow, capacity / _RATE_UNITS)
 
-def unpack(text: bytes, now: int = 0) -> Said | None:
-    """Nothing where it can't be read, or says what can't be."""
-    try:
-        return _unpack(text[0], text[1:], now)
-    except (struct.error, IndexError, ValueError):
-        return None
 
+def _decode_acknowledgement(body: bytes, _now_us: int) -> Acknowledgement:
+    number, term, step = _ACKNOWLEDGEMENT.unpack_from(body)
+    return Acknowledgement(number, Epoch(_checked_term(term), step))
 
-def _unpack(kind: int, body: bytes, now: int) -> Said | None:
-    if kind == REPORT:
-        echo, term, step, zone, demand, n = _REPORT.unpack_from(body)
-        if n > MOST_ZONES or zone >= n:
-            return None
-        towards = []
-        for k in range(n):
-            hops, unreached, failed, late, bears = _TOWARD.unpack_from(body, _REPORT.size + k * _TOWARD.size)
-            if unreached + failed + late > hops:
-                return None
-            towards.append(Toward(hops, unreached, failed, late, bears / 1000))
-        return Report(echo, Epoch(_term(term), step), Evidence(zone, demand / 1000, tuple(towards)))
-    if kind == ACK:
-        return Ack(struct.unpack_from("!I", body)[0], _epoch(body, 4))
-    if kind == ASK:
-        term, number = struct.unpack_from("!II", body)
-        return Ask(_term(term), _epoch(body, 8), number)
-    if kind == VOTE:
-        term, number = struct.unpack_from("!II", body)
-        return Vote(_term(term), number)
-    if kind == NO:
-        return No(_term(struct.unpack_from("!I", body)[0]), _epoch(body, 4))
-    if kind == BEAT:
-        by, nth = struct.unpack_from("!QI", body, _EPOCH.size)
-        return Beat(_epoch(body, 0), by, nth)
-    if kind == WISHED:
-        zone, left_s, wish_no = _WISH.unpack_from(body)
-        return (
-            DrainRequest(zone, now + left_s * SECOND if left_s else 0, wish_no) if zone < MOST_ZONES else None
-        )
-    return _decision(body, now) if kind == DECIDED else None
-
-
-def _decision(body: bytes, now: int) -> Decision | None:
-    term, step, by, n = _DECIDED.unpack_from(body)
-    if not 1 <= n <= MOST_ZONES:
-        return None
-    at, zones = _DECIDED.size, []
-    for _ in range(n):
-        state, why, age_s = _ZONE.unpack_from(body, at)
-        if state >= len(STATES) or why >= len(WHY):
-            return None
-        zones.append(Zone(state, why, now - age_s * SECOND))
-        at += _ZONE.size
-    table = body[at : at + n * n]
-    rows = tuple(tuple(part / PARTS for part in table[k * n : k * n + n]) for k in range(n))
-    if len(table) < n * n or any(sum(row) > 1 + 1e-9 for row in rows):
-        return None
-    at += n * n
-    drains = []
-    for k in range(at, len(body) - _DRAIN.size + 1, _DRAIN.size):
-        zone, left_s = _DRAIN.unpack_from(body, k)
-        if zone < n:
-            drains.append((zone, now + left_s * SECOND))
-    return Decision(Epoch(_term(term), step), by, tuple(zones), rows, tuple(drains[:n]))
+
+def _decode_vote_request(body: bytes, _now_us: int) -> VoteRequest:
+    term, number, epoch_term, step = _VOTE_REQUEST.unpack_from(body)
+    return VoteRequest(_checked_term(term), Epoch(_checked_term(epoch_term), step), number)
+
+
+def _decode_vote_granted(body: bytes, _now_us: int) -> VoteGranted:
+    term, number = _VOTE_GRANTED.unpack_from(body)
+    return VoteGranted(_checked_term(term), number)
+
+
+def _decode_vote_denied(body: bytes, _now_us: int) -> VoteDenied:
+    term, epoch_term, step = _VOTE_DENIED.unpack_from(body)
+    return VoteDenied(_checked_term(term), Epoch(_checked_term(epoch_term), step))
 
 
-def _epoch(body: bytes, at: int) -> Epoch:
-    term, step = _EPOCH.unpack_from(body, at)
-    return Epoch(_term(term), step)
+def _decode_heartbeat(body: bytes, _now_us: int) -> Heartbeat:
+    term, step, leader, sequence = _HEARTBEAT.unpack_from(body)
+    return Heartbeat(Epoch(_checked_term(term), step), leader, sequence)
 
 
-def _term(term: int) -> int:
-    if term > MOST_TERM:
-        raise ValueError
+def _decode_drain_request(body: bytes, now_us: int) -> DrainRequest:
+    zone, remaining_s, sequence = _DRAIN_REQUEST.unpack_from(body)
+    if zone >= MAX_ZONES:
+        raise FailoverMessageError("drain request: zone out of range")
+    return DrainRequest(zone, now_us + remaining_s * SECOND_US if remaining_s else 0, sequence)
+
+
+def _decode_decision(body: bytes, now_us: int) -> Decision:
+    term, step, leader, count = _DECISION.unpack_from(body)
+    if not 1 <= count <= MAX_ZONES:
+        raise FailoverMessageError("decision: number of zones out of range")
+    weights_start = _DECISION.size + count * _ZONE_STATUS.size
+    zones = tuple(
+        _decode_zone_status(body, offset, now_us)
+        for offset in range(_DECISION.size, weights_start, _ZONE_STATUS.size)
+    )
+    drains_start = weights_start + count * count
+    weights = _decode_weights(body[weights_start:drains_start], count)
+    drains = _decode_drains(body, drains_start, count, now_us)
+    return Decision(Epoch(_checked_term(term), step), leader, zones, weights, drains)
+
+
+def _decode_zone_status(body: bytes, offset: int, now_us: int) -> ZoneStatus:
+    state, reason, age_s = _ZONE_STATUS.unpack_from(body, offset)
+    if state >= len(ZoneState) or reason >= len(ZoneReason):
+        raise FailoverMessageError("decision: unknown state or reason of a zone")
+    return ZoneStatus(ZoneState(state), ZoneReason(reason), now_us - age_s * SECOND_US)
+
+
+def _decode_weights(data: bytes, count: int) -> tuple[tuple[float, ...], ...]:
+    if len(data) < count * count:
+        raise FailoverMessageError("decision: weights are truncated")
+    rows = tuple(
+        tuple(units / WEIGHT_UNITS for units in data[start : start + count])
+        for start in range(0, count * count, count)
+    )
+    if any(sum(row) > 1 + _WEIGHT_SUM_TOLERANCE for row in rows):
+        raise FailoverMessageError("decision: weights of a zone add up to more than 1")
+    return rows
+
+
+def _decode_drains(body: bytes, start: int, count: int, now_us: int) -> tuple[ZoneDrain, ...]:
+    drains = []
+    for offset in range(start, len(body) - _ZONE_DRAIN.size + 1, _ZONE_DRAIN.size):
+        zone, remaining_s = _ZONE_DRAIN.unpack_from(body, offset)
+        if zone < count:
+            drains.append(ZoneDrain(zone, now_us + remaining_s * SECOND_US))
+    return tuple(drains[:count])
+
+
+def _checked_term(term: int) -> int:
+    if term > MAX_TERM:
+        raise FailoverMessageError(f"term is above {MAX_TERM}")
     return term
+
+
+# Values are typed as taking any message: the key holds the type that each takes.
+_ENCODERS: dict[type, tuple[MessageKind, Callable[..., bytes]]] = {
+    Report: (MessageKind.REPORT, _encode_report),
+    Acknowledgement: (MessageKind.ACKNOWLEDGEMENT, _encode_acknowledgement),
+    VoteRequest: (MessageKind.VOTE_REQUEST, _encode_vote_request),
+    VoteGranted: (MessageKind.VOTE_GRANTED, _encode_vote_granted),
+    VoteDenied: (MessageKind.VOTE_DENIED, _encode_vote_denied),
+    Heartbeat: (MessageKind.HEARTBEAT, _encode_heartbeat),
+    Decision: (MessageKind.DECISION, _encode_decision),
+    DrainRequest: (MessageKind.DRAIN_REQUEST, _encode_drain_request),
+}
+_DECODERS: dict[int, Callable[[bytes, int], Message]] = {
+    MessageKind.REPORT: _decode_report,
+    MessageKind.ACKNOWLEDGEMENT: _decode_acknowledgement,
+    MessageKind.VOTE_REQUEST: _decode_vote_request,
+    MessageKind.VOTE_GRANTED: _decode_vote_granted,
+    MessageKind.VOTE_DENIED: _decode_vote_denied,
+    MessageKind.HEARTBEAT: _decode_heartbeat,
+    MessageKind.DECISION: _decode_decision,
+    MessageKind.DRAIN_REQUEST: _decode_drain_request,
+}
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -1,48 +1,70 @@
-"""What many copies saw, made one picture: robust against a few that are wrong, and with what can't be reached
-from somewhere kept apart from what fails for all."""
+"""Aggregates the evidence of all instances into one view of the zones.
+
+The result is robust against a few instances whose evidence is wrong, and tells a zone that cannot be reached
+from some zones from one that fails for all.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from cressrail.failover.messages import Evidence
+from cressrail.failover.messages import Evidence, ZoneObservation
 
-HALF = 0.5  # of hops: from there on a zone fails, or can't be reached
-LEAST_HOPS = 5  # over the window, from all copies of a zone together, to say anything
-HEAVIEST = 1.5  # times the middle weight, at which one copy's word ends: of four one alone decides nothing
+FAILURE_RATIO = 0.5  # of attempts: from there on a zone counts as failing, or as unreachable
+MIN_ATTEMPTS = 5  # over the window, from all instances of a zone together, to judge by
+MIN_INSTANCES = 2  # with attempts, to judge by, where the zone has as many
+MAX_WEIGHT = 1.5  # times the median weight: of four instances one alone decides nothing
 
 
 @dataclass(frozen=True, slots=True)
-class Picture:
-    """By zones: `demand[z]` and `bears[w]` a second, `good[w]` hops that ended well in the window, `sent[w]`
-    all; `cut[z][w]` whether w can't be reached from z, `failing[w]` whether it fails for most who reach it,
-    `crowded[w]` the share of late and failed ones among those that reached it."""
+class AggregatedEvidence:
+    """What all instances saw together.
+
+    Attributes:
+        demand: Requests a second of the clients of each zone.
+        capacity: Attempts a second that each zone takes, by the limits of all instances.
+        attempts: Attempts to each zone in the window.
+        successes: Attempts to each zone that ended well in the window.
+        unreachable_from: For each caller's zone, whether each zone is unreachable from there.
+        is_failing: Whether each zone fails for most of the zones that reach it.
+        is_unreachable: Whether each zone is unreachable from all that tried.
+        overload_ratio: For each zone, the share of slow and failed attempts among those that reached it.
+        is_silent: For each zone, whether instances are alive there and none of them reported.
+    """
 
     demand: tuple[float, ...]
-    bears: tuple[float, ...]
-    sent: tuple[float, ...]
-    good: tuple[float, ...]
-    cut: tuple[tuple[bool, ...], ...]
-    failing: tuple[bool, ...]
-    lost: tuple[bool, ...]  # nobody who tried reaches it
-    crowded: tuple[float, ...]
-    quiet: tuple[bool, ...]  # copies are up there, and none of them was heard
+    capacity: tuple[float, ...]
+    attempts: tuple[float, ...]
+    successes: tuple[float, ...]
+    unreachable_from: tuple[tuple[bool, ...], ...]
+    is_failing: tuple[bool, ...]
+    is_unreachable: tuple[bool, ...]
+    overload_ratio: tuple[float, ...]
+    is_silent: tuple[bool, ...]
+
+
+class WeightedValue(NamedTuple):
+    """A value and how much it counts."""
+
+    value: float
+    weight: float
 
 
-def bounded(told: Sequence[float]) -> list[float]:
-    """None far above the middle one, so that one copy can't outweigh the rest."""
-    most = HEAVIEST * sorted(told)[len(told) // 2] if told else 0.0
-    return [min(one, most) for one in told]
+def bounded(values: Sequence[float]) -> list[float]:
+    """Limits each value to `MAX_WEIGHT` times the median, so that one instance can't outweigh the others."""
+    maximum = MAX_WEIGHT * sorted(values)[len(values) // 2] if values else 0.0
+    return [min(value, maximum) for value in values]
 
 
-def median(told: Sequence[tuple[float, float]]) -> float:
-    """Of (value, weight)."""
-    if not told:
+def weighted_median(values: Sequence[WeightedValue]) -> float:
+    """Returns the median by bounded weights; 0 for no values."""
+    if not values:
         return 0.0
-    weights = bounded([weight for _, weight in told])
+    weights = bounded([weight for _, weight in values])
     half, passed = sum(weights) / 2, 0.0
-    ranked = sorted(zip((value for value, _ in told), weights, strict=True))
+    ranked = sorted(zip((value for value, _ in values), weights, strict=True))
     for value, weight in ranked:
         passed += weight
         if passed >= half:
@@ -50,65 +72,122 @@
     return ranked[-1][0]
 
 
-def picture(told: Iterable[Evidence], zones: int, copies: Sequence[int] = ()) -> Picture:
-    """`copies`: that are up in each zone, where that is known. Those who told nothing count as the others of
-    their zone: guards against traffic that is there and was not told of."""
-    by_zone: list[list[Evidence]] = [[] for _ in range(zones)]
-    for one in told:
-        if 0 <= one.zone < zones and len(one.towards) == zones:
-            by_zone[one.zone].append(one)
-    up = copies or [0] * zones
-    times = [max(1.0, n / len(of)) if of else 1.0 for n, of in zip(up, by_zone, strict=True)]
-    unreached = [[_ratio(of, w, "unreached") for w in range(zones)] for of in by_zone]
-    failed = [[_ratio(of, w, "failed") for w in range(zones)] for of in by_zone]
-    late = [[_ratio(of, w, "late") for w in range(zones)] for of in by_zone]
-    enough = [[_enough([e.towards[w].hops for e in of]) for w in range(zones)] for of in by_zone]
-    cut = tuple(tuple(enough[z][w] and unreached[z][w] >= HALF for w in range(zones)) for z in range(zones))
-    failing, lost, crowded = [], [], []
-    for w in range(zones):
-        tried = [z for z in range(zones) if enough[z][w]]
-        reach = [z for z in tried if not cut[z][w]]
-        bad = [z for z in reach if failed[z][w] >= HALF]
-        failing.append(bool(bad) and 2 * len(bad) > len(reach))
-        lost.append(bool(tried) and not reach)
-        shares = [min(1.0, failed[z][w] + late[z][w]) for z in reach]
-        crowded.append(sum(shares) / len(shares) if shares else 0.0)
-    sent = [
-        [sum(bounded([e.towards[w].hops for e in of])) * times[z] for w in range(zones)]
-        for z, of in enumerate(by_zone)
-    ]
-    good = [
-        [sent[z][w] * (1 - unreached[z][w]) * max(0.0, 1 - failed[z][w] - late[z][w]) for w in range(zones)]
-        for z in range(zones)
-    ]
-    return Picture(
-        tuple(sum(one.demand for one in of) * n for of, n in zip(by_zone, times, strict=True)),
-        tuple(
-            sum(sum(bounded([e.towards[w].bears for e in of])) * times[z] for z, of in enumerate(by_zone))
-            for w in range(zones)
+def aggregate(
+    evidence: Iterable[Evidence], zone_count: int, instance_counts: Sequence[int] = ()
+) -> AggregatedEvidence:
+    """Aggregates the evidence of many instances.
+
+    Args:
+        evidence: What the instances reported; of other numbers of zones, or unknown zones, it is ignored.
+        zone_count: Number of zones of the topology.
+        instance_counts: Number of live instances in each zone, where that is known. Those without a report
+            count as the others of their zone do, as their traffic is there too.
+    """
+    counts = instance_counts or [0] * zone_count
+    sources = [_ZoneSource([], zone_count) for _ in range(zone_count)]
+    for item in evidence:
+        if 0 <= item.zone < zone_count and len(item.observations) == zone_count:
+            sources[item.zone].evidence.append(item)
+    for source, count in zip(sources, counts, strict=True):
+        source.summarize(count)
+    zones = range(zone_count)
+    verdicts = [_verdict(sources, zone) for zone in zones]
+    return AggregatedEvidence(
+        demand=tuple(source.demand for source in sources),
+        capacity=tuple(sum(source.capacity[zone] for source in sources) for zone in zones),
+        attempts=tuple(sum(source.attempts[zone] for source in sources) for zone in zones),
+        successes=tuple(sum(source.successes[zone] for source in sources) for zone in zones),
+        unreachable_from=tuple(tuple(source.is_unreachable) for source in sources),
+        is_failing=tuple(verdict.is_failing for verdict in verdicts),
+        is_unreachable=tuple(verdict.is_unreachable for verdict in verdicts),
+        overload_ratio=tuple(verdict.overload_ratio for verdict in verdicts),
+        is_silent=tuple(
+            count > 0 and not source.evidence for count, source in zip(counts, sources, strict=True)
         ),
-        tuple(sum(row[w] for row in sent) for w in range(zones)),
-        tuple(sum(row[w] for row in good) for w in range(zones)),
-        cut,
-        tuple(failing),
-        tuple(lost),
-        tuple(crowded),
-        tuple(n > 0 and not of for n, of in zip(up, by_zone, strict=True)),
     )
 
 
-def _enough(hops: list[int]) -> bool:
-    """To say anything of a zone: several hops, and from two copies where there are two."""
-    return sum(hops) >= LEAST_HOPS and sum(1 for n in hops if n) >= min(2, len(hops))
+class _ZoneSource:
+    """What the instances of one caller's zone saw, by zone of endpoints."""
+
+    def __init__(self, evidence: list[Evidence], zone_count: int) -> None:
+        self.evidence = evidence
+        self.zone_count = zone_count
+        self.demand = 0.0
+        self.capacity: list[float] = []
+        self.attempts: list[float] = []
+        self.successes: list[float] = []
+        self.failure_ratio: list[float] = []
+        self.slow_ratio: list[float] = []
+        self.has_enough: list[bool] = []
+        self.is_unreachable: list[bool] = []
+
+    def summarize(self, instance_count: int) -> None:
+        """Computes totals and ratios of the evidence, scaled up to `instance_count` instances."""
+        reported = len(self.evidence)
+        scale = max(1.0, instance_count / reported) if reported else 1.0
+        self.demand = sum(item.demand for item in self.evidence) * scale
+        for zone in range(self.zone_count):
+            seen = [item.observations[zone] for item in self.evidence]
+            unreachable_ratio = _median_ratio(seen, _connect_failures)
+            failure_ratio = _median_ratio(seen, _failures)
+            slow_ratio = _median_ratio(seen, _slow_attempts)
+            has_enough = _has_enough([observation.attempts for observation in seen])
+            attempts = sum(bounded([observation.attempts for observation in seen])) * scale
+            success_ratio = max(0.0, 1 - failure_ratio - slow_ratio)
+            self.failure_ratio.append(failure_ratio)
+            self.slow_ratio.append(slow_ratio)
+            self.has_enough.append(has_enough)
+            self.is_unreachable.append(has_enough and unreachable_ratio >= FAILURE_RATIO)
+            self.attempts.append(attempts)
+            self.successes.append(attempts * (1 - unreachable_ratio) * success_ratio)
+            self.capacity.append(sum(bounded([observation.capacity for observation in seen])) * scale)
+
+
+class _Verdict(NamedTuple):
+    is_failing: bool
+    is_unreachable: bool
+    overload_ratio: float
+
+
+def _verdict(sources: Sequence[_ZoneSource], zone: int) -> _Verdict:
+    """Judges one zone of endpoints by what the callers' zones saw of it, each of which counts once."""
+    tried = [source for source in sources if source.has_enough[zone]]
+    reaching = [source for source in tried if not source.is_unreachable[zone]]
+    failing = sum(1 for source in reaching if source.failure_ratio[zone] >= FAILURE_RATIO)
+    ratios = [min(1.0, source.failure_ratio[zone] + source.slow_ratio[zone]) for source in reaching]
+    return _Verdict(
+        is_failing=failing > 0 and 2 * failing > len(reaching),
+        is_unreachable=bool(tried) and not reaching,
+        overload_ratio=sum(ratios) / len(ratios) if ratios else 0.0,
+    )
+
+
+def _has_enough(attempts: list[int]) -> bool:
+    """Whether there were enough attempts to judge by, from enough instances."""
+    instances = sum(1 for count in attempts if count)
+    return sum(attempts) >= MIN_ATTEMPTS and instances >= min(MIN_INSTANCES, len(attempts))
 
 
-def _ratio(of: list[Evidence], w: int, what: str) -> float:
-    """What share of hops from these copies to that zone it was, by the middle one. Late and failed ones count
-    against those that reached it."""
-    told = []
-    for one in of:
-        toward = one.towards[w]
-        base = toward.hops if what == "unreached" else toward.hops - toward.unreached
+def _median_ratio(
+    observations: Sequence[ZoneObservation], counts: Callable[[ZoneObservation], tuple[int, int]]
+) -> float:
+    """Returns the median over instances of a ratio of attempts; `counts` gives its two terms."""
+    ratios = []
+    for observation in observations:
+        count, base = counts(observation)
         if base > 0:
-            told.append((min(1.0, getattr(toward, what) / base), float(base)))
-    return median(told)
+            ratios.append(WeightedValue(min(1.0, count / base), float(base)))
+    return weighted_median(ratios)
+
+
+def _connect_failures(observation: ZoneObservation) -> tuple[int, int]:
+    return observation.connect_failures, observation.attempts
+
+
+def _failures(observation: ZoneObservation) -> tuple[int, int]:
+    return observation.failures, observation.attempts - observation.connect_failures
+
+
+def _slow_attempts(observation: ZoneObservation) -> tuple[int, int]:
+    return observation.slow_attempts, observation.attempts - observation.connect_failures
--- /dev/null
+++ b/cressrail/failover/leader.py
@@ -0,0 +1,210 @@
+"""This instance as the leader: its lease, the followers' reports, heartbeats and decisions."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from cressrail.failover import log_events
+from cressrail.failover.decision_store import DecisionStore
+from cressrail.failover.drain_requests import DrainRequests
+from cressrail.failover.evidence import aggregate
+from cressrail.failover.leadership import Leadership
+from cressrail.failover.local_view import LocalView
+from cressrail.failover.messages import (
+    Acknowledgement,
+    Decision,
+    Epoch,
+    Evidence,
+    Heartbeat,
+    Report,
+    VoteDenied,
+    ZoneDrain,
+)
+from cressrail.failover.outbox import HEARTBEAT_TOPIC, Outbox, SequenceNumbers
+from cressrail.failover.planner import Plan, Planner
+from cressrail.failover.settings import FailoverSettings
+
+EVIDENCE_WINDOW_PERIODS = 3  # report periods over which evidence is summed
+HEARTBEAT_PERIODS = 2  # report periods between two heartbeats
+MAX_PENDING_ACKNOWLEDGEMENTS = 8192  # whose time of sending is kept until a report answers them
+
+
+class ReceivedEvidence(NamedTuple):
+    """Evidence of one instance, and when it came."""
+
+    evidence: Evidence
+    received_us: int
+
+
+class Leader:
+    """Leads for as long as more than half of the last known fleet answers within the lease.
+
+    The lease counts from when the message was sent that was answered, so that a process that was stopped and
+    continues knows that it leads no longer.
+    """
+
+    def __init__(
+        self,
+        settings: FailoverSettings,
+        local: LocalView,
+        leadership: Leadership,
+        decisions: DecisionStore,
+        drains: DrainRequests,
+        numbers: SequenceNumbers,
+        outbox: Outbox,
+        restart_election_timer: Callable[[int], None],
+        now_us: int,
+    ) -> None:
+        self._settings = settings
+        self._local = local
+        self._leadership = leadership
+        self._decisions = decisions
+        self._drains = drains
+        self._numbers = numbers
+        self._outbox = outbox
+        self._restart_election_timer = restart_election_timer
+        self._planner: Planner | None = None
+        self._evidence: dict[int, ReceivedEvidence] = {}
+        self._acknowledgement_sent_us: dict[int, int] = {}
+        self._answered_us: dict[int, int] = {}  # by instance: when what it answered last was sent
+        self._had_majority_us = now_us
+        self._heartbeat_us = now_us
+
+    @property
+    def received_evidence(self) -> dict[int, Evidence]:
+        """The last evidence of each instance that reported."""
+        return {instance: received.evidence for instance, received in self._evidence.items()}
+
+    def forget_answers(self) -> None:
+        """After a pause of this process no earlier answer counts."""
+        self._answered_us.clear()
+        self._acknowledgement_sent_us.clear()
+
+    def record_vote(self, voter: int, requested_us: int) -> None:
+        """A vote counts as an answer to its request."""
+        self._answered_us[voter] = requested_us
+
+    def begin_term(self, now_us: int, term: int, votes: int) -> None:
+        """Takes the lead, with the last known decision to start from."""
+        self._leadership.begin_term(now_us, term)
+        self._had_majority_us = now_us
+        self._evidence.clear()
+        self._acknowledgement_sent_us.clear()
+        settings = self._settings
+        self._planner = Planner(
+            settings.topology,
+            settings.slow_start_fraction,
+            settings.warm_up_us,
+            EVIDENCE_WINDOW_PERIODS * settings.report_period_us,
+            now_us,
+        )
+        if self._decisions.decision is not None:
+            self._planner.take_over(self._decisions.decision.zones)
+        fleet_size = self._local.fleet.known_size
+        self._outbox.log(log_events.LEADER_ELECTED, term=term, votes=votes, fleet_size=fleet_size)
+        self._send_heartbeat(now_us)
+
+    def step_down(self, now_us: int, observed_epoch: Epoch) -> None:
+        """Stops leading: the majority is lost, or there is a later term."""
+        self._outbox.log(
+            log_events.LEADER_STEPPED_DOWN,
+            term=self._leadership.epoch.term,
+            observed_term=observed_epoch.term,
+        )
+        self._leadership.end_term()
+        self._planner = None
+        self._answered_us.clear()
+        self._restart_election_timer(now_us)
+
+    def on_timer(self, now_us: int) -> None:
+        """Checks the lease, sends heartbeats and decides anew where the plan has changed."""
+        self._forget_old_acknowledgements(now_us)
+        self._evidence[self._leadership.own_id] = ReceivedEvidence(self._local.evidence, now_us)
+        if not self._holds_lease(now_us):
+            if now_us - self._had_majority_us > 2 * self._settings.lease_us:
+                self.step_down(now_us, self._leadership.epoch)
+            return
+        self._had_majority_us = now_us
+        self._leadership.renew_contact(now_us)
+        self._decisions.confirm_own(now_us)
+        if now_us - self._heartbeat_us >= HEARTBEAT_PERIODS * self._settings.report_period_us:
+            self._send_heartbeat(now_us)
+        self._decide(now_us)
+
+    def on_report(self, now_us: int, follower: int, report: Report) -> None:
+        """Takes a follower's evidence, acknowledges it and sends the decision that the follower lacks."""
+        epoch = self._leadership.epoch
+        if not self._leadership.is_leader:
+            self._outbox.send(now_us, follower, VoteDenied(epoch.term, epoch))
+            return
+        if follower not in self._local.fleet.living:
+            return
+        sent_us = self._acknowledgement_sent_us.get(report.acknowledged)
+        if sent_us is not None:
+            self._answered_us[follower] = max(self._answered_us.get(follower, 0), sent_us)
+        self._evidence[follower] = ReceivedEvidence(report.evidence, now_us)
+        number = self._numbers.next_acknowledgement()
+        if len(self._acknowledgement_sent_us) < MAX_PENDING_ACKNOWLEDGEMENTS:
+            self._acknowledgement_sent_us[number] = now_us
+        self._outbox.send(now_us, follower, Acknowledgement(number, epoch))
+        decision = self._decisions.decision
+        if decision is not None and report.held_epoch < decision.epoch:
+            self._outbox.send(now_us, follower, decision)
+
+    def _holds_lease(self, now_us: int) -> bool:
+        """Whether a majority answered, within the lease, what this instance sent."""
+        since_us = now_us - self._settings.lease_us
+        fleet = self._local.fleet
+        answered = sum(
+            1
+            for instance, sent_us in self._answered_us.items()
+            if sent_us >= since_us and instance in fleet.living
+        )
+        return fleet.has_quorum_view and fleet.is_majority(1 + answered)
+
+    def _forget_old_acknowledgements(self, now_us: int) -> None:
+        oldest_us = now_us - 2 * self._settings.lease_us
+        sent = self._acknowledgement_sent_us
+        for number in [number for number, sent_us in sent.items() if sent_us < oldest_us]:
+            del sent[number]
+
+    def _send_heartbeat(self, now_us: int) -> None:
+        leadership = self._leadership
+        self._heartbeat_us = now_us
+        leadership.set_heartbeat_sequence(leadership.heartbeat_sequence + 1)
+        heartbeat = Heartbeat(leadership.epoch, leadership.own_id, leadership.heartbeat_sequence)
+        self._outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
+
+    def _decide(self, now_us: int) -> None:
+        window_us = EVIDENCE_WINDOW_PERIODS * self._settings.report_period_us
+        evidence = [
+            received.evidence
+            for received in self._evidence.values()
+            if now_us - received.received_us <= window_us and received.evidence.observations
+        ]
+        # Nothing is planned by the few that have reported so far.
+        if self._planner is None or not self._local.fleet.is_majority(len(evidence)):
+            return
+        drains = self._drains.active(now_us)
+        seen = aggregate(evidence, len(self._settings.topology.zones), self._instance_counts())
+        plan = self._planner.plan(now_us, seen, frozenset(drain.zone for drain in drains))
+        if not self._is_held(plan, drains):
+            epoch = self._leadership.epoch
+            next_epoch = Epoch(epoch.term, epoch.step + 1)
+            own_id = self._leadership.own_id
+            self._decisions.adopt(now_us, Decision(next_epoch, own_id, plan.zones, plan.weights, drains))
+
+    def _instance_counts(self) -> list[int]:
+        zones = [*self._local.fleet.living.values(), self._settings.zone]
+        return [zones.count(zone) for zone in range(len(self._settings.topology.zones))]
+
+    def _is_held(self, plan: Plan, drains: tuple[ZoneDrain, ...]) -> bool:
+        """Whether the last decision is of this term, and says nearly the same."""
+        held = self._decisions.decision
+        return (
+            held is not None
+            and held.epoch.term == self._leadership.epoch.term
+            and [zone for zone, _ in held.drains] == [zone for zone, _ in drains]
+            and not plan.differs(held.zones, held.weights)
+        )
--- a/cressrail/failover/messages.py
+++ b/cressrail/failover/messages.py
@@ -1,153 +1,193 @@
-"""What the parts of failover share: the map of zones, evidence, decisions, effects and settings."""
+"""The messages that the sidecars of a tier exchange about failover, and the values they carry.
+
+`codec` maps them to bytes. Values of the enumerations and field order are part of the wire format.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import NamedTuple
 
-SERVING, REDUCED, AWAY, DRAINED, RETURNING = range(5)
-STATES = ("serving", "reduced", "away", "drained", "returning")
-WHY = (
-    "",
-    "failing",
-    "cannot be reached",
-    "asked for",
-    "more than it bears",
-    "proves itself",
-    "nobody to carry it",
-)
-FINE, FAILING, UNREACHED, ASKED, CROWDED, PROVING, NOWHERE = range(len(WHY))
-STEPS = 1_000_000  # more than there are decisions in a term
-PARTS = 200  # a share is told in so many parts
-MOST_ZONES = 8
+EPOCH_STEPS_PER_TERM = 1_000_000  # more than the number of decisions in one term
+WEIGHT_UNITS = 200  # a zone weight travels as a whole number of this many units
+MAX_ZONES = 8
+
+
+class ZoneState(IntEnum):
+    """How a zone of endpoints is used; the value is the one on the wire."""
+
+    SERVING = 0
+    REDUCED = 1  # part of the traffic of its callers goes to other zones, or nowhere
+    AWAY = 2  # nothing but a probing share is sent there
+    DRAINED = 3  # emptied at an operator's request
+    RETURNING = 4  # traffic comes back in steps
+
+
+class ZoneReason(IntEnum):
+    """Why a zone is in its state; the value is the one on the wire."""
+
+    NONE = 0
+    FAILING = 1
+    UNREACHABLE = 2
+    DRAIN_REQUESTED = 3
+    OVER_CAPACITY = 4
+    WARMING_UP = 5
+    NO_CAPACITY_LEFT = 6  # no zone can take the traffic
 
 
 class Epoch(NamedTuple):
-    """Of a decision; the greater holds. `term` grows with each one who decides, `step` with each decision."""
+    """Order of decisions: the greater one holds.
+
+    Attributes:
+        term: Grows with each leader.
+        step: Grows with each decision of a leader.
+    """
 
     term: int
     step: int
 
     @property
     def number(self) -> int:
-        """As one, for people."""
-        return self.term * STEPS + self.step
+        """The epoch as one number, as operators see it."""
+        return self.term * EPOCH_STEPS_PER_TERM + self.step
 
 
-class Toward(NamedTuple):
-    """What one copy saw of one zone of endpoints over the last seconds."""
+NO_EPOCH = Epoch(0, 0)
 
-    hops: int  # sent
-    unreached: int  # of them: no connection came up
-    failed: int  # of them: ended in an error that is the endpoint's, or in none
-    late: int  # of them: answered after they were late
-    bears: float  # hops a second that this copy may have there, as its limits and their latency say
+
+class ZoneObservation(NamedTuple):
+    """What one instance saw of one zone of endpoints over the evidence window.
+
+    Attributes:
+        attempts: Attempts sent there.
+        connect_failures: Attempts for which no connection was established.
+        failures: Attempts that ended in an error of the endpoint, or in no answer.
+        slow_attempts: Attempts answered above the latency threshold, or rejected by the endpoint.
+        capacity: Attempts a second that this instance may have there, by its limits and the latency.
+    """
+
+    attempts: int
+    connect_failures: int
+    failures: int
+    slow_attempts: int
+    capacity: float
 
 
 class Evidence(NamedTuple):
-    """What one copy tells: `zone` is its own, `towards` by zone."""
+    """What one instance reports to the leader.
+
+    Attributes:
+        zone: Index of the instance's own zone.
+        demand: Requests a second that clients sent to it.
+        observations: What it saw of each zone, in the order of the topology.
+    """
 
     zone: int
-    demand: float  # transactions a second that came to it
-    towards: tuple[Toward, ...]
+    demand: float
+    observations: tuple[ZoneObservation, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class ZoneTopology:
-    """Zones in the order of the settings, each with its region, and what a way between regions costs."""
+class ZoneStatus(NamedTuple):
+    """State of one zone of endpoints by a decision.
 
-    zones: tuple[str, ...]
-    regions: tuple[str, ...]  # of each zone
-    way_us: int = 0  # a round trip between two regions; none within one
+    `since_us` is in the clock of the instance that holds it; it travels as an age.
+    """
 
-    def near(self, a: int, b: int) -> int:
-        """0 for the zone itself, 1 within its region, 2 beyond."""
-        return 0 if a == b else 1 if self.regions[a] == self.regions[b] else 2
+    state: ZoneState
+    reason: ZoneReason
+    since_us: int
 
 
-class Zone(NamedTuple):
-    """Of a decision: how one zone of endpoints stands, and why."""
+class ZoneDrain(NamedTuple):
+    """A zone that operators want empty, and until when."""
 
-    state: int
-    why: int
-    since_us: int  # by the clock of whoever looks; told as an age
+    zone: int
+    until_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """A leader's decision on all zones.
+
+    Attributes:
+        epoch: Order of the decision.
+        leader: Id of the instance that took it.
+        zones: Status of each zone.
+        weights: For each caller's zone, the share of its traffic to each zone; the unserved share is the
+            rest to 1 and is rejected.
+        drains: Zones that operators want empty.
+    """
+
     epoch: Epoch
-    by: int  # id of the copy that took it
-    zones: tuple[Zone, ...]
-    shares: tuple[tuple[float, ...], ...]  # of each caller's zone, to each zone; what is left is rolled back
-    drains: tuple[tuple[int, int], ...] = ()  # zones that operators want empty, and until when
+    leader: int
+    zones: tuple[ZoneStatus, ...]
+    weights: tuple[tuple[float, ...], ...]
+    drains: tuple[ZoneDrain, ...] = ()
 
 
 class DrainRequest(NamedTuple):
-    """An operator's: that a zone is drained until then (0: no more)."""
+    """An operator's request to drain a zone until `until_us` (0: no longer).
+
+    The request with the greater sequence number holds.
+    """
 
     zone: int
     until_us: int
-    nth: int  # the later said holds
-
+    sequence: int
 
-# Effects
 
+class Report(NamedTuple):
+    """From a follower to the leader.
 
-class Post(NamedTuple):
-    """To one copy."""
+    Attributes:
+        acknowledged: Number of the last acknowledgement received from the leader.
+        held_epoch: Epoch of the decision that the follower holds.
+        evidence: What the follower saw.
+    """
 
-    to: int
-    text: bytes
+    acknowledged: int
+    held_epoch: Epoch
+    evidence: Evidence
 
 
-class Spread(NamedTuple):
-    """To all, by way of each other; `about` says what an earlier one it replaces was about."""
+class Acknowledgement(NamedTuple):
+    """The leader's answer to a report: its number, and the epoch of the leader's last decision."""
 
-    about: str
-    text: bytes
-    urgent: bool = True
+    number: int
+    epoch: Epoch
 
 
-class Adopted(NamedTuple):
-    """A decision holds from now on."""
+class VoteRequest(NamedTuple):
+    """A candidate's request for a vote in `term`; `epoch` is the greatest that it knows."""
 
-    decision: Decision
+    term: int
+    epoch: Epoch
+    number: int
 
 
-class LogEvent(NamedTuple):
-    event: str
-    fields: dict[str, object]
+class VoteGranted(NamedTuple):
+    """Answers the vote request with that term and number."""
 
+    term: int
+    number: int
 
-Command = Post | Spread | Adopted | LogEvent
 
+class VoteDenied(NamedTuple):
+    """Denies a vote: there is a greater term, or a leader already."""
 
-@dataclass(frozen=True, slots=True)
-class Settings:
-    """Spans follow from the pause that membership bears."""
+    term: int
+    epoch: Epoch
 
-    map: ZoneTopology
-    zone: int
-    cold_from: float = 0.2
-    warm_us: int = 10_000_000
-    bear_us: int = 3_000_000
 
-    @property
-    def period_us(self) -> int:
-        """Between two reports, and two looks at them."""
-        return self.bear_us // 6
+class Heartbeat(NamedTuple):
+    """The leader of a term still has a majority; of its heartbeats the one with the later sequence counts."""
 
-    @property
-    def lease_us(self) -> int:
-        """For which whoever decides counts on a copy that answered."""
-        return self.bear_us // 2
+    epoch: Epoch
+    leader: int
+    sequence: int
 
-    @property
-    def fresh_us(self) -> int:
-        """For which a decision holds without a sign that whoever took it is still heard."""
-        return 3 * self.bear_us
 
-    @property
-    def fade_us(self) -> int:
-        """In which one then gives way to each copy's own judgement."""
-        return 6 * self.bear_us
+Message = (
+    Report | Acknowledgement | VoteRequest | VoteGranted | VoteDenied | Heartbeat | Decision | DrainRequest
+)
--- /dev/null
+++ b/cressrail/failover/simulation/fleet.py
@@ -0,0 +1,210 @@
+"""The simulated instances: their timers, the network between them and what membership tells them."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from cressrail.failover.commands import Broadcast, Command, DecisionAdopted, LogEvent, SendToInstance
+from cressrail.failover.local_view import Fleet
+from cressrail.failover.settings import FailoverSettings
+from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
+from cressrail.failover.simulation.decisions import DecisionRecord
+from cressrail.failover.simulation.instance import SimulatedInstance
+from cressrail.failover.simulation.scenario import Scenario
+from cressrail.failover.simulation.trace import Trace
+from cressrail.failover.state_machine import RELAYED, FailoverStateMachine
+from cressrail.failover.topology import ZoneTopology
+from cressrail.policy.load_balancer import RandomGenerator
+
+TICK_US = 100_000
+MEMBERSHIP_DELAY_US = 5 * SECOND_US  # until a death, or a partition, is known to those that live
+
+
+class DelayRange(NamedTuple):
+    """Least and greatest delay of a message, in microseconds."""
+
+    minimum_us: int
+    maximum_us: int
+
+
+DATAGRAM_DELAY = DelayRange(200, 3000)
+GOSSIP_DELAY = DelayRange(100_000, 800_000)
+
+
+class SimulatedFleet:
+    """All instances, and the network between them.
+
+    Attributes:
+        instances: By id; a restarted one takes the place of the one before.
+        partitions: Sets of zones that are cut off from all other zones.
+        one_way_losses: Pairs of zones: instances of the second don't hear those of the first.
+        partition_changed_us: When a partition last began or ended.
+        decisions: Record of all decisions.
+    """
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        topology: ZoneTopology,
+        clock: VirtualClock,
+        rng: RandomGenerator,
+        trace: Trace,
+    ) -> None:
+        self._scenario = scenario
+        self._topology = topology
+        self._clock = clock
+        self._rng = rng
+        self._trace = trace
+        self.instances: dict[int, SimulatedInstance] = {}
+        self.partitions: list[frozenset[int]] = []
+        self.one_way_losses: set[tuple[int, int]] = set()
+        self.partition_changed_us = 0
+        self.decisions = DecisionRecord(len(topology.zones))
+        self._known_fleets: dict[int, tuple[int, Fleet]] = {}
+        for zone, zone_scenario in enumerate(scenario.zones):
+            for _ in range(zone_scenario.instances):
+                self.start(len(self.instances) + 1, zone)
+
+    def running(self) -> list[SimulatedInstance]:
+        """Returns the instances that are up and not stalled."""
+        return [
+            instance for instance in self.instances.values() if instance.is_up and not instance.is_stalled
+        ]
+
+    def start(self, number: int, zone: int) -> None:
+        """Starts an instance, or starts it anew."""
+        scenario, now_us = self._scenario, self._clock.now_us
+        settings = FailoverSettings(
+            self._topology,
+            zone,
+            scenario.slow_start_fraction,
+            int(scenario.warm_up_s * SECOND_US),
+            scenario.tolerated_pause_ms * 1000,
+        )
+        rng = RandomGenerator(self._rng.below(1 << 32))
+        state_machine = FailoverStateMachine(settings, number, rng, now_us)
+        instance = SimulatedInstance(number, zone, state_machine, now_us)
+        self.instances[number] = instance
+        self.carry_out(instance, state_machine.start(now_us))
+        self._schedule_timer(instance)
+
+    def resume(self, instance: SimulatedInstance) -> None:
+        """Continues a stalled instance, which first reads what arrived meanwhile."""
+        instance.is_stalled = False
+        instance.running_since_us = self._clock.now_us
+        messages, instance.stalled_messages = instance.stalled_messages, []
+        for sender, payload in messages:
+            self._receive(instance, sender, payload)
+
+    def carry_out(self, instance: SimulatedInstance, commands: list[Command]) -> None:
+        """Carries out the commands of an instance."""
+        for command in commands:
+            if isinstance(command, SendToInstance):
+                delay_us = self._random_delay_us(DATAGRAM_DELAY)
+                self._send(instance, command, delay_us)
+            elif isinstance(command, Broadcast):
+                self._broadcast(instance, command)
+            elif isinstance(command, DecisionAdopted):
+                self._trace.add_adoption(self._clock.now_us, instance.number, command.decision)
+                self.decisions.add(self._clock.now_us, instance, command.decision)
+            elif isinstance(command, LogEvent):
+                self._trace.add_event(self._clock.now_us, instance.number, command)
+
+    def set_partition(self, zones: frozenset[int], is_on: bool) -> None:
+        """Cuts zones off from all others, or joins them again."""
+        if is_on:
+            self.partitions.append(zones)
+        else:
+            self.partitions.remove(zones)
+        self.partition_changed_us = self._clock.now_us
+
+    def are_connected(self, zone: int, other: int) -> bool:
+        """Whether gossip gets from one zone to another: only a partition stops that."""
+        return all((zone in part) == (other in part) for part in self.partitions)
+
+    def update_membership(self, instance: SimulatedInstance) -> None:
+        """Tells an instance who is there: joins at once, deaths and partitions after a delay."""
+        others = [other for other in self.instances.values() if other is not instance]
+        living = {other.number: other.zone for other in others if self._is_visible(instance, other)}
+        silent = sum(1 for other in others if other.is_up and other.number not in living)
+        fleet = Fleet(living, 1 + len(living) + silent, bool(living))
+        now_us = self._clock.now_us
+        known_us, known = self._known_fleets.get(instance.number, (0, fleet))
+        if known.living.keys() - living.keys() and now_us - known_us < MEMBERSHIP_DELAY_US:
+            known_size = max(known.known_size, fleet.known_size)
+            fleet = Fleet({**known.living, **living}, known_size, known.has_quorum_view)
+        else:
+            self._known_fleets[instance.number] = (now_us, fleet)
+        instance.state_machine.update_fleet(fleet)
+
+    def disagreement_us(self) -> int:
+        """Returns for how long an instance has lacked a decision whose leader it can hear."""
+        longest_us = 0
+        for instance in self.running():
+            if self._clock.now_us - instance.running_since_us < MEMBERSHIP_DELAY_US:
+                continue
+            held = instance.state_machine.held_epoch
+            for epoch, taken in self.decisions.taken.items():
+                leader = taken.leader
+                if epoch > held and self._is_visible(instance, leader):
+                    since_us = max(taken.at_us, instance.running_since_us, self.partition_changed_us)
+                    longest_us = max(longest_us, self._clock.now_us - since_us)
+        return longest_us
+
+    def _is_visible(self, instance: SimulatedInstance, other: SimulatedInstance) -> bool:
+        return other.is_up and self.are_connected(instance.zone, other.zone)
+
+    def _schedule_timer(self, instance: SimulatedInstance) -> None:
+        def on_timer() -> None:
+            if not self._is_current(instance):
+                return
+            if instance.is_stalled:
+                self._clock.schedule(self._clock.now_us + TICK_US, on_timer)
+                return
+            self.carry_out(instance, instance.state_machine.on_timer(self._clock.now_us))
+            self._schedule_timer(instance)
+
+        self._clock.schedule(max(self._clock.now_us, instance.state_machine.next_timer_us), on_timer)
+
+    def _is_current(self, instance: SimulatedInstance) -> bool:
+        """Whether an instance is up, and was not started anew."""
+        return instance.is_up and self.instances.get(instance.number) is instance
+
+    def _random_delay_us(self, delay: DelayRange) -> int:
+        return delay.minimum_us + self._rng.below(delay.maximum_us - delay.minimum_us)
+
+    def _send(self, sender: SimulatedInstance, command: SendToInstance, delay_us: int) -> None:
+        recipient = self.instances.get(command.recipient)
+        if recipient is None or not self._hears(recipient, sender):
+            return
+        if self._rng.fraction() < self._scenario.loss:
+            return
+        self._deliver(recipient, sender.number, command.payload, delay_us)
+
+    def _hears(self, recipient: SimulatedInstance, sender: SimulatedInstance) -> bool:
+        """Whether datagrams of one instance reach another."""
+        if not sender.is_up or not recipient.is_up:
+            return False
+        is_lost = (sender.zone, recipient.zone) in self.one_way_losses
+        return not is_lost and self.are_connected(sender.zone, recipient.zone)
+
+    def _broadcast(self, sender: SimulatedInstance, command: Broadcast) -> None:
+        for recipient in self.instances.values():
+            if recipient is not sender and self._is_visible(sender, recipient):
+                delay_us = self._random_delay_us(GOSSIP_DELAY)
+                self._deliver(recipient, RELAYED, command.payload, delay_us)
+
+    def _deliver(self, recipient: SimulatedInstance, sender: int, payload: bytes, delay_us: int) -> None:
+        def arrive() -> None:
+            if not self._is_current(recipient):
+                return
+            if recipient.is_stalled:
+                recipient.stalled_messages.append((sender, payload))
+            else:
+                self._receive(recipient, sender, payload)
+
+        self._clock.schedule(self._clock.now_us + delay_us, arrive)
+
+    def _receive(self, recipient: SimulatedInstance, sender: int, payload: bytes) -> None:
+        commands = recipient.state_machine.on_message(self._clock.now_us, sender, payload)
+        self.carry_out(recipient, commands)
--- /dev/null
+++ b/cressrail/failover/simulation/simulator.py
@@ -0,0 +1,54 @@
+"""Joins clock, zones, fleet, faults and traffic to one simulation."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
+from cressrail.failover.simulation.faults import FaultInjector
+from cressrail.failover.simulation.figures import summarize
+from cressrail.failover.simulation.fleet import SimulatedFleet
+from cressrail.failover.simulation.scenario import Scenario
+from cressrail.failover.simulation.trace import Trace
+from cressrail.failover.simulation.traffic import Traffic
+from cressrail.failover.simulation.zones import SimulatedZones
+from cressrail.policy.load_balancer import RandomGenerator
+
+
+class FailoverSimulation:
+    """One run of a scenario."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario = scenario
+        self._clock = VirtualClock()
+        self._trace = Trace()
+        rng = RandomGenerator(seed)
+        zones = SimulatedZones(scenario, self._clock)
+        self.fleet = SimulatedFleet(scenario, zones.topology, self._clock, rng, self._trace)
+        faults = FaultInjector(self._clock, zones, self.fleet, self._trace)
+        self._traffic = Traffic(scenario, self._clock, rng, zones, self.fleet)
+        # Events at the same time run in the order of scheduling: faults before the first tick.
+        for fault in scenario.faults:
+            faults.schedule(fault)
+        self._traffic.start()
+
+    def run(self) -> None:
+        """Runs the scenario to its end."""
+        self._clock.run(int(self.scenario.seconds * SECOND_US))
+
+    def figures(self) -> dict[str, Any]:
+        """Returns the figures of what has run, with the keys that the JSON has."""
+        return summarize(
+            self.scenario,
+            self._traffic.ticks,
+            self.fleet.decisions,
+            self._traffic.disagreement_us,
+            self._trace.digest(),
+        )
+
+
+def simulate(scenario: Scenario, seed: int) -> dict[str, Any]:
+    """Runs a scenario and returns its figures."""
+    simulation = FailoverSimulation(scenario, seed)
+    simulation.run()
+    return simulation.figures()
--- /dev/null
+++ b/cressrail/failover/simulation/zones.py
@@ -0,0 +1,92 @@
+"""The simulated zones of endpoints: which are up, what they can take and what can be reached from where."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
+from cressrail.failover.simulation.scenario import Scenario, ZoneScenario
+from cressrail.failover.topology import ZoneTopology
+
+ALWAYS_WARM_US = -(1 << 50)
+SLOW_FROM_UTILIZATION = 0.85  # of the capacity in use: some attempts are slow from there on,
+SLOW_AT_CAPACITY = 0.1  # this share at the capacity,
+COLLAPSE_UTILIZATION = 1.3  # and above this a zone serves even less
+COLLAPSE_FACTOR = 0.7
+OVERLOADED_UTILIZATION = 2.0  # of a zone without capacity that is sent traffic
+
+
+@dataclass(slots=True)
+class SimulatedZone:
+    """State of one zone of endpoints and of its clients.
+
+    Attributes:
+        scenario: Its capacity and demand when nothing is wrong.
+        is_up: Whether its endpoints are up.
+        is_failing: Whether they answer with errors.
+        capacity_factor: Fraction of its capacity that it takes.
+        demand_factor: By how much its clients send more.
+        warm_up_start_us: When it last came up.
+    """
+
+    scenario: ZoneScenario
+    is_up: bool = True
+    is_failing: bool = False
+    capacity_factor: float = 1.0
+    demand_factor: float = 1.0
+    warm_up_start_us: int = ALWAYS_WARM_US
+
+
+class SimulatedZones:
+    """All zones of a scenario.
+
+    Attributes:
+        topology: Names and regions.
+        zones: State of each zone.
+        unreachable: Pairs of a caller's zone and a zone of endpoints that is unreachable from there.
+    """
+
+    def __init__(self, scenario: Scenario, clock: VirtualClock) -> None:
+        self._scenario = scenario
+        self._clock = clock
+        names = tuple(zone.name for zone in scenario.zones)
+        self.topology = ZoneTopology(names, tuple(zone.region for zone in scenario.zones))
+        self.zones = [SimulatedZone(zone) for zone in scenario.zones]
+        self.unreachable: set[tuple[int, int]] = set()
+
+    def set_down(self, zone: int, is_down: bool) -> None:
+        """Takes the endpoints of a zone down, or brings them up cold."""
+        state = self.zones[zone]
+        if is_down is state.is_up:
+            state.is_up = not is_down
+            if state.is_up:
+                state.warm_up_start_us = self._clock.now_us
+
+    def can_reach(self, source: int, target: int) -> bool:
+        """Whether there is a way from one zone to the endpoints of another."""
+        return (source, target) not in self.unreachable
+
+    def demand(self, zone: int) -> float:
+        """Returns the requests a second of the clients of a zone."""
+        state = self.zones[zone]
+        return state.scenario.demand * state.demand_factor
+
+    def capacity(self, zone: int) -> float:
+        """Returns the attempts a second that a zone takes now."""
+        state = self.zones[zone]
+        if not state.is_up:
+            return 0.0
+        start = self._scenario.slow_start_fraction
+        passed = (self._clock.now_us - state.warm_up_start_us) / (self._scenario.warm_up_s * SECOND_US)
+        return state.scenario.capacity * state.capacity_factor * min(1.0, start + (1 - start) * passed)
+
+
+def on_time_share(load: float, capacity: float) -> float:
+    """Returns the share of attempts answered in time: less and less from a little below the capacity on."""
+    utilization = load / capacity if capacity else OVERLOADED_UTILIZATION * bool(load)
+    if utilization <= SLOW_FROM_UTILIZATION:
+        return 1.0
+    if utilization <= 1:
+        return 1 - SLOW_AT_CAPACITY * (utilization - SLOW_FROM_UTILIZATION) / (1 - SLOW_FROM_UTILIZATION)
+    collapse = COLLAPSE_FACTOR if utilization > COLLAPSE_UTILIZATION else 1.0
+    return (1 - SLOW_AT_CAPACITY) / utilization * collapse
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -1,95 +1,163 @@
-"""What is decided on zones in common, carried by the talk between copies. It decides nothing."""
+"""Carries out the commands of failover over membership, and answers operators; decides nothing."""
 
 from __future__ import annotations
 
 import os
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs
 
-from cressrail.failover.host import Host
-from cressrail.failover.messages import Adopted, Command, LogEvent, Post, Settings, Spread
-from cressrail.membership import messages as membership
+from cressrail.failover.admin_view import evidence_view, zones_view
+from cressrail.failover.commands import Broadcast, Command, DecisionAdopted, LogEvent, SendToInstance
+from cressrail.failover.host import FailoverHost
+from cressrail.failover.settings import FailoverSettings
+from cressrail.membership import messages as membership_messages
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.zone_statistics import ZoneStatistics
 
-SECOND = 1_000_000
-LONGEST_S = 43_200  # of a drain; what is told of one holds no more than 65,535
+SECOND_US = 1_000_000
+MAX_DRAIN_S = 43_200  # the datagrams hold no more than 65,535
+SHOWN_CHARACTERS = 40  # of an operator's input that is repeated in an answer
+
+ZONES_PATH = b"/zones"
+EXPLAIN_PATH = b"/zones/explain"
+DRAIN_PATH = b"/zones/drain"
+UNDRAIN_PATH = b"/zones/undrain"
+
+
+class AdminAnswer(NamedTuple):
+    """An answer at the operators' address.
+
+    Attributes:
+        status: HTTP status.
+        body: JSON value; the allowed method for a 405; otherwise the reason.
+        commands: Commands of membership that follow from the request.
+    """
+
+    status: int
+    body: Any
+    commands: list[membership_messages.Command]
 
 
 class FailoverDriver:
-    def __init__(self, net: CommandDispatcher, settings: Settings, copy: MembershipStateMachine) -> None:
-        self.net, self.settings = net, settings
-        self.towards = ZoneStatistics()
-        net.dispatch(net.state_machine.set_zone_statistics(net.now(), self.towards))
-        self.host = Host(settings, copy.id, RandomGenerator(int.from_bytes(os.urandom(8), "big")), net.now())
+    """Runs failover of one sidecar with the membership that it is given."""
+
+    def __init__(
+        self, dispatcher: CommandDispatcher, settings: FailoverSettings, membership: MembershipStateMachine
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.settings = settings
+        self.statistics = ZoneStatistics()
+        now_us = dispatcher.now()
+        dispatcher.dispatch(dispatcher.state_machine.set_zone_statistics(now_us, self.statistics))
+        rng = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
+        self.host = FailoverHost(settings, membership.id, rng, dispatcher.now())
 
     @property
-    def wake_us(self) -> int:
-        return self.host.wake_us
+    def next_timer_us(self) -> int:
+        """When `on_timer` is due, in microseconds of the dispatcher's clock."""
+        return self.host.next_timer_us
 
     def close(self) -> None:
-        """The talk ends, or another process goes on with it."""
-        self.net.dispatch(self.net.state_machine.set_zone_statistics(self.net.now(), None))
-
-    def woke(self, copy: MembershipStateMachine) -> list[membership.Command]:
-        reducer, now = self.net.state_machine, self.net.now()
-        out = self._out(copy, self.host.woke(now, copy, reducer.load_balancer, self.towards))
-        # At each look, as an old decision counts less and less.
-        self.net.dispatch(reducer.on_zone_weights(now, *self.host.reducer.shares(now)))
-        return out
-
-    def heard(self, copy: MembershipStateMachine, told: membership.Word) -> list[membership.Command]:
-        return self._out(copy, self.host.heard(self.net.now(), told.by, told.text))
-
-    def _out(self, copy: MembershipStateMachine, effects: list[Command]) -> list[membership.Command]:
-        now, out = self.net.now(), []
-        for effect in effects:
-            if isinstance(effect, Post):
-                out += copy.post(now, effect.to, effect.text)
-            elif isinstance(effect, Spread):
-                out += copy.spread(now, effect.about, effect.text, effect.urgent)
-            elif isinstance(effect, Adopted):
-                self.net.dispatch(self.net.state_machine.on_zone_weights(now, *self.host.reducer.shares(now)))
-            elif isinstance(effect, LogEvent):
-                self.net.log.write_event(effect.event, dict(effect.fields))
-        return out
-
-    # The operators' door
-
-    def asked(
-        self, copy: MembershipStateMachine, method: bytes, target: bytes
-    ) -> tuple[int, Any, list[membership.Command]]:
-        """Status, what is told, and what is to be sent for it."""
+        """Stops counting attempts by zone: membership ends here, or continues in another process."""
+        proxy = self.dispatcher.state_machine
+        self.dispatcher.dispatch(proxy.set_zone_statistics(self.dispatcher.now(), None))
+
+    def on_timer(self, membership: MembershipStateMachine) -> list[membership_messages.Command]:
+        """Wakes failover, and gives the load balancer the present zone weights."""
+        now_us = self.dispatcher.now()
+        load_balancer = self.dispatcher.state_machine.load_balancer
+        commands = self.host.on_timer(now_us, membership, load_balancer, self.statistics)
+        membership_commands = self._carry_out(membership, commands)
+        # Each time, as a decision that is no longer fresh counts less and less.
+        self._apply_zone_weights(now_us)
+        return membership_commands
+
+    def on_message(
+        self, membership: MembershipStateMachine, message: membership_messages.Word
+    ) -> list[membership_messages.Command]:
+        """Takes a failover message that membership received."""
+        commands = self.host.state_machine.on_message(self.dispatcher.now(), message.by, message.text)
+        return self._carry_out(membership, commands)
+
+    def on_admin_request(
+        self, membership: MembershipStateMachine, method: bytes, target: bytes
+    ) -> AdminAnswer:
+        """Answers a request at the operators' address whose path begins with `/zones`."""
         path, _, query = target.partition(b"?")
-        words = {name: of[0] for name, of in parse_qs(query.decode("ascii", "replace")).items()}
-        now, names = self.net.now(), self.settings.map.zones
-        if path == b"/zones":
-            if method != b"GET":
-                return 405, "GET", []
-            return 200, self._view(now, copy), []
-        if words.get("zone") not in names:
-            return 404, f"no zone is {words.get('zone', '')[:40]}; there are {', '.join(names)}", []
-        zone = names.index(words["zone"])
-        if path == b"/zones/explain":
-            if method != b"GET":
-                return 405, "GET", []
-            return 200, self.host.explain(zone, {copy.id: copy.name, **copy.names()}), []
-        if path not in (b"/zones/drain", b"/zones/undrain"):
-            return 404, "there are /zones, /zones/explain, /zones/drain, /zones/undrain", []
+        parameters = {name: values[0] for name, values in parse_qs(query.decode("ascii", "replace")).items()}
+        if path == ZONES_PATH:
+            return self._answer_zones(membership, method)
+        zones = self.settings.topology.zones
+        name = parameters.get("zone")
+        if name is None or name not in zones:
+            shown = (name or "")[:SHOWN_CHARACTERS]
+            reason = f"no zone is {shown}; there are {', '.join(zones)}"
+            return AdminAnswer(404, reason, [])
+        zone = zones.index(name)
+        if path == EXPLAIN_PATH:
+            return self._answer_explain(membership, method, zone)
+        if path not in (DRAIN_PATH, UNDRAIN_PATH):
+            return AdminAnswer(404, "there are /zones, /zones/explain, /zones/drain, /zones/undrain", [])
         if method != b"POST":
-            return 405, "POST", []
-        for_s = words.get("for_s", "")
-        until_us = 0
-        if path == b"/zones/drain":
-            if not (for_s.isascii() and for_s.isdigit() and 0 < int(for_s) <= LONGEST_S):
-                return 400, f"for_s is no whole number within 1 and {LONGEST_S}: {for_s[:40]}", []
-            until_us = now + int(for_s) * SECOND
-        effects = self._out(copy, self.host.reducer.wish(now, zone, until_us))
-        return 200, {"zone": words["zone"], "for_s": int(for_s) if until_us else 0}, effects
-
-    def _view(self, now: int, copy: MembershipStateMachine) -> dict[str, Any]:
-        view = self.host.view(now, self.towards)
-        names = {f"{ident:016x}": name for ident, name in {copy.id: copy.name, **copy.names()}.items()}
-        return {**view, "decided_by": names.get(view["decided_by"], view["decided_by"])}
+            return AdminAnswer(405, "POST", [])
+        if path == UNDRAIN_PATH:
+            return self._answer_drain(membership, zone, 0)
+        for_s = parameters.get("for_s", "")
+        if not _is_drain_duration(for_s):
+            reason = f"for_s is no whole number within 1 and {MAX_DRAIN_S}: {for_s[:SHOWN_CHARACTERS]}"
+            return AdminAnswer(400, reason, [])
+        return self._answer_drain(membership, zone, int(for_s))
+
+    def _answer_zones(self, membership: MembershipStateMachine, method: bytes) -> AdminAnswer:
+        if method != b"GET":
+            return AdminAnswer(405, "GET", [])
+        now_us = self.dispatcher.now()
+        view = zones_view(self.host.state_machine, self.statistics, _instance_names(membership), now_us)
+        return AdminAnswer(200, view, [])
+
+    def _answer_explain(self, membership: MembershipStateMachine, method: bytes, zone: int) -> AdminAnswer:
+        if method != b"GET":
+            return AdminAnswer(405, "GET", [])
+        view = evidence_view(self.host.state_machine, zone, _instance_names(membership))
+        return AdminAnswer(200, view, [])
+
+    def _answer_drain(self, membership: MembershipStateMachine, zone: int, for_s: int) -> AdminAnswer:
+        """Drains a zone for so many seconds; 0 ends a drain."""
+        now_us = self.dispatcher.now()
+        until_us = now_us + for_s * SECOND_US if for_s else 0
+        commands = self.host.state_machine.request_drain(now_us, zone, until_us)
+        body = {"zone": self.settings.topology.zones[zone], "for_s": for_s}
+        return AdminAnswer(200, body, self._carry_out(membership, commands))
+
+    def _carry_out(
+        self, membership: MembershipStateMachine, commands: list[Command]
+    ) -> list[membership_messages.Command]:
+        now_us = self.dispatcher.now()
+        membership_commands: list[membership_messages.Command] = []
+        for command in commands:
+            if isinstance(command, SendToInstance):
+                membership_commands += membership.post(now_us, command.recipient, command.payload)
+            elif isinstance(command, Broadcast):
+                membership_commands += membership.spread(
+                    now_us, command.topic, command.payload, command.is_urgent
+                )
+            elif isinstance(command, DecisionAdopted):
+                self._apply_zone_weights(now_us)
+            elif isinstance(command, LogEvent):
+                self.dispatcher.log.write_event(command.event, dict(command.fields))
+        return membership_commands
+
+    def _apply_zone_weights(self, now_us: int) -> None:
+        weights, freshness = self.host.state_machine.zone_weights(now_us)
+        proxy = self.dispatcher.state_machine
+        self.dispatcher.dispatch(proxy.on_zone_weights(now_us, weights, freshness))
+
+
+def _instance_names(membership: MembershipStateMachine) -> dict[int, str]:
+    return {membership.id: membership.name, **membership.names()}
+
+
+def _is_drain_duration(text: str) -> bool:
+    return text.isascii() and text.isdigit() and 0 < int(text) <= MAX_DRAIN_S
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -120,7 +120,9 @@
     def _serve(self, sock: socket.socket, mail: Any) -> bool:
         """Until told to cede; false once it has left for good."""
         while True:
-            wake_us = self.copy.wake_us if self.zones is None else min(self.copy.wake_us, self.zones.wake_us)
+            wake_us = (
+                self.copy.wake_us if self.zones is None else min(self.copy.wake_us, self.zones.next_timer_us)
+            )
             why = self.net.loop.wait(sock.fileno(), READ, wake_us)
             if mail:
                 told = mail.popleft()
@@ -131,8 +133,8 @@
                 self._refusals(sock)
             if self.net.now() >= self.copy.wake_us:
                 self._carry(self.copy.woke(self.net.now()))
-            if self.zones is not None and self.net.now() >= self.zones.wake_us:
-                self._carry(self.zones.woke(self.copy))
+            if self.zones is not None and self.net.now() >= self.zones.next_timer_us:
+                self._carry(self.zones.on_timer(self.copy))
 
     def _read(self, sock: socket.socket) -> None:
         for _ in range(AT_ONCE):
@@ -160,7 +162,7 @@
                 self.net.dispatch(reducer.on_peer_reports(self.net.now(), *heard))
             elif isinstance(effect, Word):
                 if self.zones is not None:
-                    self._carry(self.zones.heard(self.copy, effect))
+                    self._carry(self.zones.on_message(self.copy, effect))
             elif isinstance(effect, Report):
                 now, reducer = self.net.now(), self.net.state_machine
                 self.copy.say(now, self.hearing.words(now, reducer.load_balancer, reducer.registry))
@@ -198,7 +200,7 @@
         """What an operator asks of zones."""
         if self.zones is None:
             return 404, "no part failover in the configuration"
-        status, told, effects = self.zones.asked(self.copy, method, target)
+        status, told, effects = self.zones.on_admin_request(self.copy, method, target)
         self._carry(effects)
         return status, told
 
--- /dev/null
+++ b/tests/failover/support.py
@@ -0,0 +1,126 @@
+"""Evidence of instances in three zones, and a network of instances that delivers messages in any order."""
+
+from __future__ import annotations
+
+from cressrail.failover.commands import Broadcast, Command, SendToInstance
+from cressrail.failover.local_view import Fleet
+from cressrail.failover.messages import Evidence, ZoneObservation
+from cressrail.failover.settings import FailoverSettings
+from cressrail.failover.state_machine import RELAYED, FailoverStateMachine
+from cressrail.failover.topology import ZoneTopology
+from cressrail.policy.load_balancer import RandomGenerator
+
+SECOND = 1_000_000
+TOPOLOGY = ZoneTopology(("a", "b", "c"), ("n", "n", "s"))
+WINDOW = 3 * SECOND // 2
+STEP_US = 20_000
+
+
+def observation(attempts: int = 30, capacity: float = 25.0, **ended: int) -> ZoneObservation:
+    """What one instance saw of a zone; `ended`: how many attempts ended badly, by field."""
+    return ZoneObservation(
+        attempts,
+        ended.get("connect_failures", 0),
+        ended.get("failures", 0),
+        ended.get("slow_attempts", 0),
+        capacity,
+    )
+
+
+def evidence(*observations: ZoneObservation, zone: int = 0, demand: float = 20.0) -> Evidence:
+    """Evidence of one instance."""
+    return Evidence(zone, demand, observations)
+
+
+def healthy(
+    zone: int, instances: int = 4, demand: float = 15.0, **changed: ZoneObservation
+) -> list[Evidence]:
+    """Instances of one zone whose traffic stays there and fares well; `changed`, by the zone's name."""
+    attempts = [int(demand * WINDOW / SECOND) if other == zone else 0 for other in range(3)]
+    row = [
+        changed.get(name, observation(attempts[other], 100 / 12)) for other, name in enumerate(TOPOLOGY.zones)
+    ]
+    return [evidence(*row, zone=zone, demand=demand) for _ in range(instances)]
+
+
+UNREACHABLE = observation(connect_failures=30)
+FAILING = observation(failures=25)
+
+
+class InstanceNetwork:
+    """Instances whose messages are delivered one by one, in any order, late, twice or never."""
+
+    def __init__(self, size: int, seed: int) -> None:
+        self.rng, self.now = RandomGenerator(seed), 0
+        self.instances = {
+            instance: FailoverStateMachine(
+                FailoverSettings(TOPOLOGY, instance % 3, tolerated_pause_us=3 * SECOND),
+                instance,
+                RandomGenerator(seed * 100 + instance),
+                0,
+            )
+            for instance in range(1, size + 1)
+        }
+        self.in_flight: list[tuple[int, int, bytes]] = []
+        self.stalled_until_us: dict[int, int] = {}
+        self.partition: dict[int, int] = {}  # in which part each instance is
+        self.leaders: dict[int, int] = {}  # which instance took decisions in a term
+        self.known_size = size
+        for instance, state_machine in self.instances.items():
+            self.update_fleet(instance)
+            state_machine.update_evidence(healthy(instance % 3, 1)[0])
+            self.carry_out(instance, state_machine.start(0))
+
+    def update_fleet(self, instance: int) -> None:
+        """All but those that are cut off, which are known to be silent."""
+        living = {
+            other: other % 3
+            for other in self.instances
+            if other != instance and self.are_connected(other, instance)
+        }
+        self.instances[instance].update_fleet(Fleet(living, self.known_size, bool(living)))
+
+    def carry_out(self, instance: int, commands: list[Command]) -> None:
+        """Sends the messages of an instance; asserts that each term has one leader."""
+        decision = self.instances[instance].decision
+        if decision is not None and decision.leader == instance:
+            term = decision.epoch.term
+            assert self.leaders.setdefault(term, instance) == instance, f"two leaders in term {term}"
+        for command in commands:
+            if isinstance(command, SendToInstance):
+                self.in_flight.append((instance, command.recipient, command.payload))
+            elif isinstance(command, Broadcast):
+                self.in_flight += [
+                    (RELAYED, other, command.payload)
+                    for other in self.instances
+                    if other != instance and self.are_connected(instance, other)
+                ]
+
+    def are_connected(self, instance: int, other: int) -> bool:
+        return self.partition.get(instance) == self.partition.get(other)
+
+    def step(self, loss: float) -> None:
+        """Advances the time; asserts that no instance goes back to an earlier epoch."""
+        self.now += STEP_US
+        held = {instance: machine.held_epoch for instance, machine in self.instances.items()}
+        for instance, machine in self.instances.items():
+            if self.stalled_until_us.get(instance, 0) <= self.now and machine.next_timer_us <= self.now:
+                self.carry_out(instance, machine.on_timer(self.now))
+        messages, self.in_flight = self.in_flight, []
+        for sender, recipient, payload in messages:
+            self.deliver(sender, recipient, payload, loss)
+        for instance, machine in self.instances.items():
+            assert machine.held_epoch >= held[instance], "an epoch went back"
+
+    def deliver(self, sender: int, recipient: int, payload: bytes, loss: float) -> None:
+        """Delivers a message, or loses, delays or repeats it."""
+        is_cut_off = sender != RELAYED and not self.are_connected(sender, recipient)
+        if self.rng.fraction() < loss or is_cut_off:
+            return
+        if self.stalled_until_us.get(recipient, 0) > self.now or self.rng.fraction() < 0.2:
+            self.in_flight.append((sender, recipient, payload))  # later
+            return
+        if self.rng.fraction() < 0.1:
+            self.in_flight.append((sender, recipient, payload))  # and again
+        commands = self.instances[recipient].on_message(self.now, sender, payload)
+        self.carry_out(recipient, commands)
--- /dev/null
+++ b/tests/failover/test_configuration.py
@@ -0,0 +1,55 @@
+"""The part `failover` of a configuration."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import orjson
+import pytest
+
+from cressrail.configuration.failover import read_part
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
+from cressrail.configuration.startup import read_start
+from cressrail.failover.messages import Decision, Epoch, ZoneReason, ZoneState, ZoneStatus
+from cressrail.failover.topology import Proximity, ZoneTopology
+from tests.helpers import CONFIG, SECOND
+
+SETTINGS = SettingsReader.nested(
+    {"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}}
+)
+
+
+@pytest.mark.parametrize(
+    "part, reason",
+    [
+        ({"regions": {"n": ["a"], "s": ["b"]}}, "regions: c is in none"),
+        ({"regions": {"n": ["a", "b", "c", "d"]}}, "regions.n: no zone is d"),
+        ({"regions": {"n": ["a", "b", "c"], "s": ["a"]}}, "regions.s: a is in n already"),
+        ({"regions": ["a"]}, "regions is no object of lists"),
+        ({"way_ms": -1}, "way_ms is below 0"),
+        ({"ways": 1}, "ways is none of"),
+        ("none.toml", "none.toml: No such file"),
+        (7, "failover is neither a part nor"),
+    ],
+)
+def test_read_part_refuses_what_cannot_be_used_with_one_line(tmp_path: Path, part: Any, reason: str) -> None:
+    with pytest.raises(ConfigurationError, match=reason):
+        read_part(part, str(tmp_path / "c.json"), SETTINGS, 3 * SECOND)
+
+
+def test_read_part_gives_the_topology_and_needs_membership(tmp_path: Path) -> None:
+    part = {"regions": {"n": ["a", "b"], "s": ["c"]}, "way_ms": 30}
+    settings = read_part(part, "c.json", SETTINGS, 3 * SECOND)
+    assert settings.topology == ZoneTopology(("a", "b", "c"), ("n", "n", "s"), 30_000)
+    assert settings.zone == 1
+    assert [settings.topology.proximity(1, zone) for zone in range(3)] == [
+        Proximity.SAME_REGION,
+        Proximity.SAME_ZONE,
+        Proximity.OTHER_REGION,
+    ]
+    (tmp_path / "c.json").write_bytes(orjson.dumps({**CONFIG, "failover": {}}))
+    with pytest.raises(ConfigurationError, match="failover needs the part membership"):
+        read_start(str(tmp_path / "c.json"), {})
+    zones = (ZoneStatus(ZoneState.SERVING, ZoneReason.NONE, 0),) * 3
+    assert Decision(Epoch(2, 3), 1, zones, ()).epoch.number == 2_000_003
--- /dev/null
+++ b/tests/failover/test_zone_weights.py
@@ -0,0 +1,68 @@
+"""The load balancer goes by decided zone weights."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.policy.load_balancer import Outcome
+from tests.helpers import SECOND, entry, profile, sidecar, warm_up
+
+
+@pytest.mark.parametrize(
+    "weights, freshness, least, most, rejected",
+    [
+        ((0.2, 0.8), 1.0, 0.15, 0.25, 0.0),
+        ((0.0, 1.0), 1.0, 0.0, 0.0, 0.0),
+        ((0.0, 1.0), 0.0, 1.0, 1.0, 0.0),  # no longer fresh: own judgement
+        ((0.0, 1.0), 0.5, 0.4, 0.6, 0.0),
+        ((0.3, 0.2), 1.0, 0.25, 0.35, 0.5),  # the unserved share is rejected at once
+    ],
+)
+def test_requests_go_to_zones_by_their_weights(
+    weights: tuple[float, ...], freshness: float, least: float, most: float, rejected: float
+) -> None:
+    load_balancer = sidecar([entry(index, index % 2) for index in range(8)])
+    load_balancer.apply_zone_weights(weights, freshness)
+    sent, turned_down = [0, 0], 0
+    for number in range(1000):
+        request = load_balancer.start_request(number * 10_000, profile(), -1, 4 * SECOND)
+        for _, what, which, _ in request.route(number * 10_000):
+            if what == "hop":
+                sent[load_balancer.endpoints[which].zone] += 1
+                request.on_attempt_finished(0, number * 10_000, Outcome.SUCCEEDED, 10_000, True)
+            else:
+                turned_down += what == "rolled back"
+    assert least <= sent[0] / 1000 <= most
+    assert turned_down / 1000 == pytest.approx(rejected, abs=0.06)
+    assert sum(sent) + turned_down == 1000
+
+
+def test_small_weight_probes_a_zone_that_fails_here_and_a_large_one_does_not() -> None:
+    for weight, is_probed in ((0.05, True), (0.5, False)):
+        load_balancer = sidecar([entry(index, index % 2) for index in range(8)])
+        for endpoint in load_balancer.endpoints.values():
+            endpoint.success_rate = 0.0 if endpoint.zone else 1.0
+            endpoint.last_outcome_us = SECOND
+        load_balancer.zone_subsets[1].choose(SECOND)
+        assert load_balancer.zone_subsets[1].failing
+        load_balancer.apply_zone_weights((1 - weight, weight), 1.0)
+        sent = 0
+        for number in range(400):
+            request = load_balancer.start_request(SECOND + number, profile(), -1, 4 * SECOND)
+            for _, what, which, _ in request.route(SECOND + number):
+                sent += what == "hop" and load_balancer.endpoints[which].zone == 1
+                request.on_attempt_finished(0, SECOND + number, Outcome.NOT_SENT, 0, True)
+        assert (sent > 8) is is_probed
+
+
+def test_retry_within_a_key_scope_stays_in_its_zone_whatever_is_decided() -> None:
+    load_balancer = sidecar([entry(index, index % 2) for index in range(8)])
+    warm_up(load_balancer)
+    load_balancer.apply_zone_weights((0.0, 1.0), 1.0)
+    for number in range(50):
+        request = load_balancer.start_request(number, profile("journalled", "zone"), -1, 4 * SECOND)
+        (_, _, first, _), *_ = request.route(number)
+        retry = request.on_attempt_finished(0, number, Outcome.CONNECTION_RESET, 10_000, False)
+        zones = {load_balancer.endpoints[which].zone for _, what, which, _ in retry if what == "hop"}
+        assert load_balancer.endpoints[first].zone == 1
+        assert zones <= {1}
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from cressrail.failover import codec
-from cressrail.failover.messages import Decision, DrainRequest, Epoch, Evidence, Toward, Zone
+from cressrail.failover import codec, messages
+from cressrail.failover.messages import Decision, DrainRequest, Epoch, Evidence, ZoneObservation, ZoneStatus
 from tests.golden.neutral import neutral, stored, tuples
 
 FILE = "failover-datagrams.json"
 STORED = stored(FILE)
 KINDS: dict[str, type] = {
-    "report": codec.Report,
-    "ack": codec.Ack,
-    "ask": codec.Ask,
-    "vote": codec.Vote,
-    "no": codec.No,
-    "beat": codec.Beat,
+    "report": messages.Report,
+    "ack": messages.Acknowledgement,
+    "ask": messages.VoteRequest,
+    "vote": messages.VoteGranted,
+    "no": messages.VoteDenied,
+    "beat": messages.Heartbeat,
     "decision": Decision,
     "wish": DrainRequest,
 }
@@ -30,23 +30,23 @@
     told = list(tuples(value))
     if kind == "report":
         zone, demand, towards = told[2]
-        told[1:] = Epoch(*told[1]), Evidence(zone, demand, tuple(Toward(*row) for row in towards))
+        told[1:] = Epoch(*told[1]), Evidence(zone, demand, tuple(ZoneObservation(*row) for row in towards))
     elif kind in ("ack", "ask", "no"):
         told[1] = Epoch(*told[1])
     elif kind in ("beat", "decision"):
         told[0] = Epoch(*told[0])
     if kind == "decision":
-        told[2] = tuple(Zone(*zone) for zone in told[2])
+        told[2] = tuple(ZoneStatus(*zone) for zone in told[2])
     return KINDS[kind](*told)
 
 
 def encoded(kind: str, value: list[Any], now: int) -> bytes:
-    return codec.pack(message(kind, value), now)
+    return codec.encode(message(kind, value), now)
 
 
 def decoded(data: bytes, now: int) -> Any:
     """The name and the values, or nothing."""
-    told = codec.unpack(data, now)
+    told = codec.decode(data, now)
     if told is None:
         return None
     [kind] = [name for name, of in KINDS.items() if type(told) is of]
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -18,7 +18,7 @@
 from pydantic import BaseModel
 
 from cressrail.experiment.plan import Experiment
-from cressrail.failover.simulation import Scenario
+from cressrail.failover.simulation.scenario import Scenario
 from cressrail.load.trace import read as read_trace
 from cressrail.testbed.event_record import Ledger, rows
 from cressrail.testbed.membership_verdicts import views
