--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -1,75 +1,147 @@
-"""Asks a running sidecar at its operators' door."""
+"""Queries a running sidecar at its operators' address.
+
+Libraries are loaded where they are used, as `serve` imports this module too.
+"""
 
 from __future__ import annotations
 
 import sys
 import time
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Annotated, Any, NamedTuple, NoReturn
 
 import orjson
+import typer
 
 from cressrail.cli.output import address, fail
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_start
 
 if TYPE_CHECKING:
-    from rich.table import (
-        Table,  # libraries of this file are loaded where they are used: `serve` passes by here
-    )
+    from rich.table import Table
+
+TIMEOUT_S = 2.0
+MAX_REASON_CHARACTERS = 200  # of an answer that is no success
+HTTP_OK = 200
+
+SidecarArgument = Annotated[
+    str, typer.Argument(help="CONFIG of a sidecar with an operators' address, or that HOST:PORT.")
+]
+OnceOption = Annotated[bool, typer.Option(help="Print one table and end.")]
+
+
+class AdminQueryError(Exception):
+    """A sidecar did not answer, or refused; the message says where and why."""
+
+
+class AdminResource(NamedTuple):
+    """Something that a sidecar answers at its operators' address.
+
+    Attributes:
+        path: Its path.
+        part: The part of the configuration without which it is missing.
+    """
 
-SPAN_S = 2.0
+    path: str
+    part: str
 
 
-def door(of: str) -> tuple[str, int]:
-    """HOST:PORT, or the configuration of a sidecar that has such a door."""
+def admin_address(sidecar: str) -> tuple[str, int]:
+    """Returns the operators' address of a sidecar; ends the process with 2 where it has none.
+
+    Args:
+        sidecar: HOST:PORT, or the path of the sidecar's configuration.
+    """
     try:
-        return address(of)
+        return address(sidecar)
     except ValueError:
         pass
     try:
-        start = read_start(of)
-    except ConfigurationError as fault:
-        fail(str(fault))
+        start = read_start(sidecar)
+    except ConfigurationError as error:
+        fail(str(error))
     if start.admin is None:
-        fail(f"{of}: ops is missing: a door for operators is where this is asked")
+        fail(f"{sidecar}: ops is missing: the sidecar has no operators' address")
     return start.admin
 
 
-def asked(at: tuple[str, int], target: str, what: str, method: str = "GET") -> Any | str:
-    """What is told, or why nothing is."""
+def query(
+    at: tuple[str, int],
+    resource: AdminResource,
+    method: str = "GET",
+    parameters: Mapping[str, str | int] | None = None,
+) -> Any:
+    """Returns the JSON value that a sidecar answers.
+
+    Raises:
+        AdminQueryError: There is no answer, or it is no success or no JSON.
+    """
     import http.client
+    from urllib.parse import urlencode
 
-    connection = http.client.HTTPConnection(*at, timeout=SPAN_S)
+    target = f"{resource.path}?{urlencode(parameters)}" if parameters else resource.path
+    host, port = at
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request(method, target)
         answer = connection.getresponse()
-        text = answer.read()
-        if answer.status != 200:
-            why = text.decode(errors="replace").strip()[:200]
-            return f"{at[0]}:{at[1]} answers {answer.status}: no {what} there ({why})"
-        return orjson.loads(text)
-    except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as fault:
-        return f"{at[0]}:{at[1]}: {fault}"
+        body = answer.read()
+        if answer.status == HTTP_OK:
+            return orjson.loads(body)
+    except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
+        raise AdminQueryError(f"{host}:{port}: {error}") from None
     finally:
         connection.close()
+    reason = body.decode(errors="replace").strip()[:MAX_REASON_CHARACTERS]
+    raise AdminQueryError(f"{host}:{port} answers {answer.status}: no {resource.part} there ({reason})")
+
+
+def query_or_exit(
+    at: tuple[str, int],
+    resource: AdminResource,
+    method: str = "GET",
+    parameters: Mapping[str, str | int] | None = None,
+) -> Any:
+    """Returns what `query` returns; ends the process with 1 and one line where it fails."""
+    try:
+        return query(at, resource, method, parameters)
+    except AdminQueryError as error:
+        exit_with(str(error))
+
+
+def exit_with(reason: str) -> NoReturn:
+    """Ends the process with 1: the sidecar's answer was not what was wanted."""
+    print(f"cressrail: {reason}", file=sys.stderr)
+    sys.exit(1)
+
 
+def show_table(
+    sidecar: str,
+    resource: AdminResource,
+    to_table: Callable[[Any], Table],
+    once: bool,
+    every_s: float,
+) -> None:
+    """Shows a resource as a table.
 
-def show(of: str, target: str, what: str, table: Callable[[Any], Table], once: bool, every_s: float) -> None:
-    """As a table, live; or `once`, and ended with 1 where nothing is told."""
+    Args:
+        sidecar: HOST:PORT, or the path of the sidecar's configuration.
+        resource: What to show.
+        to_table: Makes a table of the sidecar's answer.
+        once: Whether to print one table and end, with 1 where there is no answer; otherwise it is shown live.
+        every_s: Seconds between two queries.
+    """
     from rich.console import Console
     from rich.live import Live
 
-    at = door(of)
+    at = admin_address(sidecar)
     if once:
-        told = asked(at, target, what)
-        if isinstance(told, str):
-            print(f"cressrail: {told}", file=sys.stderr)
-            sys.exit(1)
-        Console().print(table(told))
+        Console().print(to_table(query_or_exit(at, resource)))
         return
     with Live(auto_refresh=False) as live:
         while True:
-            told = asked(at, target, what)
-            live.update(told if isinstance(told, str) else table(told), refresh=True)
+            try:
+                live.update(to_table(query(at, resource)), refresh=True)
+            except AdminQueryError as error:
+                live.update(str(error), refresh=True)
             time.sleep(every_s)
--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -7,14 +7,10 @@
 
 import typer
 
+from cressrail.cli.command_group import command_group
 from cressrail.cli.output import fail, tell
 
-app = typer.Typer(
-    help="Which part of each zone's traffic goes where.",
-    no_args_is_help=True,
-    rich_markup_mode=None,
-    pretty_exceptions_enable=False,
-)
+app = command_group("Which part of each zone's traffic goes where.")
 
 
 @app.callback()
--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -7,30 +7,26 @@
 
 import typer
 
-from cressrail.cli.admin_client import show
+from cressrail.cli.admin_client import AdminResource, OnceOption, SidecarArgument, show_table
+from cressrail.cli.command_group import command_group
 from cressrail.cli.output import fail, tell
 
 if TYPE_CHECKING:
     from rich.table import Table  # loaded where a table is shown only: `serve` passes by here
 
-app = typer.Typer(
-    help="Who of the sidecars is alive.",
-    no_args_is_help=True,
-    rich_markup_mode=None,
-    pretty_exceptions_enable=False,
-)
+MEMBERSHIP = AdminResource("/membership", "membership")
+
+app = command_group("Who of the sidecars is alive.")
 
 
 @app.command()
 def watch(
-    of: Annotated[
-        str, typer.Argument(help="CONFIG of a sidecar with a door for operators, or that door's HOST:PORT.")
-    ],
-    once: Annotated[bool, typer.Option(help="Print one table and end.")] = False,
+    sidecar: SidecarArgument,
+    once: OnceOption = False,
     every_s: float = 1.0,
 ) -> None:
     """Show a sidecar's view of the others, live."""
-    show(of, "/membership", "membership", _table, once, every_s)
+    show_table(sidecar, MEMBERSHIP, _table, once, every_s)
 
 
 @app.command()
--- a/cressrail/failover/follower.py
+++ b/cressrail/failover/follower.py
@@ -2,58 +2,40 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
-from cressrail.failover.decision_store import DecisionStore
-from cressrail.failover.drain_requests import DrainRequests
+from cressrail.failover.instance_parts import InstanceParts
 from cressrail.failover.leader import Leader
-from cressrail.failover.leadership import NO_LEADER, Leadership
-from cressrail.failover.local_view import LocalView
+from cressrail.failover.leadership import NO_LEADER
 from cressrail.failover.messages import Acknowledgement, Decision, Heartbeat, Report
-from cressrail.failover.outbox import HEARTBEAT_TOPIC, Outbox
+from cressrail.failover.outbox import HEARTBEAT_TOPIC
 
 
 class Follower:
     """Follows whoever leads; a leader that hears of a later term steps down and follows too."""
 
-    def __init__(
-        self,
-        local: LocalView,
-        leadership: Leadership,
-        decisions: DecisionStore,
-        drains: DrainRequests,
-        outbox: Outbox,
-        leader: Leader,
-        restart_election_timer: Callable[[int], None],
-    ) -> None:
-        self._local = local
-        self._leadership = leadership
-        self._decisions = decisions
-        self._drains = drains
-        self._outbox = outbox
+    def __init__(self, parts: InstanceParts, leader: Leader) -> None:
+        self._parts = parts
         self._leader = leader
-        self._restart_election_timer = restart_election_timer
         self._acknowledged = 0  # number of the leader's last acknowledgement
 
     def send_report(self, now_us: int) -> None:
         """Sends the instance's evidence to the leader."""
-        report = Report(self._acknowledged, self._decisions.held_epoch, self._local.evidence)
-        self._outbox.send(now_us, self._leadership.leader, report)
+        report = Report(self._acknowledged, self._parts.decisions.held_epoch, self._parts.local.evidence)
+        self._parts.outbox.send(now_us, self._parts.leadership.leader, report)
 
     def on_acknowledgement(self, now_us: int, sender: int, acknowledgement: Acknowledgement) -> None:
         """The leader received a report."""
-        leadership = self._leadership
+        leadership = self._parts.leadership
         if acknowledgement.epoch.term < leadership.epoch.term or sender != leadership.leader:
             return
         self._acknowledged = acknowledgement.number
         leadership.renew_contact(now_us)
         leadership.observe_epoch(acknowledgement.epoch)
-        self._decisions.confirm(now_us, acknowledgement.epoch)
-        self._restart_election_timer(now_us)
+        self._parts.decisions.confirm(now_us, acknowledgement.epoch)
+        self._parts.timer.restart(now_us)
 
     def on_heartbeat(self, now_us: int, heartbeat: Heartbeat) -> None:
         """A leader has a majority; what is new is passed on."""
-        leadership = self._leadership
+        leadership = self._parts.leadership
         if heartbeat.leader == leadership.own_id or heartbeat.epoch.term < leadership.epoch.term:
             return
         is_later_term = heartbeat.epoch.term > leadership.epoch.term
@@ -66,22 +48,22 @@
             leadership.follow(now_us, heartbeat.leader)
             leadership.set_heartbeat_sequence(heartbeat.sequence)
             leadership.observe_epoch(heartbeat.epoch)
-            self._decisions.confirm(now_us, heartbeat.epoch)
-            self._restart_election_timer(now_us)
-            self._outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
+            self._parts.decisions.confirm(now_us, heartbeat.epoch)
+            self._parts.timer.restart(now_us)
+            self._parts.outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
 
     def on_decision(self, now_us: int, decision: Decision) -> None:
         """Adopts a decision that is later than the held one and all known epochs."""
-        leadership = self._leadership
-        if decision.leader == leadership.own_id or decision.epoch <= self._decisions.held_epoch:
+        leadership = self._parts.leadership
+        if decision.leader == leadership.own_id or decision.epoch <= self._parts.decisions.held_epoch:
             return
         if decision.epoch < leadership.epoch:
             return
-        if len(decision.zones) != len(self._decisions.settings.topology.zones):
+        if len(decision.zones) != len(self._parts.settings.topology.zones):
             return  # of a release, or settings, with other zones
         if decision.epoch.term > leadership.epoch.term and leadership.is_leader:
             self._leader.step_down(now_us, decision.epoch)
         leadership.follow(now_us, decision.leader)
-        self._restart_election_timer(now_us)
-        self._drains.take_over(decision.drains)
-        self._decisions.adopt(now_us, decision)
+        self._parts.timer.restart(now_us)
+        self._parts.drains.take_over(decision.drains)
+        self._parts.decisions.adopt(now_us, decision)
--- a/cressrail/failover/leader.py
+++ b/cressrail/failover/leader.py
@@ -2,15 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import NamedTuple
 
 from cressrail.failover import log_events
-from cressrail.failover.decision_store import DecisionStore
-from cressrail.failover.drain_requests import DrainRequests
 from cressrail.failover.evidence import aggregate
-from cressrail.failover.leadership import Leadership
-from cressrail.failover.local_view import LocalView
+from cressrail.failover.instance_parts import InstanceParts
 from cressrail.failover.messages import (
     Acknowledgement,
     Decision,
@@ -21,9 +17,8 @@
     VoteDenied,
     ZoneDrain,
 )
-from cressrail.failover.outbox import HEARTBEAT_TOPIC, Outbox, SequenceNumbers
+from cressrail.failover.outbox import HEARTBEAT_TOPIC
 from cressrail.failover.planner import Plan, Planner
-from cressrail.failover.settings import FailoverSettings
 
 EVIDENCE_WINDOW_PERIODS = 3  # report periods over which evidence is summed
 HEARTBEAT_PERIODS = 2  # report periods between two heartbeats
@@ -44,26 +39,8 @@
     continues knows that it leads no longer.
     """
 
-    def __init__(
-        self,
-        settings: FailoverSettings,
-        local: LocalView,
-        leadership: Leadership,
-        decisions: DecisionStore,
-        drains: DrainRequests,
-        numbers: SequenceNumbers,
-        outbox: Outbox,
-        restart_election_timer: Callable[[int], None],
-        now_us: int,
-    ) -> None:
-        self._settings = settings
-        self._local = local
-        self._leadership = leadership
-        self._decisions = decisions
-        self._drains = drains
-        self._numbers = numbers
-        self._outbox = outbox
-        self._restart_election_timer = restart_election_timer
+    def __init__(self, parts: InstanceParts, now_us: int) -> None:
+        self._parts = parts
         self._planner: Planner | None = None
         self._evidence: dict[int, ReceivedEvidence] = {}
         self._acknowledgement_sent_us: dict[int, int] = {}
@@ -87,11 +64,11 @@
 
     def begin_term(self, now_us: int, term: int, votes: int) -> None:
         """Takes the lead, with the last known decision to start from."""
-        self._leadership.begin_term(now_us, term)
+        self._parts.leadership.begin_term(now_us, term)
         self._had_majority_us = now_us
         self._evidence.clear()
         self._acknowledgement_sent_us.clear()
-        settings = self._settings
+        settings = self._parts.settings
         self._planner = Planner(
             settings.topology,
             settings.slow_start_fraction,
@@ -99,63 +76,63 @@
             EVIDENCE_WINDOW_PERIODS * settings.report_period_us,
             now_us,
         )
-        if self._decisions.decision is not None:
-            self._planner.take_over(self._decisions.decision.zones)
-        fleet_size = self._local.fleet.known_size
-        self._outbox.log(log_events.LEADER_ELECTED, term=term, votes=votes, fleet_size=fleet_size)
+        if self._parts.decisions.decision is not None:
+            self._planner.take_over(self._parts.decisions.decision.zones)
+        fleet_size = self._parts.local.fleet.known_size
+        self._parts.outbox.log(log_events.LEADER_ELECTED, term=term, votes=votes, fleet_size=fleet_size)
         self._send_heartbeat(now_us)
 
     def step_down(self, now_us: int, observed_epoch: Epoch) -> None:
         """Stops leading: the majority is lost, or there is a later term."""
-        self._outbox.log(
+        self._parts.outbox.log(
             log_events.LEADER_STEPPED_DOWN,
-            term=self._leadership.epoch.term,
+            term=self._parts.leadership.epoch.term,
             observed_term=observed_epoch.term,
         )
-        self._leadership.end_term()
+        self._parts.leadership.end_term()
         self._planner = None
         self._answered_us.clear()
-        self._restart_election_timer(now_us)
+        self._parts.timer.restart(now_us)
 
     def on_timer(self, now_us: int) -> None:
         """Checks the lease, sends heartbeats and decides anew where the plan has changed."""
         self._forget_old_acknowledgements(now_us)
-        self._evidence[self._leadership.own_id] = ReceivedEvidence(self._local.evidence, now_us)
+        self._evidence[self._parts.leadership.own_id] = ReceivedEvidence(self._parts.local.evidence, now_us)
         if not self._holds_lease(now_us):
-            if now_us - self._had_majority_us > 2 * self._settings.lease_us:
-                self.step_down(now_us, self._leadership.epoch)
+            if now_us - self._had_majority_us > 2 * self._parts.settings.lease_us:
+                self.step_down(now_us, self._parts.leadership.epoch)
             return
         self._had_majority_us = now_us
-        self._leadership.renew_contact(now_us)
-        self._decisions.confirm_own(now_us)
-        if now_us - self._heartbeat_us >= HEARTBEAT_PERIODS * self._settings.report_period_us:
+        self._parts.leadership.renew_contact(now_us)
+        self._parts.decisions.confirm_own(now_us)
+        if now_us - self._heartbeat_us >= HEARTBEAT_PERIODS * self._parts.settings.report_period_us:
             self._send_heartbeat(now_us)
         self._decide(now_us)
 
     def on_report(self, now_us: int, follower: int, report: Report) -> None:
         """Takes a follower's evidence, acknowledges it and sends the decision that the follower lacks."""
-        epoch = self._leadership.epoch
-        if not self._leadership.is_leader:
-            self._outbox.send(now_us, follower, VoteDenied(epoch.term, epoch))
+        epoch = self._parts.leadership.epoch
+        if not self._parts.leadership.is_leader:
+            self._parts.outbox.send(now_us, follower, VoteDenied(epoch.term, epoch))
             return
-        if follower not in self._local.fleet.living:
+        if follower not in self._parts.local.fleet.living:
             return
         sent_us = self._acknowledgement_sent_us.get(report.acknowledged)
         if sent_us is not None:
             self._answered_us[follower] = max(self._answered_us.get(follower, 0), sent_us)
         self._evidence[follower] = ReceivedEvidence(report.evidence, now_us)
-        number = self._numbers.next_acknowledgement()
+        number = self._parts.numbers.next_acknowledgement()
         if len(self._acknowledgement_sent_us) < MAX_PENDING_ACKNOWLEDGEMENTS:
             self._acknowledgement_sent_us[number] = now_us
-        self._outbox.send(now_us, follower, Acknowledgement(number, epoch))
-        decision = self._decisions.decision
+        self._parts.outbox.send(now_us, follower, Acknowledgement(number, epoch))
+        decision = self._parts.decisions.decision
         if decision is not None and report.held_epoch < decision.epoch:
-            self._outbox.send(now_us, follower, decision)
+            self._parts.outbox.send(now_us, follower, decision)
 
     def _holds_lease(self, now_us: int) -> bool:
         """Whether a majority answered, within the lease, what this instance sent."""
-        since_us = now_us - self._settings.lease_us
-        fleet = self._local.fleet
+        since_us = now_us - self._parts.settings.lease_us
+        fleet = self._parts.local.fleet
         answered = sum(
             1
             for instance, sent_us in self._answered_us.items()
@@ -164,47 +141,49 @@
         return fleet.has_quorum_view and fleet.is_majority(1 + answered)
 
     def _forget_old_acknowledgements(self, now_us: int) -> None:
-        oldest_us = now_us - 2 * self._settings.lease_us
+        oldest_us = now_us - 2 * self._parts.settings.lease_us
         sent = self._acknowledgement_sent_us
         for number in [number for number, sent_us in sent.items() if sent_us < oldest_us]:
             del sent[number]
 
     def _send_heartbeat(self, now_us: int) -> None:
-        leadership = self._leadership
+        leadership = self._parts.leadership
         self._heartbeat_us = now_us
         leadership.set_heartbeat_sequence(leadership.heartbeat_sequence + 1)
         heartbeat = Heartbeat(leadership.epoch, leadership.own_id, leadership.heartbeat_sequence)
-        self._outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
+        self._parts.outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
 
     def _decide(self, now_us: int) -> None:
-        window_us = EVIDENCE_WINDOW_PERIODS * self._settings.report_period_us
+        window_us = EVIDENCE_WINDOW_PERIODS * self._parts.settings.report_period_us
         evidence = [
             received.evidence
             for received in self._evidence.values()
             if now_us - received.received_us <= window_us and received.evidence.observations
         ]
         # Nothing is planned by the few that have reported so far.
-        if self._planner is None or not self._local.fleet.is_majority(len(evidence)):
+        if self._planner is None or not self._parts.local.fleet.is_majority(len(evidence)):
             return
-        drains = self._drains.active(now_us)
-        seen = aggregate(evidence, len(self._settings.topology.zones), self._instance_counts())
+        drains = self._parts.drains.active(now_us)
+        seen = aggregate(evidence, len(self._parts.settings.topology.zones), self._instance_counts())
         plan = self._planner.plan(now_us, seen, frozenset(drain.zone for drain in drains))
         if not self._is_held(plan, drains):
-            epoch = self._leadership.epoch
+            epoch = self._parts.leadership.epoch
             next_epoch = Epoch(epoch.term, epoch.step + 1)
-            own_id = self._leadership.own_id
-            self._decisions.adopt(now_us, Decision(next_epoch, own_id, plan.zones, plan.weights, drains))
+            own_id = self._parts.leadership.own_id
+            self._parts.decisions.adopt(
+                now_us, Decision(next_epoch, own_id, plan.zones, plan.weights, drains)
+            )
 
     def _instance_counts(self) -> list[int]:
-        zones = [*self._local.fleet.living.values(), self._settings.zone]
-        return [zones.count(zone) for zone in range(len(self._settings.topology.zones))]
+        zones = [*self._parts.local.fleet.living.values(), self._parts.settings.zone]
+        return [zones.count(zone) for zone in range(len(self._parts.settings.topology.zones))]
 
     def _is_held(self, plan: Plan, drains: tuple[ZoneDrain, ...]) -> bool:
         """Whether the last decision is of this term, and says nearly the same."""
-        held = self._decisions.decision
+        held = self._parts.decisions.decision
         return (
             held is not None
-            and held.epoch.term == self._leadership.epoch.term
+            and held.epoch.term == self._parts.leadership.epoch.term
             and [zone for zone, _ in held.drains] == [zone for zone, _ in drains]
             and not plan.differs(held.zones, held.weights)
         )
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -4,13 +4,12 @@
 
 from cressrail.failover import codec, log_events
 from cressrail.failover.commands import Command
-from cressrail.failover.decision_store import DecisionStore
-from cressrail.failover.drain_requests import DrainRequests
-from cressrail.failover.election import NEVER_US, Election, ElectionTimer
+from cressrail.failover.election import Election
+from cressrail.failover.election_timer import NEVER_US
 from cressrail.failover.follower import Follower
+from cressrail.failover.instance_parts import new_parts
 from cressrail.failover.leader import Leader
-from cressrail.failover.leadership import Leadership
-from cressrail.failover.local_view import Fleet, LocalView
+from cressrail.failover.local_view import Fleet
 from cressrail.failover.messages import (
     Acknowledgement,
     Decision,
@@ -24,7 +23,6 @@
     VoteGranted,
     VoteRequest,
 )
-from cressrail.failover.outbox import Outbox, SequenceNumbers
 from cressrail.failover.settings import FailoverSettings
 from cressrail.policy.load_balancer import RandomGenerator
 
@@ -42,43 +40,13 @@
         self.own_id = own_id
         self._rng = rng
         self._timer_us = now_us
-        self._outbox = Outbox()
-        self.local = LocalView(settings.zone)
-        self.leadership = Leadership(own_id, now_us)
-        self.decisions = DecisionStore(settings, self.leadership, self._outbox)
-        self._drains = DrainRequests(settings, self._outbox)
-        self._election_timer = ElectionTimer(settings, self.local, own_id, rng)
-        numbers = SequenceNumbers()
-        self.leader = Leader(
-            settings,
-            self.local,
-            self.leadership,
-            self.decisions,
-            self._drains,
-            numbers,
-            self._outbox,
-            self._election_timer.restart,
-            now_us,
-        )
-        self._follower = Follower(
-            self.local,
-            self.leadership,
-            self.decisions,
-            self._drains,
-            self._outbox,
-            self.leader,
-            self._election_timer.restart,
-        )
-        self._election = Election(
-            settings,
-            self.local,
-            self.leadership,
-            self.decisions,
-            numbers,
-            self._outbox,
-            self._election_timer,
-            now_us,
-        )
+        self._parts = parts = new_parts(settings, own_id, rng, now_us)
+        self.local = parts.local
+        self.leadership = parts.leadership
+        self.decisions = parts.decisions
+        self.leader = Leader(parts, now_us)
+        self._follower = Follower(parts, self.leader)
+        self._election = Election(parts, now_us)
 
     @property
     def next_timer_us(self) -> int:
@@ -124,13 +92,13 @@
     def start(self, now_us: int) -> list[Command]:
         """Starts the timers."""
         self._timer_us = now_us + self._rng.below(self.settings.report_period_us)
-        self._election_timer.restart(now_us)
-        return self._outbox.take()
+        self._parts.timer.restart(now_us)
+        return self._parts.outbox.take()
 
     def request_drain(self, now_us: int, zone: int, until_us: int) -> list[Command]:
         """Takes an operator's request to drain a zone; `until_us` of 0 ends a drain."""
-        self._drains.request(now_us, zone, until_us)
-        return self._outbox.take()
+        self._parts.drains.request(now_us, zone, until_us)
+        return self._parts.outbox.take()
 
     def on_timer(self, now_us: int) -> list[Command]:
         """Leads, reports to the leader or becomes a candidate, once a report period."""
@@ -143,11 +111,11 @@
             self.leader.on_timer(now_us)
         elif self.leadership.has_recent_contact(now_us, period_us):
             self._follower.send_report(now_us)
-        elif now_us >= self._election_timer.deadline_us:
+        elif now_us >= self._parts.timer.deadline_us:
             self._election.become_candidate(now_us)
-        elif self._election_timer.deadline_us == NEVER_US:
-            self._election_timer.restart(now_us)
-        return self._outbox.take()
+        elif self._parts.timer.deadline_us == NEVER_US:
+            self._parts.timer.restart(now_us)
+        return self._parts.outbox.take()
 
     def on_message(self, now_us: int, sender: int, payload: bytes) -> list[Command]:
         """Takes a message from an instance itself, or (`RELAYED`) by gossip; unreadable ones are ignored."""
@@ -157,10 +125,10 @@
         elif isinstance(message, Heartbeat):
             self._follower.on_heartbeat(now_us, message)
         elif isinstance(message, DrainRequest):
-            self._drains.receive(now_us, message)
+            self._parts.drains.receive(now_us, message)
         elif message is not None and sender != RELAYED:
             self._on_direct_message(now_us, sender, message)
-        return self._outbox.take()
+        return self._parts.outbox.take()
 
     def _on_direct_message(self, now_us: int, sender: int, message: Message) -> None:
         if isinstance(message, Report):
@@ -176,8 +144,8 @@
 
     def _on_pause(self, now_us: int) -> None:
         """This process was stopped: nothing that it knew of the others' answers counts any longer."""
-        self._outbox.log(log_events.PROCESS_PAUSED, paused_ms=(now_us - self._timer_us) // 1000)
+        self._parts.outbox.log(log_events.PROCESS_PAUSED, paused_ms=(now_us - self._timer_us) // 1000)
         self.leader.forget_answers()
         self._election.abandon()
         self.leadership.renew_contact(now_us)
-        self._election_timer.restart(now_us)
+        self._parts.timer.restart(now_us)
