--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -13,7 +13,9 @@
     error_prefix,
     shown,
 )
-from cressrail.failover.messages import MOST_ZONES, Settings, ZoneTopology
+from cressrail.failover.messages import MAX_ZONES
+from cressrail.failover.settings import FailoverSettings
+from cressrail.failover.topology import ZoneTopology
 
 REGIONS, ROUND_TRIP_MS = "regions", "way_ms"
 KNOWN_SETTINGS = (REGIONS, ROUND_TRIP_MS)
@@ -21,7 +23,7 @@
 
 def read_failover_section(
     value: Any, config_path: str, settings: SettingsReader, suspicion_floor_us: int
-) -> Settings:
+) -> FailoverSettings:
     """Returns the section of a configuration.
 
     Args:
@@ -44,19 +46,19 @@
         return _parse(value, settings, suspicion_floor_us)
 
 
-def _parse(section: dict[str, Any], settings: SettingsReader, suspicion_floor_us: int) -> Settings:
+def _parse(section: dict[str, Any], settings: SettingsReader, suspicion_floor_us: int) -> FailoverSettings:
     for name in section:
         if name not in KNOWN_SETTINGS:
             raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
     zones = settings.names(names.ZONES)
-    if len(zones) > MOST_ZONES:
+    if len(zones) > MAX_ZONES:
         raise ConfigurationError(
-            REGIONS, f"can't be: there are {len(zones)} zones, {MOST_ZONES} at most are decided on"
+            REGIONS, f"can't be: there are {len(zones)} zones, {MAX_ZONES} at most are decided on"
         )
     region_of = _read_regions(section.get(REGIONS, {"": zones}), zones)
     reader = SettingsReader.from_nested({ROUND_TRIP_MS: section.get(ROUND_TRIP_MS, 0)})
     round_trip_us = reader.whole_number(ROUND_TRIP_MS, 0) * 1000
-    return Settings(
+    return FailoverSettings(
         ZoneTopology(tuple(zones), tuple(region_of[zone] for zone in zones), round_trip_us),
         zones.index(settings.text(names.OWN_ZONE)),
         settings.number(names.WARMUP_START_FRACTION, 0, 1),
