--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -44,12 +44,12 @@
     json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
 ) -> None:
     """Play a fleet's start, calm, one death and seven deaths in ten, in virtual time."""
-    from cressrail.membership.scenarios import TAKEN_OUT
+    from cressrail.membership.scenarios import ABLATIONS
     from cressrail.membership.scenarios import simulate as play
 
     for word in without or []:
-        if word not in TAKEN_OUT:
-            fail(f"membership simulate: --without is none of {', '.join(TAKEN_OUT)}: {word[:40]}")
+        if word not in ABLATIONS:
+            fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {word[:40]}")
     told = play(size, seed, loss, bear_pause_ms, most_bytes, tuple(without or ()))
     tell(told, json)
 
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -11,13 +11,13 @@
 from cressrail.configuration.files import part_of_file
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
 from cressrail.membership.messages import (
-    LEAST_BYTES,
-    LONGEST_NAME,
-    LONGEST_ZONE,
-    MOST_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MAX_NAME_BYTES,
+    MAX_ZONE_BYTES,
+    MIN_DATAGRAM_BYTES,
     USES,
     Address,
-    Settings,
+    MembershipSettings,
 )
 
 MOST_KEYS = 2
@@ -27,7 +27,7 @@
 @dataclass(frozen=True, slots=True)
 class MembershipConfiguration:
     listen: Address
-    settings: Settings
+    settings: MembershipSettings
     failover: Any = None  # settings of what is decided on zones in common, if anything
 
 
@@ -58,12 +58,12 @@
             f"{advertise[0]}"
         )
     zone = told.pairs.get("zone", zone)
-    for path, text, longest in (("zone", zone, LONGEST_ZONE), ("name", name, LONGEST_NAME)):
+    for path, text, longest in (("zone", zone, MAX_ZONE_BYTES), ("name", name, MAX_NAME_BYTES)):
         if not text or len(text.encode()) > longest:
             raise ConfigurationError(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
-    most = told.whole("most_bytes", LEAST_BYTES, absent=MOST_BYTES)
-    if most > MOST_BYTES:
-        raise ConfigurationError(f"most_bytes is above {MOST_BYTES}: {most}")
+    most = told.whole("most_bytes", MIN_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES)
+    if most > MAX_DATAGRAM_BYTES:
+        raise ConfigurationError(f"most_bytes is above {MAX_DATAGRAM_BYTES}: {most}")
     bear = told.whole("bear_pause_ms", 300, absent=3000)
     if bear > 600_000:
         raise ConfigurationError(f"bear_pause_ms is above 600000: {bear}")
@@ -74,7 +74,7 @@
             raise ConfigurationError(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
     keys = _keys(os.path.join(folder, told.word("keys")))
     return MembershipConfiguration(
-        listen, Settings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use))
+        listen, MembershipSettings(name, zone, advertise, seeds, keys, bear * 1000, most, copies, tuple(use))
     )
 
 
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -62,10 +62,10 @@
             raise ConfigurationError(f"{path}: failover needs the part membership, by which sidecars talk")
         from cressrail.configuration import failover
 
-        bear_us = start.membership.settings.bear_us
+        bear_us = start.membership.settings.tolerated_pause_us
         start.membership = replace(
             start.membership,
-            settings=replace(start.membership.settings, words=True),
+            settings=replace(start.membership.settings, carries_user_messages=True),
             failover=failover.read_part(config["failover"], path, start.settings, bear_us),
         )
     return start
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -32,9 +32,9 @@
         self, now: int, copy: MembershipStateMachine, sidecar: LoadBalancer, towards: ZoneStatistics
     ) -> list[Command]:
         at = {name: n for n, name in enumerate(self.settings.map.zones)}
-        seen = copy.seen(now)
-        living = {ident: at[zone] for ident, zone in copy.zones().items() if zone in at}
-        self.reducer.members(Fleet(living, seen.alive + seen.silent, seen.sure))
+        seen = copy.observed_instances(now)
+        living = {ident: at[zone] for ident, zone in copy.instance_zones().items() if zone in at}
+        self.reducer.members(Fleet(living, seen.alive + seen.silent, seen.has_quorum_view))
         self.reducer.saw(self.evidence(now, sidecar, towards))
         if not self.began:
             self.began = True
--- a/cressrail/membership/authentication.py
+++ b/cressrail/membership/authentication.py
@@ -7,28 +7,28 @@
 
 import hmac
 
-CODE = 32  # bytes at the end of a datagram
-WINDOW = 64
+AUTHENTICATION_BYTES = 32  # bytes at the end of a datagram
+REPLAY_WINDOW = 64
 
 
-def seal(key: bytes, text: bytes) -> bytes:
+def sign_datagram(key: bytes, text: bytes) -> bytes:
     return text + hmac.digest(key, text, "sha256")
 
 
-def opened(keys: tuple[bytes, ...], data: bytes) -> bytes | None:
+def verified_payload(keys: tuple[bytes, ...], data: bytes) -> bytes | None:
     """What was sealed, or nothing if none of the keys did."""
-    text, code = data[:-CODE], data[-CODE:]
+    text, code = data[:-AUTHENTICATION_BYTES], data[-AUTHENTICATION_BYTES:]
     for key in keys:
         if hmac.compare_digest(hmac.digest(key, text, "sha256"), code):
             return text
     return None
 
 
-def fresh(top: int, seen: int, number: int) -> tuple[int, int] | None:
+def advance_replay_window(top: int, seen: int, number: int) -> tuple[int, int] | None:
     """The window after this number; nothing if it was there already or lies too far back."""
     if number > top:
-        return number, (seen << min(WINDOW, number - top) | 1) & (1 << WINDOW) - 1
+        return number, (seen << min(REPLAY_WINDOW, number - top) | 1) & (1 << REPLAY_WINDOW) - 1
     back = top - number
-    if back >= WINDOW or seen >> back & 1:
+    if back >= REPLAY_WINDOW or seen >> back & 1:
         return None
     return top, seen | 1 << back
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -12,74 +12,97 @@
 import struct
 from typing import NamedTuple
 
-from cressrail.membership.authentication import CODE
-from cressrail.membership.load_reports import FORM, LoadReport, pack, unpack
+from cressrail.membership.authentication import AUTHENTICATION_BYTES
+from cressrail.membership.load_reports import (
+    REPORT_STRUCT,
+    LoadReport,
+    pack_load_report,
+    unpack_load_report,
+)
 from cressrail.membership.messages import (
     LEFT,
-    LONGEST_NAME,
-    LONGEST_ZONE,
-    MOST_INCARNATION,
-    Brief,
-    Edge,
-    Record,
-    Span,
+    MAX_INCARNATION,
+    MAX_NAME_BYTES,
+    MAX_ZONE_BYTES,
+    IdRange,
+    InstanceRecord,
+    InstanceStatus,
+    ReachabilityReport,
 )
 
 VERSION = 1
-PING, ACK, NACK, ASK, PAGE, PAGED, NEWS = range(1, 8)
-KINDS = range(PING, NEWS + 1)
-RECORD, BRIEF, EDGE, CALL, SPAN, DIGEST, PAD, SELF, HINT, WORD, SAID = range(1, 12)  # tags
-
-_HEAD = struct.Struct("!BBQ")
+PING, ACK, NACK, PING_REQ, PUSH_PULL_REQUEST, PUSH_PULL_RESPONSE, GOSSIP = range(1, 8)
+KINDS = range(PING, GOSSIP + 1)
+(
+    RECORD_TAG,
+    STATUS_TAG,
+    REACHABILITY_TAG,
+    PING_REFERENCE_TAG,
+    ID_RANGE_TAG,
+    DIGEST_TAG,
+    PADDING_TAG,
+    OWN_STATUS_TAG,
+    LOAD_REPORT_TAG,
+    USER_MESSAGE_TAG,
+    USER_BROADCAST_TAG,
+) = range(1, 12)  # tags
+
+_HEADER = struct.Struct("!BBQ")
 _RECORD = struct.Struct("!BQI")
-_BRIEF = struct.Struct("!QQIBQ")
-_EDGE = struct.Struct("!QQIB")
-_CALL = struct.Struct("!IQ")
-_SPAN = struct.Struct("!QQB")
-_ROW = struct.Struct("!QQIB")
-ROWS = 255 // _ROW.size  # of a digest in one field
-V6 = 0x80
-FIELD = 2  # bytes before each field's own
-
-BRIEF_SIZE, EDGE_SIZE = FIELD + _BRIEF.size, FIELD + _EDGE.size
-CALL_SIZE, SPAN_SIZE, ROW_SIZE = FIELD + _CALL.size, FIELD + _SPAN.size, _ROW.size
-SHORTEST = _HEAD.size + FIELD + _ROW.size + CODE  # of all datagrams
-OVERHEAD = _HEAD.size + CODE  # beside its fields
+_STATUS = struct.Struct("!QQIBQ")
+_REACHABILITY = struct.Struct("!QQIB")
+_PING_REFERENCE = struct.Struct("!IQ")
+_ID_RANGE = struct.Struct("!QQB")
+_DIGEST_ROW = struct.Struct("!QQIB")
+ROWS_PER_FIELD = 255 // _DIGEST_ROW.size  # of a digest in one field
+IPV6_FLAG = 0x80
+FIELD_HEADER_BYTES = 2  # bytes before each field's own
+
+STATUS_BYTES, REACHABILITY_BYTES = FIELD_HEADER_BYTES + _STATUS.size, FIELD_HEADER_BYTES + _REACHABILITY.size
+PING_REFERENCE_BYTES, ID_RANGE_BYTES, DIGEST_ROW_BYTES = (
+    FIELD_HEADER_BYTES + _PING_REFERENCE.size,
+    FIELD_HEADER_BYTES + _ID_RANGE.size,
+    _DIGEST_ROW.size,
+)
+MIN_DATAGRAM_BYTES = (
+    _HEADER.size + FIELD_HEADER_BYTES + _DIGEST_ROW.size + AUTHENTICATION_BYTES
+)  # of all datagrams
+OVERHEAD_BYTES = _HEADER.size + AUTHENTICATION_BYTES  # beside its fields
 
 
 class MalformedDatagramError(Exception):
     """No datagram of the fleet; the text says why."""
 
 
-class Call(NamedTuple):
+class PingReference(NamedTuple):
     """Which call this is or answers; who is meant, 0 for whoever is there."""
 
-    number: int
-    of: int
+    sequence: int
+    target: int
 
 
 class Datagram(NamedTuple):
     kind: int
     number: int  # never used twice by one process
-    sender: Record | Brief  # the latter of a page, whose room is for others' records
-    calls: list[Call]
-    spans: list[Span]
-    records: list[Record]
-    briefs: list[Brief]
-    edges: list[Edge]
-    digest: list[Brief]
-    hints: list[LoadReport]
-    words: list[bytes]  # of other parts of the sidecar, from the sender itself
-    said: list[tuple[int, bytes]]  # the same by way of others, and what each is about
-
-
-def record(told: Record) -> bytes:
+    sender: InstanceRecord | InstanceStatus  # the latter of a page, whose room is for others' records
+    ping_references: list[PingReference]
+    id_ranges: list[IdRange]
+    records: list[InstanceRecord]
+    statuses: list[InstanceStatus]
+    reachability: list[ReachabilityReport]
+    digest: list[InstanceStatus]
+    load_reports: list[LoadReport]
+    user_messages: list[bytes]  # of other parts of the sidecar, from the sender itself
+    user_broadcasts: list[tuple[int, bytes]]  # the same by way of others, and what each is about
+
+
+def encode_record(told: InstanceRecord) -> bytes:
     host, port = told.address
     v6 = ":" in host
     packed = socket.inet_pton(socket.AF_INET6 if v6 else socket.AF_INET, host)
     zone, name = told.zone.encode(), told.name.encode()
     text = (
-        _RECORD.pack(told.state | (V6 if v6 else 0), told.incarnation, told.birth)
+        _RECORD.pack(told.state | (IPV6_FLAG if v6 else 0), told.incarnation, told.process_id)
         + packed
         + port.to_bytes(2, "big")
         + bytes([len(zone)])
@@ -87,154 +110,157 @@
         + bytes([len(name)])
         + name
     )
-    return bytes([RECORD, len(text)]) + text
+    return bytes([RECORD_TAG, len(text)]) + text
 
 
-def brief(told: Brief) -> bytes:
-    return bytes([BRIEF, _BRIEF.size]) + _BRIEF.pack(*told)
+def encode_status(told: InstanceStatus) -> bytes:
+    return bytes([STATUS_TAG, _STATUS.size]) + _STATUS.pack(*told)
 
 
-def self_(told: Brief) -> bytes:
-    return bytes([SELF, _ROW.size]) + _ROW.pack(*told[:4])
+def encode_own_status(told: InstanceStatus) -> bytes:
+    return bytes([OWN_STATUS_TAG, _DIGEST_ROW.size]) + _DIGEST_ROW.pack(*told[:4])
 
 
-def edge(told: Edge) -> bytes:
-    return bytes([EDGE, _EDGE.size]) + _EDGE.pack(*told)
+def encode_reachability(told: ReachabilityReport) -> bytes:
+    return bytes([REACHABILITY_TAG, _REACHABILITY.size]) + _REACHABILITY.pack(*told)
 
 
-def call(told: Call) -> bytes:
-    return bytes([CALL, _CALL.size]) + _CALL.pack(*told)
+def encode_ping_reference(told: PingReference) -> bytes:
+    return bytes([PING_REFERENCE_TAG, _PING_REFERENCE.size]) + _PING_REFERENCE.pack(*told)
 
 
-def span(told: Span) -> bytes:
-    return bytes([SPAN, _SPAN.size]) + _SPAN.pack(*told)
+def encode_id_range(told: IdRange) -> bytes:
+    return bytes([ID_RANGE_TAG, _ID_RANGE.size]) + _ID_RANGE.pack(*told)
 
 
-def hint(told: LoadReport) -> bytes:
-    return bytes([HINT, FORM.size]) + pack(told)
+def encode_load_report(told: LoadReport) -> bytes:
+    return bytes([LOAD_REPORT_TAG, REPORT_STRUCT.size]) + pack_load_report(told)
 
 
-def word(text: bytes) -> bytes:
-    return bytes([WORD, len(text)]) + text
+def encode_user_message(text: bytes) -> bytes:
+    return bytes([USER_MESSAGE_TAG, len(text)]) + text
 
 
-def said(about: int, text: bytes) -> bytes:
-    return bytes([SAID, 8 + len(text)]) + about.to_bytes(8, "big") + text
+def encode_user_broadcast(about: int, text: bytes) -> bytes:
+    return bytes([USER_BROADCAST_TAG, 8 + len(text)]) + about.to_bytes(8, "big") + text
 
 
-def digest(rows: list[Brief]) -> bytes:
+def encode_digest(rows: list[InstanceStatus]) -> bytes:
     text = b""
-    for n in range(0, len(rows), ROWS):
-        part = b"".join(_ROW.pack(*row[:4]) for row in rows[n : n + ROWS])
-        text += bytes([DIGEST, len(part)]) + part
+    for n in range(0, len(rows), ROWS_PER_FIELD):
+        part = b"".join(_DIGEST_ROW.pack(*row[:4]) for row in rows[n : n + ROWS_PER_FIELD])
+        text += bytes([DIGEST_TAG, len(part)]) + part
     return text
 
 
-def pad(size: int) -> bytes:
+def encode_padding(size: int) -> bytes:
     """So many bytes that say nothing; a single one can't be filled."""
     text = b""
-    while size >= FIELD:
-        of = min(255, size - FIELD)
-        if size - FIELD - of == 1:  # guards against a last byte that is no field
+    while size >= FIELD_HEADER_BYTES:
+        of = min(255, size - FIELD_HEADER_BYTES)
+        if size - FIELD_HEADER_BYTES - of == 1:  # guards against a last byte that is no field
             of -= 1
-        text += bytes([PAD, of]) + bytes(of)
-        size -= FIELD + of
+        text += bytes([PADDING_TAG, of]) + bytes(of)
+        size -= FIELD_HEADER_BYTES + of
     return text
 
 
-def wrap(kind: int, number: int, fields: bytes) -> bytes:
+def encode_datagram(kind: int, number: int, fields: bytes) -> bytes:
     """Without its code. The first of the fields is the sender's record."""
-    return _HEAD.pack(VERSION, kind, number) + fields
+    return _HEADER.pack(VERSION, kind, number) + fields
 
 
-def read(text: bytes) -> Datagram:
+def decode_datagram(text: bytes) -> Datagram:
     """Of what was sealed. Raises `Junk`."""
-    if len(text) < _HEAD.size:
+    if len(text) < _HEADER.size:
         raise MalformedDatagramError("too short")
-    version, kind, number = _HEAD.unpack_from(text)
+    version, kind, number = _HEADER.unpack_from(text)
     if version != VERSION:
         raise MalformedDatagramError(f"version {version}")
     if kind not in KINDS:
         raise MalformedDatagramError(f"kind {kind}")
-    calls: list[Call] = []
-    spans: list[Span] = []
-    records: list[Record] = []
-    briefs: list[Brief] = []
-    edges: list[Edge] = []
-    rows: list[Brief] = []
-    short: list[Brief] = []
+    calls: list[PingReference] = []
+    spans: list[IdRange] = []
+    records: list[InstanceRecord] = []
+    briefs: list[InstanceStatus] = []
+    edges: list[ReachabilityReport] = []
+    rows: list[InstanceStatus] = []
+    short: list[InstanceStatus] = []
     hints: list[LoadReport] = []
     words: list[bytes] = []
     said_: list[tuple[int, bytes]] = []
-    at, end = _HEAD.size, len(text)
+    at, end = _HEADER.size, len(text)
     while at < end:
-        if at + FIELD > end or at + FIELD + text[at + 1] > end:
+        if at + FIELD_HEADER_BYTES > end or at + FIELD_HEADER_BYTES + text[at + 1] > end:
             raise MalformedDatagramError("a field is cut")
-        tag, body = text[at], text[at + FIELD : at + FIELD + text[at + 1]]
-        at += FIELD + len(body)
+        tag, body = text[at], text[at + FIELD_HEADER_BYTES : at + FIELD_HEADER_BYTES + text[at + 1]]
+        at += FIELD_HEADER_BYTES + len(body)
         try:
-            if tag == RECORD:
-                records.append(_read_record(body))
-            elif tag == BRIEF:
-                briefs.append(_sane(Brief(*_BRIEF.unpack_from(body))))
-            elif tag == SELF:
-                short.append(_sane(Brief(*_ROW.unpack_from(body))))
-            elif tag == EDGE:
-                by, of, count, on = _EDGE.unpack_from(body)
-                edges.append(Edge(by, of, count, bool(on)))
-            elif tag == CALL:
-                calls.append(Call(*_CALL.unpack_from(body)))
-            elif tag == SPAN:
-                low, high, answers = _SPAN.unpack_from(body)
-                spans.append(Span(low, high, bool(answers)))
-            elif tag == HINT:
-                hints.append(unpack(body))
-            elif tag == WORD:
+            if tag == RECORD_TAG:
+                records.append(_decode_record(body))
+            elif tag == STATUS_TAG:
+                briefs.append(_checked(InstanceStatus(*_STATUS.unpack_from(body))))
+            elif tag == OWN_STATUS_TAG:
+                short.append(_checked(InstanceStatus(*_DIGEST_ROW.unpack_from(body))))
+            elif tag == REACHABILITY_TAG:
+                by, of, count, on = _REACHABILITY.unpack_from(body)
+                edges.append(ReachabilityReport(by, of, count, bool(on)))
+            elif tag == PING_REFERENCE_TAG:
+                calls.append(PingReference(*_PING_REFERENCE.unpack_from(body)))
+            elif tag == ID_RANGE_TAG:
+                low, high, answers = _ID_RANGE.unpack_from(body)
+                spans.append(IdRange(low, high, bool(answers)))
+            elif tag == LOAD_REPORT_TAG:
+                hints.append(unpack_load_report(body))
+            elif tag == USER_MESSAGE_TAG:
                 words.append(body)
-            elif tag == SAID and len(body) >= 8:
+            elif tag == USER_BROADCAST_TAG and len(body) >= 8:
                 said_.append((int.from_bytes(body[:8], "big"), body[8:]))
-            elif tag == DIGEST:
+            elif tag == DIGEST_TAG:
                 rows += [
-                    _sane(Brief(*row)) for row in _ROW.iter_unpack(body[: len(body) // ROW_SIZE * ROW_SIZE])
+                    _checked(InstanceStatus(*row))
+                    for row in _DIGEST_ROW.iter_unpack(
+                        body[: len(body) // DIGEST_ROW_BYTES * DIGEST_ROW_BYTES]
+                    )
                 ]
         except (struct.error, IndexError, ValueError):
             raise MalformedDatagramError(f"field {tag} can't be read") from None
     rest = (calls, spans, records, briefs, edges, rows, hints, words, said_)
-    if kind == PAGED and short:
+    if kind == PUSH_PULL_RESPONSE and short:
         return Datagram(kind, number, short[0], *rest)
     if not records:
         raise MalformedDatagramError("nobody's")
     return Datagram(kind, number, records.pop(0), *rest)
 
 
-def _read_record(body: bytes) -> Record:
+def _decode_record(body: bytes) -> InstanceRecord:
     flags, incarnation, birth = _RECORD.unpack_from(body)
-    at, size = _RECORD.size, 16 if flags & V6 else 4
-    host = socket.inet_ntop(socket.AF_INET6 if flags & V6 else socket.AF_INET, body[at : at + size])
+    at, size = _RECORD.size, 16 if flags & IPV6_FLAG else 4
+    host = socket.inet_ntop(socket.AF_INET6 if flags & IPV6_FLAG else socket.AF_INET, body[at : at + size])
     at += size
     port = int.from_bytes(body[at : at + 2], "big")
     at += 2
-    zone, at = _text(body, at, LONGEST_ZONE)
-    name, at = _text(body, at, LONGEST_NAME)
+    zone, at = _decode_text(body, at, MAX_ZONE_BYTES)
+    name, at = _decode_text(body, at, MAX_NAME_BYTES)
     if not name or not port:
         raise ValueError
-    told = Record(name, zone, (host, port), incarnation, birth, flags & 0x7F)
-    _check(incarnation, told.state)
+    told = InstanceRecord(name, zone, (host, port), incarnation, birth, flags & 0x7F)
+    _check_limits(incarnation, told.state)
     return told
 
 
-def _text(body: bytes, at: int, longest: int) -> tuple[str, int]:
+def _decode_text(body: bytes, at: int, longest: int) -> tuple[str, int]:
     size = body[at]
     if size > longest or at + 1 + size > len(body):
         raise ValueError
     return body[at + 1 : at + 1 + size].decode(), at + 1 + size
 
 
-def _sane(told: Brief) -> Brief:
-    _check(told.incarnation, told.state)
+def _checked(told: InstanceStatus) -> InstanceStatus:
+    _check_limits(told.incarnation, told.state)
     return told
 
 
-def _check(incarnation: int, state: int) -> None:
-    if incarnation > MOST_INCARNATION or state > LEFT:
+def _check_limits(incarnation: int, state: int) -> None:
+    if incarnation > MAX_INCARNATION or state > LEFT:
         raise ValueError
--- a/cressrail/membership/live_count.py
+++ b/cressrail/membership/live_count.py
@@ -12,50 +12,62 @@
 
 from cressrail.membership.messages import InstanceCount
 
-BOUND = 4.0  # times the settings' figure, up and down: what is believed whatever is told
-YOUNG = 4  # pauses that are borne: so long a copy that has just begun believes in no fewer
-FALL = 2  # pauses: half of the way down
-FADE = 20  # pauses: half of the way back to the settings' figure
+MAX_DEVIATION_FACTOR = 4.0  # times the settings' figure, up and down: what is believed whatever is told
+STARTUP_PAUSES = 4  # pauses that are borne: so long a copy that has just begun believes in no fewer
+DECREASE_HALF_LIFE_PAUSES = 2  # pauses: half of the way down
+FALLBACK_HALF_LIFE_PAUSES = 20  # pauses: half of the way back to the settings' figure
 
 
-class Seen(NamedTuple):
+class ObservedInstances(NamedTuple):
     """What membership holds of the copies, this one included; `near` of those in the own zone."""
 
     alive: int
     silent: int  # lost, without a sign that they are dead
-    near_alive: int
-    near_silent: int
-    sure: bool  # it has heard of all there are, and hears somebody
+    zone_alive: int
+    zone_silent: int
+    has_quorum_view: bool  # it has heard of all there are, and hears somebody
 
 
-class Live:
+class LiveInstanceCount:
     """`figure`: of the settings. All counts are of copies, times in microseconds."""
 
     def __init__(self, figure: int, bear_us: int, now: int) -> None:
-        self.figure, self.bear_us = float(figure), bear_us
-        self.born_us = self.weighed_us = now
-        self.believed, self.near = self.figure, 0.0
+        self.configured_count, self.tolerated_pause_us = float(figure), bear_us
+        self.started_us = self.updated_us = now
+        self.estimate, self.zone_estimate = self.configured_count, 0.0
 
-    def weigh(self, now: int, seen: Seen) -> InstanceCount:
-        span_us, self.weighed_us = max(0, now - self.weighed_us), max(now, self.weighed_us)
-        majority = seen.sure and seen.alive > seen.silent
+    def update(self, now: int, seen: ObservedInstances) -> InstanceCount:
+        span_us, self.updated_us = max(0, now - self.updated_us), max(now, self.updated_us)
+        majority = seen.has_quorum_view and seen.alive > seen.silent
         if majority:
-            aim, half_us = float(seen.alive), FALL * self.bear_us
-            young = now - self.born_us < YOUNG * self.bear_us
+            aim, half_us = float(seen.alive), DECREASE_HALF_LIFE_PAUSES * self.tolerated_pause_us
+            young = now - self.started_us < STARTUP_PAUSES * self.tolerated_pause_us
         else:
-            aim, half_us, young = self.figure, FADE * self.bear_us, False
-        if not (young and aim < self.believed):
-            self.believed += (aim - self.believed) * (1 - 0.5 ** (span_us / half_us))
+            aim, half_us, young = (
+                self.configured_count,
+                FALLBACK_HALF_LIFE_PAUSES * self.tolerated_pause_us,
+                False,
+            )
+        if not (young and aim < self.estimate):
+            self.estimate += (aim - self.estimate) * (1 - 0.5 ** (span_us / half_us))
         # At once, and also by the smaller part of a fleet that is cut: those who are heard are there.
-        most = max(self.believed, float(seen.alive))
-        self.believed = min(self.figure * BOUND, max(1.0, self.figure / BOUND, most))
-        near = self.believed * self._near(seen, majority)
+        most = max(self.estimate, float(seen.alive))
+        self.estimate = min(
+            self.configured_count * MAX_DEVIATION_FACTOR,
+            max(1.0, self.configured_count / MAX_DEVIATION_FACTOR, most),
+        )
+        near = self.estimate * self._zone_share(seen, majority)
         # Guards against a zone whose deaths happen to be told before the others'.
-        self.near = max(near, self.near + (near - self.near) * (1 - 0.5 ** (span_us / (FALL * self.bear_us))))
-        self.near = min(self.near, self.believed)
-        return InstanceCount(self.believed, self.near)
+        self.zone_estimate = max(
+            near,
+            self.zone_estimate
+            + (near - self.zone_estimate)
+            * (1 - 0.5 ** (span_us / (DECREASE_HALF_LIFE_PAUSES * self.tolerated_pause_us))),
+        )
+        self.zone_estimate = min(self.zone_estimate, self.estimate)
+        return InstanceCount(self.estimate, self.zone_estimate)
 
-    def _near(self, seen: Seen, majority: bool) -> float:
+    def _zone_share(self, seen: ObservedInstances, majority: bool) -> float:
         if majority:
-            return seen.near_alive / seen.alive
-        return (seen.near_alive + seen.near_silent) / (seen.alive + seen.silent)
+            return seen.zone_alive / seen.alive
+        return (seen.zone_alive + seen.zone_silent) / (seen.alive + seen.silent)
--- a/cressrail/membership/local_health.py
+++ b/cressrail/membership/local_health.py
@@ -7,51 +7,55 @@
 
 from math import log
 
-MOST = 8  # of the multiplier, as published
-SHARERS = 3  # other copies' suspicions after which the shortest span holds, as published
+MAX_SCORE = 8  # of the multiplier, as published
+CONFIRMATIONS_FOR_MIN = 3  # other copies' suspicions after which the shortest span holds, as published
 
 
-class Awareness:
+class LocalHealth:
     """0 while all is well. It rises with signs of one's own slowness and falls with each call that was
     answered."""
 
     def __init__(self, on: bool = True) -> None:
-        self.on = on
-        self.level = 0
+        self.is_enabled = on
+        self.score = 0
 
-    def worse(self, by: int = 1) -> None:
-        if self.on:
-            self.level = min(MOST, self.level + by)
+    def degrade(self, by: int = 1) -> None:
+        if self.is_enabled:
+            self.score = min(MAX_SCORE, self.score + by)
 
-    def better(self) -> None:
-        self.level = max(0, self.level - 1)
+    def improve(self) -> None:
+        self.score = max(0, self.score - 1)
 
-    def stretch(self, span_us: int) -> int:
-        return span_us * (1 + self.level)
+    def scaled_us(self, span_us: int) -> int:
+        return span_us * (1 + self.score)
 
 
 class Suspicion:
     """Of one copy, as this one holds it."""
 
-    __slots__ = ("by", "least_us", "most_us", "own", "since_us", "sure")
+    __slots__ = ("is_own", "is_refused", "max_us", "min_us", "since_us", "suspected_by")
 
     def __init__(self, now: int, least_us: int, most_us: int, shrinks: bool) -> None:
         self.since_us = now
-        self.least_us, self.most_us = (least_us, most_us) if shrinks else (least_us * 3 // 2,) * 2
-        self.by: set[int] = set()
-        self.own = False  # a probe of this copy failed too
-        self.sure = False  # and nobody listens where it was sent
+        self.min_us, self.max_us = (least_us, most_us) if shrinks else (least_us * 3 // 2,) * 2
+        self.suspected_by: set[int] = set()
+        self.is_own = False  # a probe of this copy failed too
+        self.is_refused = False  # and nobody listens where it was sent
 
-    def shared(self, by: int) -> bool:
+    def confirm(self, by: int) -> bool:
         """Whether that is news that others should hear."""
-        if by in self.by or len(self.by) > SHARERS:
+        if by in self.suspected_by or len(self.suspected_by) > CONFIRMATIONS_FOR_MIN:
             return False
-        self.by.add(by)
+        self.suspected_by.add(by)
         return True
 
-    def over_us(self) -> int:
+    def deadline_us(self) -> int:
         """From the longest span with one who suspects to the shortest with four."""
-        others = SHARERS if self.sure else min(SHARERS, max(0, len(self.by) - 1))
+        others = (
+            CONFIRMATIONS_FOR_MIN
+            if self.is_refused
+            else min(CONFIRMATIONS_FOR_MIN, max(0, len(self.suspected_by) - 1))
+        )
         return self.since_us + int(
-            self.most_us - (self.most_us - self.least_us) * log(others + 1) / log(SHARERS + 1)
+            self.max_us - (self.max_us - self.min_us) * log(others + 1) / log(CONFIRMATIONS_FOR_MIN + 1)
         )
--- a/cressrail/membership/messages.py
+++ b/cressrail/membership/messages.py
@@ -6,79 +6,83 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from cressrail.membership.load_reports import PeerReports
-
-ALIVE, SUSPECTED, LOST, LEFT = range(4)  # in the order in which one stands above another at one incarnation
-STATES = ("alive", "suspected", "lost", "left")
-PARTLY = "partly"  # alive, but some can't reach it: of the view, not of a record
-
-LONGEST_NAME, LONGEST_ZONE = 64, 24  # bytes; with them a ping and two rumours fit into 256
-LEAST_BYTES, MOST_BYTES = 256, 1400  # of a datagram
-LONGEST_WORD = 240
-MOST_INCARNATION = 1 << 62
-
-COPIES, COLD, FAILING = USES = ("copies", "cold", "failing")  # what a sidecar may go by
+from cressrail.membership.load_reports import PeerLoadSummary
+
+ALIVE, SUSPECTED, DEAD, LEFT = range(4)  # in the order in which one stands above another at one incarnation
+VIEW_STATE_NAMES = ("alive", "suspected", "lost", "left")
+PARTIALLY_REACHABLE = "partly"  # alive, but some can't reach it: of the view, not of a record
+
+MAX_NAME_BYTES, MAX_ZONE_BYTES = 64, 24  # bytes; with them a ping and two rumours fit into 256
+MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES = 256, 1400  # of a datagram
+MAX_USER_MESSAGE_BYTES = 240
+MAX_INCARNATION = 1 << 62
+
+USE_INSTANCE_COUNT, USE_WARMUP_LOAD, USE_PEER_EJECTIONS = USES = (
+    "copies",
+    "cold",
+    "failing",
+)  # what a sidecar may go by
 Address = tuple[str, int]
 
 
-def id_of(name: str) -> int:
+def instance_id(name: str) -> int:
     """A copy's number in rumours: eight bytes that follow from its name, never 0, which means anybody."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big") or 1
 
 
-class Record(NamedTuple):
+class InstanceRecord(NamedTuple):
     """All that a copy says of itself, with the state that is told of it. Of two the higher `order` holds."""
 
     name: str
     zone: str
     address: Address
     incarnation: int
-    birth: int  # drawn by each process, so that a restart or a second one of the name can be told apart
+    process_id: int  # drawn by each process, so that a restart or a second one of the name can be told apart
     state: int
 
     @property
     def id(self) -> int:
-        return id_of(self.name)
+        return instance_id(self.name)
 
 
-class Brief(NamedTuple):
+class InstanceStatus(NamedTuple):
     """The same of a copy that is known already; `by` says whose own probe it was that failed."""
 
     id: int
     incarnation: int
-    birth: int
+    process_id: int
     state: int
-    by: int = 0
+    suspected_by: int = 0
 
 
-class Edge(NamedTuple):
+class ReachabilityReport(NamedTuple):
     """Whether one copy's calls to another go unanswered though it lives; of two the higher `nth` holds."""
 
-    by: int
-    of: int
-    nth: int
-    on: bool
+    reporter: int
+    target: int
+    sequence: int
+    is_unreachable: bool
 
 
-class Span(NamedTuple):
+class IdRange(NamedTuple):
     """The part of the ring of ids that a page of an exchange speaks of: above `low`, up to `high`."""
 
     low: int
     high: int
-    answers: bool  # it is asked back by the one who was asked, and asks for no more
+    is_reply: bool  # it is asked back by the one who was asked, and asks for no more
 
 
-def order(incarnation: int, birth: int, state: int) -> tuple[int, int, int]:
+def precedence(incarnation: int, process_id: int, state: int) -> tuple[int, int, int]:
     """What decides between two words on one copy: the laws of a merge follow from taking the greater."""
-    return incarnation, birth, state
+    return incarnation, process_id, state
 
 
 # Effects
 
 
-class Send(NamedTuple):
-    to: Address
-    data: bytes
+class SendDatagram(NamedTuple):
+    destination: Address
+    payload: bytes
 
 
 class LogEvent(NamedTuple):
@@ -91,26 +95,26 @@
 class InstanceCount(NamedTuple):
     """How many copies this one goes by, and how many of them in its own zone."""
 
-    all: float
+    total: float
     in_zone: float
 
 
-class Report(NamedTuple):
+class RequestLoadReports(NamedTuple):
     """The sidecar is asked what there is to say of its work: `Membership.say`."""
 
 
-class Word(NamedTuple):
+class UserMessage(NamedTuple):
     """For another part of the sidecar; `by` is the copy that said it, 0 where it came by way of others."""
 
-    by: int
-    text: bytes
+    sender: int
+    payload: bytes
 
 
-Command = Send | LogEvent | InstanceCount | Report | PeerReports | Word
+Command = SendDatagram | LogEvent | InstanceCount | RequestLoadReports | PeerLoadSummary | UserMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class MembershipSettings:
     """What a copy is told. Spans follow from the pause that is to be borne, so that there is one figure to
     set."""
 
@@ -119,28 +123,28 @@
     advertise: Address
     seeds: tuple[Address, ...] = ()
     keys: tuple[bytes, ...] = (b"\0" * 32,)  # the first signs, each is good
-    bear_us: int = 3_000_000
-    most_bytes: int = MOST_BYTES
-    figure: int = 1  # copies, by the settings
-    use: tuple[str, ...] = ()  # of USES
-    words: bool = False  # other parts of the sidecar talk by way of this one
+    tolerated_pause_us: int = 3_000_000
+    max_datagram_bytes: int = MAX_DATAGRAM_BYTES
+    configured_instance_count: int = 1  # copies, by the settings
+    uses: tuple[str, ...] = ()  # of USES
+    carries_user_messages: bool = False  # other parts of the sidecar talk by way of this one
     # What an ablation takes out; all on in service.
-    aware: bool = True
-    indirect: bool = True
-    shrinks: bool = True
+    has_local_health: bool = True
+    has_indirect_ping: bool = True
+    has_dynamic_suspicion: bool = True
 
     @property
-    def period_us(self) -> int:
+    def ping_period_us(self) -> int:
         """Between two probes of one copy: six to the pause that is borne."""
-        return self.bear_us // 6
+        return self.tolerated_pause_us // 6
 
     @property
-    def least_us(self) -> int:
+    def min_suspicion_us(self) -> int:
         """A suspicion that many share runs for so long. A paused copy is suspected a period after its pause
         began at the earliest, so more than a period is left for its answer to get round."""
-        return self.bear_us * 11 // 10
+        return self.tolerated_pause_us * 11 // 10
 
     @property
-    def most_us(self) -> int:
+    def max_suspicion_us(self) -> int:
         """One that nobody else shares."""
-        return 2 * self.least_us
+        return 2 * self.min_suspicion_us
--- a/cressrail/membership/reachability.py
+++ b/cressrail/membership/reachability.py
@@ -6,94 +6,102 @@
 
 from __future__ import annotations
 
-from cressrail.membership.messages import Edge
+from cressrail.membership.messages import ReachabilityReport
 
-MARK_AFTER = 5  # calls in a row: at 30% loss both ways three tries of each fail one time in eight
-CLEAR_AFTER = 2
-MOST_OF_ONE = 16  # callers that are kept of one copy
+REPORT_AFTER_UNANSWERED = (
+    5  # calls in a row: at 30% loss both ways three tries of each fail one time in eight
+)
+CLEAR_AFTER_ANSWERED = 2
+MAX_REPORTERS = 16  # callers that are kept of one copy
 # callers at most whose marks go on from here, so that a fleet that is cut to pieces is not all talk
-PASSED_ON = 3
+MAX_FORWARDED = 3
 
 
-class Edges:
+class ReachabilityReports:
     def __init__(self, own: int, faded_us: int) -> None:
-        self.own = own
-        self.faded_us = faded_us
-        self.misses: dict[int, int] = {}
-        self.hits: dict[int, int] = {}
-        self.count = 0
-        self.told: dict[int, dict[int, tuple[Edge, int]]] = {}  # by whom they are about, then by the caller
+        self.own_id = own
+        self.lifetime_us = faded_us
+        self.unanswered_pings: dict[int, int] = {}
+        self.answered_pings: dict[int, int] = {}
+        self.sequence = 0
+        self.reports: dict[
+            int, dict[int, tuple[ReachabilityReport, int]]
+        ] = {}  # by whom they are about, then by the caller
 
-    def missed(self, ident: int, now: int) -> Edge | None:
+    def on_ping_unanswered(self, ident: int, now: int) -> ReachabilityReport | None:
         """A call went unanswered by one that lives; the mark, if that makes one."""
-        self.hits.pop(ident, None)
-        self.misses[ident] = self.misses.get(ident, 0) + 1
-        if self.misses[ident] < MARK_AFTER or self.marked(ident):
+        self.answered_pings.pop(ident, None)
+        self.unanswered_pings[ident] = self.unanswered_pings.get(ident, 0) + 1
+        if self.unanswered_pings[ident] < REPORT_AFTER_UNANSWERED or self.is_unreachable(ident):
             return None
-        return self._say(ident, True, now)
+        return self._report(ident, True, now)
 
-    def reached(self, ident: int, now: int) -> Edge | None:
-        self.misses.pop(ident, None)
-        if not self.marked(ident):
+    def on_ping_answered(self, ident: int, now: int) -> ReachabilityReport | None:
+        self.unanswered_pings.pop(ident, None)
+        if not self.is_unreachable(ident):
             return None
-        self.hits[ident] = self.hits.get(ident, 0) + 1
-        if self.hits[ident] < CLEAR_AFTER:
+        self.answered_pings[ident] = self.answered_pings.get(ident, 0) + 1
+        if self.answered_pings[ident] < CLEAR_AFTER_ANSWERED:
             return None
-        del self.hits[ident]
-        return self._say(ident, False, now)
+        del self.answered_pings[ident]
+        return self._report(ident, False, now)
 
-    def pending(self, ident: int) -> bool:
+    def needs_another_ping(self, ident: int) -> bool:
         """Whether another call soon would settle it."""
-        return 0 < self.misses.get(ident, 0) < MARK_AFTER or ident in self.hits
+        return (
+            0 < self.unanswered_pings.get(ident, 0) < REPORT_AFTER_UNANSWERED or ident in self.answered_pings
+        )
 
-    def marked(self, ident: int) -> bool:
+    def is_unreachable(self, ident: int) -> bool:
         """By this copy itself."""
-        entry = self.told.get(ident, {}).get(self.own)
-        return entry is not None and entry[0].on
+        entry = self.reports.get(ident, {}).get(self.own_id)
+        return entry is not None and entry[0].is_unreachable
 
-    def _say(self, ident: int, on: bool, now: int) -> Edge:
-        self.count += 1
-        edge = Edge(self.own, ident, self.count, on)
-        self.told.setdefault(ident, {})[self.own] = (edge, now)
+    def _report(self, ident: int, on: bool, now: int) -> ReachabilityReport:
+        self.sequence += 1
+        edge = ReachabilityReport(self.own_id, ident, self.sequence, on)
+        self.reports.setdefault(ident, {})[self.own_id] = (edge, now)
         return edge
 
-    def hear(self, edge: Edge, now: int) -> bool:
+    def merge(self, edge: ReachabilityReport, now: int) -> bool:
         """Whether it is news."""
-        if edge.by == self.own or edge.by == edge.of:
+        if edge.reporter == self.own_id or edge.reporter == edge.target:
             return False
-        of = self.told.setdefault(edge.of, {})
-        before = of.get(edge.by)
-        if before is not None and before[0].nth >= edge.nth:
+        of = self.reports.setdefault(edge.target, {})
+        before = of.get(edge.reporter)
+        if before is not None and before[0].sequence >= edge.sequence:
             return False
-        if before is None and len(of) >= MOST_OF_ONE:
+        if before is None and len(of) >= MAX_REPORTERS:
             return False
-        of[edge.by] = (edge, now)
+        of[edge.reporter] = (edge, now)
         return (
-            before is not None or sum(1 for e, _ in of.values() if e.on) <= PASSED_ON or edge.of == self.own
+            before is not None
+            or sum(1 for e, _ in of.values() if e.is_unreachable) <= MAX_FORWARDED
+            or edge.target == self.own_id
         )
 
-    def again(self, now: int) -> list[Edge]:
+    def refresh(self, now: int) -> list[ReachabilityReport]:
         """Own marks, to be told anew before they fade; and what has faded goes."""
         out = []
-        for ident in list(self.told):
-            of = self.told[ident]
+        for ident in list(self.reports):
+            of = self.reports[ident]
             for by, (edge, at) in list(of.items()):
-                if by == self.own and edge.on:
-                    out.append(self._say(ident, True, now))
-                elif now - at > self.faded_us:
+                if by == self.own_id and edge.is_unreachable:
+                    out.append(self._report(ident, True, now))
+                elif now - at > self.lifetime_us:
                     del of[by]
             if not of:
-                del self.told[ident]
+                del self.reports[ident]
         return out
 
-    def callers(self, ident: int) -> list[int]:
+    def unreachable_from(self, ident: int) -> list[int]:
         """Who can't reach it."""
-        return [by for by, (edge, _) in self.told.get(ident, {}).items() if edge.on]
+        return [by for by, (edge, _) in self.reports.get(ident, {}).items() if edge.is_unreachable]
 
-    def forget(self, ident: int) -> None:
+    def forget_instance(self, ident: int) -> None:
         """One that is lost or has left: what was said of it, and what it said."""
-        self.told.pop(ident, None)
-        self.misses.pop(ident, None)
-        self.hits.pop(ident, None)
-        for of in self.told.values():
+        self.reports.pop(ident, None)
+        self.unanswered_pings.pop(ident, None)
+        self.answered_pings.pop(ident, None)
+        for of in self.reports.values():
             of.pop(ident, None)
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 from typing import Any
 
-from cressrail.membership.messages import LOST, Settings
+from cressrail.membership.messages import DEAD, MembershipSettings
 from cressrail.membership.simulation import SECOND, World
 
-READY_S, CALM_S, DEATH_S, MANY_S = 120, 30, 30, 40
-TAKEN_OUT = ("aware", "indirect", "shrinks")  # by an ablation
+JOIN_LIMIT_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 30, 30, 40
+ABLATIONS = ("aware", "indirect", "shrinks")  # by an ablation
 
 
 def simulate(
@@ -25,24 +25,24 @@
     `live_error` is the mean error of the live count, as a share, from the death of seven in ten until all
     agree again."""
 
-    def change(told: Settings) -> Settings:
-        out = dict.fromkeys(TAKEN_OUT, True) | dict.fromkeys(without, False)
+    def change(told: MembershipSettings) -> MembershipSettings:
+        out = dict.fromkeys(ABLATIONS, True) | dict.fromkeys(without, False)
         return replace(
             told,
-            bear_us=bear_ms * 1000,
-            most_bytes=most_bytes,
-            aware=out["aware"],
-            indirect=out["indirect"],
-            shrinks=out["shrinks"],
+            tolerated_pause_us=bear_ms * 1000,
+            max_datagram_bytes=most_bytes,
+            has_local_health=out["aware"],
+            has_indirect_ping=out["indirect"],
+            has_dynamic_suspicion=out["shrinks"],
         )
 
     world = World(size, seed, loss=loss, change=change)
     world.start_all()
-    joined = world.until(world.agree, READY_S * SECOND)
+    joined = world.run_until_met(world.all_views_agree, JOIN_LIMIT_S * SECOND)
     joined_s = world.now / SECOND
-    world.run(world.now + 10 * SECOND)
+    world.run_until(world.now + 10 * SECOND)
     began, bytes_before = world.now, world.sent_bytes
-    world.run(world.now + CALM_S * SECOND)
+    world.run_until(world.now + CALM_S * SECOND)
     told: dict[str, Any] = {
         "size": size,
         "seed": seed,
@@ -51,23 +51,27 @@
         "bytes_per_s": round((world.sent_bytes - bytes_before) / CALM_S / size),
         "suspicions": sum(1 for line in world.log if line.event == "copy_suspected" and line.at_us >= began),
     }
-    told["detect_s"] = _death(world, size)
-    many = [f"copy{n}" for n in range(size) if n % 10 >= 3 and world.names[f"copy{n}"].up]
-    told["many_s"], told["live_error"] = _deaths(world, many)
-    dead = {name for name, process in world.names.items() if not process.up}
-    told["false_losses"] = sum(1 for line in world.losses() if line.of not in dead)
-    told["largest_bytes"] = world.largest
-    told["table_bytes_a_copy"] = round(world.up()[0].copy.table.size() / max(1, size - 1))
+    told["detect_s"] = _play_one_death(world, size)
+    many = [f"copy{n}" for n in range(size) if n % 10 >= 3 and world.names[f"copy{n}"].is_running]
+    told["many_s"], told["live_error"] = _play_many_deaths(world, many)
+    dead = {name for name, process in world.names.items() if not process.is_running}
+    told["false_losses"] = sum(1 for line in world.death_reports() if line.subject not in dead)
+    told["largest_bytes"] = world.largest_datagram_bytes
+    told["table_bytes_a_copy"] = round(
+        world.running_processes()[0].instance.table.memory_bytes() / max(1, size - 1)
+    )
     return told
 
 
-def _death(world: World, size: int) -> dict[str, float | None]:
+def _play_one_death(world: World, size: int) -> dict[str, float | None]:
     """When one death is known to the first, to half and to all of the others."""
     name, began = f"copy{size - 1}", world.now
     world.kill(name)
-    known = _knowing(world, [name])
-    world.until(lambda: known() >= 1.0, DEATH_S * SECOND)
-    when = sorted({line.by: line.at_us for line in world.losses(began) if line.of == name}.values())
+    known = _share_knowing(world, [name])
+    world.run_until_met(lambda: known() >= 1.0, ONE_DEATH_LIMIT_S * SECOND)
+    when = sorted(
+        {line.reporter: line.at_us for line in world.death_reports(began) if line.subject == name}.values()
+    )
     others = size - 1
 
     def part(share: float) -> float | None:
@@ -77,31 +81,37 @@
     return {"first": part(0.0), "half": part(0.5), "all": part(1.0)}
 
 
-def _deaths(world: World, names: list[str]) -> tuple[float | None, float]:
+def _play_many_deaths(world: World, names: list[str]) -> tuple[float | None, float]:
     began, errors = world.now, []
     for name in names:
         world.kill(name)
-    known = _knowing(world, names)
-    while known() < 1.0 and world.now - began < MANY_S * SECOND:
-        world.run(world.now + SECOND // 10)
-        up = world.up()
-        errors.append(sum(abs(process.copy.alive() - len(up)) for process in up) / len(up) / len(up))
+    known = _share_knowing(world, names)
+    while known() < 1.0 and world.now - began < MANY_DEATHS_LIMIT_S * SECOND:
+        world.run_until(world.now + SECOND // 10)
+        up = world.running_processes()
+        errors.append(
+            sum(abs(process.instance.live_instance_count() - len(up)) for process in up) / len(up) / len(up)
+        )
     took_s = (world.now - began) / SECOND
     return (took_s if known() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
 
 
-def _knowing(world: World, names: list[str]) -> Callable[[], float]:
+def _share_knowing(world: World, names: list[str]) -> Callable[[], float]:
     """The share of pairs of one that is up and one of these in which the first knows that the other is
     gone."""
 
     def share() -> float:
         knowing = pairs = 0
-        for process in world.up():
-            of = dict(zip(process.copy.table.names, process.copy.table.ids, strict=True))
+        for process in world.running_processes():
+            of = dict(zip(process.instance.table.names, process.instance.table.ids, strict=True))
             for name in names:
                 pairs += 1
-                at = process.copy.table.row(of[name]) if name in of else -1
-                knowing += at < 0 or process.copy.table.states[at] >= LOST or of[name] in process.copy.private
+                at = process.instance.table.row_of(of[name]) if name in of else -1
+                knowing += (
+                    at < 0
+                    or process.instance.table.states[at] >= DEAD
+                    or of[name] in process.instance.dead_in_own_view
+                )
         return knowing / max(1, pairs)
 
     return share
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -9,36 +9,36 @@
 from dataclasses import dataclass, field, replace
 from heapq import heappop, heappush
 
-from cressrail.membership.messages import LOST, Address, Command, LogEvent, Send, Settings
+from cressrail.membership.messages import DEAD, Address, Command, LogEvent, MembershipSettings, SendDatagram
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 
 SECOND = 1_000_000
-QUEUE = 250  # datagrams that a socket holds for a process that does not read
-HEADERS = 28  # bytes of IP and UDP to each datagram
+SOCKET_QUEUE_DATAGRAMS = 250  # datagrams that a socket holds for a process that does not read
+IP_UDP_HEADER_BYTES = 28  # bytes of IP and UDP to each datagram
 
 
 @dataclass
-class Process:
+class SimulatedProcess:
     """One process of a copy, and what befalls it."""
 
-    settings: Settings
-    copy: MembershipStateMachine
-    wake_us: int = 1 << 62
-    stalled: bool = False
+    settings: MembershipSettings
+    instance: MembershipStateMachine
+    next_timer_us: int = 1 << 62
+    is_stalled: bool = False
     queue: list[bytes] = field(default_factory=list)  # of its socket, while it is stalled
-    up: bool = True
+    is_running: bool = True
 
 
 @dataclass(frozen=True)
-class Told:
+class LoggedEvent:
     """A line of a copy's log."""
 
     at_us: int
-    by: str
+    reporter: str
     event: str
-    of: str
-    why: str = ""
+    subject: str
+    reason: str = ""
 
 
 class World:
@@ -50,31 +50,35 @@
         loss: float = 0.0,
         zones: int = 3,
         seeds: int = 3,
-        change: Callable[[Settings], Settings] = lambda told: told,
+        change: Callable[[MembershipSettings], MembershipSettings] = lambda told: told,
         least_us: int = 200,
         most_us: int = 2_000,
         refuses: bool = True,
     ) -> None:
         """`change`: what each copy is set to otherwise. A datagram takes between `least_us` and `most_us`;
         `refuses`: machines say so of one that comes where no process listens."""
-        self.refuses = refuses
-        self.chance = RandomGenerator(seed)
-        self.loss, self.least_us, self.most_us = loss, least_us, most_us
+        self.reports_refusals = refuses
+        self.random = RandomGenerator(seed)
+        self.loss, self.min_delay_us, self.max_delay_us = loss, least_us, most_us
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.event_no = 0
-        self.processes: dict[Address, Process] = {}
-        self.names: dict[str, Process] = {}
-        self.cut: Callable[[str, str], bool] = lambda _from, _to: False
-        self.fate: Callable[[str, str], int] = self._drawn  # how long a datagram takes, -1 for never
-        self.log: list[Told] = []
-        self.sent_bytes = self.sent = 0
-        self.largest = 0
+        self.processes: dict[Address, SimulatedProcess] = {}
+        self.names: dict[str, SimulatedProcess] = {}
+        self.is_cut: Callable[[str, str], bool] = lambda _from, _to: False
+        self.delay_us: Callable[[str, str], int] = (
+            self._random_delay_us
+        )  # how long a datagram takes, -1 for never
+        self.log: list[LoggedEvent] = []
+        self.sent_bytes = self.sent_datagrams = 0
+        self.largest_datagram_bytes = 0
         self.births = 0
         self.change = change
         addresses = [self.address(n) for n in range(size)]
         self.all_settings = [
-            change(Settings(f"copy{n}", "abcdefgh"[n % zones], addresses[n], tuple(addresses[:seeds])))
+            change(
+                MembershipSettings(f"copy{n}", "abcdefgh"[n % zones], addresses[n], tuple(addresses[:seeds]))
+            )
             for n in range(size)
         ]
 
@@ -82,24 +86,24 @@
     def address(n: int) -> Address:
         return f"127.1.{n >> 8}.{n & 255}", 7946
 
-    def at(self, when_us: int, what: Callable[[], None]) -> None:
+    def schedule(self, when_us: int, what: Callable[[], None]) -> None:
         self.event_no += 1
         heappush(self.events, (when_us, self.event_no, what))
 
-    def start(self, n: int, incarnation: int | None = None) -> Process:
+    def start(self, n: int, incarnation: int | None = None) -> SimulatedProcess:
         """The n-th copy, or its next process."""
         settings = self.all_settings[n]
         self.births += 1
         copy = MembershipStateMachine(
             settings,
-            RandomGenerator(self.chance.below(1 << 32)),
+            RandomGenerator(self.random.below(1 << 32)),
             self.now,
-            self.chance.below(1 << 32),
+            self.random.below(1 << 32),
             self.now // 1000 if incarnation is None else incarnation,
         )
-        process = Process(settings, copy)
+        process = SimulatedProcess(settings, copy)
         self.processes[settings.advertise] = self.names[settings.name] = process
-        self._carry(process, copy.start(self.now))
+        self._execute(process, copy.start(self.now))
         return process
 
     def start_all(self) -> None:
@@ -112,111 +116,117 @@
         self.all_settings.append(replace(self.all_settings[like], name=name, advertise=self.address(n)))
         return n
 
-    def stall(self, names: list[str], for_us: int) -> None:
+    def pause(self, names: list[str], for_us: int) -> None:
         for name in names:
-            self.names[name].stalled = True
-        self.at(self.now + for_us, lambda: self._resume(names))
+            self.names[name].is_stalled = True
+        self.schedule(self.now + for_us, lambda: self._resume(names))
 
     def _resume(self, names: list[str]) -> None:
         for name in names:
             process = self.names[name]
-            process.stalled = False
-            queue, process.queue = process.queue[:QUEUE], []
+            process.is_stalled = False
+            queue, process.queue = process.queue[:SOCKET_QUEUE_DATAGRAMS], []
             for data in queue:
-                self._carry(process, process.copy.heard(self.now, data))
-            self._wake(process, process.wake_us)
+                self._execute(process, process.instance.on_datagram(self.now, data))
+            self._on_timer(process, process.next_timer_us)
 
     def kill(self, name: str) -> None:
-        self.names[name].up = False
+        self.names[name].is_running = False
 
     def leave(self, name: str) -> None:
         process = self.names[name]
-        self._carry(process, process.copy.leave(self.now))
-        process.up = False
+        self._execute(process, process.instance.leave(self.now))
+        process.is_running = False
 
-    def run(self, until_us: int) -> None:
+    def run_until(self, until_us: int) -> None:
         while self.events and self.events[0][0] <= until_us:
             self.now, _, what = heappop(self.events)
             what()
         self.now = until_us
 
-    def until(self, met: Callable[[], bool], over_us: int, step_us: int = 50_000) -> bool:
+    def run_until_met(self, met: Callable[[], bool], over_us: int, step_us: int = 50_000) -> bool:
         """Runs until it is so; false if it is not within so long."""
         over_us += self.now
         while not met():
             if self.now >= over_us:
                 return False
-            self.run(self.now + step_us)
+            self.run_until(self.now + step_us)
         return True
 
-    def _carry(self, process: Process, effects: list[Command]) -> None:
+    def _execute(self, process: SimulatedProcess, effects: list[Command]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendDatagram):
                 self._send(process, effect)
             elif isinstance(effect, LogEvent):
                 self.log.append(
-                    Told(
+                    LoggedEvent(
                         self.now,
-                        process.copy.name,
+                        process.instance.name,
                         effect.event,
                         str(effect.fields.get("copy", "")),
                         str(effect.fields.get("why", "")),
                     )
                 )
-        due_us = process.copy.wake_us
-        if due_us < process.wake_us or process.wake_us <= self.now:
-            process.wake_us = due_us
-            self.at(max(due_us, self.now), lambda: self._wake(process, due_us))
+        due_us = process.instance.next_timer_us
+        if due_us < process.next_timer_us or process.next_timer_us <= self.now:
+            process.next_timer_us = due_us
+            self.schedule(max(due_us, self.now), lambda: self._on_timer(process, due_us))
 
-    def _wake(self, process: Process, due_us: int) -> None:
-        if not process.up or process.stalled or due_us != process.wake_us:
+    def _on_timer(self, process: SimulatedProcess, due_us: int) -> None:
+        if not process.is_running or process.is_stalled or due_us != process.next_timer_us:
             return
-        process.wake_us = 1 << 62
-        self._carry(process, process.copy.woke(self.now))
-
-    def _send(self, process: Process, effect: Send) -> None:
-        self.sent += 1
-        self.sent_bytes += len(effect.data) + HEADERS
-        self.largest = max(self.largest, len(effect.data))
-        other = self.processes.get(effect.to)
-        if other is None or self.cut(process.settings.name, other.settings.name):
+        process.next_timer_us = 1 << 62
+        self._execute(process, process.instance.on_timer(self.now))
+
+    def _send(self, process: SimulatedProcess, effect: SendDatagram) -> None:
+        self.sent_datagrams += 1
+        self.sent_bytes += len(effect.payload) + IP_UDP_HEADER_BYTES
+        self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(effect.payload))
+        other = self.processes.get(effect.destination)
+        if other is None or self.is_cut(process.settings.name, other.settings.name):
             return
-        span_us = self.fate(process.settings.name, other.settings.name)
+        span_us = self.delay_us(process.settings.name, other.settings.name)
         if span_us >= 0:
-            self.at(self.now + span_us, lambda: self._arrive(process, effect.to, effect.data))
+            self.schedule(
+                self.now + span_us, lambda: self._arrive(process, effect.destination, effect.payload)
+            )
 
-    def _drawn(self, _from: str, _to: str) -> int:
-        if self.chance.fraction() < self.loss:
+    def _random_delay_us(self, _from: str, _to: str) -> int:
+        if self.random.fraction() < self.loss:
             return -1
-        return self.least_us + self.chance.below(max(1, self.most_us - self.least_us))
+        return self.min_delay_us + self.random.below(max(1, self.max_delay_us - self.min_delay_us))
 
-    def _arrive(self, source: Process, to: Address, data: bytes) -> None:
+    def _arrive(self, source: SimulatedProcess, to: Address, data: bytes) -> None:
         process = self.processes[to]
-        if process.up and process.stalled:  # it waits in the queue of its socket
+        if process.is_running and process.is_stalled:  # it waits in the queue of its socket
             process.queue.append(data)
-        elif process.up:
-            self._carry(process, process.copy.heard(self.now, data))
-        elif self.refuses and source.up and not self.cut(process.settings.name, source.settings.name):
-            self._carry(source, source.copy.refused(self.now, to))
+        elif process.is_running:
+            self._execute(process, process.instance.on_datagram(self.now, data))
+        elif (
+            self.reports_refusals
+            and source.is_running
+            and not self.is_cut(process.settings.name, source.settings.name)
+        ):
+            self._execute(source, source.instance.on_connection_refused(self.now, to))
 
     # What is seen
 
-    def up(self) -> list[Process]:
-        return [process for process in self.names.values() if process.up]
+    def running_processes(self) -> list[SimulatedProcess]:
+        return [process for process in self.names.values() if process.is_running]
 
-    def agree(self) -> bool:
+    def all_views_agree(self) -> bool:
         """Whether each that is up takes just those that are up for taking part."""
-        count = len(self.up())
-        names = {process.copy.name for process in self.up()}
+        count = len(self.running_processes())
+        names = {process.instance.name for process in self.running_processes()}
         return all(
-            process.copy.alive() == count
+            process.instance.live_instance_count() == count
             and all(
-                process.copy.table.names[at] in names
-                for at, state in enumerate(process.copy.table.states)
-                if state < LOST and process.copy.table.ids[at] not in process.copy.private
+                process.instance.table.names[at] in names
+                for at, state in enumerate(process.instance.table.states)
+                if state < DEAD and process.instance.table.ids[at] not in process.instance.dead_in_own_view
             )
-            for process in self.up()
+            for process in self.running_processes()
         )
 
-    def losses(self, since_us: int = 0) -> list[Told]:
+    def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
         return [told for told in self.log if told.event == "copy_lost" and told.at_us >= since_us]
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -106,12 +106,12 @@
                 return AdminResponse(400, f"{fault}\n".encode())
             if target == PAGE and self.net.gossip is not None:
                 return (
-                    AdminResponse(200, self.net.gossip.page(), JSON)
+                    AdminResponse(200, self.net.gossip.view_json(), JSON)
                     if method == b"GET"
                     else AdminResponse(405, b"not by this method\n", allow=b"GET")
                 )
             if target.startswith(ZONES) and self.net.gossip is not None:
-                return _of_zones(*self.net.gossip.asked(method, target))
+                return _of_zones(*self.net.gossip.on_zones_request(method, target))
             told, effects = self.net.state_machine.on_admin_call(
                 self.net.now(), method, target.partition(b"?")[0]
             )
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -37,5 +37,5 @@
         # What takes a new start stays named at each reading until there was one.
         self.start.discovery, self.start.filed = start.discovery, start.filed
         if net.gossip is not None and start.membership is not None:
-            net.gossip.rekey(start.membership)
+            net.gossip.set_keys(start.membership)
         net.dispatch(net.state_machine.on_discovery_address(net.now(), start.discovery))
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -40,16 +40,16 @@
         self.net.dispatch(reducer.on_zone_weights(now, *self.host.reducer.shares(now)))
         return out
 
-    def heard(self, copy: MembershipStateMachine, told: membership.Word) -> list[membership.Command]:
-        return self._out(copy, self.host.heard(self.net.now(), told.by, told.text))
+    def heard(self, copy: MembershipStateMachine, told: membership.UserMessage) -> list[membership.Command]:
+        return self._out(copy, self.host.heard(self.net.now(), told.sender, told.payload))
 
     def _out(self, copy: MembershipStateMachine, effects: list[Command]) -> list[membership.Command]:
         now, out = self.net.now(), []
         for effect in effects:
             if isinstance(effect, Post):
-                out += copy.post(now, effect.to, effect.text)
+                out += copy.send_user_message(now, effect.to, effect.text)
             elif isinstance(effect, Spread):
-                out += copy.spread(now, effect.about, effect.text, effect.urgent)
+                out += copy.broadcast_user_message(now, effect.about, effect.text, effect.urgent)
             elif isinstance(effect, Adopted):
                 self.net.dispatch(self.net.state_machine.on_zone_weights(now, *self.host.reducer.shares(now)))
             elif isinstance(effect, LogEvent):
@@ -75,7 +75,7 @@
         if path == b"/zones/explain":
             if method != b"GET":
                 return 405, "GET", []
-            return 200, self.host.explain(zone, {copy.id: copy.name, **copy.names()}), []
+            return 200, self.host.explain(zone, {copy.id: copy.name, **copy.instance_names()}), []
         if path not in (b"/zones/drain", b"/zones/undrain"):
             return 404, "there are /zones, /zones/explain, /zones/drain, /zones/undrain", []
         if method != b"POST":
@@ -91,5 +91,7 @@
 
     def _view(self, now: int, copy: MembershipStateMachine) -> dict[str, Any]:
         view = self.host.view(now, self.towards)
-        names = {f"{ident:016x}": name for ident, name in {copy.id: copy.name, **copy.names()}.items()}
+        names = {
+            f"{ident:016x}": name for ident, name in {copy.id: copy.name, **copy.instance_names()}.items()
+        }
         return {**view, "decided_by": names.get(view["decided_by"], view["decided_by"])}
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -86,7 +86,7 @@
             self.net.dispatch(effects)
             self._send(sock, wrap(ESTATE, {**told, "held": self._held()}))
             if self.net.gossip is not None:
-                self.net.gossip.tell("cede")
+                self.net.gossip.notify("cede")
             self._withdraw()
             got = self._next(sock, frames, None)
             if got is not None and got[0] == BYE:
@@ -98,7 +98,7 @@
             if over:
                 self.net.pool.most = self.most
                 if self.net.gossip is not None and self.net.state_machine.stop_us < 0:
-                    self.net.gossip.tell("resume")
+                    self.net.gossip.notify("resume")
                 self.net.dispatch(self.net.state_machine.on_successor_failed(self.net.now()))
 
     def _held(self) -> list[int]:
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -17,9 +17,15 @@
 
 from cressrail.configuration.membership import MembershipConfiguration
 from cressrail.event_loop.scheduler import MAIL, READ
-from cressrail.membership.load_reports import PeerReports
-from cressrail.membership.messages import Command, InstanceCount, Report, Send, Word
-from cressrail.membership.peer_reports import Hearing
+from cressrail.membership.load_reports import PeerLoadSummary
+from cressrail.membership.messages import (
+    Command,
+    InstanceCount,
+    RequestLoadReports,
+    SendDatagram,
+    UserMessage,
+)
+from cressrail.membership.peer_reports import PeerReportTranslator
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.policy.load_balancer import RandomGenerator
@@ -27,23 +33,25 @@
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import FailoverDriver
 
-AT_ONCE = 32  # datagrams read before others get their turn: guards against a flood that holds up transactions
-PIECE = 2048  # more than any datagram of a copy: a longer one shows as such
-AGAIN_US = 50_000  # until the address is tried again that another process of this sidecar still holds
-QUEUE = 1 << 18  # bytes that wait while this process is at other work
-CONTROL = 256  # bytes of what the kernel says beside a datagram that was refused
+MAX_DATAGRAMS_PER_TURN = (
+    32  # datagrams read before others get their turn: guards against a flood that holds up transactions
+)
+RECEIVE_BYTES = 2048  # more than any datagram of a copy: a longer one shows as such
+BIND_RETRY_US = 50_000  # until the address is tried again that another process of this sidecar still holds
+RECEIVE_BUFFER_BYTES = 1 << 18  # bytes that wait while this process is at other work
+ANCILLARY_BYTES = 256  # bytes of what the kernel says beside a datagram that was refused
 # ip(7) and ipv6(7): that refusals are kept, with where the datagram went
-RECVERR = {socket.AF_INET: (socket.IPPROTO_IP, 11), socket.AF_INET6: (socket.IPPROTO_IPV6, 25)}
-CEDE, RESUME, LEAVE = "cede", "resume", "leave"
+RECEIVE_ERROR_OPTIONS = {socket.AF_INET: (socket.IPPROTO_IP, 11), socket.AF_INET6: (socket.IPPROTO_IPV6, 25)}
+YIELD, RESUME, LEAVE = "cede", "resume", "leave"
 
 
-def bind(part: MembershipConfiguration) -> socket.socket:
+def bind_datagram_socket(part: MembershipConfiguration) -> socket.socket:
     family = socket.AF_INET6 if ":" in part.listen[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, QUEUE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         if sys.platform == "linux":
-            sock.setsockopt(*RECVERR[family], 1)
+            sock.setsockopt(*RECEIVE_ERROR_OPTIONS[family], 1)
         sock.bind(part.listen)
     except OSError as fault:
         sock.close()
@@ -57,26 +65,28 @@
     """Owns the socket. `waits`: another process of this sidecar may hold the address still."""
 
     def __init__(self, net: CommandDispatcher, part: MembershipConfiguration, waits: bool) -> None:
-        self.net, self.part = net, part
-        self.sock = None if waits else bind(part)
-        self.copy = self._copy()
-        self.hearing = Hearing()
-        self.zones: FailoverDriver | None = None
+        self.net, self.configuration = net, part
+        self.sock = None if waits else bind_datagram_socket(part)
+        self.instance = self._new_instance()
+        self.report_translator = PeerReportTranslator()
+        self.failover: FailoverDriver | None = None
         self.task = net.loop.spawn(self.run, first=True)
 
-    def _copy(self) -> MembershipStateMachine:
+    def _new_instance(self) -> MembershipStateMachine:
         now = self.net.now()
         chance = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
-        return MembershipStateMachine(self.part.settings, chance, now, chance.below(1 << 32), now // 1000)
+        return MembershipStateMachine(
+            self.configuration.settings, chance, now, chance.below(1 << 32), now // 1000
+        )
 
-    def _zones(self) -> FailoverDriver | None:
-        if self.part.failover is None:
+    def _new_failover_driver(self) -> FailoverDriver | None:
+        if self.configuration.failover is None:
             return None
         from cressrail.network.failover_driver import (
             FailoverDriver,
         )  # nothing of it is loaded where it is off
 
-        return FailoverDriver(self.net, self.part.failover, self.copy)
+        return FailoverDriver(self.net, self.configuration.failover, self.instance)
 
     def run(self) -> None:
         task = self.net.loop.current
@@ -86,12 +96,12 @@
                 if self.sock is None and not self._open(task.mail):
                     return
                 assert self.sock is not None
-                self.zones = self._zones()
-                self._carry(self.copy.start(self.net.now()))
+                self.failover = self._new_failover_driver()
+                self._execute(self.instance.start(self.net.now()))
                 goes_on = self._serve(self.sock, task.mail)
-                if self.zones is not None:
-                    self.zones.close()
-                    self.zones = None
+                if self.failover is not None:
+                    self.failover.close()
+                    self.failover = None
                 if not goes_on:
                     return
                 self._close()
@@ -99,17 +109,19 @@
                     self.net.loop.wait()
                 if task.mail.popleft() != RESUME:
                     return
-                self.copy = self._copy()  # the other process was this copy meanwhile: this one begins anew
+                self.instance = (
+                    self._new_instance()
+                )  # the other process was this copy meanwhile: this one begins anew
         finally:
             self._close()
 
     def _open(self, mail: Any) -> bool:
         while not mail:
             try:
-                self.sock = bind(self.part)
+                self.sock = bind_datagram_socket(self.configuration)
                 return True
             except OSError:
-                self.net.loop.wait(until_us=self.net.now() + AGAIN_US)
+                self.net.loop.wait(until_us=self.net.now() + BIND_RETRY_US)
         return False
 
     def _close(self) -> None:
@@ -120,87 +132,95 @@
     def _serve(self, sock: socket.socket, mail: Any) -> bool:
         """Until told to cede; false once it has left for good."""
         while True:
-            wake_us = self.copy.wake_us if self.zones is None else min(self.copy.wake_us, self.zones.wake_us)
+            wake_us = (
+                self.instance.next_timer_us
+                if self.failover is None
+                else min(self.instance.next_timer_us, self.failover.wake_us)
+            )
             why = self.net.loop.wait(sock.fileno(), READ, wake_us)
             if mail:
                 told = mail.popleft()
-                self._carry(self.copy.leave(self.net.now(), tell=told == LEAVE))
-                return bool(told == CEDE)
+                self._execute(self.instance.leave(self.net.now(), announces=told == LEAVE))
+                return bool(told == YIELD)
             if why != MAIL:
                 self._read(sock)
-                self._refusals(sock)
-            if self.net.now() >= self.copy.wake_us:
-                self._carry(self.copy.woke(self.net.now()))
-            if self.zones is not None and self.net.now() >= self.zones.wake_us:
-                self._carry(self.zones.woke(self.copy))
+                self._read_refusals(sock)
+            if self.net.now() >= self.instance.next_timer_us:
+                self._execute(self.instance.on_timer(self.net.now()))
+            if self.failover is not None and self.net.now() >= self.failover.wake_us:
+                self._execute(self.failover.woke(self.instance))
 
     def _read(self, sock: socket.socket) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data = sock.recv(PIECE)
+                data = sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 return
             except OSError:  # told of an earlier datagram that did not arrive
                 continue
-            self._carry(self.copy.heard(self.net.now(), data))
+            self._execute(self.instance.on_datagram(self.net.now(), data))
 
-    def _carry(self, effects: list[Command]) -> None:
+    def _execute(self, effects: list[Command]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendDatagram):
                 self._send(effect)
             elif isinstance(effect, InstanceCount):
-                told = {"all": round(effect.all, 2), "near": round(effect.in_zone, 2)}
+                told = {"all": round(effect.total, 2), "near": round(effect.in_zone, 2)}
                 self.net.log.write_event("copies_counted", told)
                 self.net.dispatch(
-                    self.net.state_machine.on_instance_count(self.net.now(), effect.all, effect.in_zone)
+                    self.net.state_machine.on_instance_count(self.net.now(), effect.total, effect.in_zone)
                 )
-            elif isinstance(effect, PeerReports):
+            elif isinstance(effect, PeerLoadSummary):
                 reducer = self.net.state_machine
-                heard = self.hearing.meant(effect, reducer.load_balancer, reducer.registry)
+                heard = self.report_translator.to_endpoint_indices(
+                    effect, reducer.load_balancer, reducer.registry
+                )
                 self.net.dispatch(reducer.on_peer_reports(self.net.now(), *heard))
-            elif isinstance(effect, Word):
-                if self.zones is not None:
-                    self._carry(self.zones.heard(self.copy, effect))
-            elif isinstance(effect, Report):
+            elif isinstance(effect, UserMessage):
+                if self.failover is not None:
+                    self._execute(self.failover.heard(self.instance, effect))
+            elif isinstance(effect, RequestLoadReports):
                 now, reducer = self.net.now(), self.net.state_machine
-                self.copy.say(now, self.hearing.words(now, reducer.load_balancer, reducer.registry))
+                self.instance.set_own_load_reports(
+                    now, self.report_translator.own_reports(now, reducer.load_balancer, reducer.registry)
+                )
             else:
                 self.net.log.write_event(effect.event, effect.fields)
 
-    def _send(self, effect: Send) -> None:
+    def _send(self, effect: SendDatagram) -> None:
         for _ in range(2):  # the first may be told, in place of sending, that an earlier one was refused
             with suppress(OSError):  # as good as lost on its way
                 if self.sock is not None:
-                    self.sock.sendto(effect.data, effect.to)
+                    self.sock.sendto(effect.payload, effect.destination)
                 return
 
-    def _refusals(self, sock: socket.socket) -> None:
+    def _read_refusals(self, sock: socket.socket) -> None:
         """Whose addresses refused: the kernel keeps each with where the datagram went."""
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                _, about, _, address = sock.recvmsg(0, CONTROL, socket.MSG_ERRQUEUE)
+                _, about, _, address = sock.recvmsg(0, ANCILLARY_BYTES, socket.MSG_ERRQUEUE)
             except OSError:
                 return
             for _, _, told in about:
                 if len(told) >= 4 and int.from_bytes(told[:4], sys.byteorder) == errno.ECONNREFUSED:
-                    self._carry(self.copy.refused(self.net.now(), address[:2]))
+                    self._execute(self.instance.on_connection_refused(self.net.now(), address[:2]))
 
     # What other tasks ask of it
 
-    def tell(self, what: str) -> None:
+    def notify(self, what: str) -> None:
         self.net.loop.post(self.task, what)
 
-    def rekey(self, part: MembershipConfiguration) -> None:
-        self.copy.rekey(part.settings.keys)
+    def set_keys(self, part: MembershipConfiguration) -> None:
+        self.instance.set_keys(part.settings.keys)
         self.net.log.write_event("membership_keys", {"keys": len(part.settings.keys)})
 
-    def asked(self, method: bytes, target: bytes) -> tuple[int, Any]:
+    def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
         """What an operator asks of zones."""
-        if self.zones is None:
+        if self.failover is None:
             return 404, "no part failover in the configuration"
-        status, told, effects = self.zones.asked(self.copy, method, target)
-        self._carry(effects)
+        status, told, effects = self.failover.asked(self.instance, method, target)
+        self._execute(effects)
         return status, told
 
-    def page(self) -> bytes:
-        return orjson.dumps(self.copy.view(self.net.now()), option=orjson.OPT_APPEND_NEWLINE)
+    def view_json(self) -> bytes:
+        return orjson.dumps(self.instance.view(self.net.now()), option=orjson.OPT_APPEND_NEWLINE)
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -28,7 +28,7 @@
             if signal.SIGTERM in heard or signal.SIGINT in heard:
                 net.dispatch(net.state_machine.on_stop_requested(net.now()))
                 if net.gossip is not None:
-                    net.gossip.tell("leave")
+                    net.gossip.notify("leave")
 
     signal.set_wakeup_fd(waking.fileno(), warn_on_full_buffer=False)
     for name in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
--- a/cressrail/testbed/flood.py
+++ b/cressrail/testbed/flood.py
@@ -12,17 +12,17 @@
 from pathlib import Path
 
 from cressrail.membership import codec
-from cressrail.membership.authentication import seal
-from cressrail.membership.messages import ALIVE, Record
+from cressrail.membership.authentication import sign_datagram
+from cressrail.membership.messages import ALIVE, InstanceRecord
 
 TURN_S = 0.002  # between two bursts
 
 
 def pieces(key: bytes, seed: int = 1) -> list[bytes]:
     """One of each kind."""
-    own = codec.record(Record("ghost", "a", ("127.99.0.1", 9), 1, 7, ALIVE))
-    sound = codec.wrap(codec.NEWS, 1, own)
-    replayed, forged = seal(key, sound), seal(os.urandom(32), sound)
+    own = codec.encode_record(InstanceRecord("ghost", "a", ("127.99.0.1", 9), 1, 7, ALIVE))
+    sound = codec.encode_datagram(codec.GOSSIP, 1, own)
+    replayed, forged = sign_datagram(key, sound), sign_datagram(os.urandom(32), sound)
     chance = random.Random(seed)
     return [
         replayed,
--- a/tests/golden/record_membership.py
+++ b/tests/golden/record_membership.py
@@ -85,10 +85,10 @@
     ]
     odd += [text[:-1], text + b"\x04\x03abc", text + b"\x02", text + b"\x09" + b"\x13" + b"\xff" * 19]
     odd += [text + bytes([1, 4]) + b"\0" * 4, text + bytes([2, 29]) + b"\xff" * 29]
-    from cressrail.membership.authentication import seal
+    from cressrail.membership.authentication import sign_datagram
     from tests.golden.test_membership_datagrams import KEY
 
-    refused += [seal(KEY, part) for part in odd]
+    refused += [sign_datagram(KEY, part) for part in odd]
     neutral.store(
         FILE,
         {
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -8,9 +8,9 @@
 import pytest
 
 from cressrail.membership import codec
-from cressrail.membership.authentication import opened, seal
+from cressrail.membership.authentication import sign_datagram, verified_payload
 from cressrail.membership.load_reports import LoadReport
-from cressrail.membership.messages import Brief, Edge, Record, Span
+from cressrail.membership.messages import IdRange, InstanceRecord, InstanceStatus, ReachabilityReport
 from tests.golden.neutral import neutral, stored, tuples
 
 FILE = "membership-datagrams.json"
@@ -22,39 +22,41 @@
     """One field from its stored name and values."""
     told = tuples(value)
     if name == "record":
-        return codec.record(Record(*told))
+        return codec.encode_record(InstanceRecord(*told))
     if name == "brief":
-        return codec.brief(Brief(*told))
+        return codec.encode_status(InstanceStatus(*told))
     if name == "self":
-        return codec.self_(Brief(*told))
+        return codec.encode_own_status(InstanceStatus(*told))
     if name == "edge":
-        return codec.edge(Edge(*told))
+        return codec.encode_reachability(ReachabilityReport(*told))
     if name == "call":
-        return codec.call(codec.Call(*told))
+        return codec.encode_ping_reference(codec.PingReference(*told))
     if name == "span":
-        return codec.span(Span(*told))
+        return codec.encode_id_range(IdRange(*told))
     if name == "hint":
-        return codec.hint(LoadReport(*told))
+        return codec.encode_load_report(LoadReport(*told))
     if name == "word":
-        return codec.word(bytes.fromhex(value))
+        return codec.encode_user_message(bytes.fromhex(value))
     if name == "said":
-        return codec.said(value[0], bytes.fromhex(value[1]))
+        return codec.encode_user_broadcast(value[0], bytes.fromhex(value[1]))
     if name == "digest":
-        return codec.digest([Brief(*row) for row in told])
+        return codec.encode_digest([InstanceStatus(*row) for row in told])
     if name == "pad":
-        return codec.pad(value)
+        return codec.encode_padding(value)
     assert name == "raw", name
     return bytes.fromhex(value)
 
 
 def encoded(kind: int, number: int, given: list[Any]) -> bytes:
-    return seal(KEY, codec.wrap(kind, number, b"".join(field(name, value) for name, value in given)))
+    return sign_datagram(
+        KEY, codec.encode_datagram(kind, number, b"".join(field(name, value) for name, value in given))
+    )
 
 
 def decoded(data: bytes) -> Any:
-    text = opened((OTHER, KEY), data)
+    text = verified_payload((OTHER, KEY), data)
     assert text is not None
-    return neutral(codec.read(text))
+    return neutral(codec.decode_datagram(text))
 
 
 @pytest.mark.parametrize("case", STORED["fields"], ids=lambda case: str(case[0]))
@@ -72,10 +74,10 @@
 
 @pytest.mark.parametrize("data", STORED["refused"])
 def test_what_was_refused_is_refused(data: str) -> None:
-    text = opened((OTHER, KEY), bytes.fromhex(data))
+    text = verified_payload((OTHER, KEY), bytes.fromhex(data))
     if text is not None:
         with pytest.raises(codec.MalformedDatagramError):
-            codec.read(text)
+            codec.decode_datagram(text)
 
 
 def test_every_kind_is_stored() -> None:
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -20,20 +20,27 @@
 from cressrail.experiment.fleet_faults import figures
 from cressrail.experiment.play import play_world
 from cressrail.membership import codec
-from cressrail.membership.authentication import seal
-from cressrail.membership.live_count import BOUND, FADE, FALL, YOUNG, Live, Seen
+from cressrail.membership.authentication import sign_datagram
+from cressrail.membership.live_count import (
+    DECREASE_HALF_LIFE_PAUSES,
+    FALLBACK_HALF_LIFE_PAUSES,
+    MAX_DEVIATION_FACTOR,
+    STARTUP_PAUSES,
+    LiveInstanceCount,
+    ObservedInstances,
+)
 from cressrail.membership.load_reports import (
-    COLD,
     FAILING,
-    KINDS,
-    MOST_OF_ONE,
-    WEIGHT,
-    Hints,
+    MAX_PER_INSTANCE,
+    REPORT_KINDS,
+    TRAFFIC,
+    WARMUP_LOAD,
     LoadReport,
-    PeerReports,
+    PeerLoadReports,
+    PeerLoadSummary,
 )
-from cressrail.membership.messages import ALIVE, USES, Record
-from cressrail.membership.peer_reports import Hearing
+from cressrail.membership.messages import ALIVE, USES, InstanceRecord
+from cressrail.membership.peer_reports import PeerReportTranslator
 from cressrail.membership.simulation import World
 from cressrail.policy.load_balancer import LEFT_OUT_US, TenantQuotas
 from cressrail.proxy.endpoint_registry import EndpointRegistry
@@ -44,8 +51,10 @@
 OLD = 100 * SECOND
 
 
-def seen(alive: int, silent: int = 0, near: int = 1, near_silent: int = 0, sure: bool = True) -> Seen:
-    return Seen(alive, silent, near, near_silent, sure)
+def seen(
+    alive: int, silent: int = 0, near: int = 1, near_silent: int = 0, sure: bool = True
+) -> ObservedInstances:
+    return ObservedInstances(alive, silent, near, near_silent, sure)
 
 
 # The count
@@ -57,65 +66,76 @@
 
 @given(some.integers(1, 200), some.lists(some.tuples(some.integers(0, 30 * SECOND), SEEN), max_size=30))
 def test_what_is_believed_stays_within_bounds_and_is_no_less_than_who_is_heard(
-    figure: int, told: list[tuple[int, Seen]]
+    figure: int, told: list[tuple[int, ObservedInstances]]
 ) -> None:
-    live, now = Live(figure, BEAR, 0), 0
+    live, now = LiveInstanceCount(figure, BEAR, 0), 0
     for span_us, one in told:
         now += span_us
-        before = live.believed
-        copies = live.weigh(now, one)
-        assert max(1.0, figure / BOUND) <= copies.all <= figure * BOUND and 0 < copies.in_zone <= copies.all
-        assert copies.all >= min(one.alive, figure * BOUND)
-        if now < YOUNG * BEAR or not one.sure or one.alive <= one.silent:  # no evidence of fewer
-            assert copies.all >= min(before, figure)
+        before = live.estimate
+        copies = live.update(now, one)
+        assert (
+            max(1.0, figure / MAX_DEVIATION_FACTOR) <= copies.total <= figure * MAX_DEVIATION_FACTOR
+            and 0 < copies.in_zone <= copies.total
+        )
+        assert copies.total >= min(one.alive, figure * MAX_DEVIATION_FACTOR)
+        if (
+            now < STARTUP_PAUSES * BEAR or not one.has_quorum_view or one.alive <= one.silent
+        ):  # no evidence of fewer
+            assert copies.total >= min(before, figure)
 
 
 @pytest.mark.parametrize(
     "told, after_us, all_",
     [
         (seen(20), 0, 20),  # more at once
-        (seen(4), FALL * BEAR, 7),  # fewer, half of the way
-        (seen(4), 100 * FALL * BEAR, 4),
-        (seen(6, 4), 100 * FALL * BEAR, 6),  # with a majority those that are silent go too
-        (seen(4, 4), 100 * FALL * BEAR, 10),  # without one nothing goes
-        (seen(3, sure=False), 100 * FALL * BEAR, 10),
-        (seen(1), 100 * FALL * BEAR, 2.5),  # not below the bound
+        (seen(4), DECREASE_HALF_LIFE_PAUSES * BEAR, 7),  # fewer, half of the way
+        (seen(4), 100 * DECREASE_HALF_LIFE_PAUSES * BEAR, 4),
+        (
+            seen(6, 4),
+            100 * DECREASE_HALF_LIFE_PAUSES * BEAR,
+            6,
+        ),  # with a majority those that are silent go too
+        (seen(4, 4), 100 * DECREASE_HALF_LIFE_PAUSES * BEAR, 10),  # without one nothing goes
+        (seen(3, sure=False), 100 * DECREASE_HALF_LIFE_PAUSES * BEAR, 10),
+        (seen(1), 100 * DECREASE_HALF_LIFE_PAUSES * BEAR, 2.5),  # not below the bound
         (seen(200), 0, 40),
     ],
 )
 def test_more_are_believed_at_once_and_fewer_slowly_on_evidence(
-    told: Seen, after_us: int, all_: float
+    told: ObservedInstances, after_us: int, all_: float
 ) -> None:
-    live = Live(10, BEAR, 0)
-    live.weigh(OLD, seen(10))
-    assert live.weigh(OLD + after_us, told).all == pytest.approx(all_, abs=0.01)
+    live = LiveInstanceCount(10, BEAR, 0)
+    live.update(OLD, seen(10))
+    assert live.update(OLD + after_us, told).total == pytest.approx(all_, abs=0.01)
 
 
 def test_a_belief_that_is_no_longer_fed_goes_back_to_the_settings_with_age() -> None:
-    live = Live(10, BEAR, 0)
-    live.weigh(OLD, seen(30))
-    live.weigh(OLD + FADE * BEAR, seen(1, sure=False))
-    assert live.believed == pytest.approx(20)
-    live.weigh(OLD + 1000 * BEAR, seen(1, sure=False))
-    assert live.believed == pytest.approx(10)
-    live.weigh(OLD + 2000 * BEAR, seen(4))
-    live.weigh(OLD + 3000 * BEAR, seen(1, sure=False))
-    assert live.believed == pytest.approx(10)
+    live = LiveInstanceCount(10, BEAR, 0)
+    live.update(OLD, seen(30))
+    live.update(OLD + FALLBACK_HALF_LIFE_PAUSES * BEAR, seen(1, sure=False))
+    assert live.estimate == pytest.approx(20)
+    live.update(OLD + 1000 * BEAR, seen(1, sure=False))
+    assert live.estimate == pytest.approx(10)
+    live.update(OLD + 2000 * BEAR, seen(4))
+    live.update(OLD + 3000 * BEAR, seen(1, sure=False))
+    assert live.estimate == pytest.approx(10)
 
 
 # In virtual time
 
 
 def fleet(size: int, **more: Any) -> World:
-    made = World(size, 3, change=lambda told: replace(told, figure=size, use=USES), **more)
+    made = World(
+        size, 3, change=lambda told: replace(told, configured_instance_count=size, uses=USES), **more
+    )
     made.start_all()
-    made.run(20 * SECOND)
+    made.run_until(20 * SECOND)
     return made
 
 
 def counted(made: World, of: list[str] | None = None) -> list[float]:
-    up = [p for p in made.up() if of is None or p.settings.name in of]
-    return [p.copy.counted.all for p in up if p.copy.counted is not None]
+    up = [p for p in made.running_processes() if of is None or p.settings.name in of]
+    return [p.instance.instance_count.total for p in up if p.instance.instance_count is not None]
 
 
 @pytest.mark.parametrize("refuses, low, high", [(True, 9.0, 11.0), (False, 22.0, 30.0)])
@@ -127,43 +147,45 @@
     for n in range(21):
         made.kill(f"copy{n}")
     for _ in range(80):
-        made.run(made.now + SECOND // 2)
+        made.run_until(made.now + SECOND // 2)
         assert min(counted(made)) >= 9.0  # never fewer than there are
     assert low <= min(counted(made)) and max(counted(made)) <= high
     for n in range(21):
         made.start(n)
-    made.run(made.now + 4 * SECOND)
+    made.run_until(made.now + 4 * SECOND)
     assert min(counted(made)) >= 29.0
 
 
 def test_the_smaller_part_of_a_split_goes_on_by_the_settings() -> None:
     made, small = fleet(20), [f"copy{n}" for n in range(6)]
-    made.cut = lambda a, b: (a in small) != (b in small)
-    made.run(made.now + 60 * SECOND)
+    made.is_cut = lambda a, b: (a in small) != (b in small)
+    made.run_until(made.now + 60 * SECOND)
     assert min(counted(made, small)) > 18 and 13.9 < min(counted(made)) < 15
-    made.cut = lambda _a, _b: False
-    made.run(made.now + 60 * SECOND)
+    made.is_cut = lambda _a, _b: False
+    made.run_until(made.now + 60 * SECOND)
     assert min(counted(made)) > 19
 
 
 def liar(nth: int, names: list[str], key: bytes) -> bytes:
     """A datagram with a valid key that says that all of these are up, at an address where nobody is."""
-    own = codec.record(Record("liar", "a", ("127.99.0.1", 9), nth + 1, 7, ALIVE))
-    lies = b"".join(codec.record(Record(name, "a", ("127.99.0.2", 9), nth + 1, 8, ALIVE)) for name in names)
-    return seal(key, codec.wrap(codec.NEWS, nth + 1, own + lies))
+    own = codec.encode_record(InstanceRecord("liar", "a", ("127.99.0.1", 9), nth + 1, 7, ALIVE))
+    lies = b"".join(
+        codec.encode_record(InstanceRecord(name, "a", ("127.99.0.2", 9), nth + 1, 8, ALIVE)) for name in names
+    )
+    return sign_datagram(key, codec.encode_datagram(codec.GOSSIP, nth + 1, own + lies))
 
 
 def test_a_copy_that_lies_moves_the_count_within_bounds_and_not_for_good() -> None:
     made = fleet(6)
     for nth in range(200):
-        for process in made.up():
+        for process in made.running_processes():
             lies = [f"none{(nth * 8 + k) % 100}" for k in range(8)]
-            process.copy.heard(made.now, liar(nth, lies, process.settings.keys[0]))
-        made.run(made.now + SECOND // 20)
-        assert all(count <= 6 * BOUND for count in counted(made))
+            process.instance.on_datagram(made.now, liar(nth, lies, process.settings.keys[0]))
+        made.run_until(made.now + SECOND // 20)
+        assert all(count <= 6 * MAX_DEVIATION_FACTOR for count in counted(made))
     assert max(counted(made)) > 12
-    assert not [told for told in made.losses() if told.of.startswith("copy")]
-    made.run(made.now + 400 * SECOND)
+    assert not [told for told in made.death_reports() if told.subject.startswith("copy")]
+    made.run_until(made.now + 400 * SECOND)
     assert max(counted(made)) < 8
 
 
@@ -201,7 +223,7 @@
     some.integers(0, 2),  # incarnation
     some.builds(
         LoadReport,
-        some.sampled_from(KINDS),
+        some.sampled_from(REPORT_KINDS),
         some.integers(0, 2),
         some.integers(0, 9),
         some.integers(0, 3),
@@ -215,25 +237,25 @@
     words: list[tuple[int, int, LoadReport]], chance: Any
 ) -> None:
     def merged(told: list[tuple[int, int, LoadReport]]) -> dict[int, dict[Any, Any]]:
-        hints = Hints(PERIOD)
+        hints = PeerLoadReports(PERIOD)
         for by, incarnation, one in told:
-            hints.hear(OLD, by, incarnation, 0, one)
-        assert hints.size == sum(map(len, hints.kept.values()))
-        return hints.kept
+            hints.apply_peer_report(OLD, by, incarnation, 0, one)
+        assert hints.stored_count == sum(map(len, hints.peer_reports.values()))
+        return hints.peer_reports
 
     # One who counts up never says two things under one count.
-    words = [(by, inc, one._replace(value=one.nth)) for by, inc, one in words]
+    words = [(by, inc, one._replace(value=one.sequence)) for by, inc, one in words]
     assert merged(words) == merged(chance.sample(words, len(words))) == merged(words + words)
 
 
 @pytest.mark.parametrize(
     "said, copies, failing, cold, weight",
     [
-        ({2: [(WEIGHT, 0, 4000)], 3: [(WEIGHT, 0, 8000)]}, 3, (), {}, 13),
-        ({n: [(WEIGHT, 0, 4000)] for n in (2, 3, 4)}, 101, (), {}, 401),  # the mean of those heard, for all
-        ({2: [(WEIGHT, 0, 4000)], 3: [(WEIGHT, 0, 4000)]}, 101, (), {}, 1),  # too few to stand for the rest
-        ({2: [(COLD, 7, 500)], 3: [(COLD, 7, 0)]}, 3, (), {7: 0.5}, 1),
-        ({n: [(COLD, 7, 500)] for n in (2, 3)}, 9, (), {}, 1),
+        ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 8000)]}, 3, (), {}, 13),
+        ({n: [(TRAFFIC, 0, 4000)] for n in (2, 3, 4)}, 101, (), {}, 401),  # the mean of those heard, for all
+        ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 4000)]}, 101, (), {}, 1),  # too few to stand for the rest
+        ({2: [(WARMUP_LOAD, 7, 500)], 3: [(WARMUP_LOAD, 7, 0)]}, 3, (), {7: 0.5}, 1),
+        ({n: [(WARMUP_LOAD, 7, 500)] for n in (2, 3)}, 9, (), {}, 1),
         ({2: [(FAILING, 7, 1)], 3: [(FAILING, 7, 1)]}, 3, (7,), {}, 1),
         ({2: [(FAILING, 7, 1)], 3: [(FAILING, 7, 0)]}, 3, (), {}, 1),  # one may be wrong, or lie
         ({n: [(FAILING, 7, int(n < 4))] for n in range(2, 10)}, 9, (), {}, 1),  # less than a third
@@ -242,35 +264,39 @@
 def test_what_words_come_to(
     said: dict[int, list[tuple[int, int, int]]], copies: int, failing: Any, cold: Any, weight: float
 ) -> None:
-    hints = Hints(PERIOD)
-    hints.say(0, [(WEIGHT, 0, 1000)])
+    hints = PeerLoadReports(PERIOD)
+    hints.set_own_reports(0, [(TRAFFIC, 0, 1000)])
     for by, words in said.items():
-        other = Hints(PERIOD)
-        other.say(0, words)
-        for one in other.take(0, 1000):
-            hints.hear(0, by, 1, 1, one)
-    told = hints.sums(0, copies, said)
-    assert told.failing == failing and told.cold == {about: rate / 1e6 for about, rate in cold.items()}
-    assert told.weight == pytest.approx(weight / 1e6)
-    later = hints.sums(61 * PERIOD, copies, said)
-    assert later.failing == () and later.cold == {} and hints.size == 0
+        other = PeerLoadReports(PERIOD)
+        other.set_own_reports(0, words)
+        for one in other.next_reports(0, 1000):
+            hints.apply_peer_report(0, by, 1, 1, one)
+    told = hints.summarize(0, copies, said)
+    assert told.failing_endpoints == failing and told.warmup_loads == {
+        about: rate / 1e6 for about, rate in cold.items()
+    }
+    assert told.total_traffic == pytest.approx(weight / 1e6)
+    later = hints.summarize(61 * PERIOD, copies, said)
+    assert later.failing_endpoints == () and later.warmup_loads == {} and hints.stored_count == 0
 
 
 def test_who_says_much_gets_each_word_said_and_is_kept_within_bounds() -> None:
-    much, hints = Hints(PERIOD), Hints(PERIOD)
-    much.say(0, [(COLD, n, n) for n in range(1000)])
+    much, hints = PeerLoadReports(PERIOD), PeerLoadReports(PERIOD)
+    much.set_own_reports(0, [(WARMUP_LOAD, n, n) for n in range(1000)])
     for _ in range(300):
-        pieces = much.take(0, 130)
+        pieces = much.next_reports(0, 130)
         assert 0 < len(pieces) <= 6
         for one in pieces:
-            hints.hear(0, 2, 1, 1, one)
-    assert len(hints.kept[2]) == hints.size == MOST_OF_ONE and set(much.told.values()) == {1, 2}
-    much.say(PERIOD, [])
-    assert {value for value, _, _ in much.own.values()} == {0}
-    much.say(100 * PERIOD, [])
-    assert much.own == {} and much.take(0, 10) == []
-    hints.forget(2)
-    assert hints.size == 0
+            hints.apply_peer_report(0, 2, 1, 1, one)
+    assert len(hints.peer_reports[2]) == hints.stored_count == MAX_PER_INSTANCE and set(
+        much.times_sent.values()
+    ) == {1, 2}
+    much.set_own_reports(PERIOD, [])
+    assert {value for value, _, _ in much.own_reports.values()} == {0}
+    much.set_own_reports(100 * PERIOD, [])
+    assert much.own_reports == {} and much.next_reports(0, 10) == []
+    hints.forget_instance(2)
+    assert hints.stored_count == 0
 
 
 def roster(names: str) -> EndpointRegistry:
@@ -284,15 +310,15 @@
 
 
 def test_words_go_from_one_sidecar_to_another_by_the_endpoints_names() -> None:
-    hearing, now = Hearing(), 4 * SECOND
+    hearing, now = PeerReportTranslator(), 4 * SECOND
     one = sidecar([entry(0), entry(1, started_us=now), entry(2)])
     one.on_connection_lost(now, 2)
-    first = hearing.words(now, one, roster("xyz"))
+    first = hearing.own_reports(now, one, roster("xyz"))
     one.endpoints[1].slow_start_attempts += 4
-    words = hearing.words(now + 2 * SECOND, one, roster("xyz"))
-    x, y, z = map(hearing.number, "xyz")
-    assert (FAILING, z, 1) in first and (COLD, y, 0) in first and (COLD, y, 2000) in words
-    meant = hearing.meant(PeerReports((z, 99), {y: 0.5, 98: 1.0}, 3.0), one, roster("zyx"))
+    words = hearing.own_reports(now + 2 * SECOND, one, roster("xyz"))
+    x, y, z = map(hearing.endpoint_number, "xyz")
+    assert (FAILING, z, 1) in first and (WARMUP_LOAD, y, 0) in first and (WARMUP_LOAD, y, 2000) in words
+    meant = hearing.to_endpoint_indices(PeerLoadSummary((z, 99), {y: 0.5, 98: 1.0}, 3.0), one, roster("zyx"))
     assert meant == ([0], {1: (0.5, 1.0)})  # a third of all traffic, by the two others' and its own size
 
 
@@ -300,7 +326,7 @@
     side, now = sidecar([entry(n) for n in range(6)]), 20 * SECOND
     side.endpoints[3].last_outcome_us = now - SECOND  # own outcomes of late
     side.apply_peer_ejections(now, [2, 3])
-    said = Hearing().words(now, side, roster("uvwxyz"))
+    said = PeerReportTranslator().own_reports(now, side, roster("uvwxyz"))
     assert [word for word in said if word[0] == FAILING] == []  # what others said is not said on
     assert side.unavailable_endpoints(now) == [2]
     later = now + LEFT_OUT_US + 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,24 +22,33 @@
 from cressrail.configuration.membership import read_part
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.membership import codec
-from cressrail.membership.authentication import CODE, fresh, opened, seal
-from cressrail.membership.load_reports import MOST_AGE_MS, MOST_VALUE, LoadReport
+from cressrail.membership.authentication import (
+    AUTHENTICATION_BYTES,
+    advance_replay_window,
+    sign_datagram,
+    verified_payload,
+)
+from cressrail.membership.load_reports import MAX_AGE_MS, MAX_VALUE, LoadReport
 from cressrail.membership.local_health import Suspicion
-from cressrail.membership.member_table import Table
+from cressrail.membership.member_table import MemberTable
 from cressrail.membership.messages import (
     ALIVE,
-    LOST,
+    DEAD,
     SUSPECTED,
-    Brief,
-    Edge,
+    IdRange,
+    InstanceRecord,
+    InstanceStatus,
     LogEvent,
-    Record,
-    Send,
-    Settings,
-    Span,
-    order,
+    MembershipSettings,
+    ReachabilityReport,
+    SendDatagram,
+    precedence,
+)
+from cressrail.membership.reachability import (
+    CLEAR_AFTER_ANSWERED,
+    REPORT_AFTER_UNANSWERED,
+    ReachabilityReports,
 )
-from cressrail.membership.reachability import CLEAR_AFTER, MARK_AFTER, Edges
 from cressrail.membership.scenarios import simulate
 from cressrail.membership.simulation import SECOND, World
 from cressrail.membership.state_machine import MembershipStateMachine
@@ -52,13 +61,15 @@
     """A fleet that has known all its copies for a while."""
     world = World(size, seed, **more)
     world.start_all()
-    assert world.until(world.agree, 60 * SECOND)
-    world.run(world.now + 8 * SECOND)
+    assert world.run_until_met(world.all_views_agree, 60 * SECOND)
+    world.run_until(world.now + 8 * SECOND)
     return world
 
 
 def states(world: World, by: int, of: int) -> str:
-    found = [c for c in world.names[f"copy{by}"].copy.view(world.now)["copies"] if c["name"] == f"copy{of}"]
+    found = [
+        c for c in world.names[f"copy{by}"].instance.view(world.now)["copies"] if c["name"] == f"copy{of}"
+    ]
     return str(found[0]["state"])
 
 
@@ -90,29 +101,31 @@
     for seed in (1, 2):
         world = ready(size, seed)
         began = world.now
-        world.stall([f"copy{n}" for n in range(1, 1 + which)], int(for_s * SECOND))
-        world.run(began + 15 * SECOND)
-        assert world.losses(began) == [] and world.agree()
+        world.pause([f"copy{n}" for n in range(1, 1 + which)], int(for_s * SECOND))
+        world.run_until(began + 15 * SECOND)
+        assert world.death_reports(began) == [] and world.all_views_agree()
 
 
 @pytest.mark.parametrize("which", [1, 4])
 def test_a_longer_pause_is_a_loss_and_ends_without_a_restart(which: int) -> None:
     world = ready(12)
     began = world.now
-    world.stall([f"copy{n}" for n in range(1, 1 + which)], 10 * SECOND)
-    world.run(began + 9 * SECOND)
-    assert {told.of for told in world.losses(began)} == {f"copy{n}" for n in range(1, 1 + which)}
-    assert world.until(world.agree, 10 * SECOND)
+    world.pause([f"copy{n}" for n in range(1, 1 + which)], 10 * SECOND)
+    world.run_until(began + 9 * SECOND)
+    assert {told.subject for told in world.death_reports(began)} == {f"copy{n}" for n in range(1, 1 + which)}
+    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
     # Who wakes takes nobody for dead, however much its own timers are late.
-    assert {told.by for told in world.losses(began)}.isdisjoint(f"copy{n}" for n in range(1, 1 + which))
+    assert {told.reporter for told in world.death_reports(began)}.isdisjoint(
+        f"copy{n}" for n in range(1, 1 + which)
+    )
 
 
 @pytest.mark.parametrize("size, seed", [(12, 1), (12, 2), (5, 3)])
 def test_a_third_of_the_datagrams_lost_both_ways_makes_no_loss(size: int, seed: int) -> None:
     world = ready(size, seed, loss=0.3)
     began = world.now
-    world.run(began + 60 * SECOND)
-    assert world.losses() == [] and world.agree()
+    world.run_until(began + 60 * SECOND)
+    assert world.death_reports() == [] and world.all_views_agree()
     assert events(world, began)["copy_partly"] <= 1
 
 
@@ -123,19 +136,21 @@
 def test_a_cut_one_way_between_two_is_told_as_such_by_all(a: int, b: int) -> None:
     world = ready(5, 1 + 5 * a + b)
     began = world.now
-    world.cut = lambda one, other: (one, other) == (f"copy{a}", f"copy{b}")
-    world.run(began + 20 * SECOND)
+    world.is_cut = lambda one, other: (one, other) == (f"copy{a}", f"copy{b}")
+    world.run_until(began + 20 * SECOND)
     [other, *_] = [n for n in range(5) if n not in (a, b)]
     view = {
         c["name"]: c["cannot_reach"]
-        for c in world.names[f"copy{other}"].copy.view(world.now)["copies"]
+        for c in world.names[f"copy{other}"].instance.view(world.now)["copies"]
         if c["state"] == "partly"
     }
     assert view == {f"copy{a}": [f"copy{b}"], f"copy{b}": [f"copy{a}"]}
     seen = events(world, began)
     assert set(seen) == {"copy_partly"} and seen["copy_partly"] == 2  # said once by each: no flapping
-    world.cut = lambda *_: False
-    assert world.until(lambda: states(world, other, a) == states(world, other, b) == "alive", 20 * SECOND)
+    world.is_cut = lambda *_: False
+    assert world.run_until_met(
+        lambda: states(world, other, a) == states(world, other, b) == "alive", 20 * SECOND
+    )
 
 
 def odd_from_even(a: str, b: str) -> bool:
@@ -158,48 +173,52 @@
     for seed in (1, 2) if size < 12 else (1,):
         world = ready(size, seed)
         began = world.now
-        world.cut = cut
-        world.run(began + 50 * SECOND)
-        assert world.losses(began) == []
+        world.is_cut = cut
+        world.run_until(began + 50 * SECOND)
+        assert world.death_reports(began) == []
         settled = events(world, began + 30 * SECOND)
         assert settled["copy_lost"] == 0 and settled["copy_suspected"] <= 2  # and none of them flaps for long
-        world.cut = lambda *_: False
-        assert world.until(world.agree, 20 * SECOND)
+        world.is_cut = lambda *_: False
+        assert world.run_until_met(world.all_views_agree, 20 * SECOND)
 
 
 def test_one_that_hears_nobody_is_not_lost_to_those_who_hear_it_and_accuses_none() -> None:
     world = ready(12)
     began = world.now
-    world.cut = lambda _, b: b == "copy3"
-    world.run(began + 30 * SECOND)
-    assert not [told for told in world.losses(began) if told.of == "copy3"]
-    assert states(world, 5, 3) == "partly" and {told.by for told in world.losses(began)} <= {"copy3"}
-    world.cut = lambda *_: False
-    assert world.until(world.agree, 15 * SECOND)
+    world.is_cut = lambda _, b: b == "copy3"
+    world.run_until(began + 30 * SECOND)
+    assert not [told for told in world.death_reports(began) if told.subject == "copy3"]
+    assert states(world, 5, 3) == "partly" and {told.reporter for told in world.death_reports(began)} <= {
+        "copy3"
+    }
+    world.is_cut = lambda *_: False
+    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
 
 
 def test_one_that_nobody_hears_is_lost_and_comes_back() -> None:
     world = ready(12)
     began = world.now
-    world.cut = lambda a, _: a == "copy3"
-    assert world.until(lambda: all(states(world, n, 3) == "lost" for n in range(12) if n != 3), 20 * SECOND)
-    assert {told.of for told in world.losses(began)} == {"copy3"}
-    world.cut = lambda *_: False
-    assert world.until(world.agree, 15 * SECOND)
+    world.is_cut = lambda a, _: a == "copy3"
+    assert world.run_until_met(
+        lambda: all(states(world, n, 3) == "lost" for n in range(12) if n != 3), 20 * SECOND
+    )
+    assert {told.subject for told in world.death_reports(began)} == {"copy3"}
+    world.is_cut = lambda *_: False
+    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
 
 
 def test_a_split_with_deaths_and_joins_on_both_sides_heals() -> None:
     world = ready(20)
-    world.cut = odd_from_even
-    world.run(world.now + 20 * SECOND)
+    world.is_cut = odd_from_even
+    world.run_until(world.now + 20 * SECOND)
     world.kill("copy4")
     world.kill("copy5")
     for name, seed in (("copy20", 0), ("copy21", 1)):  # each finds the seed of its own side
         world.start(world.add(name, like=seed))
-    world.run(world.now + 40 * SECOND)
-    assert [process.copy.alive() for process in world.up()] == [10] * 20
-    world.cut = lambda *_: False
-    assert world.until(world.agree, 30 * SECOND)
+    world.run_until(world.now + 40 * SECOND)
+    assert [process.instance.live_instance_count() for process in world.running_processes()] == [10] * 20
+    world.is_cut = lambda *_: False
+    assert world.run_until_met(world.all_views_agree, 30 * SECOND)
 
 
 def test_deaths_of_seven_in_ten_are_told_from_the_living() -> None:
@@ -207,8 +226,8 @@
     began = world.now
     for n in range(15, 50):
         world.kill(f"copy{n}")
-    assert world.until(world.agree, 15 * SECOND)
-    assert not [told for told in world.losses(began) if number(told.of) < 15]
+    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    assert not [told for told in world.death_reports(began) if number(told.subject) < 15]
 
 
 @pytest.mark.parametrize("refuses, within_s", [(True, 6.0), (False, 12.0)])
@@ -218,8 +237,8 @@
     world = ready(50, refuses=refuses)
     for n in range(35):
         world.kill(f"copy{n}")
-    assert world.until(world.agree, int(within_s * SECOND)) and not any(
-        number(told.of) >= 35 for told in world.losses()
+    assert world.run_until_met(world.all_views_agree, int(within_s * SECOND)) and not any(
+        number(told.subject) >= 35 for told in world.death_reports()
     )
 
 
@@ -227,10 +246,10 @@
     world = ready(6)
     for _ in range(10):
         world.kill("copy3")
-        world.run(world.now + SECOND // 5)
+        world.run_until(world.now + SECOND // 5)
         world.start(3)
-        world.run(world.now + 3 * SECOND)
-    assert world.agree() and world.losses() == []
+        world.run_until(world.now + 3 * SECOND)
+    assert world.all_views_agree() and world.death_reports() == []
 
 
 @pytest.mark.parametrize("counted_from", [0, 10**12])
@@ -239,9 +258,9 @@
     world.kill("copy2")
     world.start(2, counted_from)
     began = world.now
-    assert world.until(world.agree, 10 * SECOND)
-    world.run(began + 15 * SECOND)
-    assert world.losses(began) == [] and not events(world, 0)["copy_twin"]
+    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
+    world.run_until(began + 15 * SECOND)
+    assert world.death_reports(began) == [] and not events(world, 0)["copy_twin"]
 
 
 def test_a_restart_each_second_leaves_one_copy() -> None:
@@ -250,10 +269,11 @@
     for n in range(20):
         world.kill("copy2")
         world.start(2, 10**9 * (20 - n) if n % 2 else 0)
-        world.run(world.now + SECOND)
-    assert world.until(world.agree, 10 * SECOND)
+        world.run_until(world.now + SECOND)
+    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
     assert (
-        not [told for told in world.losses(began) if told.of != "copy2"] and not events(world, 0)["copy_twin"]
+        not [told for told in world.death_reports(began) if told.subject != "copy2"]
+        and not events(world, 0)["copy_twin"]
     )
 
 
@@ -262,38 +282,42 @@
     n = world.add("copy2")
     first = world.names["copy2"]
     second = world.start(n)
-    assert world.until(lambda: len({first.copy.name, second.copy.name}) == 2, 10 * SECOND)
-    world.run(world.now + 10 * SECOND)
-    low = first if first.copy.birth < second.copy.birth else second
-    assert low.copy.name == f"copy2~{low.copy.birth:08x}"
-    assert {p.copy.alive() for p in world.processes.values()} == {6} and events(world, 0)["copy_twin"] == 1
+    assert world.run_until_met(lambda: len({first.instance.name, second.instance.name}) == 2, 10 * SECOND)
+    world.run_until(world.now + 10 * SECOND)
+    low = first if first.instance.process_id < second.instance.process_id else second
+    assert low.instance.name == f"copy2~{low.instance.process_id:08x}"
+    assert {p.instance.live_instance_count() for p in world.processes.values()} == {6} and events(world, 0)[
+        "copy_twin"
+    ] == 1
 
 
 def test_who_leaves_on_purpose_is_not_suspected_and_one_that_hands_over_says_nothing() -> None:
     world = ready(12)
     began = world.now
     world.leave("copy4")
-    assert world.until(world.agree, SECOND)
+    assert world.run_until_met(world.all_views_agree, SECOND)
     assert events(world, began) == {"copy_left": 11} and states(world, 0, 4) == "left"
     process = world.names["copy5"]
-    assert process.copy.leave(world.now, tell=False) == []
+    assert process.instance.leave(world.now, announces=False) == []
 
 
 @pytest.mark.parametrize(
     "size, most_bytes, name", [(12, 256, "copy"), (8, 256, "n" * 62), (60, 256, "copy"), (60, 1400, "copy")]
 )
 def test_all_works_in_small_datagrams(size: int, most_bytes: int, name: str) -> None:
-    def change(told: Settings) -> Settings:
-        return replace(told, most_bytes=most_bytes, name=name + told.name[4:], zone=told.zone * 24)
+    def change(told: MembershipSettings) -> MembershipSettings:
+        return replace(told, max_datagram_bytes=most_bytes, name=name + told.name[4:], zone=told.zone * 24)
 
     world = World(size, 1, change=change)
     world.start_all()
-    assert world.until(world.agree, 60 * SECOND) and world.largest <= most_bytes
-    world.run(world.now + 8 * SECOND)
+    assert (
+        world.run_until_met(world.all_views_agree, 60 * SECOND) and world.largest_datagram_bytes <= most_bytes
+    )
+    world.run_until(world.now + 8 * SECOND)
     began = world.now
     world.kill(f"{name}{size - 1}")
-    assert world.until(world.agree, 15 * SECOND)
-    assert {told.of for told in world.losses(began)} == {f"{name}{size - 1}"}
+    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    assert {told.subject for told in world.death_reports(began)} == {f"{name}{size - 1}"}
 
 
 @pytest.mark.parametrize("dead", [(), (0,), (0, 1)])
@@ -302,19 +326,19 @@
     for n in range(12):
         if n not in dead:
             world.start(n)
-    assert world.until(world.agree, 30 * SECOND)
+    assert world.run_until_met(world.all_views_agree, 30 * SECOND)
 
 
 def test_who_has_slept_suspects_nobody_until_it_has_heard_anew() -> None:
     world = ready(5)
     process, began = world.names["copy1"], world.now
-    process.stalled = True
-    world.run(began + 5 * SECOND)
-    world.cut = lambda *_: True  # nothing comes through once it wakes
+    process.is_stalled = True
+    world.run_until(began + 5 * SECOND)
+    world.is_cut = lambda *_: True  # nothing comes through once it wakes
     process.queue.clear()
     world._resume(["copy1"])
-    world.run(world.now + 4 * SECOND)
-    mine = [told for told in world.log if told.by == "copy1" and told.at_us > began]
+    world.run_until(world.now + 4 * SECOND)
+    mine = [told for told in world.log if told.reporter == "copy1" and told.at_us > began]
     assert [told.event for told in mine] == ["copy_paused"]
 
 
@@ -339,31 +363,31 @@
     for pause, late, lost in product((0, 700_000), product((False, True), repeat=5), range(-1, 5)):
         world = World(3, 1, seeds=2)
         world.start_all()
-        world.run(6 * SECOND)
-        began, sent, counted = world.now, [0], {n: p.copy.incarnation for n, p in world.names.items()}
+        world.run_until(6 * SECOND)
+        began, sent, counted = world.now, [0], {n: p.instance.incarnation for n, p in world.names.items()}
 
         def fate(_from: str, _to: str, sent: list[int] = sent, late: Any = late, lost: int = lost) -> int:
             n = sent[0]
             sent[0] += 1
             return -1 if n == lost else 400_000 if n < 5 and late[n] else 1_000
 
-        world.fate = fate
-        at = world.names["copy0"].copy.table.row(world.names["copy2"].copy.id)
-        world.names["copy0"].copy._suspect(world.now, at)
+        world.delay_us = fate
+        at = world.names["copy0"].instance.table.row_of(world.names["copy2"].instance.id)
+        world.names["copy0"].instance._suspect(world.now, at)
         if pause:
-            world.stall(["copy2"], pause)
+            world.pause(["copy2"], pause)
         for _ in range(12):
-            world.run(world.now + SECOND // 2)
+            world.run_until(world.now + SECOND // 2)
             for name, process in world.names.items():
-                assert process.copy.incarnation >= counted[name]
-                counted[name] = process.copy.incarnation
-        assert world.agree() and world.losses(began) == []
+                assert process.instance.incarnation >= counted[name]
+                counted[name] = process.instance.incarnation
+        assert world.all_views_agree() and world.death_reports(began) == []
 
 
 # Datagrams
 
 RECORDS = some.builds(
-    Record,
+    InstanceRecord,
     some.text(min_size=1, max_size=16),
     some.text(max_size=6),
     some.tuples(some.sampled_from(["127.0.0.1", "10.1.2.3", "fe80::1"]), some.integers(1, 65535)),
@@ -372,10 +396,10 @@
     some.integers(0, 3),
 )
 U64, U32 = some.integers(0, (1 << 64) - 1), some.integers(0, (1 << 32) - 1)
-BRIEFS = some.builds(Brief, U64, some.integers(0, 1 << 62), U32, some.integers(0, 3), U64)
-EDGES = some.builds(Edge, U64, U64, U32, some.booleans())
+BRIEFS = some.builds(InstanceStatus, U64, some.integers(0, 1 << 62), U32, some.integers(0, 3), U64)
+EDGES = some.builds(ReachabilityReport, U64, U64, U32, some.booleans())
 HINTS = some.builds(
-    LoadReport, some.integers(0, 255), U64, some.integers(0, MOST_VALUE), U32, some.integers(0, MOST_AGE_MS)
+    LoadReport, some.integers(0, 255), U64, some.integers(0, MAX_VALUE), U32, some.integers(0, MAX_AGE_MS)
 )
 
 
@@ -389,35 +413,35 @@
     some.integers(0, 600),
 )
 def test_what_is_written_is_read(
-    own: Record,
-    records: list[Record],
-    briefs: list[Brief],
-    edges: list[Edge],
+    own: InstanceRecord,
+    records: list[InstanceRecord],
+    briefs: list[InstanceStatus],
+    edges: list[ReachabilityReport],
     hints: list[LoadReport],
     words: list[bytes],
     padding: int,
 ) -> None:
-    call, span = codec.Call(7, 8), Span(1, 2, True)
+    call, span = codec.PingReference(7, 8), IdRange(1, 2, True)
     fields = b"".join(
         [
-            codec.record(own),
-            codec.call(call),
-            codec.span(span),
-            codec.digest(briefs),
-            *map(codec.record, records),
-            *map(codec.brief, briefs),
-            *map(codec.edge, edges),
-            *map(codec.hint, hints),
-            *map(codec.word, words),
-            *(codec.said(7, word) for word in words),
+            codec.encode_record(own),
+            codec.encode_ping_reference(call),
+            codec.encode_id_range(span),
+            codec.encode_digest(briefs),
+            *map(codec.encode_record, records),
+            *map(codec.encode_status, briefs),
+            *map(codec.encode_reachability, edges),
+            *map(codec.encode_load_report, hints),
+            *map(codec.encode_user_message, words),
+            *(codec.encode_user_broadcast(7, word) for word in words),
             bytes([99, 3]) + b"new",
-            codec.pad(padding),
+            codec.encode_padding(padding),
         ]
     )
-    told = codec.read(codec.wrap(codec.PAGE, 5, fields))
-    rows = [brief._replace(by=0) for brief in briefs]
+    told = codec.decode_datagram(codec.encode_datagram(codec.PUSH_PULL_REQUEST, 5, fields))
+    rows = [brief._replace(suspected_by=0) for brief in briefs]
     assert told == codec.Datagram(
-        codec.PAGE,
+        codec.PUSH_PULL_REQUEST,
         5,
         own,
         [call],
@@ -430,46 +454,68 @@
         words,
         [(7, word) for word in words],
     )
-    assert len(codec.pad(padding)) in ((padding, padding - 1) if padding else (0,))
+    assert len(codec.encode_padding(padding)) in ((padding, padding - 1) if padding else (0,))
 
 
 @effort(max_examples=400)
 @given(some.binary(max_size=200), some.integers(0, 60), RECORDS)
-def test_nothing_that_is_signed_but_odd_is_more_than_junk(data: bytes, at: int, own: Record) -> None:
-    sound = codec.wrap(codec.PING, 1, codec.record(own) + codec.call(codec.Call(1, 0)))
+def test_nothing_that_is_signed_but_odd_is_more_than_junk(data: bytes, at: int, own: InstanceRecord) -> None:
+    sound = codec.encode_datagram(
+        codec.PING, 1, codec.encode_record(own) + codec.encode_ping_reference(codec.PingReference(1, 0))
+    )
     for text in (data, sound[:at] + data, sound + data):
         with suppress(codec.MalformedDatagramError):
-            codec.read(text)
+            codec.decode_datagram(text)
         copy = lone()
-        for effect in copy.heard(0, seal(KEY, text)):
-            assert not isinstance(effect, Send) or len(effect.data) <= len(text) + CODE
+        for effect in copy.on_datagram(0, sign_datagram(KEY, text)):
+            assert (
+                not isinstance(effect, SendDatagram)
+                or len(effect.payload) <= len(text) + AUTHENTICATION_BYTES
+            )
 
 
 def lone(most_bytes: int = 1400) -> MembershipStateMachine:
     return MembershipStateMachine(
-        Settings("one", "a", ("127.0.0.1", 1), (), (KEY,), most_bytes=most_bytes), RandomGenerator(1), 0, 1, 1
+        MembershipSettings("one", "a", ("127.0.0.1", 1), (), (KEY,), max_datagram_bytes=most_bytes),
+        RandomGenerator(1),
+        0,
+        1,
+        1,
     )
 
 
 def ping(nth: int, name: str = "two", key: bytes = KEY, **change: Any) -> bytes:
-    own = Record(name, "b", ("127.0.0.2", 2), 5, 9, ALIVE)._replace(**change)
-    return seal(
-        key, codec.wrap(codec.PING, nth, codec.record(own) + codec.call(codec.Call(nth, 0)) + codec.pad(64))
+    own = InstanceRecord(name, "b", ("127.0.0.2", 2), 5, 9, ALIVE)._replace(**change)
+    return sign_datagram(
+        key,
+        codec.encode_datagram(
+            codec.PING,
+            nth,
+            codec.encode_record(own)
+            + codec.encode_ping_reference(codec.PingReference(nth, 0))
+            + codec.encode_padding(64),
+        ),
     )
 
 
 def test_strangers_replays_and_cut_ones_are_counted_and_told_at_a_bounded_rate() -> None:
     copy, told = lone(), []
     for n in range(5000):
-        told += copy.heard(n, ping(n, key=b"x" * 32))
-    told += copy.heard(5000, ping(1)) + copy.heard(5001, ping(1)) + copy.heard(5002, ping(2)[:60])
-    told += copy.heard(5003, ping(3) + bytes(1400))
+        told += copy.on_datagram(n, ping(n, key=b"x" * 32))
+    told += (
+        copy.on_datagram(5000, ping(1))
+        + copy.on_datagram(5001, ping(1))
+        + copy.on_datagram(5002, ping(2)[:60])
+    )
+    told += copy.on_datagram(5003, ping(3) + bytes(1400))
     notes = [effect for effect in told if isinstance(effect, LogEvent)]
     assert [note.event for note in notes] == ["membership_junk", "copy_joined"]
-    assert len([effect for effect in told if isinstance(effect, Send)]) == 1  # to the one sound datagram
+    assert (
+        len([effect for effect in told if isinstance(effect, SendDatagram)]) == 1
+    )  # to the one sound datagram
     later = next(
         n
-        for n in copy.heard(60 * SECOND, ping(2)[:-1])
+        for n in copy.on_datagram(60 * SECOND, ping(2)[:-1])
         if isinstance(n, LogEvent) and n.event == notes[0].event
     )
     assert later.fields["count"] == 5003 and later.fields["why"]["replayed"] == 1
@@ -480,52 +526,52 @@
 )
 def test_two_keys_are_valid_and_the_first_signs(first: bytes, second: bytes, both: bool) -> None:
     copy = lone()
-    copy.rekey((first, second))
-    answers = [e for e in copy.heard(0, ping(1)) if isinstance(e, Send)]
+    copy.set_keys((first, second))
+    answers = [e for e in copy.on_datagram(0, ping(1)) if isinstance(e, SendDatagram)]
     assert bool(answers) == both
-    assert not answers or opened((first,), answers[0].data) is not None
+    assert not answers or verified_payload((first,), answers[0].payload) is not None
 
 
 def test_an_answer_goes_to_what_the_copy_advertises_and_is_no_larger_than_its_question() -> None:
     copy = lone()
     for n in range(40):
-        copy.heard(0, ping(n + 1, f"copy{n}"))  # much to tell
+        copy.on_datagram(0, ping(n + 1, f"copy{n}"))  # much to tell
     question = ping(1, "asks")
-    [answer] = [e for e in copy.heard(1, question) if isinstance(e, Send)]
-    assert answer.to == ("127.0.0.2", 2) and len(answer.data) <= len(question)
+    [answer] = [e for e in copy.on_datagram(1, question) if isinstance(e, SendDatagram)]
+    assert answer.destination == ("127.0.0.2", 2) and len(answer.payload) <= len(question)
 
 
 def test_one_lag_counts_once_however_many_datagrams_waited() -> None:
     copy = lone()
     copy.start(0)
-    late = copy.wake_us + copy.settings.period_us // 4
+    late = copy.next_timer_us + copy.settings.ping_period_us // 4
     for n in range(10):
-        copy.heard(late, ping(n + 1))
-    copy.woke(late)
-    assert copy.awareness.level == 1
+        copy.on_datagram(late, ping(n + 1))
+    copy.on_timer(late)
+    assert copy.local_health.score == 1
 
 
 def test_a_mark_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
     world = ready(5)
-    world.cut = lambda one, other: (one, other) == ("copy0", "copy1")
-    assert world.until(lambda: all(states(world, n, 0) == "partly" for n in range(5)), 20 * SECOND)
-    one, other = (world.names[f"copy{n}"].copy for n in range(2))
+    world.is_cut = lambda one, other: (one, other) == ("copy0", "copy1")
+    assert world.run_until_met(lambda: all(states(world, n, 0) == "partly" for n in range(5)), 20 * SECOND)
+    one, other = (world.names[f"copy{n}"].instance for n in range(2))
     for _ in range(300):
-        world.run(world.now + SECOND // 2)
+        world.run_until(world.now + SECOND // 2)
         assert all(states(world, n, 0) == "partly" for n in range(5))
         # Told anew well before it fades, and not by chance.
-        assert world.now - one.edges.told[other.id][one.id][1] <= 25 * one.settings.period_us
+        assert world.now - one.reachability.reports[other.id][one.id][1] <= 25 * one.settings.ping_period_us
 
 
 def test_a_loss_that_was_not_timed_here_is_not_believed() -> None:
     copy = lone()
-    copy.heard(0, ping(1))
-    copy.heard(0, ping(1, "liar"))
-    row = copy.table.row(Record("two", "", ("", 1), 0, 0, 0).id)
-    claim = codec.brief(copy.table.brief(row)._replace(state=LOST, by=9))
-    own = codec.record(Record("liar", "b", ("127.0.0.2", 2), 5, 9, ALIVE))
-    copy.heard(1, seal(KEY, codec.wrap(codec.NEWS, 2, own + claim)))
-    assert copy.table.states[copy.table.row(Record("two", "", ("", 1), 0, 0, 0).id)] == SUSPECTED
+    copy.on_datagram(0, ping(1))
+    copy.on_datagram(0, ping(1, "liar"))
+    row = copy.table.row_of(InstanceRecord("two", "", ("", 1), 0, 0, 0).id)
+    claim = codec.encode_status(copy.table.status_of(row)._replace(state=DEAD, suspected_by=9))
+    own = codec.encode_record(InstanceRecord("liar", "b", ("127.0.0.2", 2), 5, 9, ALIVE))
+    copy.on_datagram(1, sign_datagram(KEY, codec.encode_datagram(codec.GOSSIP, 2, own + claim)))
+    assert copy.table.states[copy.table.row_of(InstanceRecord("two", "", ("", 1), 0, 0, 0).id)] == SUSPECTED
 
 
 ORDERS = some.tuples(some.integers(0, 3), some.integers(0, 2), some.integers(0, 3))
@@ -536,40 +582,52 @@
     turn: list[int], told: list[Any]
 ) -> None:
     def merged(words: list[tuple[int, int, int]]) -> tuple[int, int, int]:
-        table = Table()
-        at = table.add(Record("x", "z", ("127.0.0.1", 1), 0, 0, ALIVE), 0)
+        table = MemberTable()
+        at = table.add(InstanceRecord("x", "z", ("127.0.0.1", 1), 0, 0, ALIVE), 0)
         for word in words:
-            if order(*word) > table.order(at):
-                table.change(at, *word, 0)
-        return table.order(at)
+            if precedence(*word) > table.precedence_of(at):
+                table.set_status(at, *word, 0)
+        return table.precedence_of(at)
 
     assert merged(told) == merged([told[n] for n in turn]) == merged(told + told)
 
 
 @given(
     some.lists(
-        EDGES.map(lambda e: e._replace(by=1 + e.by % 3, of=9, nth=e.nth % 4, on=e.nth % 2 == 0)), max_size=6
+        EDGES.map(
+            lambda e: e._replace(
+                reporter=1 + e.reporter % 3,
+                target=9,
+                sequence=e.sequence % 4,
+                is_unreachable=e.sequence % 2 == 0,
+            )
+        ),
+        max_size=6,
     ),
     some.randoms(),
 )
-def test_marks_merge_the_same_in_any_order(marks: list[Edge], chance: Any) -> None:
-    def merged(told: list[Edge]) -> list[int]:
-        edges = Edges(100, SECOND)
+def test_marks_merge_the_same_in_any_order(marks: list[ReachabilityReport], chance: Any) -> None:
+    def merged(told: list[ReachabilityReport]) -> list[int]:
+        edges = ReachabilityReports(100, SECOND)
         for mark in told:
-            edges.hear(mark, 0)
-        return sorted(edges.callers(9))
+            edges.merge(mark, 0)
+        return sorted(edges.unreachable_from(9))
 
     assert merged(marks) == merged(chance.sample(marks, len(marks))) == merged(marks + marks)
 
 
 def test_a_pair_is_marked_and_cleared_only_by_calls_in_a_row() -> None:
-    edges = Edges(1, SECOND)
-    for _ in range(MARK_AFTER - 1):
-        assert edges.missed(2, 0) is None
-    edges.reached(2, 0)
-    assert [edges.missed(2, 0) is None for _ in range(MARK_AFTER)] == [True] * (MARK_AFTER - 1) + [False]
-    assert [edges.reached(2, 0) is None for _ in range(CLEAR_AFTER)] == [True] * (CLEAR_AFTER - 1) + [False]
-    assert edges.callers(2) == []
+    edges = ReachabilityReports(1, SECOND)
+    for _ in range(REPORT_AFTER_UNANSWERED - 1):
+        assert edges.on_ping_unanswered(2, 0) is None
+    edges.on_ping_answered(2, 0)
+    assert [edges.on_ping_unanswered(2, 0) is None for _ in range(REPORT_AFTER_UNANSWERED)] == [True] * (
+        REPORT_AFTER_UNANSWERED - 1
+    ) + [False]
+    assert [edges.on_ping_answered(2, 0) is None for _ in range(CLEAR_AFTER_ANSWERED)] == [True] * (
+        CLEAR_AFTER_ANSWERED - 1
+    ) + [False]
+    assert edges.unreachable_from(2) == []
 
 
 @pytest.mark.parametrize(
@@ -585,31 +643,31 @@
     ],
 )
 def test_a_number_is_good_once(top: int, seen: int, nth: int, ok: bool) -> None:
-    moved = fresh(top, seen, nth)
+    moved = advance_replay_window(top, seen, nth)
     assert (moved is not None) == ok
-    assert moved is None or fresh(*moved, nth) is None
+    assert moved is None or advance_replay_window(*moved, nth) is None
 
 
 def test_a_suspicion_shrinks_with_those_who_share_it() -> None:
     suspicion = Suspicion(0, 100, 200, True)
     spans = []
     for by in (1, 1, 2, 3, 4, 5):
-        suspicion.shared(by)
-        spans.append(suspicion.over_us())
+        suspicion.confirm(by)
+        spans.append(suspicion.deadline_us())
     assert spans[0] == spans[1] == 200 and spans[4:] == [100, 100] and spans == sorted(spans, reverse=True)
 
 
 def test_a_thousand_copies_take_little_room_and_are_found() -> None:
-    table = Table()
+    table = MemberTable()
     told = [
-        Record(f"sidecar-{n:04}", "abc"[n % 3], (f"10.0.{n >> 8}.{n & 255}", 7946), n, n, ALIVE)
+        InstanceRecord(f"sidecar-{n:04}", "abc"[n % 3], (f"10.0.{n >> 8}.{n & 255}", 7946), n, n, ALIVE)
         for n in range(1000)
     ]
     for record in told:
         table.add(record, 0)
-    assert [table.record(table.row(r.id)) for r in told] == told and table.size() / 1000 < 200
-    table.forget(told[7].id)
-    assert told[7].id not in table and table.record(table.row(told[8].id)) == told[8]
+    assert [table.record_of(table.row_of(r.id)) for r in told] == told and table.memory_bytes() / 1000 < 200
+    table.remove(told[7].id)
+    assert told[7].id not in table and table.record_of(table.row_of(told[8].id)) == told[8]
 
 
 def test_bytes_do_not_grow_with_the_fleet() -> None:
@@ -637,7 +695,11 @@
         b"\x11" * 32,
     )
     used = read_part({**PART, "use": ["copies"]}, config, "n1", "a", 7)
-    assert parts[0].settings.use == () and used.settings.use == ("copies",) and used.settings.figure == 7
+    assert (
+        parts[0].settings.uses == ()
+        and used.settings.uses == ("copies",)
+        and used.settings.configured_instance_count == 7
+    )
     assert parts[0].settings.seeds == (("::1", 7),) and parts[0].settings.zone == "a"
 
 
