--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from cressrail.membership.messages import DEAD, MembershipSettings
-from cressrail.membership.simulation import SECOND, World
+from cressrail.membership.simulation import SECOND, MembershipSimulation
 
 JOIN_LIMIT_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 30, 30, 40
 ABLATIONS = ("aware", "indirect", "shrinks")  # by an ablation
@@ -36,19 +36,19 @@
             has_dynamic_suspicion=out["shrinks"],
         )
 
-    world = World(size, seed, loss=loss, change=change)
+    world = MembershipSimulation(size, seed, loss=loss, change=change)
     world.start_all()
-    joined = world.run_until_met(world.all_views_agree, JOIN_LIMIT_S * SECOND)
-    joined_s = world.now / SECOND
-    world.run_until(world.now + 10 * SECOND)
-    began, bytes_before = world.now, world.sent_bytes
-    world.run_until(world.now + CALM_S * SECOND)
+    joined = world.clock.run_until_met(world.all_views_agree, JOIN_LIMIT_S * SECOND)
+    joined_s = world.clock.now_us / SECOND
+    world.clock.run_until(world.clock.now_us + 10 * SECOND)
+    began, bytes_before = world.clock.now_us, world.network.sent_bytes
+    world.clock.run_until(world.clock.now_us + CALM_S * SECOND)
     told: dict[str, Any] = {
         "size": size,
         "seed": seed,
         "loss": loss,
         "joined_s": joined_s if joined else None,
-        "bytes_per_s": round((world.sent_bytes - bytes_before) / CALM_S / size),
+        "bytes_per_s": round((world.network.sent_bytes - bytes_before) / CALM_S / size),
         "suspicions": sum(1 for line in world.log if line.event == "copy_suspected" and line.at_us >= began),
     }
     told["detect_s"] = _play_one_death(world, size)
@@ -56,19 +56,19 @@
     told["many_s"], told["live_error"] = _play_many_deaths(world, many)
     dead = {name for name, process in world.names.items() if not process.is_running}
     told["false_losses"] = sum(1 for line in world.death_reports() if line.subject not in dead)
-    told["largest_bytes"] = world.largest_datagram_bytes
+    told["largest_bytes"] = world.network.largest_datagram_bytes
     told["table_bytes_a_copy"] = round(
         world.running_processes()[0].instance.table.memory_bytes() / max(1, size - 1)
     )
     return told
 
 
-def _play_one_death(world: World, size: int) -> dict[str, float | None]:
+def _play_one_death(world: MembershipSimulation, size: int) -> dict[str, float | None]:
     """When one death is known to the first, to half and to all of the others."""
-    name, began = f"copy{size - 1}", world.now
+    name, began = f"copy{size - 1}", world.clock.now_us
     world.kill(name)
     known = _share_knowing(world, [name])
-    world.run_until_met(lambda: known() >= 1.0, ONE_DEATH_LIMIT_S * SECOND)
+    world.clock.run_until_met(lambda: known() >= 1.0, ONE_DEATH_LIMIT_S * SECOND)
     when = sorted(
         {line.reporter: line.at_us for line in world.death_reports(began) if line.subject == name}.values()
     )
@@ -81,22 +81,22 @@
     return {"first": part(0.0), "half": part(0.5), "all": part(1.0)}
 
 
-def _play_many_deaths(world: World, names: list[str]) -> tuple[float | None, float]:
-    began, errors = world.now, []
+def _play_many_deaths(world: MembershipSimulation, names: list[str]) -> tuple[float | None, float]:
+    began, errors = world.clock.now_us, []
     for name in names:
         world.kill(name)
     known = _share_knowing(world, names)
-    while known() < 1.0 and world.now - began < MANY_DEATHS_LIMIT_S * SECOND:
-        world.run_until(world.now + SECOND // 10)
+    while known() < 1.0 and world.clock.now_us - began < MANY_DEATHS_LIMIT_S * SECOND:
+        world.clock.run_until(world.clock.now_us + SECOND // 10)
         up = world.running_processes()
         errors.append(
             sum(abs(process.instance.live_instance_count() - len(up)) for process in up) / len(up) / len(up)
         )
-    took_s = (world.now - began) / SECOND
+    took_s = (world.clock.now_us - began) / SECOND
     return (took_s if known() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
 
 
-def _share_knowing(world: World, names: list[str]) -> Callable[[], float]:
+def _share_knowing(world: MembershipSimulation, names: list[str]) -> Callable[[], float]:
     """The share of pairs of one that is up and one of these in which the first knows that the other is
     gone."""
 
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -1,30 +1,41 @@
-"""Copies in virtual time: a network that loses, delays and cuts, and processes that stall, die and start
-again.
+"""A fleet of instances in virtual time, whose processes stall, die and start again.
 
-The same reducer as on sockets; nothing here decides for a copy. All is drawn from one seed."""
+Each instance runs the same state machine as in service; nothing here decides for it. All random values come
+from one seed.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from heapq import heappop, heappush
 
-from cressrail.membership.messages import DEAD, Address, Command, LogEvent, MembershipSettings, SendDatagram
+from cressrail.membership.messages import (
+    DEAD,
+    Address,
+    Command,
+    LogEvent,
+    MembershipSettings,
+    SendDatagram,
+)
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.simulation.lossy_network import LossyNetwork
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
-SECOND = 1_000_000
-SOCKET_QUEUE_DATAGRAMS = 250  # datagrams that a socket holds for a process that does not read
-IP_UDP_HEADER_BYTES = 28  # bytes of IP and UDP to each datagram
+SECOND = SECOND_US
+SOCKET_QUEUE_DATAGRAMS = 250  # that a socket holds for a process that does not read
+NEVER_US = 1 << 62
+PORT = 7946
+ZONE_NAMES = "abcdefgh"
 
 
 @dataclass
 class SimulatedProcess:
-    """One process of a copy, and what befalls it."""
+    """One process of an instance, and its state in the simulated machine."""
 
     settings: MembershipSettings
     instance: MembershipStateMachine
-    next_timer_us: int = 1 << 62
+    next_timer_us: int = NEVER_US
     is_stalled: bool = False
     queue: list[bytes] = field(default_factory=list)  # of its socket, while it is stalled
     is_running: bool = True
@@ -32,7 +43,7 @@
 
 @dataclass(frozen=True)
 class LoggedEvent:
-    """A line of a copy's log."""
+    """A log event of an instance."""
 
     at_us: int
     reporter: str
@@ -41,7 +52,9 @@
     reason: str = ""
 
 
-class World:
+class MembershipSimulation:
+    """A fleet, its network and its clock."""
+
     def __init__(
         self,
         size: int,
@@ -50,183 +63,174 @@
         loss: float = 0.0,
         zones: int = 3,
         seeds: int = 3,
-        change: Callable[[MembershipSettings], MembershipSettings] = lambda told: told,
-        least_us: int = 200,
-        most_us: int = 2_000,
-        refuses: bool = True,
+        change: Callable[[MembershipSettings], MembershipSettings] = lambda settings: settings,
+        min_delay_us: int = 200,
+        max_delay_us: int = 2_000,
+        reports_refusals: bool = True,
     ) -> None:
-        """`change`: what each copy is set to otherwise. A datagram takes between `least_us` and `most_us`;
-        `refuses`: machines say so of one that comes where no process listens."""
-        self.reports_refusals = refuses
+        """Sets up a fleet of which no process runs yet.
+
+        Args:
+            size: Number of instances.
+            seed: Of all random values.
+            loss: Share of datagrams lost in each direction.
+            zones: Number of zones, over which instances are spread in turn.
+            seeds: How many of the first instances are seeds of all.
+            change: Applied to the settings of each instance.
+            min_delay_us: Of a datagram.
+            max_delay_us: Of a datagram.
+            reports_refusals: Whether a machine answers a datagram to an address without a process.
+        """
+        self.reports_refusals = reports_refusals
         self.random = RandomGenerator(seed)
-        self.loss, self.min_delay_us, self.max_delay_us = loss, least_us, most_us
-        self.now = 0
-        self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.event_no = 0
+        self.clock = VirtualClock()
+        self.network = LossyNetwork(
+            self.clock, self.random, loss=loss, min_delay_us=min_delay_us, max_delay_us=max_delay_us
+        )
         self.processes: dict[Address, SimulatedProcess] = {}
         self.names: dict[str, SimulatedProcess] = {}
-        self.is_cut: Callable[[str, str], bool] = lambda _from, _to: False
-        self.delay_us: Callable[[str, str], int] = (
-            self._random_delay_us
-        )  # how long a datagram takes, -1 for never
         self.log: list[LoggedEvent] = []
-        self.sent_bytes = self.sent_datagrams = 0
-        self.largest_datagram_bytes = 0
-        self.births = 0
-        self.change = change
-        addresses = [self.address(n) for n in range(size)]
+        addresses = [self.address(number) for number in range(size)]
         self.all_settings = [
             change(
-                MembershipSettings(f"copy{n}", "abcdefgh"[n % zones], addresses[n], tuple(addresses[:seeds]))
+                MembershipSettings(
+                    f"copy{number}", ZONE_NAMES[number % zones], addresses[number], tuple(addresses[:seeds])
+                )
             )
-            for n in range(size)
+            for number in range(size)
         ]
 
     @staticmethod
-    def address(n: int) -> Address:
-        return f"127.1.{n >> 8}.{n & 255}", 7946
-
-    def schedule(self, when_us: int, what: Callable[[], None]) -> None:
-        self.event_no += 1
-        heappush(self.events, (when_us, self.event_no, what))
-
-    def start(self, n: int, incarnation: int | None = None) -> SimulatedProcess:
-        """The n-th copy, or its next process."""
-        settings = self.all_settings[n]
-        self.births += 1
-        copy = MembershipStateMachine(
+    def address(number: int) -> Address:
+        """The address of the instance of that number."""
+        return f"127.1.{number >> 8}.{number & 255}", PORT
+
+    # Processes
+
+    def start(self, number: int, incarnation: int | None = None) -> SimulatedProcess:
+        """Starts an instance, or its next process, which counts from `incarnation` if that is given."""
+        settings, now_us = self.all_settings[number], self.clock.now_us
+        instance = MembershipStateMachine(
             settings,
             RandomGenerator(self.random.below(1 << 32)),
-            self.now,
+            now_us,
             self.random.below(1 << 32),
-            self.now // 1000 if incarnation is None else incarnation,
+            now_us // 1000 if incarnation is None else incarnation,
         )
-        process = SimulatedProcess(settings, copy)
+        process = SimulatedProcess(settings, instance)
         self.processes[settings.advertise] = self.names[settings.name] = process
-        self._execute(process, copy.start(self.now))
+        self._execute(process, instance.start(now_us))
         return process
 
     def start_all(self) -> None:
-        for n in range(len(self.all_settings)):
-            self.start(n)
+        """Starts every instance once."""
+        for number in range(len(self.all_settings)):
+            self.start(number)
 
     def add(self, name: str, like: int = 0) -> int:
-        """One more copy's number, with what another is set to."""
-        n = len(self.all_settings)
-        self.all_settings.append(replace(self.all_settings[like], name=name, advertise=self.address(n)))
-        return n
+        """Adds an instance with the settings of another and returns its number; it is not started."""
+        number = len(self.all_settings)
+        settings = replace(self.all_settings[like], name=name, advertise=self.address(number))
+        self.all_settings.append(settings)
+        return number
 
     def pause(self, names: list[str], for_us: int) -> None:
+        """Stops processes for a while; datagrams to them wait in their sockets."""
         for name in names:
             self.names[name].is_stalled = True
-        self.schedule(self.now + for_us, lambda: self._resume(names))
+        self.clock.schedule(self.clock.now_us + for_us, lambda: self.resume(names))
 
-    def _resume(self, names: list[str]) -> None:
+    def resume(self, names: list[str]) -> None:
+        """Ends a pause: each process reads what waited, then runs the timers that are due."""
         for name in names:
             process = self.names[name]
             process.is_stalled = False
             queue, process.queue = process.queue[:SOCKET_QUEUE_DATAGRAMS], []
-            for data in queue:
-                self._execute(process, process.instance.on_datagram(self.now, data))
+            for payload in queue:
+                self._execute(process, process.instance.on_datagram(self.clock.now_us, payload))
             self._on_timer(process, process.next_timer_us)
 
     def kill(self, name: str) -> None:
+        """Ends a process without a word to the others."""
         self.names[name].is_running = False
 
     def leave(self, name: str) -> None:
+        """Ends a process that tells the others that it leaves."""
         process = self.names[name]
-        self._execute(process, process.instance.leave(self.now))
+        self._execute(process, process.instance.leave(self.clock.now_us))
         process.is_running = False
 
-    def run_until(self, until_us: int) -> None:
-        while self.events and self.events[0][0] <= until_us:
-            self.now, _, what = heappop(self.events)
-            what()
-        self.now = until_us
-
-    def run_until_met(self, met: Callable[[], bool], over_us: int, step_us: int = 50_000) -> bool:
-        """Runs until it is so; false if it is not within so long."""
-        over_us += self.now
-        while not met():
-            if self.now >= over_us:
-                return False
-            self.run_until(self.now + step_us)
-        return True
-
-    def _execute(self, process: SimulatedProcess, effects: list[Command]) -> None:
-        for effect in effects:
-            if isinstance(effect, SendDatagram):
-                self._send(process, effect)
-            elif isinstance(effect, LogEvent):
-                self.log.append(
-                    LoggedEvent(
-                        self.now,
-                        process.instance.name,
-                        effect.event,
-                        str(effect.fields.get("copy", "")),
-                        str(effect.fields.get("why", "")),
-                    )
-                )
-        due_us = process.instance.next_timer_us
-        if due_us < process.next_timer_us or process.next_timer_us <= self.now:
+    # Commands and datagrams
+
+    def _execute(self, process: SimulatedProcess, commands: list[Command]) -> None:
+        for command in commands:
+            if isinstance(command, SendDatagram):
+                self._send(process, command)
+            elif isinstance(command, LogEvent):
+                self._record(process, command)
+        due_us, now_us = process.instance.next_timer_us, self.clock.now_us
+        if due_us < process.next_timer_us or process.next_timer_us <= now_us:
             process.next_timer_us = due_us
-            self.schedule(max(due_us, self.now), lambda: self._on_timer(process, due_us))
+            self.clock.schedule(max(due_us, now_us), lambda: self._on_timer(process, due_us))
+
+    def _record(self, process: SimulatedProcess, command: LogEvent) -> None:
+        subject, reason = (str(command.fields.get(key, "")) for key in ("copy", "why"))
+        self.log.append(LoggedEvent(self.clock.now_us, process.instance.name, command.event, subject, reason))
 
     def _on_timer(self, process: SimulatedProcess, due_us: int) -> None:
         if not process.is_running or process.is_stalled or due_us != process.next_timer_us:
             return
-        process.next_timer_us = 1 << 62
-        self._execute(process, process.instance.on_timer(self.now))
-
-    def _send(self, process: SimulatedProcess, effect: SendDatagram) -> None:
-        self.sent_datagrams += 1
-        self.sent_bytes += len(effect.payload) + IP_UDP_HEADER_BYTES
-        self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(effect.payload))
-        other = self.processes.get(effect.destination)
-        if other is None or self.is_cut(process.settings.name, other.settings.name):
-            return
-        span_us = self.delay_us(process.settings.name, other.settings.name)
-        if span_us >= 0:
-            self.schedule(
-                self.now + span_us, lambda: self._arrive(process, effect.destination, effect.payload)
-            )
-
-    def _random_delay_us(self, _from: str, _to: str) -> int:
-        if self.random.fraction() < self.loss:
-            return -1
-        return self.min_delay_us + self.random.below(max(1, self.max_delay_us - self.min_delay_us))
+        process.next_timer_us = NEVER_US
+        self._execute(process, process.instance.on_timer(self.clock.now_us))
+
+    def _send(self, process: SimulatedProcess, command: SendDatagram) -> None:
+        other = self.processes.get(command.destination)
+        self.network.send(
+            process.settings.name,
+            None if other is None else other.settings.name,
+            len(command.payload),
+            lambda: self._arrive(process, command.destination, command.payload),
+        )
 
-    def _arrive(self, source: SimulatedProcess, to: Address, data: bytes) -> None:
-        process = self.processes[to]
-        if process.is_running and process.is_stalled:  # it waits in the queue of its socket
-            process.queue.append(data)
+    def _arrive(self, source: SimulatedProcess, destination: Address, payload: bytes) -> None:
+        process = self.processes[destination]
+        if process.is_running and process.is_stalled:
+            process.queue.append(payload)
         elif process.is_running:
-            self._execute(process, process.instance.on_datagram(self.now, data))
-        elif (
-            self.reports_refusals
-            and source.is_running
-            and not self.is_cut(process.settings.name, source.settings.name)
-        ):
-            self._execute(source, source.instance.on_connection_refused(self.now, to))
+            self._execute(process, process.instance.on_datagram(self.clock.now_us, payload))
+        elif self._refusal_arrives(process, source):
+            self._execute(source, source.instance.on_connection_refused(self.clock.now_us, destination))
 
-    # What is seen
+    def _refusal_arrives(self, process: SimulatedProcess, source: SimulatedProcess) -> bool:
+        if not self.reports_refusals or not source.is_running:
+            return False
+        return not self.network.is_cut(process.settings.name, source.settings.name)
+
+    # Observations
 
     def running_processes(self) -> list[SimulatedProcess]:
+        """Those that were not killed and did not leave."""
         return [process for process in self.names.values() if process.is_running]
 
     def all_views_agree(self) -> bool:
-        """Whether each that is up takes just those that are up for taking part."""
-        count = len(self.running_processes())
-        names = {process.instance.name for process in self.running_processes()}
+        """Whether each running instance holds exactly the running ones for live."""
+        running = self.running_processes()
+        names = {process.instance.name for process in running}
         return all(
-            process.instance.live_instance_count() == count
-            and all(
-                process.instance.table.names[at] in names
-                for at, state in enumerate(process.instance.table.states)
-                if state < DEAD and process.instance.table.ids[at] not in process.instance.dead_in_own_view
-            )
-            for process in self.running_processes()
+            process.instance.live_instance_count() == len(running) and live_names(process.instance) <= names
+            for process in running
         )
 
     def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
+        """Log events by which an instance declared another dead."""
         return [told for told in self.log if told.event == "copy_lost" and told.at_us >= since_us]
+
+
+def live_names(instance: MembershipStateMachine) -> set[str]:
+    """Names of the others that an instance holds for live."""
+    table = instance.table
+    return {
+        table.names[row]
+        for row, state in enumerate(table.states)
+        if state < DEAD and table.ids[row] not in instance.dead_in_own_view
+    }
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -41,7 +41,7 @@
 )
 from cressrail.membership.messages import ALIVE, USES, InstanceRecord
 from cressrail.membership.peer_reports import PeerReportTranslator
-from cressrail.membership.simulation import World
+from cressrail.membership.simulation import MembershipSimulation
 from cressrail.policy.load_balancer import LEFT_OUT_US, TenantQuotas
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from tests.fleets import SECOND, SHORTEN, Play, played, world
@@ -124,16 +124,16 @@
 # In virtual time
 
 
-def fleet(size: int, **more: Any) -> World:
-    made = World(
+def fleet(size: int, **more: Any) -> MembershipSimulation:
+    made = MembershipSimulation(
         size, 3, change=lambda told: replace(told, configured_instance_count=size, uses=USES), **more
     )
     made.start_all()
-    made.run_until(20 * SECOND)
+    made.clock.run_until(20 * SECOND)
     return made
 
 
-def counted(made: World, of: list[str] | None = None) -> list[float]:
+def counted(made: MembershipSimulation, of: list[str] | None = None) -> list[float]:
     up = [p for p in made.running_processes() if of is None or p.settings.name in of]
     return [p.instance.instance_count.total for p in up if p.instance.instance_count is not None]
 
@@ -142,27 +142,27 @@
 def test_a_mass_kill_is_believed_where_machines_say_that_nobody_listens(
     refuses: bool, low: float, high: float
 ) -> None:
-    made = fleet(30, refuses=refuses)
+    made = fleet(30, reports_refusals=refuses)
     assert set(counted(made)) == {30.0}
     for n in range(21):
         made.kill(f"copy{n}")
     for _ in range(80):
-        made.run_until(made.now + SECOND // 2)
+        made.clock.run_until(made.clock.now_us + SECOND // 2)
         assert min(counted(made)) >= 9.0  # never fewer than there are
     assert low <= min(counted(made)) and max(counted(made)) <= high
     for n in range(21):
         made.start(n)
-    made.run_until(made.now + 4 * SECOND)
+    made.clock.run_until(made.clock.now_us + 4 * SECOND)
     assert min(counted(made)) >= 29.0
 
 
 def test_the_smaller_part_of_a_split_goes_on_by_the_settings() -> None:
     made, small = fleet(20), [f"copy{n}" for n in range(6)]
-    made.is_cut = lambda a, b: (a in small) != (b in small)
-    made.run_until(made.now + 60 * SECOND)
+    made.network.is_cut = lambda a, b: (a in small) != (b in small)
+    made.clock.run_until(made.clock.now_us + 60 * SECOND)
     assert min(counted(made, small)) > 18 and 13.9 < min(counted(made)) < 15
-    made.is_cut = lambda _a, _b: False
-    made.run_until(made.now + 60 * SECOND)
+    made.network.is_cut = lambda _a, _b: False
+    made.clock.run_until(made.clock.now_us + 60 * SECOND)
     assert min(counted(made)) > 19
 
 
@@ -180,12 +180,12 @@
     for nth in range(200):
         for process in made.running_processes():
             lies = [f"none{(nth * 8 + k) % 100}" for k in range(8)]
-            process.instance.on_datagram(made.now, liar(nth, lies, process.settings.keys[0]))
-        made.run_until(made.now + SECOND // 20)
+            process.instance.on_datagram(made.clock.now_us, liar(nth, lies, process.settings.keys[0]))
+        made.clock.run_until(made.clock.now_us + SECOND // 20)
         assert all(count <= 6 * MAX_DEVIATION_FACTOR for count in counted(made))
     assert max(counted(made)) > 12
     assert not [told for told in made.death_reports() if told.subject.startswith("copy")]
-    made.run_until(made.now + 400 * SECOND)
+    made.clock.run_until(made.clock.now_us + 400 * SECOND)
     assert max(counted(made)) < 8
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -50,30 +50,32 @@
     ReachabilityReports,
 )
 from cressrail.membership.scenarios import simulate
-from cressrail.membership.simulation import SECOND, World
+from cressrail.membership.simulation import SECOND, MembershipSimulation
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 
 KEY = b"k" * 32
 
 
-def ready(size: int, seed: int = 1, **more: Any) -> World:
+def ready(size: int, seed: int = 1, **more: Any) -> MembershipSimulation:
     """A fleet that has known all its copies for a while."""
-    world = World(size, seed, **more)
+    world = MembershipSimulation(size, seed, **more)
     world.start_all()
-    assert world.run_until_met(world.all_views_agree, 60 * SECOND)
-    world.run_until(world.now + 8 * SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 60 * SECOND)
+    world.clock.run_until(world.clock.now_us + 8 * SECOND)
     return world
 
 
-def states(world: World, by: int, of: int) -> str:
+def states(world: MembershipSimulation, by: int, of: int) -> str:
     found = [
-        c for c in world.names[f"copy{by}"].instance.view(world.now)["copies"] if c["name"] == f"copy{of}"
+        c
+        for c in world.names[f"copy{by}"].instance.view(world.clock.now_us)["copies"]
+        if c["name"] == f"copy{of}"
     ]
     return str(found[0]["state"])
 
 
-def events(world: World, since_us: int) -> Counter[str]:
+def events(world: MembershipSimulation, since_us: int) -> Counter[str]:
     return Counter(told.event for told in world.log if told.at_us >= since_us)
 
 
@@ -100,20 +102,20 @@
 def test_a_pause_within_the_bound_makes_nobody_look_dead(size: int, which: int, for_s: float) -> None:
     for seed in (1, 2):
         world = ready(size, seed)
-        began = world.now
+        began = world.clock.now_us
         world.pause([f"copy{n}" for n in range(1, 1 + which)], int(for_s * SECOND))
-        world.run_until(began + 15 * SECOND)
+        world.clock.run_until(began + 15 * SECOND)
         assert world.death_reports(began) == [] and world.all_views_agree()
 
 
 @pytest.mark.parametrize("which", [1, 4])
 def test_a_longer_pause_is_a_loss_and_ends_without_a_restart(which: int) -> None:
     world = ready(12)
-    began = world.now
+    began = world.clock.now_us
     world.pause([f"copy{n}" for n in range(1, 1 + which)], 10 * SECOND)
-    world.run_until(began + 9 * SECOND)
+    world.clock.run_until(began + 9 * SECOND)
     assert {told.subject for told in world.death_reports(began)} == {f"copy{n}" for n in range(1, 1 + which)}
-    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 10 * SECOND)
     # Who wakes takes nobody for dead, however much its own timers are late.
     assert {told.reporter for told in world.death_reports(began)}.isdisjoint(
         f"copy{n}" for n in range(1, 1 + which)
@@ -123,8 +125,8 @@
 @pytest.mark.parametrize("size, seed", [(12, 1), (12, 2), (5, 3)])
 def test_a_third_of_the_datagrams_lost_both_ways_makes_no_loss(size: int, seed: int) -> None:
     world = ready(size, seed, loss=0.3)
-    began = world.now
-    world.run_until(began + 60 * SECOND)
+    began = world.clock.now_us
+    world.clock.run_until(began + 60 * SECOND)
     assert world.death_reports() == [] and world.all_views_agree()
     assert events(world, began)["copy_partly"] <= 1
 
@@ -135,20 +137,20 @@
 @pytest.mark.parametrize("a, b", PAIRS)
 def test_a_cut_one_way_between_two_is_told_as_such_by_all(a: int, b: int) -> None:
     world = ready(5, 1 + 5 * a + b)
-    began = world.now
-    world.is_cut = lambda one, other: (one, other) == (f"copy{a}", f"copy{b}")
-    world.run_until(began + 20 * SECOND)
+    began = world.clock.now_us
+    world.network.is_cut = lambda one, other: (one, other) == (f"copy{a}", f"copy{b}")
+    world.clock.run_until(began + 20 * SECOND)
     [other, *_] = [n for n in range(5) if n not in (a, b)]
     view = {
         c["name"]: c["cannot_reach"]
-        for c in world.names[f"copy{other}"].instance.view(world.now)["copies"]
+        for c in world.names[f"copy{other}"].instance.view(world.clock.now_us)["copies"]
         if c["state"] == "partly"
     }
     assert view == {f"copy{a}": [f"copy{b}"], f"copy{b}": [f"copy{a}"]}
     seen = events(world, began)
     assert set(seen) == {"copy_partly"} and seen["copy_partly"] == 2  # said once by each: no flapping
-    world.is_cut = lambda *_: False
-    assert world.run_until_met(
+    world.network.is_cut = lambda *_: False
+    assert world.clock.run_until_met(
         lambda: states(world, other, a) == states(world, other, b) == "alive", 20 * SECOND
     )
 
@@ -172,61 +174,61 @@
 ) -> None:
     for seed in (1, 2) if size < 12 else (1,):
         world = ready(size, seed)
-        began = world.now
-        world.is_cut = cut
-        world.run_until(began + 50 * SECOND)
+        began = world.clock.now_us
+        world.network.is_cut = cut
+        world.clock.run_until(began + 50 * SECOND)
         assert world.death_reports(began) == []
         settled = events(world, began + 30 * SECOND)
         assert settled["copy_lost"] == 0 and settled["copy_suspected"] <= 2  # and none of them flaps for long
-        world.is_cut = lambda *_: False
-        assert world.run_until_met(world.all_views_agree, 20 * SECOND)
+        world.network.is_cut = lambda *_: False
+        assert world.clock.run_until_met(world.all_views_agree, 20 * SECOND)
 
 
 def test_one_that_hears_nobody_is_not_lost_to_those_who_hear_it_and_accuses_none() -> None:
     world = ready(12)
-    began = world.now
-    world.is_cut = lambda _, b: b == "copy3"
-    world.run_until(began + 30 * SECOND)
+    began = world.clock.now_us
+    world.network.is_cut = lambda _, b: b == "copy3"
+    world.clock.run_until(began + 30 * SECOND)
     assert not [told for told in world.death_reports(began) if told.subject == "copy3"]
     assert states(world, 5, 3) == "partly" and {told.reporter for told in world.death_reports(began)} <= {
         "copy3"
     }
-    world.is_cut = lambda *_: False
-    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    world.network.is_cut = lambda *_: False
+    assert world.clock.run_until_met(world.all_views_agree, 15 * SECOND)
 
 
 def test_one_that_nobody_hears_is_lost_and_comes_back() -> None:
     world = ready(12)
-    began = world.now
-    world.is_cut = lambda a, _: a == "copy3"
-    assert world.run_until_met(
+    began = world.clock.now_us
+    world.network.is_cut = lambda a, _: a == "copy3"
+    assert world.clock.run_until_met(
         lambda: all(states(world, n, 3) == "lost" for n in range(12) if n != 3), 20 * SECOND
     )
     assert {told.subject for told in world.death_reports(began)} == {"copy3"}
-    world.is_cut = lambda *_: False
-    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    world.network.is_cut = lambda *_: False
+    assert world.clock.run_until_met(world.all_views_agree, 15 * SECOND)
 
 
 def test_a_split_with_deaths_and_joins_on_both_sides_heals() -> None:
     world = ready(20)
-    world.is_cut = odd_from_even
-    world.run_until(world.now + 20 * SECOND)
+    world.network.is_cut = odd_from_even
+    world.clock.run_until(world.clock.now_us + 20 * SECOND)
     world.kill("copy4")
     world.kill("copy5")
     for name, seed in (("copy20", 0), ("copy21", 1)):  # each finds the seed of its own side
         world.start(world.add(name, like=seed))
-    world.run_until(world.now + 40 * SECOND)
+    world.clock.run_until(world.clock.now_us + 40 * SECOND)
     assert [process.instance.live_instance_count() for process in world.running_processes()] == [10] * 20
-    world.is_cut = lambda *_: False
-    assert world.run_until_met(world.all_views_agree, 30 * SECOND)
+    world.network.is_cut = lambda *_: False
+    assert world.clock.run_until_met(world.all_views_agree, 30 * SECOND)
 
 
 def test_deaths_of_seven_in_ten_are_told_from_the_living() -> None:
     world = ready(50)
-    began = world.now
+    began = world.clock.now_us
     for n in range(15, 50):
         world.kill(f"copy{n}")
-    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 15 * SECOND)
     assert not [told for told in world.death_reports(began) if number(told.subject) < 15]
 
 
@@ -234,10 +236,10 @@
 def test_where_machines_say_that_nobody_listens_many_deaths_are_known_sooner(
     refuses: bool, within_s: float
 ) -> None:
-    world = ready(50, refuses=refuses)
+    world = ready(50, reports_refusals=refuses)
     for n in range(35):
         world.kill(f"copy{n}")
-    assert world.run_until_met(world.all_views_agree, int(within_s * SECOND)) and not any(
+    assert world.clock.run_until_met(world.all_views_agree, int(within_s * SECOND)) and not any(
         number(told.subject) >= 35 for told in world.death_reports()
     )
 
@@ -246,9 +248,9 @@
     world = ready(6)
     for _ in range(10):
         world.kill("copy3")
-        world.run_until(world.now + SECOND // 5)
+        world.clock.run_until(world.clock.now_us + SECOND // 5)
         world.start(3)
-        world.run_until(world.now + 3 * SECOND)
+        world.clock.run_until(world.clock.now_us + 3 * SECOND)
     assert world.all_views_agree() and world.death_reports() == []
 
 
@@ -257,20 +259,20 @@
     world = ready(5)
     world.kill("copy2")
     world.start(2, counted_from)
-    began = world.now
-    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
-    world.run_until(began + 15 * SECOND)
+    began = world.clock.now_us
+    assert world.clock.run_until_met(world.all_views_agree, 10 * SECOND)
+    world.clock.run_until(began + 15 * SECOND)
     assert world.death_reports(began) == [] and not events(world, 0)["copy_twin"]
 
 
 def test_a_restart_each_second_leaves_one_copy() -> None:
     world = ready(5)
-    began = world.now
+    began = world.clock.now_us
     for n in range(20):
         world.kill("copy2")
         world.start(2, 10**9 * (20 - n) if n % 2 else 0)
-        world.run_until(world.now + SECOND)
-    assert world.run_until_met(world.all_views_agree, 10 * SECOND)
+        world.clock.run_until(world.clock.now_us + SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 10 * SECOND)
     assert (
         not [told for told in world.death_reports(began) if told.subject != "copy2"]
         and not events(world, 0)["copy_twin"]
@@ -282,8 +284,10 @@
     n = world.add("copy2")
     first = world.names["copy2"]
     second = world.start(n)
-    assert world.run_until_met(lambda: len({first.instance.name, second.instance.name}) == 2, 10 * SECOND)
-    world.run_until(world.now + 10 * SECOND)
+    assert world.clock.run_until_met(
+        lambda: len({first.instance.name, second.instance.name}) == 2, 10 * SECOND
+    )
+    world.clock.run_until(world.clock.now_us + 10 * SECOND)
     low = first if first.instance.process_id < second.instance.process_id else second
     assert low.instance.name == f"copy2~{low.instance.process_id:08x}"
     assert {p.instance.live_instance_count() for p in world.processes.values()} == {6} and events(world, 0)[
@@ -293,12 +297,12 @@
 
 def test_who_leaves_on_purpose_is_not_suspected_and_one_that_hands_over_says_nothing() -> None:
     world = ready(12)
-    began = world.now
+    began = world.clock.now_us
     world.leave("copy4")
-    assert world.run_until_met(world.all_views_agree, SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, SECOND)
     assert events(world, began) == {"copy_left": 11} and states(world, 0, 4) == "left"
     process = world.names["copy5"]
-    assert process.instance.leave(world.now, announces=False) == []
+    assert process.instance.leave(world.clock.now_us, announces=False) == []
 
 
 @pytest.mark.parametrize(
@@ -308,36 +312,37 @@
     def change(told: MembershipSettings) -> MembershipSettings:
         return replace(told, max_datagram_bytes=most_bytes, name=name + told.name[4:], zone=told.zone * 24)
 
-    world = World(size, 1, change=change)
+    world = MembershipSimulation(size, 1, change=change)
     world.start_all()
     assert (
-        world.run_until_met(world.all_views_agree, 60 * SECOND) and world.largest_datagram_bytes <= most_bytes
+        world.clock.run_until_met(world.all_views_agree, 60 * SECOND)
+        and world.network.largest_datagram_bytes <= most_bytes
     )
-    world.run_until(world.now + 8 * SECOND)
-    began = world.now
+    world.clock.run_until(world.clock.now_us + 8 * SECOND)
+    began = world.clock.now_us
     world.kill(f"{name}{size - 1}")
-    assert world.run_until_met(world.all_views_agree, 15 * SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 15 * SECOND)
     assert {told.subject for told in world.death_reports(began)} == {f"{name}{size - 1}"}
 
 
 @pytest.mark.parametrize("dead", [(), (0,), (0, 1)])
 def test_any_one_seed_that_answers_will_do(dead: tuple[int, ...]) -> None:
-    world = World(12, 1)
+    world = MembershipSimulation(12, 1)
     for n in range(12):
         if n not in dead:
             world.start(n)
-    assert world.run_until_met(world.all_views_agree, 30 * SECOND)
+    assert world.clock.run_until_met(world.all_views_agree, 30 * SECOND)
 
 
 def test_who_has_slept_suspects_nobody_until_it_has_heard_anew() -> None:
     world = ready(5)
-    process, began = world.names["copy1"], world.now
+    process, began = world.names["copy1"], world.clock.now_us
     process.is_stalled = True
-    world.run_until(began + 5 * SECOND)
-    world.is_cut = lambda *_: True  # nothing comes through once it wakes
+    world.clock.run_until(began + 5 * SECOND)
+    world.network.is_cut = lambda *_: True  # nothing comes through once it wakes
     process.queue.clear()
-    world._resume(["copy1"])
-    world.run_until(world.now + 4 * SECOND)
+    world.resume(["copy1"])
+    world.clock.run_until(world.clock.now_us + 4 * SECOND)
     mine = [told for told in world.log if told.reporter == "copy1" and told.at_us > began]
     assert [told.event for told in mine] == ["copy_paused"]
 
@@ -361,23 +366,29 @@
     """Each of the first datagrams of a suspicion comes at once, comes late or (one of them) never, and its
     copy pauses or does not."""
     for pause, late, lost in product((0, 700_000), product((False, True), repeat=5), range(-1, 5)):
-        world = World(3, 1, seeds=2)
+        world = MembershipSimulation(3, 1, seeds=2)
         world.start_all()
-        world.run_until(6 * SECOND)
-        began, sent, counted = world.now, [0], {n: p.instance.incarnation for n, p in world.names.items()}
+        world.clock.run_until(6 * SECOND)
+        began, sent, counted = (
+            world.clock.now_us,
+            [0],
+            {n: p.instance.incarnation for n, p in world.names.items()},
+        )
 
-        def fate(_from: str, _to: str, sent: list[int] = sent, late: Any = late, lost: int = lost) -> int:
+        def fate(
+            _from: str, _to: str, sent: list[int] = sent, late: Any = late, lost: int = lost
+        ) -> int | None:
             n = sent[0]
             sent[0] += 1
-            return -1 if n == lost else 400_000 if n < 5 and late[n] else 1_000
+            return None if n == lost else 400_000 if n < 5 and late[n] else 1_000
 
-        world.delay_us = fate
+        world.network.delay_us = fate
         at = world.names["copy0"].instance.table.row_of(world.names["copy2"].instance.id)
-        world.names["copy0"].instance._suspect(world.now, at)
+        world.names["copy0"].instance._suspect(world.clock.now_us, at)
         if pause:
             world.pause(["copy2"], pause)
         for _ in range(12):
-            world.run_until(world.now + SECOND // 2)
+            world.clock.run_until(world.clock.now_us + SECOND // 2)
             for name, process in world.names.items():
                 assert process.instance.incarnation >= counted[name]
                 counted[name] = process.instance.incarnation
@@ -553,14 +564,19 @@
 
 def test_a_mark_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
     world = ready(5)
-    world.is_cut = lambda one, other: (one, other) == ("copy0", "copy1")
-    assert world.run_until_met(lambda: all(states(world, n, 0) == "partly" for n in range(5)), 20 * SECOND)
+    world.network.is_cut = lambda one, other: (one, other) == ("copy0", "copy1")
+    assert world.clock.run_until_met(
+        lambda: all(states(world, n, 0) == "partly" for n in range(5)), 20 * SECOND
+    )
     one, other = (world.names[f"copy{n}"].instance for n in range(2))
     for _ in range(300):
-        world.run_until(world.now + SECOND // 2)
+        world.clock.run_until(world.clock.now_us + SECOND // 2)
         assert all(states(world, n, 0) == "partly" for n in range(5))
         # Told anew well before it fades, and not by chance.
-        assert world.now - one.reachability.reports[other.id][one.id][1] <= 25 * one.settings.ping_period_us
+        assert (
+            world.clock.now_us - one.reachability.reports[other.id][one.id][1]
+            <= 25 * one.settings.ping_period_us
+        )
 
 
 def test_a_loss_that_was_not_timed_here_is_not_believed() -> None:
