--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -16,18 +16,18 @@
     shown,
 )
 from cressrail.membership.messages import (
-    LEAST_BYTES,
-    LONGEST_NAME,
-    LONGEST_ZONE,
-    MOST_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MAX_NAME_BYTES,
+    MAX_ZONE_BYTES,
+    MIN_DATAGRAM_BYTES,
     USES,
     Address,
-    Settings,
+    MembershipSettings,
 )
 
 LISTEN, ADVERTISE, SEEDS, KEYS = "listen", "advertise", "seeds", "keys"
-ZONE, SUSPICION_FLOOR_MS, MAX_DATAGRAM_BYTES, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
-KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, SUSPICION_FLOOR_MS, MAX_DATAGRAM_BYTES, USED_FOR)
+ZONE, SUSPICION_FLOOR_MS, DATAGRAM_BYTES_LIMIT, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
+KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, SUSPICION_FLOOR_MS, DATAGRAM_BYTES_LIMIT, USED_FOR)
 
 MAX_KEYS = 2  # the first signs, both are accepted: one can replace the other without a gap
 KEY_BYTES = 32
@@ -42,11 +42,11 @@
     Attributes:
         listen: Where datagrams are read and sent from.
         settings: Of the protocol's state machine.
-        failover: Settings of the failover between zones, where that is configured.
+        failover: MembershipSettings of the failover between zones, where that is configured.
     """
 
     listen: Address
-    settings: Settings
+    settings: MembershipSettings
     failover: Any = None
 
 
@@ -86,9 +86,11 @@
     listen = read_ip_port(LISTEN, reader.text(LISTEN))
     advertise = _read_advertised_address(reader, listen)
     zone = reader.values.get(ZONE, zone)
-    _check_length(ZONE, zone, LONGEST_ZONE)
-    _check_length("name", instance_name, LONGEST_NAME)
-    max_bytes = _read_bounded(reader, MAX_DATAGRAM_BYTES, LEAST_BYTES, MOST_BYTES, absent=MOST_BYTES)
+    _check_length(ZONE, zone, MAX_ZONE_BYTES)
+    _check_length("name", instance_name, MAX_NAME_BYTES)
+    max_bytes = _read_bounded(
+        reader, DATAGRAM_BYTES_LIMIT, MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES
+    )
     suspicion_floor_ms = _read_bounded(
         reader,
         SUSPICION_FLOOR_MS,
@@ -106,7 +108,7 @@
     keys = _read_keys(os.path.join(folder, reader.text(KEYS)))
     return MembershipConfiguration(
         listen,
-        Settings(
+        MembershipSettings(
             instance_name,
             zone,
             advertise,
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -125,8 +125,8 @@
 
     return replace(
         membership,
-        settings=replace(membership.settings, words=True),
-        failover=read_failover_section(value, path, settings, membership.settings.bear_us),
+        settings=replace(membership.settings, carries_user_messages=True),
+        failover=read_failover_section(value, path, settings, membership.settings.tolerated_pause_us),
     )
 
 
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -44,6 +44,10 @@
 
     def _update_fleet(self, now_us: int, membership: MembershipStateMachine) -> None:
         indices = {name: index for index, name in enumerate(self.settings.topology.zones)}
-        seen = membership.seen(now_us)
-        living = {instance: indices[zone] for instance, zone in membership.zones().items() if zone in indices}
-        self.state_machine.update_fleet(Fleet(living, seen.alive + seen.silent, seen.sure))
+        seen = membership.observed_instances(now_us)
+        living = {
+            instance: indices[zone]
+            for instance, zone in membership.instance_zones().items()
+            if zone in indices
+        }
+        self.state_machine.update_fleet(Fleet(living, seen.alive + seen.silent, seen.has_quorum_view))
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -111,9 +111,9 @@
         if membership is not None and target == MEMBERSHIP_PATH:
             if method != b"GET":
                 return AdminResponse(405, b"not by this method\n", allow=b"GET")
-            return AdminResponse(200, membership.page(), JSON)
+            return AdminResponse(200, membership.view_json(), JSON)
         if membership is not None and target.startswith(ZONES_PATH):
-            return _zones_response(*membership.asked(method, target))
+            return _zones_response(*membership.on_zones_request(method, target))
         path = target.partition(b"?")[0]
         dispatcher = self.dispatcher
         response, commands = dispatcher.state_machine.on_admin_call(dispatcher.now(), method, path)
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -47,5 +47,5 @@
         # The other settings stay as they were, so that each reload names them until a restart.
         self.start.discovery, self.start.discovery_in_file = start.discovery, start.discovery_in_file
         if membership is not None and start.membership is not None:
-            membership.rekey(start.membership)
+            membership.set_keys(start.membership)
         dispatcher.dispatch(dispatcher.state_machine.on_discovery_address(dispatcher.now(), start.discovery))
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -75,10 +75,10 @@
         return membership_commands
 
     def on_message(
-        self, membership: MembershipStateMachine, message: membership_messages.Word
+        self, membership: MembershipStateMachine, message: membership_messages.UserMessage
     ) -> list[membership_messages.Command]:
         """Takes a failover message that membership received."""
-        commands = self.host.state_machine.on_message(self.dispatcher.now(), message.by, message.text)
+        commands = self.host.state_machine.on_message(self.dispatcher.now(), message.sender, message.payload)
         return self._carry_out(membership, commands)
 
     def on_admin_request(
@@ -138,9 +138,11 @@
         membership_commands: list[membership_messages.Command] = []
         for command in commands:
             if isinstance(command, SendToInstance):
-                membership_commands += membership.post(now_us, command.recipient, command.payload)
+                membership_commands += membership.send_user_message(
+                    now_us, command.recipient, command.payload
+                )
             elif isinstance(command, Broadcast):
-                membership_commands += membership.spread(
+                membership_commands += membership.broadcast_user_message(
                     now_us, command.topic, command.payload, command.is_urgent
                 )
             elif isinstance(command, DecisionAdopted):
@@ -156,7 +158,7 @@
 
 
 def _instance_names(membership: MembershipStateMachine) -> dict[int, str]:
-    return {membership.id: membership.name, **membership.names()}
+    return {membership.id: membership.name, **membership.instance_names()}
 
 
 def _is_drain_duration(text: str) -> bool:
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -96,7 +96,7 @@
             self.dispatcher.dispatch(effects)
             self._send(sock, wrap(ESTATE, {**told, "held": self._held_resources()}))
             if self.membership is not None:
-                self.membership.tell("cede")
+                self.membership.notify("cede")
             self._unpublish()
             got = self._receive_frame(sock, frames, None)
             if got is not None and got[0] == BYE:
@@ -108,7 +108,7 @@
             if over:
                 self.dispatcher.pool.most = self.buffers_before
                 if self.membership is not None and not self.dispatcher.state_machine.lifecycle.is_stopping:
-                    self.membership.tell("resume")
+                    self.membership.notify("resume")
                 self.dispatcher.dispatch(
                     self.dispatcher.state_machine.on_successor_failed(self.dispatcher.now())
                 )
