--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -12,6 +12,11 @@
 CLIENT_SILENCE_LIMIT_US = 2_500_000  # then it is closed also where there is room: services send at once
 
 
+def silence_limit_us(keeps_idle_clients: bool) -> int:
+    """How long a client may send nothing of a request before it is closed."""
+    return CLIENT_SILENCE_LIMIT_US if keeps_idle_clients else CLIENT_STALL_US
+
+
 @dataclass(slots=True)
 class Client:
     """A client's connection.
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -5,6 +5,7 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.proxy.commands import WatchEndpoints
+from cressrail.proxy.endpoint_registry import EndpointRegistry
 
 READY_WITHOUT_LIST_US = 500_000  # a start without an answer of discovery goes by the configured list then
 WATCH_RETRY_US = 50_000  # the first pause before the watch is opened again; doubles
@@ -25,11 +26,17 @@
     """
 
     def __init__(
-        self, now_us: int, discovery: tuple[str, int], drain_notice_us: int, random: RandomGenerator
+        self,
+        now_us: int,
+        discovery: tuple[str, int],
+        drain_notice_us: int,
+        registry: EndpointRegistry,
+        random: RandomGenerator,
     ) -> None:
         self.started_us = now_us
         self.discovery = discovery
         self.drain_notice_us = drain_notice_us
+        self.registry = registry
         self.random = random
         self.revision = 0
         self.has_list = False
@@ -93,6 +100,10 @@
         """Whether discovery has sent the list, or has been silent for so long that none is waited for."""
         return self.has_list or now_us - self.started_us >= READY_WITHOUT_LIST_US
 
+    def can_serve(self, now_us: int) -> bool:
+        """Whether requests can be routed: the list is known, or none is waited for and some are known."""
+        return self.has_list or (bool(self.registry.endpoints) and self.is_settled(now_us))
+
     @property
     def settles_us(self) -> int:
         """From when on no list is waited for."""
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -208,8 +208,10 @@
         commands += self.requests.release(routed_request)
         return commands + self.reply(client, status, None, request_class)
 
-    def drop(self, now_us: int, routed_request: RoutedRequest) -> list[Command]:
-        """The client of a request has left: its attempts are cancelled, where that is allowed."""
+    def drop(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
+        """A client has left: the attempts of its request, if any, are cancelled where that is allowed."""
+        if routed_request is None:
+            return []
         self.requests.release_id(routed_request)
         commands = self._decided(now_us, routed_request.on_client_disconnected())
         streaming = self.requests.pending[routed_request].streaming_attempt
--- /dev/null
+++ b/cressrail/proxy/process_handover.py
@@ -0,0 +1,60 @@
+"""What one process hands over to the next, as this one's state goes into it or comes from it."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from cressrail.handover import state as handover_state
+from cressrail.handover.frame import HandoverError
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.proxy import events
+from cressrail.proxy.commands import Command, LogEvent
+from cressrail.proxy.endpoint_registry import EndpointRegistry
+from cressrail.proxy.lifecycle import Lifecycle
+from cressrail.proxy.requests import PendingRequests
+
+# Names in the hand-over frames.
+OPEN_REQUEST_IDS = "open"
+IS_OUT_OF_SERVICE = "drained"
+
+
+class ProcessHandover:
+    """Captures the state for a successor, and goes on from that of a predecessor."""
+
+    def __init__(
+        self,
+        load_balancer: LoadBalancer,
+        registry: EndpointRegistry,
+        requests: PendingRequests,
+        lifecycle: Lifecycle,
+    ) -> None:
+        self.load_balancer = load_balancer
+        self.registry = registry
+        self.requests = requests
+        self.lifecycle = lifecycle
+
+    def endpoint_list(self, revision: int) -> dict[str, Any]:
+        """Returns the endpoint list in discovery's form."""
+        entries = (registered.entry for registered in self.registry.endpoints.values())
+        return handover_state.listed(entries, revision)
+
+    def capture(self) -> dict[str, Any]:
+        """Returns what the successor goes on from."""
+        return {
+            **handover_state.capture(self.load_balancer, self.registry.names()),
+            OPEN_REQUEST_IDS: list(self.requests.open_ids),
+            IS_OUT_OF_SERVICE: self.lifecycle.is_out_of_service,
+        }
+
+    def restore(self, now_us: int, state: dict[str, Any], clients_held: int) -> Command:
+        """Goes on from the predecessor's state, unless it is malformed. Returns the log line of it."""
+        try:
+            handover_state.restore(state, self.load_balancer, self.registry.names(), now_us)
+        except HandoverError as fault:
+            return LogEvent(events.TOOK_OVER, {"state_rejected": str(fault)})
+        until_us = now_us + self.lifecycle.max_deadline_us
+        self.requests.add_predecessor_ids(state.get(OPEN_REQUEST_IDS, []), until_us)
+        if state.get(IS_OUT_OF_SERVICE) is True:
+            self.lifecycle.inherit_out_of_service(now_us)
+        counts = {"open": len(self.requests.predecessor_ids), "clients": clients_held}
+        return LogEvent(events.TOOK_OVER, counts)
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -8,23 +8,12 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from cressrail.handover import state as handover_state
-from cressrail.handover.frame import HandoverError
 from cressrail.http1.answer import Response
-from cressrail.http1.figures import span_us
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import (
-    IDEMPOTENT_WITH_KEY,
-    NON_IDEMPOTENT,
-    LoadBalancer,
-    Outcome,
-    RandomGenerator,
-    RequestClass,
-)
+from cressrail.policy.load_balancer import LoadBalancer, Outcome, RandomGenerator
 from cressrail.proxy import admin, clients, commands, events
 from cressrail.proxy.attempts import AttemptResult, Attempts
 from cressrail.proxy.commands import Command, LogEvent
@@ -34,26 +23,18 @@
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.forwarding import RequestForwarder
 from cressrail.proxy.id_sequence import IdSequence
+from cressrail.proxy.intake import RequestIntake
 from cressrail.proxy.lifecycle import Lifecycle
+from cressrail.proxy.listener_control import ListenerControl
+from cressrail.proxy.process_handover import ProcessHandover
 from cressrail.proxy.request_counters import RequestCounters
-from cressrail.proxy.requests import (
-    DEADLINE_FIELD,
-    IDEMPOTENCY_KEY_FIELD,
-    REQUEST_CLASS_FIELD,
-    REQUEST_ID_FIELD,
-    TENANT_FIELD,
-    PendingRequest,
-    PendingRequests,
-)
+from cressrail.proxy.requests import PendingRequests
 from cressrail.proxy.settings import ProxySettings
+from cressrail.proxy.timers import Timers
 
 if TYPE_CHECKING:
     from cressrail.proxy.zone_statistics import ZoneStatistics
 
-HEALTH_PATH = b"/_health"
-REQUEST_PATH = b"/api"
-NO_TENANT = -1
-STILL_COMING = -1  # in place of a request's remaining time, which does not run yet
 LOGGED_FAULTS = 3  # of an update's entries that can't be read
 
 
@@ -88,7 +69,9 @@
         self.registry = registry
         self.limits = limits
         self.lifecycle = Lifecycle(now_us, settings.max_deadline_us)
-        self.endpoint_watch = EndpointListWatch(now_us, settings.discovery, settings.drain_notice_us, random)
+        self.endpoint_watch = EndpointListWatch(
+            now_us, settings.discovery, settings.drain_notice_us, registry, random
+        )
         self.ids = IdSequence()
         self.clients = clients.Clients(limits)
         self.connections = EndpointConnections(registry, limits, self.ids)
@@ -98,6 +81,27 @@
         self.forwarder = RequestForwarder(
             load_balancer, self.lifecycle, self.clients, self.requests, self.attempts, self.counters
         )
+        self.intake = RequestIntake(
+            settings,
+            load_balancer,
+            self.lifecycle,
+            self.endpoint_watch,
+            self.clients,
+            self.requests,
+            self.forwarder,
+        )
+        self.admin_calls = admin.AdminCalls(
+            load_balancer,
+            registry,
+            self.endpoint_watch,
+            self.lifecycle,
+            self.clients,
+            self.requests,
+            self.counters,
+        )
+        self.handover = ProcessHandover(load_balancer, registry, self.requests, self.lifecycle)
+        self.listener_control = ListenerControl(self.lifecycle, self.endpoint_watch, self.clients)
+        self.timers = Timers(load_balancer, self.lifecycle, self.endpoint_watch, self.clients, self.forwarder)
         self.timer_us = -1
 
     # The endpoint list
@@ -145,8 +149,7 @@
 
     def endpoint_list(self) -> dict[str, Any]:
         """Returns the list in discovery's form, for the successor process."""
-        entries = (registered.entry for registered in self.registry.endpoints.values())
-        return handover_state.listed(entries, self.endpoint_watch.revision)
+        return self.handover.endpoint_list(self.endpoint_watch.revision)
 
     # Other instances
 
@@ -201,45 +204,7 @@
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
         """A request has come whole at `arrived_us`, or the head of one that is forwarded as it comes."""
-        # If it is answered before all of it has come, it is the last: what is left of it may never come.
-        self.clients.set_keep_alive(client, request.keep and not request.streams)
-        self.clients.finish_receiving(client)  # also if it was asked to close just now
-        if request.path == HEALTH_PATH:
-            status = 200 if self.is_ready(now_us) else 503
-            return self._complete(now_us, self.forwarder.reply(client, status, request.body))
-        class_name = request.get(REQUEST_CLASS_FIELD)
-        if class_name is None and request.path != REQUEST_PATH:
-            return self._complete(now_us, self.forwarder.reply(client, 404, request.body))
-        request_class = self.settings.request_classes.get(class_name or "")
-        limit_us = self._time_limit_us(now_us, request, request_class)
-        if request_class is None or limit_us is None:
-            counted = class_name if request_class is not None else None
-            return self._complete(now_us, self.forwarder.reply(client, 400, request.body, counted))
-        if self.clients.open[client].is_over_limit:
-            line = LogEvent(
-                events.CONNECTION_LIMIT_REACHED, {"side": "clients", "open": len(self.clients.open)}
-            )
-            reply = self.forwarder.reply(client, 503, request.body, class_name)
-            return self._complete(now_us, [line, *reply])
-        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not request.get(IDEMPOTENCY_KEY_FIELD):
-            # Without a key the endpoint could not tell a retry from another request.
-            request_class = replace(request_class, idempotency=NON_IDEMPOTENT)
-        tenant = self.settings.tenants.get(request.get(TENANT_FIELD) or "", NO_TENANT)
-        remaining_us = STILL_COMING if request.streams else max(0, limit_us - (now_us - arrived_us))
-        routed_request = self.load_balancer.start_request(now_us, request_class, tenant, remaining_us)
-        pending = PendingRequest(client, request, arrived_us, limit_us)
-        return self._complete(now_us, self.forwarder.start(now_us, routed_request, pending))
-
-    def _time_limit_us(self, now_us: int, request: Request, request_class: RequestClass | None) -> int | None:
-        """Returns the time that a request has; None if it is invalid: its class, its id or its deadline."""
-        request_id = request.get(REQUEST_ID_FIELD)
-        if request_class is None or not request_id:
-            return None
-        deadline = request.get(DEADLINE_FIELD)
-        limit_us = span_us(deadline) if deadline is not None else request_class.deadline_us
-        if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
-            return None
-        return min(limit_us, request_class.deadline_us, self.lifecycle.answer_all_us - now_us)
+        return self._complete(now_us, self.intake.take(now_us, client, request, arrived_us))
 
     def on_request_complete(self, now_us: int, client: int, arrived_us: int) -> list[Command]:
         """The last byte has come of a request that was forwarded before."""
@@ -269,14 +234,12 @@
     def on_client_closed(self, now_us: int, client: int) -> list[Command]:
         """The connection of a client has ended, by whichever side."""
         routed_request = self.clients.remove(client).routed_request
-        out = self.forwarder.drop(now_us, routed_request) if routed_request is not None else []
-        return self._complete(now_us, out)
+        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
 
     def on_client_disconnected(self, now_us: int, client: int) -> list[Command]:
         """A client has closed its connection, which its task has not noticed yet."""
         routed_request = self.clients.clear_request(client)
-        out = self.forwarder.drop(now_us, routed_request) if routed_request is not None else []
-        return self._complete(now_us, out)
+        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
 
     def is_full(self) -> bool:
         """Whether new clients may have to wait until another one closes."""
@@ -341,50 +304,19 @@
         self, now_us: int, method: bytes, path: bytes
     ) -> tuple[admin.AdminResponse, list[Command]]:
         """Answers an operator's call; returns the answer and the commands."""
-        refusal = admin.refused(method, path)
-        if refusal is not None:
-            return refusal, []
-        if path == admin.COUNTERS:
-            return admin.AdminResponse(200, self._counters_text(now_us)), []
-        if path == admin.READY:
-            is_ready = self.lifecycle.rules.is_ready and self.can_serve(now_us)
-            return admin.IS_READY if is_ready else admin.IS_NOT_READY, []
-        if self.lifecycle.has_handed_over:  # a change would end with this process
-            return admin.HAS_HANDED_OVER, []
-        if path == admin.OUT:
-            return admin.IS_OUT_OF_SERVICE, self._leave_service(now_us)
-        return admin.IS_IN_SERVICE, self._return_to_service(now_us)
-
-    def _counters_text(self, now_us: int) -> bytes:
-        unavailable = self.load_balancer.unavailable_endpoints(now_us)
-        unavailable_count = sum(self.registry.is_listed(endpoint) for endpoint in unavailable)
-        return self.counters.text(
-            len(self.requests.open_ids), self.registry.listed_count(), unavailable_count
-        )
-
-    def _leave_service(self, now_us: int) -> list[Command]:
-        if not self.lifecycle.leave_service(now_us):
-            return []
-        return self._complete(now_us, [LogEvent(events.OUT_OF_SERVICE, self._open_counts())])
-
-    def _return_to_service(self, now_us: int) -> list[Command]:
-        if not self.lifecycle.return_to_service():
-            return []
-        line = LogEvent(events.IN_SERVICE, {"clients": len(self.clients.open)})
-        return self._complete(now_us, [line])
-
-    def _open_counts(self) -> dict[str, int]:
-        return {"clients": len(self.clients.open), "requests": len(self.requests.pending)}
+        response, out = self.admin_calls.answer(now_us, method, path)
+        return response, self._complete(now_us, out) if out else []
 
     def is_ready(self, now_us: int) -> bool:
         """Whether the ingress is to send clients here, as the health check says."""
-        return self.lifecycle.rules.is_healthy and self.can_serve(now_us)
+        return self.intake.is_healthy(now_us)
 
     def can_serve(self, now_us: int) -> bool:
-        """Whether a list of endpoints is known to go by."""
-        return self.endpoint_watch.has_list or (
-            bool(self.registry.endpoints) and self.endpoint_watch.is_settled(now_us)
-        )
+        """Whether requests can be routed by what is known of endpoints."""
+        return self.endpoint_watch.can_serve(now_us)
+
+    def _open_counts(self) -> dict[str, int]:
+        return {"clients": len(self.clients.open), "requests": len(self.requests.pending)}
 
     # Hand-over between two processes
 
@@ -393,30 +325,16 @@
     ) -> list[Command]:
         """The predecessor process accepts no clients any more.
 
-        Args:
-            now_us: The time.
-            state: Its hand-over state; None if it has gone or does not answer.
-            clients_held: Clients that stay with it until `on_predecessor_exited`.
-            connections_held: Connections to endpoints that stay with it until then.
+        `state` is its hand-over state; None if it has gone or does not answer. So many of its clients and
+        connections stay with it until `on_predecessor_exited`.
         """
         out: list[Command] = []
         self.lifecycle.take_over()
         if state is not None:
-            out.append(LogEvent(events.TOOK_OVER, self._restore(now_us, state, clients_held)))
+            out.append(self.handover.restore(now_us, state, clients_held))
         self.limits.lend(clients_held, connections_held)
         return self._complete(now_us, out)
 
-    def _restore(self, now_us: int, state: dict[str, Any], clients_held: int) -> dict[str, Any]:
-        """Goes on from the predecessor's state, and returns what is logged of it."""
-        try:
-            handover_state.restore(state, self.load_balancer, self.registry.names(), now_us)
-        except HandoverError as fault:
-            return {"state_rejected": str(fault)}
-        self.requests.add_predecessor_ids(state.get("open", []), now_us + self.settings.max_deadline_us)
-        if state.get("drained") is True:
-            self.lifecycle.inherit_out_of_service(now_us)
-        return {"open": len(self.requests.predecessor_ids), "clients": clients_held}
-
     def on_predecessor_exited(self, now_us: int, clients_held: int, connections_held: int) -> list[Command]:
         """The predecessor process has exited, and holds these connections no longer."""
         self.limits.regain(clients_held, connections_held)
@@ -429,21 +347,13 @@
         No idle client is closed for it. Each answer is the last on its connection, so no close crosses a
         request, and clients that send another request connect to the successor.
         """
-        state = {
-            **handover_state.capture(self.load_balancer, self.registry.names()),
-            "open": list(self.requests.open_ids),
-            "drained": self.lifecycle.is_out_of_service,
-        }
+        state = self.handover.capture()
         self.load_balancer.yield_to_successor(True)
         self.lifecycle.hand_over(now_us)
         return state, self._complete(now_us, [LogEvent(events.HANDED_OVER, self._open_counts())])
 
     def keep_connections(self, parts: int) -> int:
-        """Leaves all but one of so many parts of the connections to endpoints to the successor.
-
-        Returns:
-            How many stay with this process.
-        """
+        """Leaves all but one of so many parts of connections to the successor; returns how many stay."""
         self.limits.keep_part(parts, len(self.connections.open))
         return self.limits.endpoint_connections
 
@@ -464,34 +374,20 @@
 
     def on_timer(self, now_us: int) -> list[Command]:
         """The time that `SetTimer` named has come, or any other."""
-        out = self.forwarder.on_timer(now_us)
-        if now_us >= self.lifecycle.answer_all_us:
-            out += self.forwarder.finish_all_now(now_us)
-        if self.lifecycle.closes_idle_clients_handed_over(now_us):
-            out += self.clients.close_all_idle()
-        if self.lifecycle.close_listener(now_us):
-            out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
-            if not self.lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
-                out.append(commands.AcceptClients(False, closed=True))
-        if self.lifecycle.begin_last_answers(now_us):
-            out += self.clients.close_all_idle()
-        if self.lifecycle.close_idle_out_of_service(now_us):
-            out += self.clients.close_all_idle()
-        keeps_idle = self.lifecycle.rules.keeps_idle_clients
-        limit_us = clients.CLIENT_SILENCE_LIMIT_US if keeps_idle else clients.CLIENT_STALL_US
-        out += self.clients.close_silent(now_us, limit_us)
-        return self._complete(now_us, out)
+        return self._complete(now_us, self.timers.run_due(now_us))
 
     # What every event may bring
 
     def _complete(self, now_us: int, out: list[Command]) -> list[Command]:
         """Adds what follows from any event: the listener, a hand-over to ask for, the timer, and the end."""
-        self._set_listener(now_us, out)
+        accept = self.listener_control.update(now_us)
+        if accept is not None:
+            out.append(accept)
         lifecycle = self.lifecycle
         if lifecycle.is_taking_over and not lifecycle.has_asked_predecessor and self.can_serve(now_us):
             lifecycle.ask_predecessor()
             out.append(commands.BeginTakeover())
-        timer_us = self._next_timer_us(now_us)
+        timer_us = self.timers.next_us(now_us)
         if timer_us != self.timer_us:
             self.timer_us = timer_us
             out.append(commands.SetTimer(timer_us))
@@ -500,39 +396,3 @@
         ):
             out.append(commands.Exit())
         return out
-
-    def _set_listener(self, now_us: int, out: list[Command]) -> None:
-        """Accepts clients or pauses, as there is room for one, also by closing another one.
-
-        Not before the list has come, if it comes: clients wait in the system's queue meanwhile, rather than
-        being sent to endpoints which, since the list was configured, have begun to drain.
-        """
-        lifecycle = self.lifecycle
-        if not lifecycle.has_open_listener:
-            return
-        accepts = (
-            lifecycle.rules.accepts_clients
-            and self.endpoint_watch.is_settled(now_us)
-            and self.clients.may_accept(now_us)
-        )
-        if accepts is not lifecycle.is_accepting:
-            lifecycle.set_accepting(accepts)
-            out.append(commands.AcceptClients(accepts))
-
-    def _next_timer_us(self, now_us: int) -> int:
-        lifecycle = self.lifecycle
-        timer_us = self.load_balancer.wake_us
-        has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
-        if has_to_ask or not self.endpoint_watch.is_settled(now_us):
-            timer_us = min(timer_us, self.endpoint_watch.settles_us)
-        if lifecycle.is_stopping:
-            timer_us = min(timer_us, lifecycle.next_stop_phase_us)
-            if self.forwarder.has_unanswered():
-                timer_us = min(timer_us, lifecycle.answer_all_us)
-        if lifecycle.is_out_of_service:
-            timer_us = min(timer_us, lifecycle.idle_close_us)
-        if self.clients.receiving:
-            keeps_idle = lifecycle.rules.keeps_idle_clients and lifecycle.is_accepting
-            limit_us = clients.CLIENT_SILENCE_LIMIT_US if keeps_idle else clients.CLIENT_STALL_US
-            timer_us = min(timer_us, self.clients.silent_since_us() + limit_us)
-        return timer_us
--- /dev/null
+++ b/cressrail/proxy/timers.py
@@ -0,0 +1,66 @@
+"""What is due at which time: steps of a stop, idle clients to close, and the load balancer's own timer."""
+
+from __future__ import annotations
+
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.proxy import events
+from cressrail.proxy.clients import Clients, silence_limit_us
+from cressrail.proxy.commands import AcceptClients, Command, LogEvent
+from cressrail.proxy.endpoint_list import EndpointListWatch
+from cressrail.proxy.forwarding import RequestForwarder
+from cressrail.proxy.lifecycle import Lifecycle
+
+
+class Timers:
+    """Does what is due, and tells when something is due next."""
+
+    def __init__(
+        self,
+        load_balancer: LoadBalancer,
+        lifecycle: Lifecycle,
+        endpoint_watch: EndpointListWatch,
+        clients: Clients,
+        forwarder: RequestForwarder,
+    ) -> None:
+        self.load_balancer = load_balancer
+        self.lifecycle = lifecycle
+        self.endpoint_watch = endpoint_watch
+        self.clients = clients
+        self.forwarder = forwarder
+
+    def run_due(self, now_us: int) -> list[Command]:
+        """Returns the commands of all that is due."""
+        lifecycle = self.lifecycle
+        out = self.forwarder.on_timer(now_us)
+        if now_us >= lifecycle.answer_all_us:
+            out += self.forwarder.finish_all_now(now_us)
+        if lifecycle.closes_idle_clients_handed_over(now_us):
+            out += self.clients.close_all_idle()
+        if lifecycle.close_listener(now_us):
+            out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
+            if not lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
+                out.append(AcceptClients(False, closed=True))
+        if lifecycle.begin_last_answers(now_us):
+            out += self.clients.close_all_idle()
+        if lifecycle.close_idle_out_of_service(now_us):
+            out += self.clients.close_all_idle()
+        out += self.clients.close_silent(now_us, silence_limit_us(lifecycle.rules.keeps_idle_clients))
+        return out
+
+    def next_us(self, now_us: int) -> int:
+        """Returns when something is due next."""
+        lifecycle = self.lifecycle
+        next_us = self.load_balancer.wake_us
+        has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
+        if has_to_ask or not self.endpoint_watch.is_settled(now_us):
+            next_us = min(next_us, self.endpoint_watch.settles_us)
+        if lifecycle.is_stopping:
+            next_us = min(next_us, lifecycle.next_stop_phase_us)
+            if self.forwarder.has_unanswered():
+                next_us = min(next_us, lifecycle.answer_all_us)
+        if lifecycle.is_out_of_service:
+            next_us = min(next_us, lifecycle.idle_close_us)
+        if self.clients.receiving:
+            keeps_idle = lifecycle.rules.keeps_idle_clients and lifecycle.is_accepting
+            next_us = min(next_us, self.clients.silent_since_us() + silence_limit_us(keeps_idle))
+        return next_us
