--- /dev/null
+++ b/tests/proxy/test_lifecycle.py
@@ -0,0 +1,206 @@
+"""Every state of the process: what it answers, and what each event makes of it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from cressrail.proxy import admin
+from cressrail.proxy import commands as do
+from cressrail.proxy.lifecycle import (
+    STOP_GRACE_MAX_US,
+    Lifecycle,
+    Ownership,
+    StopPhase,
+)
+from tests.helpers import SECOND
+from tests.proxy.support import Front
+
+State = tuple[Ownership, StopPhase, bool]  # and whether it is out of service
+
+OWNERSHIPS = {
+    "taking": Ownership.TAKING_OVER,
+    "serving": Ownership.SERVING,
+    "handed": Ownership.HANDED_OVER,
+}
+PHASES = {
+    "running": StopPhase.RUNNING,
+    "grace": StopPhase.GRACE,
+    "closing": StopPhase.CLOSING,
+    "last": StopPhase.LAST_ANSWERS,
+    "ended": StopPhase.ENDED,
+}
+CLIENT = 1
+STOP_US = SECOND  # when a stop is requested
+
+# Whether the state: is healthy, is ready, accepts clients, keeps idle clients, closes after an answer.
+ANSWERS = """
+taking  running in   yes no  no  yes no
+taking  grace   in   no  no  no  yes no
+taking  closing in   no  no  no  no  no
+taking  last    in   no  no  no  no  yes
+taking  ended   in   no  no  no  no  yes
+serving running in   yes yes yes yes no
+serving grace   in   no  no  yes yes no
+serving closing in   no  no  no  no  no
+serving last    in   no  no  no  no  yes
+serving ended   in   no  no  no  no  yes
+handed  running in   yes yes no  yes yes
+handed  grace   in   yes no  no  yes yes
+handed  closing in   yes no  no  no  yes
+handed  last    in   yes no  no  no  yes
+handed  ended   in   yes no  no  no  yes
+taking  running out  no  no  no  no  yes
+taking  grace   out  no  no  no  no  yes
+taking  closing out  no  no  no  no  yes
+taking  last    out  no  no  no  no  yes
+taking  ended   out  no  no  no  no  yes
+serving running out  no  yes yes no  yes
+serving grace   out  no  no  yes no  yes
+serving closing out  no  no  no  no  yes
+serving last    out  no  no  no  no  yes
+serving ended   out  no  no  no  no  yes
+handed  running out  no  yes no  no  yes
+handed  grace   out  no  no  no  no  yes
+handed  closing out  no  no  no  no  yes
+handed  last    out  no  no  no  no  yes
+handed  ended   out  no  no  no  no  yes
+"""
+QUESTIONS = ("healthy", "ready", "accepts clients", "keeps idle clients", "closes after answer")
+
+# The state after each event; "=" is the one before.
+#               signal        time passes    taken over       handed over     successor fails
+AFTER = """
+taking  running taking-grace  =              serving-running  handed-running  =
+taking  grace   =             taking-closing serving-grace    handed-grace    =
+taking  closing =             taking-last    serving-closing  handed-closing  =
+taking  last    =             taking-ended   serving-last     handed-last     =
+taking  ended   =             =              serving-ended    handed-ended    =
+serving running serving-grace =              =                handed-running  =
+serving grace   =             serving-closing =               handed-grace    =
+serving closing =             serving-last   =                handed-closing  =
+serving last    =             serving-ended  =                handed-last     =
+serving ended   =             =              =                handed-ended    =
+handed  running handed-grace  =              =                =               serving-running
+handed  grace   =             handed-closing =                =               =
+handed  closing =             handed-last    =                =               =
+handed  last    =             handed-ended   =                =               =
+handed  ended   =             =              =                =               =
+"""
+EVENTS: dict[str, Callable[[Front, int], object]] = {
+    "signal": lambda front, now_us: front.reducer.on_stop_requested(now_us),
+    "time passes": lambda front, now_us: front.reducer.on_timer(
+        min(front.reducer.lifecycle.next_stop_phase_us, now_us + 2 * SECOND)
+    ),
+    "taken over": lambda front, now_us: front.reducer.take_over(now_us, None, 0, 0),
+    "handed over": lambda front, now_us: front.reducer.hand_over(now_us),
+    "successor fails": lambda front, now_us: front.reducer.on_successor_failed(now_us),
+}
+
+# An operator's call to leave or to return to service: the flag afterwards, the same in every phase of a stop.
+SERVICE_CALLS = {
+    ("taking", "in", admin.OUT): True,
+    ("taking", "in", admin.IN): False,
+    ("taking", "out", admin.OUT): True,
+    ("taking", "out", admin.IN): False,
+    ("serving", "in", admin.OUT): True,
+    ("serving", "in", admin.IN): False,
+    ("serving", "out", admin.OUT): True,
+    ("serving", "out", admin.IN): False,
+    ("handed", "in", admin.OUT): False,  # refused: the change would end with this process
+    ("handed", "in", admin.IN): False,
+    ("handed", "out", admin.OUT): True,
+    ("handed", "out", admin.IN): True,
+}
+
+
+def state_of(lifecycle: Lifecycle) -> State:
+    return lifecycle.ownership, lifecycle.stop_phase, lifecycle.is_out_of_service
+
+
+def named(ownership: str, phase: str, service: str) -> State:
+    return OWNERSHIPS[ownership], PHASES[phase], service == "out"
+
+
+def reach(ownership: str, phase: str, service: str) -> tuple[Front, int]:
+    """A state machine in a state, with one client that stays connected; and the time."""
+    front = Front()
+    if ownership == "taking":
+        front.told += front.reducer.start(0, front.known, has_predecessor=True)
+    front.told += front.reducer.on_endpoint_list(0, front.known)
+    front.came(CLIENT)
+    if service == "out":
+        front.told += front.reducer.on_admin_call(SECOND, b"POST", admin.OUT)[1]
+    if ownership == "handed":
+        front.told += front.reducer.hand_over(SECOND)[1]
+    now_us = STOP_US
+    if phase != "running":
+        front.told += front.reducer.on_stop_requested(now_us)
+    # Half of the longest deadline, a second here, from closing to the last answers, and all of it to the end.
+    steps = {"closing": STOP_GRACE_MAX_US, "last": SECOND // 2, "ended": SECOND}
+    for name, after_us in steps.items():
+        if list(PHASES).index(phase) >= list(PHASES).index(name):
+            now_us += after_us
+            front.told += front.reducer.on_timer(now_us)
+    assert state_of(front.reducer.lifecycle) == named(ownership, phase, service)
+    return front, now_us
+
+
+def answer_cases() -> list[tuple[str, str, str, str, bool]]:
+    rows = [line.split() for line in ANSWERS.strip().splitlines()]
+    return [
+        (ownership, phase, service, question, answer == "yes")
+        for ownership, phase, service, *answers in rows
+        for question, answer in zip(QUESTIONS, answers, strict=True)
+    ]
+
+
+def event_cases() -> list[tuple[str, str, str, str, str]]:
+    rows = [line.split() for line in AFTER.strip().splitlines()]
+    return [
+        (ownership, phase, service, event, f"{ownership}-{phase}" if state == "=" else state)
+        for ownership, phase, *states in rows
+        for event, state in zip(EVENTS, states, strict=True)
+        for service in ("in", "out")
+    ]
+
+
+def is_accepting(front: Front) -> bool:
+    return [command.on for command in front.told if isinstance(command, do.AcceptClients)][-1:] == [True]
+
+
+@pytest.mark.parametrize(("ownership", "phase", "service", "question", "answer"), answer_cases())
+def test_state_answers(ownership: str, phase: str, service: str, question: str, answer: bool) -> None:
+    front, now_us = reach(ownership, phase, service)
+    if question == "healthy":
+        assert front.reducer.is_ready(now_us) is answer
+    elif question == "ready":
+        response, _ = front.reducer.on_admin_call(now_us, b"GET", admin.READY)
+        assert response.status == (200 if answer else 503)
+    elif question == "accepts clients":
+        assert is_accepting(front) is answer
+    elif question == "keeps idle clients":
+        assert front.reducer.lifecycle.rules.keeps_idle_clients is answer
+    else:
+        commands = front.reducer.on_response_written(now_us, CLIENT)
+        assert (do.CloseClient(CLIENT, only_if_idle=False) in commands) is answer
+
+
+@pytest.mark.parametrize(("ownership", "phase", "service", "event", "after"), event_cases())
+def test_event_leads_to_state(ownership: str, phase: str, service: str, event: str, after: str) -> None:
+    front, now_us = reach(ownership, phase, service)
+    EVENTS[event](front, now_us)
+    ownership_after, phase_after = after.split("-")
+    assert state_of(front.reducer.lifecycle) == named(ownership_after, phase_after, service)
+
+
+@pytest.mark.parametrize("phase", PHASES)
+@pytest.mark.parametrize(("ownership", "service", "path"), SERVICE_CALLS)
+def test_service_call_changes_service_unless_handed_over(
+    ownership: str, service: str, path: bytes, phase: str
+) -> None:
+    front, now_us = reach(ownership, phase, service)
+    front.reducer.on_admin_call(now_us, b"POST", path)
+    is_out = SERVICE_CALLS[ownership, service, path]
+    assert state_of(front.reducer.lifecycle) == (OWNERSHIPS[ownership], PHASES[phase], is_out)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,8 +24,8 @@
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, ask, member, reply, warm_up
+from tests.proxy.support import Front, news
 from tests.test_ops import call
-from tests.test_traffic import Front, news
 
 
 def test_frames_come_whole_from_any_pieces() -> None:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -21,7 +21,7 @@
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
-from tests.test_traffic import Front
+from tests.proxy.support import Front
 from tests.test_wire import BORN, HEARD, TX
 from tests.test_wire import play as on_the_wire
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -26,8 +26,8 @@
 from cressrail.proxy.request_counters import RequestCounters
 from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
 from tests.helpers import entry as listed
+from tests.proxy.support import Front
 from tests.test_sockets import serving
-from tests.test_traffic import Front
 
 
 def figures(front: Front, now: int = 0) -> dict[str, int]:
