--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -37,16 +37,16 @@
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = parse_configuration(config, {})
-        roster, members = EndpointRegistry(["a", "b"]), policy_factory.tenants(start.settings)
+        roster, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.reducer = StateMachine(
             ProxySettings(
-                policy_factory.request_classes(start.settings),
+                policy_factory.read_request_classes(start.settings),
                 dict.fromkeys(members, 0),
                 SECOND,
                 start.discovery,
                 grace_us,
             ),
-            policy_factory.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
             roster,
             ConnectionLimits(clients, 2, links),
             RandomGenerator(5),
