--- a/cressrail/buffers/pipe.py
+++ b/cressrail/buffers/pipe.py
@@ -5,128 +5,141 @@
 from collections import deque
 from collections.abc import Callable
 
-from cressrail.buffers.pool import SIZE, Chain, Pool
+from cressrail.buffers.pool import BUFFER_BYTES, BufferChain, BufferPool
 
-KEPT = 65536  # bytes of a body that are held whole
-MOST = 8  # buffers of a pipe; its writer looks for room before it reads more
+KEPT_BODY_BYTES = 65536  # bytes of a body that are held whole
+MAX_PIPE_BUFFERS = 8  # buffers of a pipe; its writer looks for room before it reads more
 
 
 class Pipe:
     """`add` and `close` or `fail` on one side, `peek` and `used` or `drop` on the other. Whoever waits for
     the other side leaves a call, made once."""
 
-    __slots__ = ("closed", "dropped", "failed", "hi", "lo", "on_data", "on_room", "parts", "pool", "taken")
-
-    def __init__(self, pool: Pool) -> None:
+    __slots__ = (
+        "buffers",
+        "end",
+        "has_been_consumed",
+        "has_failed",
+        "is_closed",
+        "is_discarded",
+        "on_data",
+        "on_room",
+        "pool",
+        "start",
+    )
+
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
-        self.parts: deque[bytearray] = deque()
-        self.lo = self.hi = 0  # in the first of the buffers, and in the last
-        self.closed = self.failed = self.dropped = False
-        self.taken = False  # something of it is gone for good
+        self.buffers: deque[bytearray] = deque()
+        self.start = self.end = 0  # in the first of the buffers, and in the last
+        self.is_closed = self.has_failed = self.is_discarded = False
+        self.has_been_consumed = False  # something of it is gone for good
         self.on_data: Callable[[], None] | None = None
         self.on_room: Callable[[], None] | None = None
 
-    def roomy(self) -> bool:
+    def has_room(self) -> bool:
         """Whether more may be read for it; nothing is kept of what nobody wants."""
-        return self.dropped or (len(self.parts) < MOST and self.pool.lent < self.pool.most)
+        return self.is_discarded or (
+            len(self.buffers) < MAX_PIPE_BUFFERS and self.pool.lent < self.pool.max_lent
+        )
 
-    def crowded(self) -> bool:
+    def is_full(self) -> bool:
         """By its own fill, which its reader ends; not by a pool that others have emptied."""
-        return len(self.parts) >= MOST
+        return len(self.buffers) >= MAX_PIPE_BUFFERS
 
-    def add(self, data: memoryview) -> None:
-        if self.dropped:
+    def append(self, data: memoryview) -> None:
+        if self.is_discarded:
             return
         while data:
-            if not self.parts or self.hi == SIZE:
+            if not self.buffers or self.end == BUFFER_BYTES:
                 # What has been read has to go somewhere: one buffer over the pool's bound, at most.
-                self.parts.append(self.pool.take(over=True))
-                self.hi = 0
-                self.lo = self.lo if len(self.parts) > 1 else 0
-            n = min(len(data), SIZE - self.hi)
-            self.parts[-1][self.hi : self.hi + n] = data[:n]
-            self.hi += n
+                self.buffers.append(self.pool.borrow(may_exceed=True))
+                self.end = 0
+                self.start = self.start if len(self.buffers) > 1 else 0
+            n = min(len(data), BUFFER_BYTES - self.end)
+            self.buffers[-1][self.end : self.end + n] = data[:n]
+            self.end += n
             data = data[n:]
-        self._stir_reader()
+        self._wake_reader()
 
     def close(self) -> None:
-        self.closed = True
-        self._stir_reader()
+        self.is_closed = True
+        self._wake_reader()
 
     def fail(self) -> None:
-        self.failed = True
-        self._stir_reader()
+        self.has_failed = True
+        self._wake_reader()
 
-    def peek(self) -> list[memoryview]:
-        last = len(self.parts) - 1
+    def views(self) -> list[memoryview]:
+        last = len(self.buffers) - 1
         return [
-            memoryview(part)[self.lo if k == 0 else 0 : self.hi if k == last else SIZE]
-            for k, part in enumerate(self.parts)
+            memoryview(part)[self.start if k == 0 else 0 : self.end if k == last else BUFFER_BYTES]
+            for k, part in enumerate(self.buffers)
         ]
 
-    def used(self, n: int) -> None:
-        self.taken = self.taken or n > 0
+    def consume(self, n: int) -> None:
+        self.has_been_consumed = self.has_been_consumed or n > 0
         while n:
-            have = (self.hi if len(self.parts) == 1 else SIZE) - self.lo
+            have = (self.end if len(self.buffers) == 1 else BUFFER_BYTES) - self.start
             if n < have:
-                self.lo += n
+                self.start += n
                 break
             n -= have
-            self.pool.give(self.parts.popleft())
-            self.lo = 0
-        if self.on_room is not None and self.roomy():
+            self.pool.return_buffer(self.buffers.popleft())
+            self.start = 0
+        if self.on_room is not None and self.has_room():
             call, self.on_room = self.on_room, None
             call()
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nobody reads it any more."""
-        self.dropped = True
-        while self.parts:
-            self.pool.give(self.parts.popleft())
+        self.is_discarded = True
+        while self.buffers:
+            self.pool.return_buffer(self.buffers.popleft())
         if self.on_room is not None:
             call, self.on_room = self.on_room, None
             call()
 
-    def _stir_reader(self) -> None:
+    def _wake_reader(self) -> None:
         if self.on_data is not None:
             call, self.on_data = self.on_data, None
             call()
 
 
-class Kept(Chain):
+class StreamingBody(BufferChain):
     """A body of which so much is kept; the rest, if there is any, goes through a pipe."""
 
-    __slots__ = ("rest",)
+    __slots__ = ("pipe",)
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         super().__init__(pool)
-        self.rest: Pipe | None = None
+        self.pipe: Pipe | None = None
 
-    def add(self, data: memoryview) -> None:
-        if self.rest is None:
-            fits = data[: KEPT - self.size]
-            super().add(fits)
+    def append(self, data: memoryview) -> None:
+        if self.pipe is None:
+            fits = data[: KEPT_BODY_BYTES - self.size]
+            super().append(fits)
             data = data[len(fits) :]
             if not data:
                 return
-            self.open()
-        assert self.rest is not None
-        self.rest.add(data)
+            self.start_streaming()
+        assert self.pipe is not None
+        self.pipe.append(data)
 
-    def open(self) -> None:
+    def start_streaming(self) -> None:
         """What comes from here on goes through the pipe."""
-        if self.rest is None:
-            self.rest = Pipe(self.pool)
+        if self.pipe is None:
+            self.pipe = Pipe(self.pool)
 
-    def give_kept_back(self) -> None:
-        super().give_back()
+    def release_kept(self) -> None:
+        super().release()
 
-    def give_back(self) -> None:
-        self.give_kept_back()
-        if self.rest is not None:
-            self.rest.drop()
+    def release(self) -> None:
+        self.release_kept()
+        if self.pipe is not None:
+            self.pipe.discard()
 
     @property
-    def spent(self) -> bool:
+    def is_partly_consumed(self) -> bool:
         """It can't be sent anew."""
-        return self.rest is not None and self.rest.taken
+        return self.pipe is not None and self.pipe.has_been_consumed
--- a/cressrail/buffers/pool.py
+++ b/cressrail/buffers/pool.py
@@ -2,95 +2,98 @@
 
 from __future__ import annotations
 
-SIZE = 8192
+BUFFER_BYTES = 8192
 
 
 class BufferPoolExhaustedError(Exception):
     """All that the memory limit allows is lent out."""
 
 
-class Pool:
+class BufferPool:
     def __init__(self, most: int) -> None:
-        self.most = most
+        self.max_lent = most
         self.lent = 0
         self.free: list[bytearray] = []
 
-    def take(self, over: bool = False) -> bytearray:
+    def borrow(self, may_exceed: bool = False) -> bytearray:
         """`over`: also beyond the bound, for what has been read already."""
-        if self.lent >= self.most and not over:
+        if self.lent >= self.max_lent and not may_exceed:
             raise BufferPoolExhaustedError
         self.lent += 1
-        return self.free.pop() if self.free else bytearray(SIZE)
+        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
-    def trim(self) -> None:
+    def release_excess(self) -> None:
         """Gives what is free beyond the bound back to the system."""
-        del self.free[max(0, self.most - self.lent) :]
+        del self.free[max(0, self.max_lent - self.lent) :]
 
-    def give(self, buffer: bytearray) -> None:
+    def return_buffer(self, buffer: bytearray) -> None:
         self.lent -= 1
         self.free.append(buffer)
 
 
-class Chain:
+class BufferChain:
     """Bytes in buffers; `give_back` is the one place where they return."""
 
-    __slots__ = ("parts", "pool", "size")
+    __slots__ = ("buffers", "pool", "size")
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
-        self.parts: list[bytearray] = []
+        self.buffers: list[bytearray] = []
         self.size = 0
 
-    def add(self, data: memoryview) -> None:
+    def append(self, data: memoryview) -> None:
         while data:
-            at = self.size % SIZE
+            at = self.size % BUFFER_BYTES
             if at == 0:
-                self.parts.append(self.pool.take())
-            n = min(len(data), SIZE - at)
-            self.parts[-1][at : at + n] = data[:n]
+                self.buffers.append(self.pool.borrow())
+            n = min(len(data), BUFFER_BYTES - at)
+            self.buffers[-1][at : at + n] = data[:n]
             self.size += n
             data = data[n:]
 
     def views(self) -> list[memoryview]:
-        return [memoryview(part)[: min(SIZE, self.size - k * SIZE)] for k, part in enumerate(self.parts)]
+        return [
+            memoryview(part)[: min(BUFFER_BYTES, self.size - k * BUFFER_BYTES)]
+            for k, part in enumerate(self.buffers)
+        ]
 
-    def give_back(self) -> None:
-        parts, self.parts, self.size = self.parts, [], 0
+    def release(self) -> None:
+        parts, self.buffers, self.size = self.buffers, [], 0
         for part in parts:
-            self.pool.give(part)
+            self.pool.return_buffer(part)
 
 
-class Inlet:
+class ReceiveBuffer:
     """What has been read of a connection and not yet used; its buffer is held only while it is needed."""
 
-    __slots__ = ("buffer", "hi", "lo", "pool")
+    __slots__ = ("buffer", "end", "pool", "start")
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
         self.buffer: bytearray | None = None
-        self.lo = self.hi = 0
+        self.start = self.end = 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where to read to; empty when the buffer is full of what nobody has used."""
         if self.buffer is None:
-            self.buffer = self.pool.take()
-        if self.lo:
-            self.buffer[: self.hi - self.lo] = self.buffer[self.lo : self.hi]
-            self.lo, self.hi = 0, self.hi - self.lo
-        return memoryview(self.buffer)[self.hi :]
+            self.buffer = self.pool.borrow()
+        if self.start:
+            self.buffer[: self.end - self.start] = self.buffer[self.start : self.end]
+            self.start, self.end = 0, self.end - self.start
+        return memoryview(self.buffer)[self.end :]
 
-    def came(self, n: int) -> None:
-        self.hi += n
+    def add_received(self, n: int) -> None:
+        self.end += n
 
     def unread(self) -> memoryview:
-        return memoryview(self.buffer)[self.lo : self.hi] if self.buffer is not None else memoryview(b"")
+        return memoryview(self.buffer)[self.start : self.end] if self.buffer is not None else memoryview(b"")
 
-    def use(self, n: int) -> None:
-        self.lo += n
-        if self.lo == self.hi:
-            self.give_back()
+    def consume(self, n: int) -> None:
+        self.start += n
+        if self.start == self.end:
+            self.release()
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         if self.buffer is not None:
-            self.pool.give(self.buffer)
-        self.buffer, self.lo, self.hi = None, 0, 0
+            self.pool.return_buffer(self.buffer)
+        self.buffer, self.start, self.end = None, 0, 0
--- a/cressrail/discovery/endpoint_list.py
+++ b/cressrail/discovery/endpoint_list.py
@@ -33,18 +33,20 @@
     revision: int
     is_complete: bool
     entries: list[EndpointEntry] = field(default_factory=list)
-    kept: list[str] = field(default_factory=list)  # named by entries that can't be read: as they were
-    faults: list[str] = field(default_factory=list)
+    unreadable_names: list[str] = field(
+        default_factory=list
+    )  # named by entries that can't be read: as they were
+    errors: list[str] = field(default_factory=list)
 
 
-def read_line(line: bytes) -> EndpointListUpdate:
+def parse_update_line(line: bytes) -> EndpointListUpdate:
     try:
-        return read(orjson.loads(line))
+        return parse_update(orjson.loads(line))
     except orjson.JSONDecodeError as fault:
         raise MalformedEndpointListError(f"not JSON: {fault}") from None
 
 
-def read(told: Any) -> EndpointListUpdate:
+def parse_update(told: Any) -> EndpointListUpdate:
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
         raise MalformedEndpointListError("no members")
     revision, full = told.get("revision"), told.get("complete")
@@ -55,9 +57,9 @@
         try:
             news.entries.append(_row(entry))
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            news.faults.append(f"{type(fault).__name__}: {fault}")
+            news.errors.append(f"{type(fault).__name__}: {fault}")
             if isinstance(entry, dict) and isinstance(entry.get("id"), str):
-                news.kept.append(entry["id"])
+                news.unreadable_names.append(entry["id"])
     return news
 
 
--- a/cressrail/event_loop/clock.py
+++ b/cressrail/event_loop/clock.py
@@ -10,5 +10,5 @@
         # Set once: a step of the system's time must not make every endpoint look restarted.
         self._offset_us = (time.time_ns() - time.monotonic_ns()) // 1000
 
-    def now(self) -> int:
+    def now_us(self) -> int:
         return time.monotonic_ns() // 1000 + self._offset_us
--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-MARK = b"CrHo"
+MAGIC = b"CrHo"
 VERSION = 1  # of the estate's words; another version's is not read
-MOST = 8 << 20  # bytes of a frame
-HEAD = struct.Struct("!4sHII")  # mark, version, length, check sum
+MAX_FRAME_BYTES = 8 << 20  # bytes of a frame
+HEADER = struct.Struct("!4sHII")  # mark, version, length, check sum
 HELLO, HERE, TAKE, ESTATE, BYE = "hello", "here", "take", "estate", "bye"
 
 
@@ -19,33 +19,33 @@
     """What came is torn, of another version, or none of ours."""
 
 
-def wrap(kind: str, told: dict[str, Any]) -> bytes:
+def encode_frame(kind: str, told: dict[str, Any]) -> bytes:
     body = orjson.dumps({"kind": kind, **told})
-    return HEAD.pack(MARK, VERSION, len(body), crc32(body)) + body
+    return HEADER.pack(MAGIC, VERSION, len(body), crc32(body)) + body
 
 
-class Frames:
+class FrameReader:
     """Collects what comes and gives whole frames."""
 
     def __init__(self) -> None:
         self.text = bytearray()
 
-    def add(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         self.text += data
 
-    def next(self) -> tuple[str, dict[str, Any]] | None:
+    def next_frame(self) -> tuple[str, dict[str, Any]] | None:
         """The next frame's kind and what it tells; nothing while none is whole. Raises `Foreign`."""
-        if len(self.text) < HEAD.size:
+        if len(self.text) < HEADER.size:
             return None
-        mark, version, size, check = HEAD.unpack_from(self.text)
-        if mark != MARK or size > MOST:
+        mark, version, size, check = HEADER.unpack_from(self.text)
+        if mark != MAGIC or size > MAX_FRAME_BYTES:
             raise HandoverError("no frame of a sidecar")
         if version != VERSION:
             raise HandoverError(f"version {version}")
-        if len(self.text) < HEAD.size + size:
+        if len(self.text) < HEADER.size + size:
             return None
-        body = bytes(self.text[HEAD.size : HEAD.size + size])
-        del self.text[: HEAD.size + size]
+        body = bytes(self.text[HEADER.size : HEADER.size + size])
+        del self.text[: HEADER.size + size]
         if crc32(body) != check:
             raise HandoverError("check sum")
         told = orjson.loads(body)
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -23,7 +23,7 @@
 WORDS = {phase: word for word, phase in PHASES.items()}
 
 
-def listed(rows: Iterable[EndpointEntry], revision: int) -> dict[str, Any]:
+def encode_endpoint_list(rows: Iterable[EndpointEntry], revision: int) -> dict[str, Any]:
     """The list in discovery's own form, so that it is read and checked as hers is."""
     return {
         "revision": revision,
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE, Task
-from cressrail.http1.answer import REASONS
-from cressrail.http1.head import MalformedMessageError, split_head
-from cressrail.http1.request import parts_of
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE, Task
+from cressrail.http1.headers import MalformedMessageError, parse_head
+from cressrail.http1.request import parse_request_line
+from cressrail.http1.response import REASON_PHRASES
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.listener import NO_DESCRIPTORS_PAUSE_US
 from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
@@ -50,7 +50,7 @@
     def run(self) -> None:
         """Accepts calls until a message ends it."""
         try:
-            while self.dispatcher.scheduler.wait(self.sock.fileno(), READ) != MAIL:
+            while self.dispatcher.scheduler.wait(self.sock.fileno(), READABLE) != MESSAGE:
                 self._accept()
         finally:
             self.sock.close()
@@ -62,13 +62,13 @@
         except OSError as fault:
             if fault.errno in DESCRIPTORS_EXHAUSTED:  # else the waiting caller would wake this task at once
                 until_us = self.dispatcher.now() + NO_DESCRIPTORS_PAUSE_US
-                scheduler.wait(until_us=until_us, mail=False)
+                scheduler.wait(until_us=until_us, wakes_on_message=False)
             return
         if len(self.calls) >= MAX_OPEN_CALLS:
             oldest = next(iter(self.calls))
             del self.calls[oldest]
             scheduler.post(oldest, HANG_UP)
-        self.calls[scheduler.spawn(AdminCall(self, sock).run, first=True)] = None
+        self.calls[scheduler.spawn(AdminCall(self, sock).run, is_first=True)] = None
 
 
 class AdminCall:
@@ -99,9 +99,9 @@
         while data := self._receive(until_us):
             received += data
             try:
-                found = split_head(memoryview(received), False)
+                found = parse_head(memoryview(received), False)
                 if found is not None:
-                    return self._respond(*parts_of(found[1]))
+                    return self._respond(*parse_request_line(found[1]))
             except MalformedMessageError as fault:
                 return AdminResponse(400, f"{fault}\n".encode())
         return None
@@ -126,7 +126,10 @@
             try:
                 return self.sock.recv(READ_BYTES)
             except BlockingIOError:
-                if self.dispatcher.scheduler.wait(self.sock.fileno(), READ, until_us) in (MAIL, TIMED_OUT):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), READABLE, until_us) in (
+                    MESSAGE,
+                    TIMED_OUT,
+                ):
                     return b""
 
     def _send(self, response: AdminResponse) -> None:
@@ -136,7 +139,10 @@
             try:
                 unsent = unsent[self.sock.send(unsent) :]
             except BlockingIOError:
-                if self.dispatcher.scheduler.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, TIMED_OUT):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), WRITABLE, until_us) in (
+                    MESSAGE,
+                    TIMED_OUT,
+                ):
                     return
         # A close with bytes unread would reset the connection, and the response with it.
         self.sock.shutdown(socket.SHUT_WR)
@@ -147,7 +153,7 @@
 
 def _encode(response: AdminResponse) -> bytes:
     lines = [
-        b"HTTP/1.1 %d %s" % (response.status, REASONS.get(response.status, b"-")),
+        b"HTTP/1.1 %d %s" % (response.status, REASON_PHRASES.get(response.status, b"-")),
         b"content-type: " + response.kind,
         b"content-length: %d" % len(response.body),
         b"cache-control: no-store",
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -6,11 +6,11 @@
 import struct
 from typing import Any
 
-from cressrail.buffers.pipe import Kept, Pipe
+from cressrail.buffers.pipe import Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.event_loop.scheduler import LEFT, MAIL, NEVER, READ, TIMED_OUT
-from cressrail.http1.body import chunk
-from cressrail.http1.head import MalformedMessageError
+from cressrail.event_loop.scheduler import MESSAGE, NEVER, PEER_CLOSED, READABLE, TIMED_OUT
+from cressrail.http1.body import encode_chunk
+from cressrail.http1.headers import MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
 from cressrail.network.dispatcher import (
     BUFFER_RETRY_US,
@@ -38,7 +38,7 @@
         self.dispatcher = dispatcher
         self.number = number
         self.stream = SocketStream(dispatcher.scheduler, dispatcher.pool, sock)
-        self.body: Kept | None = None  # of a request that is not whole yet
+        self.body: StreamingBody | None = None  # of a request that is not whole yet
         self.upload: RequestReader | None = None  # of one that goes on before it is whole, and where to
         self.upload_pipe: Pipe | None = None
         self.upload_due_us = 0  # more of it is to have come by then
@@ -50,7 +50,7 @@
         assert task is not None
         try:
             while True:
-                message = self._next_command(task.mail)
+                message = self._next_command(task.messages)
                 if isinstance(message, ReadRequest):
                     if not self._read_request():
                         return
@@ -66,13 +66,13 @@
         finally:
             self.stream.close()
             if self.body is not None:
-                self.body.give_back()
+                self.body.release()
             if self.upload_pipe is not None and self.upload is not None:
                 self.upload_pipe.fail()
-            for message in task.mail:  # an answer that came too late for its client
+            for message in task.messages:  # an answer that came too late for its client
                 if isinstance(message, SendResponse) and message.response.body is not None:
-                    message.response.body.give_back()
-            task.mail.clear()
+                    message.response.body.release()
+            task.messages.clear()
             self.dispatcher.client_connection_closed(self.number)
 
     def _linger(self, span_us: int) -> None:
@@ -89,7 +89,7 @@
             if self.upload is not None:
                 if not self._continue_upload(mail):
                     return None
-            elif self.dispatcher.scheduler.wait(self.stream.fd, LEFT) != MAIL:
+            elif self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED) != MESSAGE:
                 return None
         return mail.popleft()
 
@@ -99,7 +99,7 @@
         stream, reader, rest, now = self.stream, self.upload, self.upload_pipe, self.dispatcher.now
         assert reader is not None and rest is not None
         while not mail:
-            if not rest.roomy():
+            if not rest.has_room():
                 since_us = now()
                 if not self._wait_for_pipe(rest):
                     return False
@@ -110,14 +110,14 @@
                 if n == 0:
                     return False
                 if n < 0:
-                    if self.dispatcher.scheduler.wait(stream.fd, READ, self.upload_due_us) == TIMED_OUT:
+                    if self.dispatcher.scheduler.wait(stream.fd, READABLE, self.upload_due_us) == TIMED_OUT:
                         raise MalformedMessageError(408, "request too slow")
                     continue
                 # Guards against good clients with a lull taken for slow ones.
                 self.upload_due_us = min(
                     self.upload_due_us + n * 1_000_000 // MIN_UPLOAD_BYTES_PER_S, now() + MAX_UPLOAD_LAG_US
                 )
-                stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
+                stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
             except BufferPoolExhaustedError:
                 self.dispatcher.scheduler.wait(until_us=now() + BUFFER_RETRY_US)
             except MalformedMessageError as fault:
@@ -129,7 +129,7 @@
                     )
                 )
                 return True
-            if reader.whole is not None:
+            if reader.request is not None:
                 # Guards against a pace that runs on when all is there: slow answers became slow requests.
                 self._finish_upload()
                 return True
@@ -139,14 +139,14 @@
         """Waits for what is on its way to go on; false if the client leaves."""
         task = self.dispatcher.scheduler.current
         assert task is not None
-        if not rest.crowded():  # the pool is short, and anybody's giving back ends that
+        if not rest.is_full():  # the pool is short, and anybody's giving back ends that
             self.dispatcher.scheduler.wait(until_us=self.dispatcher.now() + BUFFER_RETRY_US)
             return True
         rest.on_room = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
-        why = self.dispatcher.scheduler.wait(self.stream.fd, LEFT)
+        why = self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED)
         rest.on_room = None
-        _discard_stale_messages(task.mail)
-        return why == MAIL
+        _discard_stale_messages(task.messages)
+        return why == MESSAGE
 
     def _read_request(self) -> bool:
         """Until a request is whole, or what came is none; false if the connection is over."""
@@ -162,23 +162,23 @@
                             self.dispatcher.state_machine.on_request_started(now, self.number)
                         )
                         until_us = now + self.dispatcher.peer_timeout_us
-                        self.body = Kept(self.dispatcher.pool)
+                        self.body = StreamingBody(self.dispatcher.pool)
                         reader = RequestReader(self.body)
-                    stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
+                    stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
                 except MalformedMessageError as fault:
                     return self._refuse(fault.status, str(fault))
                 except BufferPoolExhaustedError:
                     return self._refuse(503, "no buffer left")
-                if reader.begun is not None and reader.begun.streams:
-                    return self._start_upload(reader, reader.begun)
-                if reader.whole is not None:
+                if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
+                    return self._start_upload(reader, reader.incomplete_request)
+                if reader.request is not None:
                     self.body, self.awaits_first_request = (
                         None,
                         False,
                     )  # the body is the reducer's from here on
                     self.dispatcher.dispatch(
                         self.dispatcher.state_machine.on_request(
-                            self.dispatcher.now(), self.number, reader.whole, stream.arrived_us
+                            self.dispatcher.now(), self.number, reader.request, stream.arrived_us
                         )
                     )
                     return True
@@ -187,14 +187,14 @@
                     self.dispatcher.state_machine.on_request_progress(moved_us, self.number)
                 )
                 if (
-                    reader.begun is not None
+                    reader.incomplete_request is not None
                     and self.body is not None
                     and self.body.size // PROGRESS_STEP_BYTES + 1 > step
                 ):
                     step = self.body.size // PROGRESS_STEP_BYTES + 1
                     until_us = moved_us + self.dispatcher.peer_timeout_us
-                if reader.wants_go_on:
-                    reader.wants_go_on = False
+                if reader.expects_continue:
+                    reader.expects_continue = False
                     stream.send([memoryview(CONTINUE_RESPONSE)], until_us)
             try:
                 # After an answer the next request is a round trip away at least: a look would find nothing.
@@ -203,7 +203,7 @@
                 if n == 0:
                     return False
                 if n < 0:
-                    stream.wait(READ, until_us, mail=True, rest=reader is None)
+                    stream.wait(READABLE, until_us, mail=True, rest=reader is None)
             except BufferPoolExhaustedError:
                 return self._refuse(503, "no buffer left")
             except StreamTimeoutError:
@@ -211,7 +211,7 @@
             except StreamInterruptedError:
                 task = self.dispatcher.scheduler.current
                 assert task is not None
-                task.mail.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
+                task.messages.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
                 if reader is None and (n := stream.read()) <= 0:
                     if n:
                         self._linger(LINGER_US)
@@ -230,7 +230,7 @@
         assert self.body is not None
         self.upload, self.upload_pipe, self.upload_due_us = (
             reader,
-            self.body.rest,
+            self.body.pipe,
             self.dispatcher.now() + MAX_UPLOAD_LAG_US,
         )
         self.body, self.awaits_first_request = None, False
@@ -239,7 +239,7 @@
                 self.dispatcher.now(), self.number, request, self.dispatcher.now()
             )
         )
-        if reader.whole is not None:
+        if reader.request is not None:
             self._finish_upload()
         return True
 
@@ -256,7 +256,7 @@
     def _refuse(self, status: int, why: str) -> bool:
         self.has_unread_input = True
         if self.body is not None:
-            self.body.give_back()
+            self.body.release()
             self.body = None
         self.dispatcher.dispatch(
             self.dispatcher.state_machine.on_malformed_request(
@@ -267,20 +267,22 @@
 
     def _send_response(self, message: SendResponse) -> None:
         answer = message.response
-        body, chunked = answer.body, answer.chunked(message.is_http11)
-        head = memoryview(answer.head(not message.closes_connection, message.is_http11))
+        body, chunked = answer.body, answer.is_chunked(message.is_http11)
+        head = memoryview(answer.encode_head(not message.closes_connection, message.is_http11))
         try:
             kept = body.views() if body else []
             self.stream.send(
-                [head, *(chunk(kept, body.size) if chunked and body else kept)],
+                [head, *(encode_chunk(kept, body.size) if chunked and body else kept)],
                 self.dispatcher.now() + self.dispatcher.peer_timeout_us,
             )
-            if isinstance(body, Kept) and body.rest is not None:
-                body.give_kept_back()
-                self._stream_response(body.rest, chunked, answer.length is None and not message.is_http11)
+            if isinstance(body, StreamingBody) and body.pipe is not None:
+                body.release_kept()
+                self._stream_response(
+                    body.pipe, chunked, answer.content_length is None and not message.is_http11
+                )
         finally:
             if body is not None:
-                body.give_back()
+                body.release()
         self.dispatcher.dispatch(
             self.dispatcher.state_machine.on_response_written(self.dispatcher.now(), self.number)
         )
@@ -290,26 +292,26 @@
         task = self.dispatcher.scheduler.current
         assert task is not None
         while True:
-            if parts := rest.peek():
+            if parts := rest.views():
                 size = sum(map(len, parts))
                 self.stream.send(
-                    chunk(parts, size) if chunked else list(parts),
+                    encode_chunk(parts, size) if chunked else list(parts),
                     self.dispatcher.now() + self.dispatcher.peer_timeout_us,
                 )
                 del parts
-                rest.used(size)
-            elif rest.failed:
+                rest.consume(size)
+            elif rest.has_failed:
                 if ends_with_it:  # nothing else tells a client of this kind that it is not whole
                     self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 raise ConnectionError("the answer broke off")
-            elif rest.closed:
+            elif rest.is_closed:
                 break
             else:
                 rest.on_data = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
-                why = self.dispatcher.scheduler.wait(self.stream.fd, LEFT)
+                why = self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED)
                 rest.on_data = None
-                _discard_stale_messages(task.mail)
-                if why != MAIL:
+                _discard_stale_messages(task.messages)
+                if why != MESSAGE:
                     raise ConnectionError("the client left")
         if chunked:
             self.stream.send(
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
-from cressrail.event_loop.scheduler import MAIL, READ, Task
-from cressrail.http1.answer import ResponseReader
-from cressrail.http1.head import MalformedMessageError
+from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, Task
+from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.response import ResponseReader
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 from cressrail.proxy.commands import WatchEndpoints
@@ -75,12 +75,12 @@
                 self.dispatcher.state_machine.on_watch_ended(self.dispatcher.now(), "fault")
             )
         while True:
-            while not task.mail:
+            while not task.messages:
                 self.dispatcher.scheduler.wait()
-            message = task.mail.popleft()
+            message = task.messages.popleft()
             assert isinstance(message, WatchEndpoints)  # nothing else is posted here, see Net
-            while self.dispatcher.scheduler.wait(until_us=message.at_us) == MAIL:
-                message = task.mail.popleft()
+            while self.dispatcher.scheduler.wait(until_us=message.at_us) == MESSAGE:
+                message = task.messages.popleft()
             stream: SocketStream | None = None
             why, self.under_way = "ended", True
             try:
@@ -129,7 +129,7 @@
         self._ask(stream, source, "", until_us)
         sink = WholeSink()
         self._follow(task, stream, sink, until_us)
-        news = read_line(bytes(sink.text))
+        news = parse_update_line(bytes(sink.text))
         if not news.is_complete:
             raise MalformedEndpointListError("not the whole list")
         self.dispatcher.dispatch(self.dispatcher.state_machine.on_endpoint_list(self.dispatcher.now(), news))
@@ -140,21 +140,23 @@
         lines: one that is long in coming gets time by its length, and half of one is as good as silence."""
         reader = ResponseReader(sink, 1 << 62)
         ended = sink.before
-        while not reader.done:
-            if task.mail:  # guards against news of an address that is no longer asked
+        while not reader.is_complete:
+            if task.messages:  # guards against news of an address that is no longer asked
                 raise StreamInterruptedError
             n = stream.read()
             if n == 0:
-                reader.ended()
+                reader.on_connection_closed()
             elif n < 0:
-                stream.wait(READ, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
+                stream.wait(READABLE, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
             else:
-                stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
+                stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
                 if reader.status not in (0, 200):
                     raise MalformedEndpointListError(f"status {reader.status}")
-                if reader.begun and sink.ended > ended:
+                if reader.has_head and sink.ended > ended:
                     until_us, ended = self.dispatcher.now() + SILENT_US, sink.ended
                 for line in sink.lines():
                     self.dispatcher.dispatch(
-                        self.dispatcher.state_machine.on_endpoint_list(self.dispatcher.now(), read_line(line))
+                        self.dispatcher.state_machine.on_endpoint_list(
+                            self.dispatcher.now(), parse_update_line(line)
+                        )
                     )
--- a/cressrail/network/dispatcher.py
+++ b/cressrail/network/dispatcher.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from cressrail.buffers.pool import Pool
-from cressrail.event_loop.scheduler import LEFT, Scheduler, Task
+from cressrail.buffers.pool import BufferPool
+from cressrail.event_loop.scheduler import PEER_CLOSED, Scheduler, Task
 from cressrail.logs.log_writer import LogWriter
 from cressrail.proxy import commands
 from cressrail.proxy.commands import Command
@@ -44,7 +44,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        pool: Pool,
+        pool: BufferPool,
         state_machine: StateMachine,
         log: LogWriter,
         *,
@@ -96,7 +96,7 @@
         descriptor = self.client_descriptors.get(client, -1)
         if descriptor < 0:
             return False
-        self._disconnect_poll.register(descriptor, LEFT)
+        self._disconnect_poll.register(descriptor, PEER_CLOSED)
         events = self._disconnect_poll.poll(0)
         self._disconnect_poll.unregister(descriptor)
         return bool(events)
@@ -130,10 +130,10 @@
         self.scheduler.post(self.connections[command.connection], command)
 
     def _release_body(self, command: commands.ReleaseBody) -> None:
-        command.body.give_back()
+        command.body.release()
 
     def _log_event(self, command: commands.LogEvent) -> None:
         self.log.write_event(command.event, command.fields)
 
     def _exit(self, _: commands.Exit) -> None:
-        self.scheduler.stopped = True
+        self.scheduler.is_stopped = True
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -5,13 +5,13 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from cressrail.buffers.pipe import KEPT, Kept, Pipe
+from cressrail.buffers.pipe import KEPT_BODY_BYTES, Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE
-from cressrail.http1.answer import Response, ResponseReader
-from cressrail.http1.body import MOST, chunk
-from cressrail.http1.head import MalformedMessageError
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE
+from cressrail.http1.body import MAX_BODY_BYTES, encode_chunk
+from cressrail.http1.headers import MalformedMessageError
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response, ResponseReader
 from cressrail.network.dispatcher import (
     BUFFER_RETRY_US,
     PIPE_CHANGED,
@@ -61,15 +61,15 @@
         assert task is not None
         until_us = self.dispatcher.now() + int(self.dispatcher.endpoint_idle_timeout_us * REST_SHARE)
         while True:
-            while task.mail:
-                message = task.mail.popleft()
+            while task.messages:
+                message = task.messages.popleft()
                 if isinstance(message, SendAttempt):
                     return message
                 if not isinstance(message, CancelAttempt):  # of a hop that had ended by then
                     return None
             if self.stream is None:
                 return None
-            if self.dispatcher.scheduler.wait(self.stream.fd, READ, until_us, rest=True) != MAIL:
+            if self.dispatcher.scheduler.wait(self.stream.fd, READABLE, until_us, is_resting=True) != MESSAGE:
                 self._check_idle_connection()
                 self._close()  # idle long enough, or closed by the endpoint; unless a hop has just come
 
@@ -85,19 +85,19 @@
 
     def _run_attempt(self, command: SendAttempt) -> bool:
         """One hop; true if the connection is fit for another."""
-        body, kind = Kept(self.dispatcher.pool), b""
-        reader = ResponseReader(body, MOST, command.request.method == b"HEAD")
+        body, kind = StreamingBody(self.dispatcher.pool), b""
+        reader = ResponseReader(body, MAX_BODY_BYTES, command.request.method == b"HEAD")
         end = AttemptEnd(Outcome.CANCELLED, "fault")
         self.is_streaming = False
         try:
             end = self._attempt(command, reader, body)
-            kind = reader.get(b"content-type")
+            kind = reader.header(b"content-type")
         finally:
             whole = end.outcome is Outcome.SUCCEEDED
-            if self.is_streaming and body.rest is not None:  # it is the client's, who learns how it ended
-                (body.rest.close if whole else body.rest.fail)()
+            if self.is_streaming and body.pipe is not None:  # it is the client's, who learns how it ended
+                (body.pipe.close if whole else body.pipe.fail)()
             elif not whole:
-                body.give_back()
+                body.release()
             if not end.is_connection_reusable:
                 self._close()
             self.dispatcher.dispatch(
@@ -116,7 +116,7 @@
             )
         return end.is_connection_reusable
 
-    def _attempt(self, command: SendAttempt, reader: ResponseReader, body: Kept) -> AttemptEnd:
+    def _attempt(self, command: SendAttempt, reader: ResponseReader, body: StreamingBody) -> AttemptEnd:
         try:
             self._open(command)
         except (StreamTimeoutError, OSError) as fault:
@@ -149,16 +149,16 @@
             left_us = min(
                 until_us - now, self.dispatcher.peer_timeout_us
             )  # one that still comes has no end yet
-            head = memoryview(command.request.onward(f"{host}:{command.port}", left_us))
+            head = memoryview(command.request.encode_head(f"{host}:{command.port}", left_us))
             kept = command.request.body.views()
-            if command.request.chunked:
-                kept = chunk(kept, command.request.body.size)
+            if command.request.is_chunked:
+                kept = encode_chunk(kept, command.request.body.size)
             stream.send([head, *kept], min(until_us, now + self.dispatcher.peer_timeout_us), mail=True)
         except (StreamTimeoutError, OSError) as fault:  # before the last byte was written: it never ran
             return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
-        if command.request.streams:
+        if command.request.is_streaming:
             early = self._upload(command.request, stream, reader)
             if early is not None:
                 return early
@@ -170,48 +170,50 @@
         """The rest of a large request as it comes; nothing once all of it is written, else how the hop ended.
         Before its last byte is written nothing of it runs. An answer that comes before is looked out for."""
         task = self.dispatcher.scheduler.current
-        rest = request.body.rest if isinstance(request.body, Kept) else None
+        rest = request.body.pipe if isinstance(request.body, StreamingBody) else None
         assert task is not None and rest is not None
         left: list[memoryview] = []
         held, last = 0, False
         try:
             while True:
                 if not left:
-                    rest.used(held)  # not before: what is not written whole may be sent anew
+                    rest.consume(held)  # not before: what is not written whole may be sent anew
                     held = 0
-                    if rest.failed:
+                    if rest.has_failed:
                         return AttemptEnd(Outcome.CANCELLED, "its client broke off")
                     if last:
                         return None
-                    if parts := rest.peek():
+                    if parts := rest.views():
                         held = sum(map(len, parts))
-                        left = chunk(parts, held) if request.chunked else parts
-                    elif rest.closed:
+                        left = encode_chunk(parts, held) if request.is_chunked else parts
+                    elif rest.is_closed:
                         last = True
-                        left = [memoryview(b"0\r\n\r\n")] if request.chunked else []
+                        left = [memoryview(b"0\r\n\r\n")] if request.is_chunked else []
                         continue
                 if left and stream.send_some(left):
                     continue
                 if not left:
                     rest.on_data = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
-                    why = self.dispatcher.scheduler.wait(stream.fd, READ)
+                    why = self.dispatcher.scheduler.wait(stream.fd, READABLE)
                     rest.on_data = None
                 else:
                     why = self.dispatcher.scheduler.wait(
-                        stream.fd, READ | WRITE, self.dispatcher.now() + self.dispatcher.peer_timeout_us
+                        stream.fd,
+                        READABLE | WRITABLE,
+                        self.dispatcher.now() + self.dispatcher.peer_timeout_us,
                     )
                 if why == TIMED_OUT:
                     return AttemptEnd(Outcome.CONNECT_FAILED, "not written in time")
-                if why == MAIL:
-                    discard_pipe_messages(task.mail)
-                    if task.mail:
+                if why == MESSAGE:
+                    discard_pipe_messages(task.messages)
+                    if task.messages:
                         return AttemptEnd(Outcome.CANCELLED)
-                elif why & ~WRITE and self._read_early_response(stream, reader):
+                elif why & ~WRITABLE and self._read_early_response(stream, reader):
                     return self._result_of(reader, False)
         except (OSError, MalformedMessageError) as fault:
             # It may have said why before it closed.
             with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
-                if reader.done or self._read_early_response(stream, reader):
+                if reader.is_complete or self._read_early_response(stream, reader):
                     return self._result_of(reader, False)
             return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "ended")
         except BufferPoolExhaustedError:
@@ -219,26 +221,26 @@
         finally:
             left.clear()
             discard_pipe_messages(
-                task.mail
+                task.messages
             )  # guards against a stir that crossed what ended the wait, taken for a call
 
     def _read_early_response(self, stream: SocketStream, reader: ResponseReader) -> bool:
         """Whether an answer is whole by now; raises `Malformed` if the connection ends before."""
-        while not reader.done:
+        while not reader.is_complete:
             n = stream.read()
             if n < 0:
                 return False
             if n == 0:
-                reader.ended()
+                reader.on_connection_closed()
             else:
-                stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
+                stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
         return True
 
     def _open(self, command: SendAttempt) -> None:
         if (
             self.stream is not None
             and self.dispatcher.now() < command.not_before_us
-            and self.dispatcher.scheduler.wait(self.stream.fd, READ, command.not_before_us) == MAIL
+            and self.dispatcher.scheduler.wait(self.stream.fd, READABLE, command.not_before_us) == MESSAGE
         ):
             raise StreamInterruptedError
         self._check_idle_connection()
@@ -249,13 +251,18 @@
             )
 
     def _read_response(
-        self, command: SendAttempt, stream: SocketStream, reader: ResponseReader, body: Kept, until_us: int
+        self,
+        command: SendAttempt,
+        stream: SocketStream,
+        reader: ResponseReader,
+        body: StreamingBody,
+        until_us: int,
     ) -> AttemptEnd:
         try:
-            stream.wait(READ, until_us, mail=True)  # a look so soon would find nothing
-            while not reader.done:
-                if body.rest is not None and not body.rest.roomy():
-                    self._wait_for_client(body.rest)
+            stream.wait(READABLE, until_us, mail=True)  # a look so soon would find nothing
+            while not reader.is_complete:
+                if body.pipe is not None and not body.pipe.has_room():
+                    self._wait_for_client(body.pipe)
                     continue
                 try:
                     n = stream.read()
@@ -263,24 +270,24 @@
                     if not self.is_streaming:
                         return AttemptEnd(Outcome.CANCELLED, "no buffer left")
                     self.dispatcher.scheduler.wait(
-                        until_us=self.dispatcher.now() + BUFFER_RETRY_US, mail=False
+                        until_us=self.dispatcher.now() + BUFFER_RETRY_US, wakes_on_message=False
                     )
                     continue
                 if n == 0:
-                    reader.ended()
+                    reader.on_connection_closed()
                 elif n < 0:
                     # One that is passed on has no limit but silence: its client waits for its end.
                     stream.wait(
-                        READ,
+                        READABLE,
                         self.dispatcher.now() + self.dispatcher.peer_timeout_us
                         if self.is_streaming
                         else until_us,
                         mail=True,
                     )
                 else:
-                    stream.input_buffer.use(reader.feed(stream.input_buffer.unread()))
+                    stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
                     if (
-                        reader.begun
+                        reader.has_head
                         and not self.is_streaming
                         and not self._start_streaming(command, reader, body)
                     ):
@@ -296,22 +303,24 @@
             return AttemptEnd(Outcome.CANCELLED, "no buffer left")
         except (OSError, MalformedMessageError) as fault:
             return AttemptEnd(Outcome.CONNECTION_RESET, str(fault))
-        if reader.status == 200 and not reader.done:
+        if reader.status == 200 and not reader.is_complete:
             return AttemptEnd(Outcome.CANCELLED)  # nobody wants it any more
-        return self._result_of(reader, reader.done and reader.keep and not stream.input_buffer.unread())
+        return self._result_of(
+            reader, reader.is_complete and reader.keep_alive and not stream.input_buffer.unread()
+        )
 
-    def _start_streaming(self, command: SendAttempt, reader: ResponseReader, body: Kept) -> bool:
+    def _start_streaming(self, command: SendAttempt, reader: ResponseReader, body: StreamingBody) -> bool:
         """Whether to read on. An answer too large to keep is the client's from here on; of one that is not to
         be passed on, the status is all that counts."""
-        if body.rest is None and (reader.length or 0) <= KEPT:
+        if body.pipe is None and (reader.content_length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != 200:
             return False
-        body.open()
+        body.start_streaming()
         effects = self.dispatcher.state_machine.on_response_started(
             self.dispatcher.now(),
             command.attempt,
-            Response(200, body, reader.get(b"content-type"), length=reader.length),
+            Response(200, body, reader.header(b"content-type"), content_length=reader.content_length),
         )
         self.is_streaming = any(isinstance(effect, SendResponse) for effect in effects)
         self.dispatcher.dispatch(effects)
@@ -321,20 +330,22 @@
         """Waits for the client to take what there is. Raises `Called` if it is not to go on."""
         task = self.dispatcher.scheduler.current
         assert task is not None
-        if not rest.crowded():  # the pool is short, and anybody's giving back ends that
-            self.dispatcher.scheduler.wait(until_us=self.dispatcher.now() + BUFFER_RETRY_US, mail=False)
+        if not rest.is_full():  # the pool is short, and anybody's giving back ends that
+            self.dispatcher.scheduler.wait(
+                until_us=self.dispatcher.now() + BUFFER_RETRY_US, wakes_on_message=False
+            )
             return
         rest.on_room = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
         self.dispatcher.scheduler.wait()
         rest.on_room = None
-        discard_pipe_messages(task.mail)
-        if task.mail:
+        discard_pipe_messages(task.messages)
+        if task.messages:
             raise StreamInterruptedError
 
     def _result_of(self, reader: ResponseReader, keep: bool) -> AttemptEnd:
         if reader.status == 200:
             return AttemptEnd(Outcome.SUCCEEDED, is_connection_reusable=keep)
-        declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
+        declined = reader.status in (503, 504) and reader.header(b"srv-declined") == b"1"
         # Guards against endpoints left out, and retries spent, for what bad clients send.
         rejected = 400 <= reader.status < 500 and reader.status not in (408, 429)
         how = (
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -7,9 +7,9 @@
 from contextlib import suppress
 from typing import Any
 
-from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
-from cressrail.event_loop.scheduler import READ
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
+from cressrail.event_loop.scheduler import READABLE
+from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 FIRST_ANSWER_TIMEOUT_S = (
@@ -32,7 +32,7 @@
     """A connection to the process that serves, the socket that it listens on, and the list as it knows it."""
 
     def __init__(
-        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: Frames
+        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: FrameReader
     ) -> None:
         self.sock = sock
         self.listening_socket = listening
@@ -47,18 +47,18 @@
     fds: list[int] = []
     try:
         sock.connect(path)
-        sock.sendall(wrap(HELLO, {"listen": list(listen)}))
-        frames = Frames()
-        while (got := frames.next()) is None:
+        sock.sendall(encode_frame(HELLO, {"listen": list(listen)}))
+        frames = FrameReader()
+        while (got := frames.next_frame()) is None:
             data, more, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
             fds += more
             if not data:
                 raise HandoverError("ended")
-            frames.add(data)
+            frames.feed(data)
         kind, told = got
         if kind != HERE or len(fds) != 1:
             raise HandoverError("no socket came")
-        known = read(told.get("list"))
+        known = parse_update(told.get("list"))
         listening = socket.socket(fileno=fds[0])
         if listening.getsockname()[:2] != listen:
             raise HandoverError("another address")
@@ -86,12 +86,12 @@
     def take_over(self) -> None:
         task = self.dispatcher.scheduler.current
         assert task is not None
-        while not task.mail:
+        while not task.messages:
             self.dispatcher.scheduler.wait()
-        task.mail.clear()
+        task.messages.clear()
         told = self._receive_state()
         self._count_held_resources(told)
-        self.dispatcher.pool.most -= self.buffers
+        self.dispatcher.pool.max_lent -= self.buffers
         self.dispatcher.dispatch(
             self.dispatcher.state_machine.take_over(
                 self.dispatcher.now(), told, self.clients, self.connections
@@ -107,7 +107,7 @@
             pass
         finally:
             self.predecessor.sock.close()
-            self.dispatcher.pool.most += self.buffers
+            self.dispatcher.pool.max_lent += self.buffers
             self.dispatcher.dispatch(
                 self.dispatcher.state_machine.on_predecessor_exited(
                     self.dispatcher.now(), self.clients, self.connections
@@ -118,16 +118,16 @@
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
         if self.dispatcher.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
-                self.predecessor.sock.send(wrap(BYE, {}))
+                self.predecessor.sock.send(encode_frame(BYE, {}))
 
     def _receive_state(self) -> dict[str, Any] | None:
         until_us = self.dispatcher.now() + STATE_TIMEOUT_US
         try:
-            self.predecessor.sock.sendall(wrap(TAKE, {}))
-            while (got := self.predecessor.frames.next()) is None:
+            self.predecessor.sock.sendall(encode_frame(TAKE, {}))
+            while (got := self.predecessor.frames.next_frame()) is None:
                 if not (data := self._receive(until_us)):
                     return None
-                self.predecessor.frames.add(data)
+                self.predecessor.frames.feed(data)
         except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
             self.dispatcher.log.write_event("estate_lost", {"why": str(fault)})
             return None
@@ -137,7 +137,7 @@
         held = told.get("held") if told else None
         if isinstance(held, list) and len(held) == 3 and all(isinstance(n, int) and n >= 0 for n in held):
             self.clients, self.connections, self.buffers = held
-            self.buffers = min(self.buffers, self.dispatcher.pool.most * 3 // 4)
+            self.buffers = min(self.buffers, self.dispatcher.pool.max_lent * 3 // 4)
 
     def _receive(self, until_us: int | None) -> bytes:
         while True:
@@ -146,9 +146,9 @@
             except BlockingIOError:
                 sock = self.predecessor.sock.fileno()
                 why = (
-                    self.dispatcher.scheduler.wait(sock, READ, mail=False)
+                    self.dispatcher.scheduler.wait(sock, READABLE, wakes_on_message=False)
                     if until_us is None
-                    else self.dispatcher.scheduler.wait(sock, READ, until_us, mail=False)
+                    else self.dispatcher.scheduler.wait(sock, READABLE, until_us, wakes_on_message=False)
                 )
                 if why == 0:
                     return b""
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from cressrail.event_loop.scheduler import MAIL, READ, WRITE
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE
+from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         try:
             while self._publish():
                 assert self.rendezvous_socket is not None
-                if self.dispatcher.scheduler.wait(self.rendezvous_socket.fileno(), READ) == MAIL:
+                if self.dispatcher.scheduler.wait(self.rendezvous_socket.fileno(), READABLE) == MESSAGE:
                     return
                 with suppress(OSError):
                     self._serve(self.rendezvous_socket.accept()[0])
@@ -77,7 +77,7 @@
 
     def _serve(self, sock: socket.socket) -> None:
         """One who would take over, to the end of its connection. Only one at a time."""
-        frames, over = Frames(), False
+        frames, over = FrameReader(), False
         try:
             sock.setblocking(False)
             if not _same_user(sock):
@@ -85,7 +85,7 @@
             got = self._receive_frame(sock, frames, self.dispatcher.now() + HELLO_TIMEOUT_US)
             if got is None or got[0] != HELLO or got[1].get("listen") != list(self.listen):
                 return
-            here = wrap(HERE, {"list": self.dispatcher.state_machine.endpoint_list()})
+            here = encode_frame(HERE, {"list": self.dispatcher.state_machine.endpoint_list()})
             sent = socket.send_fds(sock, [here], [self.listening_socket.fileno()])
             self._send(sock, here[sent:])
             got = self._receive_frame(sock, frames, None)
@@ -94,7 +94,7 @@
             told, effects = self.dispatcher.state_machine.hand_over(self.dispatcher.now())
             over = True
             self.dispatcher.dispatch(effects)
-            self._send(sock, wrap(ESTATE, {**told, "held": self._held_resources()}))
+            self._send(sock, encode_frame(ESTATE, {**told, "held": self._held_resources()}))
             if self.membership is not None:
                 self.membership.notify("cede")
             self._unpublish()
@@ -106,7 +106,7 @@
         finally:
             sock.close()
             if over:
-                self.dispatcher.pool.most = self.buffers_before
+                self.dispatcher.pool.max_lent = self.buffers_before
                 if self.membership is not None and not self.dispatcher.state_machine.lifecycle.is_stopping:
                     self.membership.notify("resume")
                 self.dispatcher.dispatch(
@@ -116,27 +116,30 @@
     def _held_resources(self) -> list[int]:
         """Clients, links and buffers that stay with this process; it lends and opens no more than these."""
         reducer, pool = self.dispatcher.state_machine, self.dispatcher.pool
-        self.buffers_before = pool.most
-        pool.most = max(pool.lent, pool.most // KEPT_DIVISOR)
-        pool.trim()
+        self.buffers_before = pool.max_lent
+        pool.max_lent = max(pool.lent, pool.max_lent // KEPT_DIVISOR)
+        pool.release_excess()
         connections_kept = reducer.keep_connections(KEPT_DIVISOR)
-        return [len(reducer.clients.open) + FIXED_DESCRIPTORS, connections_kept, pool.most]
+        return [len(reducer.clients.open) + FIXED_DESCRIPTORS, connections_kept, pool.max_lent]
 
     def _receive_frame(
-        self, sock: socket.socket, frames: Frames, until_us: int | None
+        self, sock: socket.socket, frames: FrameReader, until_us: int | None
     ) -> tuple[str, dict[str, object]] | None:
-        while (got := frames.next()) is None:
+        while (got := frames.next_frame()) is None:
             try:
                 data = sock.recv(READ_BYTES)
             except BlockingIOError:
                 if until_us is None:
-                    self.dispatcher.scheduler.wait(sock.fileno(), READ, mail=False)
-                elif self.dispatcher.scheduler.wait(sock.fileno(), READ, until_us, mail=False) == 0:
+                    self.dispatcher.scheduler.wait(sock.fileno(), READABLE, wakes_on_message=False)
+                elif (
+                    self.dispatcher.scheduler.wait(sock.fileno(), READABLE, until_us, wakes_on_message=False)
+                    == 0
+                ):
                     return None
                 continue
             if not data:
                 return None
-            frames.add(data)
+            frames.feed(data)
         return got
 
     def _send(self, sock: socket.socket, data: bytes) -> None:
@@ -146,7 +149,10 @@
             try:
                 left = left[sock.send(left) :]
             except BlockingIOError:
-                if self.dispatcher.scheduler.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
+                if (
+                    self.dispatcher.scheduler.wait(sock.fileno(), WRITABLE, until_us, wakes_on_message=False)
+                    == 0
+                ):
                     raise HandoverError("does not read") from None
 
 
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -5,7 +5,7 @@
 import errno
 import socket
 
-from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
 from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
@@ -67,17 +67,17 @@
         scheduler = self.dispatcher.scheduler
         task = scheduler.current_task()
         while True:
-            event = scheduler.wait(self.sock.fileno() if self.is_accepting else -1, READ)
-            while task.mail:
-                command = task.mail.popleft()
+            event = scheduler.wait(self.sock.fileno() if self.is_accepting else -1, READABLE)
+            while task.messages:
+                command = task.messages.popleft()
                 self.is_accepting = command.on
                 if command.closed:
                     self._close()
                     return
-            if event == MAIL or not self.is_accepting:
+            if event == MESSAGE or not self.is_accepting:
                 continue
             for _ in range(MAX_ACCEPTS_PER_ROUND):
-                if task.mail or not self._accept():
+                if task.messages or not self._accept():
                     break
 
     def _close(self) -> None:
@@ -109,7 +109,7 @@
         """Lets idle connections be closed, and pauses: the waiting client would wake the listener at once."""
         dispatcher = self.dispatcher
         dispatcher.dispatch(dispatcher.state_machine.on_descriptors_exhausted(dispatcher.now()))
-        dispatcher.scheduler.wait(until_us=dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, mail=False)
+        dispatcher.scheduler.wait(until_us=dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, wakes_on_message=False)
 
     def _start_client(self, sock: socket.socket) -> None:
         dispatcher = self.dispatcher
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -16,7 +16,7 @@
 import orjson
 
 from cressrail.configuration.membership import MembershipConfiguration
-from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
 from cressrail.membership.load_reports import PeerLoadSummary
 from cressrail.membership.messages import (
     Command,
@@ -70,7 +70,7 @@
         self.instance = self._new_instance()
         self.report_translator = PeerReportTranslator()
         self.failover: FailoverDriver | None = None
-        self.task = dispatcher.scheduler.spawn(self.run, first=True)
+        self.task = dispatcher.scheduler.spawn(self.run, is_first=True)
 
     def _new_instance(self) -> MembershipStateMachine:
         now = self.dispatcher.now()
@@ -93,21 +93,21 @@
         assert task is not None
         try:
             while True:
-                if self.sock is None and not self._open(task.mail):
+                if self.sock is None and not self._open(task.messages):
                     return
                 assert self.sock is not None
                 self.failover = self._new_failover_driver()
                 self._execute(self.instance.start(self.dispatcher.now()))
-                goes_on = self._serve(self.sock, task.mail)
+                goes_on = self._serve(self.sock, task.messages)
                 if self.failover is not None:
                     self.failover.close()
                     self.failover = None
                 if not goes_on:
                     return
                 self._close()
-                while not task.mail:
+                while not task.messages:
                     self.dispatcher.scheduler.wait()
-                if task.mail.popleft() != RESUME:
+                if task.messages.popleft() != RESUME:
                     return
                 self.instance = (
                     self._new_instance()
@@ -137,12 +137,12 @@
                 if self.failover is None
                 else min(self.instance.next_timer_us, self.failover.next_timer_us)
             )
-            why = self.dispatcher.scheduler.wait(sock.fileno(), READ, wake_us)
+            why = self.dispatcher.scheduler.wait(sock.fileno(), READABLE, wake_us)
             if mail:
                 told = mail.popleft()
                 self._execute(self.instance.leave(self.dispatcher.now(), announces=told == LEAVE))
                 return bool(told == YIELD)
-            if why != MAIL:
+            if why != MESSAGE:
                 self._read(sock)
                 self._read_refusals(sock)
             if self.dispatcher.now() >= self.instance.next_timer_us:
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from cressrail.buffers.pool import SIZE, Pool
+from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
 from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
@@ -88,10 +88,10 @@
         OSError: an address cannot be listened on.
     """
     clock = Clock()
-    log = LogWriter(log_descriptor, clock.now, configuration.name)
-    scheduler = Scheduler(clock.now, lambda trace: log.write_event("fault", {"trace": trace}))
+    log = LogWriter(log_descriptor, clock.now_us, configuration.name)
+    scheduler = Scheduler(clock.now_us, lambda trace: log.write_event("fault", {"trace": trace}))
     scheduler.after_round = log.flush
-    now = clock.now()
+    now = clock.now_us()
     state_machine = _build_state_machine(configuration, now)
     dispatcher = _build_dispatcher(configuration, scheduler, state_machine, log)
     # Without an admin address nothing is written under $TMPDIR and no socket is shared.
@@ -101,17 +101,17 @@
     admin_socket = listener.bind(*configuration.admin) if configuration.admin else None
     membership = _start_membership(configuration, dispatcher, waits=predecessor is not None)
     if admin_socket is not None:
-        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, first=True)
+        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, is_first=True)
     dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
-    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, first=True, vital=True)
+    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, is_first=True, is_vital=True)
     dispatcher.send_to_task(WatchEndpoints, watch)
-    dispatcher.send_to_task(AcceptClients, scheduler.spawn(listener_task.run, vital=True))
-    dispatcher.send_to_task(SetTimer, scheduler.spawn(partial(timer_task, dispatcher), vital=True))
+    dispatcher.send_to_task(AcceptClients, scheduler.spawn(listener_task.run, is_vital=True))
+    dispatcher.send_to_task(SetTimer, scheduler.spawn(partial(timer_task, dispatcher), is_vital=True))
     _log_start(configuration, log, state_machine)
     if path:
         successor = HandoverServerTask(dispatcher, path, listener_task.sock, configuration.listen, membership)
         handover = partial(_take_over_then_serve_successor, dispatcher, predecessor, successor)
-        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, first=True))
+        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, is_first=True))
     known = predecessor.endpoint_list if predecessor else configuration.known_endpoints
     dispatcher.dispatch(state_machine.start(now, known, predecessor is not None))
     return Server(dispatcher, listener_task, membership)
@@ -127,7 +127,7 @@
         dispatcher.scheduler.run()
     for callback in dispatcher.at_end:
         callback()
-    has_failed = dispatcher.scheduler.failed
+    has_failed = dispatcher.scheduler.has_failed
     dispatcher.log.write_event("end", {"failed": True} if has_failed else {})
     dispatcher.log.flush()
     return int(has_failed)
@@ -169,7 +169,7 @@
     connect_timeout_us, idle_timeout_us = policy_factory.read_connection_timeouts(configuration.settings)
     return CommandDispatcher(
         scheduler,
-        Pool(pool_bytes // SIZE),
+        BufferPool(pool_bytes // BUFFER_BYTES),
         state_machine,
         log,
         connect_timeout_us=connect_timeout_us,
@@ -225,5 +225,5 @@
         client = HandoverClientTask(dispatcher, predecessor)
         client.take_over()
         dispatcher.at_end.append(client.announce_exit)
-        dispatcher.scheduler.spawn(client.wait_for_exit, first=True)
+        dispatcher.scheduler.spawn(client.wait_for_exit, is_first=True)
     successor.run()
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 from typing import TYPE_CHECKING
 
-from cressrail.event_loop.scheduler import READ
+from cressrail.event_loop.scheduler import READABLE
 from cressrail.network.configuration_reload import ConfigurationReload
 from cressrail.network.dispatcher import CommandDispatcher
 
@@ -34,7 +34,7 @@
 
     def receive_signals() -> None:
         while True:
-            dispatcher.scheduler.wait(receiver.fileno(), READ)
+            dispatcher.scheduler.wait(receiver.fileno(), READABLE)
             signals = receiver.recv(MAX_SIGNALS_PER_READ)  # the number of each signal
             if signal.SIGHUP in signals:
                 configuration_reload.reload(dispatcher, membership)
@@ -46,7 +46,7 @@
     signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, lambda *_: None)
-    dispatcher.scheduler.spawn(receive_signals, vital=True)
+    dispatcher.scheduler.spawn(receive_signals, is_vital=True)
     try:
         yield
     finally:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -7,8 +7,8 @@
 import socket
 from enum import Enum
 
-from cressrail.buffers.pool import BufferPoolExhaustedError, Inlet, Pool
-from cressrail.event_loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
+from cressrail.buffers.pool import BufferPool, BufferPoolExhaustedError, ReceiveBuffer
+from cressrail.event_loop.scheduler import MESSAGE, NEVER, READABLE, TIMED_OUT, WRITABLE, Scheduler
 
 MAX_BUFFERS_PER_WRITE = 64  # of a write
 DESCRIPTORS_EXHAUSTED = (
@@ -34,19 +34,19 @@
 
 
 class SocketStream:
-    def __init__(self, scheduler: Scheduler, pool: Pool, sock: socket.socket) -> None:
+    def __init__(self, scheduler: Scheduler, pool: BufferPool, sock: socket.socket) -> None:
         self.scheduler = scheduler
         self.sock = sock
         self.fd = sock.fileno()
-        self.input_buffer = Inlet(pool)
-        self.arrived_us = scheduler.arrived_us  # of what was read last
+        self.input_buffer = ReceiveBuffer(pool)
+        self.arrived_us = scheduler.earliest_arrival_us  # of what was read last
         self._accepted_with = True  # its first bytes may have come with the connection
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
     def connect(
-        cls, scheduler: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool
+        cls, scheduler: Scheduler, pool: BufferPool, host: str, port: int, until_us: int, mail: bool
     ) -> SocketStream:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
@@ -54,7 +54,7 @@
             stream = cls(scheduler, pool, sock)
             code = sock.connect_ex((host, port))
             if code == errno.EINPROGRESS:
-                stream.wait(WRITE, until_us, mail)
+                stream.wait(WRITABLE, until_us, mail)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
@@ -67,7 +67,7 @@
         why = self.scheduler.wait(self.fd, mask, until_us, mail, rest)
         if why == TIMED_OUT:
             raise StreamTimeoutError
-        if why == MAIL:
+        if why == MESSAGE:
             raise StreamInterruptedError
         return why
 
@@ -75,7 +75,7 @@
         parts = [part for part in parts if part]
         while parts:
             if not self.send_some(parts):
-                self.wait(WRITE, until_us, mail)
+                self.wait(WRITABLE, until_us, mail)
 
     def send_some(self, parts: list[memoryview]) -> bool:
         """Writes what goes without waiting, and takes it out; false if nothing did."""
@@ -92,16 +92,16 @@
     def read(self) -> int:
         """How many bytes more there are to use: 0 at the end, -1 if none have come yet."""
         try:
-            n = self.sock.recv_into(self.input_buffer.room())
+            n = self.sock.recv_into(self.input_buffer.free_space())
         except BlockingIOError:
             self._accepted_with = False
             if not self.input_buffer.unread():
-                self.input_buffer.give_back()
+                self.input_buffer.release()
             return -1
         if not self._accepted_with:
-            self.arrived_us = self.scheduler.arrived_us
+            self.arrived_us = self.scheduler.earliest_arrival_us
         self._accepted_with = False  # guards against later requests timed from the connection's start
-        self.input_buffer.came(n)
+        self.input_buffer.add_received(n)
         return n
 
     def idle_state(self) -> IdleState:
@@ -120,15 +120,15 @@
         """Until the other side has seen the end and closed as well, for so long at most; what it still sends
         is dropped. Guards against a close with bytes unread, which would reset the answer that is on its
         way, and against a request that crosses the close being taken for one that is answered."""
-        self.input_buffer.give_back()
+        self.input_buffer.release()
         try:
             self.sock.shutdown(socket.SHUT_WR)
             while self.read() != 0:
-                self.input_buffer.give_back()
-                self.wait(READ, until_us)
+                self.input_buffer.release()
+                self.wait(READABLE, until_us)
         except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
 
     def close(self) -> None:
-        self.input_buffer.give_back()
+        self.input_buffer.release()
         self.sock.close()
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -14,8 +14,8 @@
     due_us = dispatcher.state_machine.timer_us
     while True:
         scheduler.wait(until_us=due_us)
-        while task.mail:
-            due_us = task.mail.popleft().at_us
+        while task.messages:
+            due_us = task.messages.popleft().at_us
         if dispatcher.now() >= due_us:
             due_us = dispatcher.now() + MAX_WAIT_US
             dispatcher.dispatch(dispatcher.state_machine.on_timer(dispatcher.now()))
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from cressrail.buffers.pool import Chain
+from cressrail.buffers.pool import BufferChain
 from cressrail.policy.load_balancer import LATE_MOST, LoadBalancer, Outcome, RoutedRequest
 from cressrail.proxy import events
 from cressrail.proxy.commands import CancelAttempt, Command, LogEvent, SendAttempt
@@ -52,7 +52,7 @@
 
     outcome: Outcome
     is_connection_reusable: bool
-    body: Chain | None = None
+    body: BufferChain | None = None
     content_type: bytes = b""
     reason: str = ""
     has_endpoint_refused: bool = False
@@ -155,7 +155,7 @@
         return LogEvent(
             events.ATTEMPT_FAILED,
             {
-                "request_id": pending.request.get(REQUEST_ID_FIELD),
+                "request_id": pending.request.header_text(REQUEST_ID_FIELD),
                 "outcome": result.outcome.name.lower(),
                 "reason": result.reason,
                 "endpoint": self.registry.endpoints[attempt.endpoint].name,
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -4,9 +4,9 @@
 
 from typing import Any, NamedTuple
 
-from cressrail.buffers.pool import Chain
-from cressrail.http1.answer import Response
+from cressrail.buffers.pool import BufferChain
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response
 
 
 class AcceptClients(NamedTuple):
@@ -95,7 +95,7 @@
 class ReleaseBody(NamedTuple):
     """Give the buffers of a body back."""
 
-    body: Chain
+    body: BufferChain
 
 
 class WatchEndpoints(NamedTuple):
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -62,7 +62,11 @@
     def apply(self, update: EndpointListUpdate) -> RegistryChanges:
         """Takes an update of the list over. Entries that could not be read stay as they were."""
         changes = RegistryChanges([], [], [])
-        kept = [self.endpoints[self.indices[name]].entry for name in update.kept if name in self.indices]
+        kept = [
+            self.endpoints[self.indices[name]].entry
+            for name in update.unreadable_names
+            if name in self.indices
+        ]
         entries = [*update.entries, *kept]
         for entry in entries:
             self._apply_entry(entry, changes)
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from cressrail.buffers.pool import Chain
-from cressrail.http1.answer import Response
+from cressrail.buffers.pool import BufferChain
+from cressrail.http1.response import Response
 from cressrail.policy.load_balancer import (
     ATTEMPT,
     CANCEL,
@@ -105,9 +105,9 @@
             LogEvent(
                 events.REQUEST_REJECTED if is_rejected else events.REQUEST_FAILED,
                 {
-                    "request_id": pending.request.get(REQUEST_ID_FIELD),
-                    "request_class": pending.request.get(REQUEST_CLASS_FIELD),
-                    "tenant": pending.request.get(TENANT_FIELD),
+                    "request_id": pending.request.header_text(REQUEST_ID_FIELD),
+                    "request_class": pending.request.header_text(REQUEST_CLASS_FIELD),
+                    "tenant": pending.request.header_text(TENANT_FIELD),
                     "attempts": pending.attempt_count,
                     "remaining_us": routed_request.deadline_us - now_us,
                 },
@@ -149,7 +149,7 @@
         return self.lifecycle.rules.closes_after_response or client.is_over_limit or not client.keep_alive
 
     def reply(
-        self, client: int, status: int, body: Chain | None, request_class: str | None = None
+        self, client: int, status: int, body: BufferChain | None, request_class: str | None = None
     ) -> list[Command]:
         """Answers a request that is not forwarded; counted under its request class, if one is given."""
         if request_class is not None:
@@ -167,7 +167,7 @@
         """Its answer is final; the one place where a forwarded request is counted."""
         pending = self.requests.pending[routed_request]
         self.clients.clear_request(pending.client)
-        self.counters.on_final_answer(pending.request.get(REQUEST_CLASS_FIELD) or "", status)
+        self.counters.on_final_answer(pending.request.header_text(REQUEST_CLASS_FIELD) or "", status)
         self.requests.release_id(routed_request)
 
     # Requests
@@ -188,7 +188,7 @@
         if routed_request is None or routed_request.is_finished:
             return False
         pending = self.requests.pending[routed_request]
-        self.clients.set_keep_alive(client, pending.request.keep)
+        self.clients.set_keep_alive(client, pending.request.keep_alive)
         limit_us = min(pending.time_limit_us, self.lifecycle.answer_all_us - now_us)
         routed_request.start_clock(now_us, max(0, limit_us - (now_us - arrived_us)))
         return True
@@ -201,7 +201,7 @@
         routed_request = self.clients.open[client].routed_request
         if routed_request is None or routed_request.is_finished:  # it has its answer already
             return []
-        request_class = self.requests.pending[routed_request].request.get(REQUEST_CLASS_FIELD)
+        request_class = self.requests.pending[routed_request].request.header_text(REQUEST_CLASS_FIELD)
         self.requests.release_id(routed_request)
         self.clients.clear_request(client)
         commands = self._decided(now_us, routed_request.on_client_disconnected())
@@ -233,7 +233,7 @@
         """The last byte of an attempt has gone to its endpoint, which begins a request only then."""
         self.counters.on_attempt_sent()
         sent = self.attempts.in_flight[attempt]
-        if self.requests.pending[sent.routed_request].request.streams:
+        if self.requests.pending[sent.routed_request].request.is_streaming:
             self.attempts.set_sent(attempt, now_us)
 
     def on_response_started(self, now_us: int, attempt: int, response: Response) -> list[Command]:
@@ -247,7 +247,7 @@
         pending = self.requests.pending[routed_request]
         pending.begin_stream(attempt)
         request, client = pending.request, self.clients.open[pending.client]
-        if response.length is None and not request.modern:
+        if response.content_length is None and not request.is_http11:
             self.clients.set_keep_alive(
                 pending.client, False
             )  # only the connection's end tells the answer's end
@@ -256,7 +256,7 @@
         )
         commands = self._decided(now_us, decisions)
         closes = self.closes_after_response(client)
-        commands.append(SendResponse(pending.client, response, closes, request.modern))
+        commands.append(SendResponse(pending.client, response, closes, request.is_http11))
         return commands
 
     def on_attempt_finished(self, now_us: int, attempt: int, result: AttemptResult) -> list[Command]:
@@ -272,7 +272,7 @@
         if result.is_connection_reusable:
             commands += connections.release(now_us, ended.connection)
         is_answer = has_succeeded and not routed_request.is_finished
-        routed_request.is_body_gone = routed_request.is_body_gone or pending.request.spent
+        routed_request.is_body_gone = routed_request.is_body_gone or pending.request.is_partly_consumed
         if pending.streaming_attempt == attempt:
             self._finish_stream(routed_request, pending, has_succeeded)
         if result.body is not None:
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from cressrail.http1.figures import span_us
+from cressrail.http1.duration import parse_duration_us
 from cressrail.http1.request import Request
 from cressrail.policy.load_balancer import IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT, LoadBalancer, RequestClass
 from cressrail.proxy import events
@@ -62,12 +62,12 @@
     def take(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
         """Takes a request that came whole at `arrived_us`, or one that is forwarded as it comes."""
         # If it is answered before all of it has come, it is the last: what is left of it may never come.
-        self.clients.set_keep_alive(client, request.keep and not request.streams)
+        self.clients.set_keep_alive(client, request.keep_alive and not request.is_streaming)
         self.clients.finish_receiving(client)  # also if it was asked to close just now
         if request.path == HEALTH_PATH:
             status = HEALTHY_STATUS if self.is_healthy(now_us) else UNHEALTHY_STATUS
             return self.forwarder.reply(client, status, request.body)
-        class_name = request.get(REQUEST_CLASS_FIELD)
+        class_name = request.header_text(REQUEST_CLASS_FIELD)
         if class_name is None and request.path != REQUEST_PATH:
             return self.forwarder.reply(client, UNKNOWN_PATH_STATUS, request.body)
         request_class = self.settings.request_classes.get(class_name or "")
@@ -79,17 +79,17 @@
             counts = {"side": "clients", "open": len(self.clients.open)}
             reply = self.forwarder.reply(client, OVER_LIMIT_STATUS, request.body, class_name)
             return [LogEvent(events.CONNECTION_LIMIT_REACHED, counts), *reply]
-        remaining_us = STILL_COMING if request.streams else max(0, limit_us - (now_us - arrived_us))
+        remaining_us = STILL_COMING if request.is_streaming else max(0, limit_us - (now_us - arrived_us))
         pending = PendingRequest(client, request, arrived_us, limit_us)
         return self._forward(now_us, request_class, remaining_us, pending)
 
     def _time_limit_us(self, now_us: int, request: Request, request_class: RequestClass | None) -> int | None:
         """Returns the time that a request has; None if its class, its id or its deadline is invalid."""
-        request_id = request.get(REQUEST_ID_FIELD)
+        request_id = request.header_text(REQUEST_ID_FIELD)
         if request_class is None or not request_id:
             return None
-        deadline = request.get(DEADLINE_FIELD)
-        limit_us = span_us(deadline) if deadline is not None else request_class.deadline_us
+        deadline = request.header_text(DEADLINE_FIELD)
+        limit_us = parse_duration_us(deadline) if deadline is not None else request_class.deadline_us
         if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
             return None
         return min(limit_us, request_class.deadline_us, self.lifecycle.answer_all_us - now_us)
@@ -98,9 +98,11 @@
         self, now_us: int, request_class: RequestClass, remaining_us: int, pending: PendingRequest
     ) -> list[Command]:
         request = pending.request
-        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not request.get(IDEMPOTENCY_KEY_FIELD):
+        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not request.header_text(
+            IDEMPOTENCY_KEY_FIELD
+        ):
             # Without a key the endpoint could not tell a retry from another request.
             request_class = replace(request_class, idempotency=NON_IDEMPOTENT)
-        tenant = self.settings.tenants.get(request.get(TENANT_FIELD) or "", NO_TENANT)
+        tenant = self.settings.tenants.get(request.header_text(TENANT_FIELD) or "", NO_TENANT)
         routed_request = self.load_balancer.start_request(now_us, request_class, tenant, remaining_us)
         return self.forwarder.start(now_us, routed_request, pending)
--- a/cressrail/proxy/process_handover.py
+++ b/cressrail/proxy/process_handover.py
@@ -36,7 +36,7 @@
     def endpoint_list(self, revision: int) -> dict[str, Any]:
         """Returns the endpoint list in discovery's form."""
         entries = (registered.entry for registered in self.registry.endpoints.values())
-        return handover_state.listed(entries, revision)
+        return handover_state.encode_endpoint_list(entries, revision)
 
     def capture(self) -> dict[str, Any]:
         """Returns what the successor goes on from."""
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -82,7 +82,7 @@
     def add(self, routed_request: RoutedRequest, pending: PendingRequest) -> None:
         """Adds a request, and takes its id."""
         self.pending[routed_request] = pending
-        self.open_ids[pending.request.get(REQUEST_ID_FIELD) or ""] = pending.client
+        self.open_ids[pending.request.header_text(REQUEST_ID_FIELD) or ""] = pending.client
 
     def is_id_in_use(self, now_us: int, request_id: str) -> bool:
         """Whether a request with this id waits for its answer, here or at the predecessor process."""
@@ -90,11 +90,11 @@
 
     def release_id(self, routed_request: RoutedRequest) -> None:
         """Another request may have this one's id: it has its answer, or its client has left."""
-        del self.open_ids[self.pending[routed_request].request.get(REQUEST_ID_FIELD) or ""]
+        del self.open_ids[self.pending[routed_request].request.header_text(REQUEST_ID_FIELD) or ""]
 
     def is_answer_due(self, pending: PendingRequest) -> bool:
         """Whether the request's client still waits, so that its id is in use."""
-        return self.open_ids.get(pending.request.get(REQUEST_ID_FIELD) or "") == pending.client
+        return self.open_ids.get(pending.request.header_text(REQUEST_ID_FIELD) or "") == pending.client
 
     def release(self, routed_request: RoutedRequest) -> list[Command]:
         """Forgets a request that is answered and has no attempt in flight; releases its body."""
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from cressrail.http1.answer import Response
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response
 from cressrail.policy.load_balancer import LoadBalancer, Outcome, RandomGenerator
 from cressrail.proxy import admin, clients, commands, events
 from cressrail.proxy.attempts import AttemptResult, Attempts
@@ -118,7 +118,7 @@
         """Discovery has sent the list, or changes of it."""
         out: list[Command] = [
             LogEvent(events.MALFORMED_MESSAGE, {"from": "discovery", "reason": fault})
-            for fault in update.faults[:LOGGED_FAULTS]
+            for fault in update.errors[:LOGGED_FAULTS]
         ]
         is_first, held_revision = not self.endpoint_watch.has_list, self.endpoint_watch.revision
         if not self.endpoint_watch.accept(update):
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -11,7 +11,7 @@
 from cressrail.cli.launch import launch
 from cressrail.configuration import policy_factory
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from cressrail.http1.answer import Response
+from cressrail.http1.response import Response
 from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.policy import load_balancer as brain
 from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
@@ -82,7 +82,7 @@
     def twice(self: ClientConnectionTask, message: SendResponse) -> None:
         write(self, message)
         if self.number % 3 == 0:
-            self.stream.send([memoryview(Response(503).head(True))], self.dispatcher.now() + 100_000)
+            self.stream.send([memoryview(Response(503).encode_head(True))], self.dispatcher.now() + 100_000)
 
     ClientConnectionTask._send_response = twice  # type: ignore[method-assign]
 
@@ -95,7 +95,7 @@
         if message.response.body is None or self.dispatcher.state_machine.ids.last % 7:
             write(self, message)
             return
-        message.response.body.give_back()
+        message.response.body.release()
         raise OSError("swallowed on purpose")
 
     ClientConnectionTask._send_response = eats  # type: ignore[method-assign]
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -5,11 +5,11 @@
 import copy
 from typing import Any
 
-from cressrail.buffers.pool import Chain, Pool
+from cressrail.buffers.pool import BufferChain, BufferPool
 from cressrail.configuration import policy_factory
 from cressrail.configuration.startup import parse_configuration
-from cressrail.discovery.endpoint_list import EndpointListUpdate, read
-from cressrail.http1.head import Fields
+from cressrail.discovery.endpoint_list import EndpointListUpdate, parse_update
+from cressrail.http1.headers import Headers
 from cressrail.http1.request import Request
 from cressrail.policy.load_balancer import Outcome, RandomGenerator
 from cressrail.proxy import commands as do
@@ -53,7 +53,7 @@
             0,
         )
         self.known = start.known_endpoints
-        self.pool = Pool(100)
+        self.pool = BufferPool(100)
         self.told: list[Command] = self.reducer.start(0, start.known_endpoints)
         if heard:
             self.told += self.reducer.on_endpoint_list(0, start.known_endpoints)
@@ -88,12 +88,12 @@
             "idempotency-key": "k",
             **{name.replace("_", "-"): value for name, value in fields.items()},
         }
-        body = Chain(self.pool)
-        body.add(memoryview(b"x"))
+        body = BufferChain(self.pool)
+        body.append(memoryview(b"x"))
         request = Request(
             b"POST",
             (told.pop("path", None) or "/api").encode(),
-            Fields((n.encode(), v.encode()) for n, v in told.items() if v),
+            Headers((n.encode(), v.encode()) for n, v in told.items() if v),
             body,
             True,
         )
@@ -108,19 +108,19 @@
         return carry
 
     def end(self, hop: do.SendAttempt, how: Outcome, now: int = 1000, keep: bool = True) -> None:
-        body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
+        body = BufferChain(self.pool) if how is Outcome.SUCCEEDED else None
         if body:
-            body.add(memoryview(b"y"))
+            body.append(memoryview(b"y"))
         self.told += self.reducer.on_attempt_finished(now, hop.attempt, AttemptResult(how, keep, body))
 
     def settle(self) -> None:
         """Gives back what the effects ask to be, as the tasks on sockets would."""
         for effect in self.told:
             if isinstance(effect, do.ReleaseBody):
-                effect.body.give_back()
+                effect.body.release()
             if isinstance(effect, do.SendResponse) and effect.response.body:
-                effect.response.body.give_back()
+                effect.response.body.release()
 
 
 def news(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
-    return read({"revision": revision, "complete": full, "members": list(members)})
+    return parse_update({"revision": revision, "complete": full, "members": list(members)})
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from cressrail.discovery.endpoint_list import read
+from cressrail.discovery.endpoint_list import parse_update
 from cressrail.handover import state as estate
-from cressrail.handover.frame import HEAD, MARK, VERSION, Frames, HandoverError, wrap
+from cressrail.handover.frame import HEADER, MAGIC, VERSION, FrameReader, HandoverError, encode_frame
 from cressrail.network.handover_client import MAX_PATH_BYTES, find_predecessor, rendezvous_path
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
@@ -29,11 +29,11 @@
 
 
 def test_frames_come_whole_from_any_pieces() -> None:
-    frames, text = Frames(), wrap("hello", {"n": 1}) + wrap("take", {})
+    frames, text = FrameReader(), encode_frame("hello", {"n": 1}) + encode_frame("take", {})
     found = []
     for n in range(len(text)):
-        frames.add(text[n : n + 1])
-        while (got := frames.next()) is not None:
+        frames.feed(text[n : n + 1])
+        while (got := frames.next_frame()) is not None:
             found.append(got[0])
     assert found == ["hello", "take"]
 
@@ -42,26 +42,26 @@
     "text",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        HEAD.pack(MARK, VERSION + 1, 2, 0) + b"{}",
-        HEAD.pack(MARK, VERSION, 2, 1) + b"{}",
-        HEAD.pack(MARK, VERSION, 1 << 30, 0),
-        wrap("take", {})[:-2] + b"x}",
+        HEADER.pack(MAGIC, VERSION + 1, 2, 0) + b"{}",
+        HEADER.pack(MAGIC, VERSION, 2, 1) + b"{}",
+        HEADER.pack(MAGIC, VERSION, 1 << 30, 0),
+        encode_frame("take", {})[:-2] + b"x}",
     ],
 )
 def test_a_torn_old_or_foreign_frame_is_refused(text: bytes) -> None:
-    frames = Frames()
-    frames.add(text)
+    frames = FrameReader()
+    frames.feed(text)
     with pytest.raises(HandoverError):
-        frames.next()
+        frames.next_frame()
 
 
 def told(front: Front, now: int = SECOND) -> dict[str, Any]:
     """The estate, as it comes out of a frame."""
     found, effects = front.reducer.hand_over(now)
     front.told += effects
-    frames = Frames()
-    frames.add(wrap("estate", found))
-    got = frames.next()
+    frames = FrameReader()
+    frames.feed(encode_frame("estate", found))
+    got = frames.next_frame()
     assert got is not None
     return got[1]
 
@@ -80,7 +80,7 @@
     old.reducer.load_balancer.endpoints[1].limit = 1.25
     old.reducer.load_balancer.on_connection_lost(SECOND, 0)
     old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
-    new.reducer.on_endpoint_list(SECOND, read(old.reducer.endpoint_list()))
+    new.reducer.on_endpoint_list(SECOND, parse_update(old.reducer.endpoint_list()))
     new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
     side = new.reducer.load_balancer
     assert (
@@ -171,7 +171,7 @@
 
 def test_the_new_process_asks_only_once_it_can_serve_and_is_ready_only_after() -> None:
     new = beside()
-    new.told = new.reducer.start(0, read({"revision": 1, "complete": True, "members": []}), True)
+    new.told = new.reducer.start(0, parse_update({"revision": 1, "complete": True, "members": []}), True)
     assert not new.all(do.BeginTakeover) and not new.all(do.AcceptClients)
     assert call(new, control.READY) == 503
     new.told = new.reducer.on_endpoint_list(1, news(4, True, member("s0", 9000)))
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cressrail.event_loop import scheduler
-from cressrail.event_loop.scheduler import READ, Scheduler
+from cressrail.event_loop.scheduler import READABLE, Scheduler
 
 
 class Resting:
@@ -28,12 +28,12 @@
 
     def _rest(self, n: int, near: socket.socket) -> None:
         while True:
-            mask = self.loop.wait(near.fileno(), READ, rest=True)
+            mask = self.loop.wait(near.fileno(), READABLE, is_resting=True)
             if not near.recv(10):
                 near.close()
                 return
             assert mask & select.POLLIN
-            self.heard.append((n, self.loop.arrived_us))
+            self.heard.append((n, self.loop.earliest_arrival_us))
 
     def work(self, rounds: int, step_us: int) -> None:
         """A task that wakes at every step, so there is work all the time."""
@@ -41,11 +41,11 @@
         def works() -> None:
             for _ in range(rounds):
                 self.now += step_us
-                self.loop.heard_us = self.now
+                self.loop.last_event_us = self.now
                 self.loop.wait(until_us=self.now)
-            self.loop.stopped = True
+            self.loop.is_stopped = True
 
-        self.loop.stopped = False
+        self.loop.is_stopped = False
         self.loop.spawn(works)
         self.loop.run()
 
@@ -60,9 +60,9 @@
     rest.work(3, 1000)
     assert len(rest.loop.busy_masks) == 10
     rest.work(80, 1000)
-    assert (len(rest.loop.busy_masks), len(rest.loop.masks)) == (0, 10)
+    assert (len(rest.loop.busy_masks), len(rest.loop.full_masks)) == (0, 10)
     rest.pairs[0][1].send(b"x")
-    assert rest.loop.busy.poll(0) == [] and len(rest.loop.every.poll(0)) == 1
+    assert rest.loop.busy_poll.poll(0) == [] and len(rest.loop.full_poll.poll(0)) == 1
     rest.close()
 
 
@@ -71,8 +71,8 @@
 ) -> None:
     rest = Resting(10, monkeypatch)
     rest.work(80, 1000)
-    looked = rest.loop.every_us
-    rest.loop.every_due_us = rest.now + 3500  # some rounds go by before the next look
+    looked = rest.loop.last_full_poll_us
+    rest.loop.next_full_poll_us = rest.now + 3500  # some rounds go by before the next look
     rest.pairs[3][1].send(b"x")
     rest.work(8, 1000)
     assert len(rest.heard) == 1 and rest.heard[0][0] == 3
@@ -86,9 +86,9 @@
     rest = Resting(10, monkeypatch)
     rest.work(80, 1000)
     rest.pairs[7][1].send(b"x")
-    rest.now += scheduler.QUIET_US  # nothing was heard for so long; `every` is not due for other reasons
-    rest.loop.every_due_us = rest.now + 50_000
-    rest.loop.stopped = False
+    rest.now += scheduler.IDLE_AFTER_US  # nothing was heard for so long; `every` is not due for other reasons
+    rest.loop.next_full_poll_us = rest.now + 50_000
+    rest.loop.is_stopped = False
     rest.loop.after_round = lambda: setattr(rest.loop, "stopped", True)
     rest.loop.run()
     assert [n for n, _ in rest.heard] == [7]
@@ -106,7 +106,7 @@
         far.close()
     rest.work(10, 1000)  # their tasks see the end and close
     rest.work(10, 1000)
-    assert not numbers & set(rest.loop.masks) and len(rest.loop.masks) == 4 and not rest.faults
+    assert not numbers & set(rest.loop.full_masks) and len(rest.loop.full_masks) == 4 and not rest.faults
     more = socket.socketpair()
     rest.pairs.append(more)
     more[0].setblocking(False)
