--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -18,7 +18,7 @@
     error_prefix,
     shown,
 )
-from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
+from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
 
 if TYPE_CHECKING:
     from cressrail.configuration.membership import MembershipConfiguration
@@ -205,7 +205,7 @@
     if value is None:
         return EndpointListUpdate(0, True)
     try:
-        return read(value)
+        return parse_update(value)
     except MalformedEndpointListError as error:
         raise ConfigurationError(names.KNOWN_ENDPOINTS, str(error), ": ") from None
 
--- a/cressrail/discovery/endpoint_list.py
+++ b/cressrail/discovery/endpoint_list.py
@@ -1,22 +1,64 @@
-"""What discovery says of the endpoints: the whole list, or those that changed."""
+"""Reads and writes the endpoint list in the form of discovery's protocol.
+
+The names of the protocol's members stand in this module alone.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from ipaddress import ip_address
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
-PHASES = {"up": (True, False), "draining": (False, False), "removed": (False, True)}  # on, gone
+# Members of a list.
+REVISION, IS_COMPLETE, ENTRIES = "revision", "complete", "members"
+# Members of an entry.
+NAME, ADDRESS, ZONE, CELL = "id", "host_port", "locality", "cell"
+PHASE, SCALE, STARTED_MS = "phase", "size", "up_since_ms"
+
+MAX_PORT = 65535
+MAX_SCALE = 1e12
+MAX_SHOWN_CHARS = 80  # of an entry that can't be read, in a message
+
+
+class Phase(NamedTuple):
+    """What a phase of the protocol means.
+
+    Attributes:
+        accepts_requests: New requests may be sent to the endpoint.
+        is_removed: The endpoint is no longer in the list.
+    """
+
+    accepts_requests: bool
+    is_removed: bool
+
+
+PHASES = {"up": Phase(True, False), "draining": Phase(False, False), "removed": Phase(False, True)}
+PHASE_NAMES = {phase: name for name, phase in PHASES.items()}
 
 
 class MalformedEndpointListError(Exception):
-    """What discovery sent is no list; the one held stays."""
+    """What discovery sent is no list; the list known before stays in force."""
 
 
 @dataclass(slots=True)
 class EndpointEntry:
+    """One endpoint of a list.
+
+    Attributes:
+        name: Identifies the endpoint, also after a restart.
+        host: IP address.
+        port: TCP port.
+        zone: Name of its zone; empty where none is named.
+        cell: Group of endpoints that share their state, for requests whose key holds in one cell.
+        scale: Capacity relative to the other endpoints.
+        accepts_requests: New requests may be sent to it.
+        is_removed: It is no longer in the list.
+        started_us: Unix time of its last start; zero where it is not known.
+    """
+
     name: str
     host: str
     port: int
@@ -30,53 +72,96 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
+    """A whole list, or the entries that have changed.
+
+    Attributes:
+        revision: Number of the list; grows with each change.
+        is_complete: Endpoints that it does not name are removed.
+        entries: Those that could be read.
+        unreadable_names: Endpoints whose entry can't be read: they stay as they were.
+        errors: What was wrong with entries, one line each.
+    """
+
     revision: int
     is_complete: bool
     entries: list[EndpointEntry] = field(default_factory=list)
-    kept: list[str] = field(default_factory=list)  # named by entries that can't be read: as they were
-    faults: list[str] = field(default_factory=list)
+    unreadable_names: list[str] = field(default_factory=list)
+    errors: list[str] = field(default_factory=list)
 
 
-def read_line(line: bytes) -> EndpointListUpdate:
+def parse_update_line(line: bytes) -> EndpointListUpdate:
+    """Returns the update in one line of discovery's answer.
+
+    Raises:
+        MalformedEndpointListError: The line holds no list.
+    """
     try:
-        return read(orjson.loads(line))
-    except orjson.JSONDecodeError as fault:
-        raise MalformedEndpointListError(f"not JSON: {fault}") from None
+        return parse_update(orjson.loads(line))
+    except orjson.JSONDecodeError as error:
+        raise MalformedEndpointListError(f"not JSON: {error}") from None
+
 
+def parse_update(value: Any) -> EndpointListUpdate:
+    """Returns the update in a JSON object; entries that can't be read are named in it and passed over.
 
-def read(told: Any) -> EndpointListUpdate:
-    if not isinstance(told, dict) or not isinstance(told.get("members"), list):
+    Raises:
+        MalformedEndpointListError: The value is no list.
+    """
+    if not isinstance(value, dict) or not isinstance(value.get(ENTRIES), list):
         raise MalformedEndpointListError("no members")
-    revision, full = told.get("revision"), told.get("complete")
-    if not isinstance(revision, int) or not isinstance(full, bool):
+    revision, is_complete = value.get(REVISION), value.get(IS_COMPLETE)
+    if not isinstance(revision, int) or not isinstance(is_complete, bool):
         raise MalformedEndpointListError("no revision, or not told whether it is complete")
-    news = EndpointListUpdate(revision, full)
-    for entry in told["members"]:
+    update = EndpointListUpdate(revision, is_complete)
+    for entry in value[ENTRIES]:
         try:
-            news.entries.append(_row(entry))
-        except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            news.faults.append(f"{type(fault).__name__}: {fault}")
-            if isinstance(entry, dict) and isinstance(entry.get("id"), str):
-                news.kept.append(entry["id"])
-    return news
+            update.entries.append(_parse_entry(entry))
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            update.errors.append(f"{type(error).__name__}: {error}")
+            if isinstance(entry, dict) and isinstance(entry.get(NAME), str):
+                update.unreadable_names.append(entry[NAME])
+    return update
 
 
-def _row(entry: dict[str, Any]) -> EndpointEntry:
-    name, address = entry["id"], entry["host_port"]
+def _parse_entry(entry: dict[str, Any]) -> EndpointEntry:
+    name, address = entry[NAME], entry[ADDRESS]
     host, _, port = address.rpartition(":")
-    on, gone = PHASES[entry["phase"]]
-    scale = float(entry.get("size", 1.0))
-    host = str(ip_address(host.strip("[]")))  # a name would have to be looked up, which may take its time
-    if not (isinstance(name, str) and name and 0 < int(port) < 65536 and 0 <= scale < 1e12):
-        raise ValueError(f"entry that is none: {str(entry)[:80]}")
+    phase = PHASES[entry[PHASE]]
+    scale = float(entry.get(SCALE, 1.0))
+    host = str(ip_address(host.strip("[]")))  # a host name is refused: a look-up could block
+    is_named = isinstance(name, str) and name
+    if not (is_named and 0 < int(port) <= MAX_PORT and 0 <= scale < MAX_SCALE):
+        raise ValueError(f"entry that is none: {str(entry)[:MAX_SHOWN_CHARS]}")
     return EndpointEntry(
-        name,
-        host,
-        int(port),
-        str(entry.get("locality", "")),
-        int(entry.get("cell") or 0),
-        scale,
-        on,
-        gone,
-        int(entry.get("up_since_ms") or 0) * 1000,
+        name=name,
+        host=host,
+        port=int(port),
+        zone=str(entry.get(ZONE, "")),
+        cell=int(entry.get(CELL) or 0),
+        scale=scale,
+        accepts_requests=phase.accepts_requests,
+        is_removed=phase.is_removed,
+        started_us=int(entry.get(STARTED_MS) or 0) * 1000,
     )
+
+
+def encode_endpoint_list(entries: Iterable[EndpointEntry], revision: int) -> dict[str, Any]:
+    """Returns a complete list in the form of discovery, which `parse_update` reads and checks."""
+    return {
+        REVISION: revision,
+        IS_COMPLETE: True,
+        ENTRIES: [_encode_entry(entry) for entry in entries if not entry.is_removed],
+    }
+
+
+def _encode_entry(entry: EndpointEntry) -> dict[str, Any]:
+    host = f"[{entry.host}]" if ":" in entry.host else entry.host
+    return {
+        NAME: entry.name,
+        ADDRESS: f"{host}:{entry.port}",
+        ZONE: entry.zone,
+        CELL: entry.cell,
+        PHASE: PHASE_NAMES[Phase(entry.accepts_requests, False)],
+        SCALE: entry.scale,
+        STARTED_MS: entry.started_us // 1000,
+    }
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
+from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from cressrail.event_loop.scheduler import MAIL, READ, Task
 from cressrail.http1.answer import ResponseReader
 from cressrail.http1.head import MalformedMessageError
@@ -127,7 +127,7 @@
         self._ask(stream, source, "", until_us)
         sink = WholeSink()
         self._follow(task, stream, sink, until_us)
-        news = read_line(bytes(sink.text))
+        news = parse_update_line(bytes(sink.text))
         if not news.is_complete:
             raise MalformedEndpointListError("not the whole list")
         self.net.dispatch(self.net.state_machine.on_endpoint_list(self.net.now(), news))
@@ -154,5 +154,5 @@
                     until_us, ended = self.net.now() + SILENT_US, sink.ended
                 for line in sink.lines():
                     self.net.dispatch(
-                        self.net.state_machine.on_endpoint_list(self.net.now(), read_line(line))
+                        self.net.state_machine.on_endpoint_list(self.net.now(), parse_update_line(line))
                     )
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -7,9 +7,9 @@
 from contextlib import suppress
 from typing import Any
 
-from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, read
+from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
 from cressrail.event_loop.scheduler import READ
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.handover.frame import FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 SPAN_S = 1.0  # for the first answer; a process that serves gives it within a round of its loop
@@ -30,7 +30,7 @@
     """A connection to the process that serves, the socket that it listens on, and the list as it knows it."""
 
     def __init__(
-        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: Frames
+        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: FrameReader
     ) -> None:
         self.sock = sock
         self.listening = listening
@@ -45,18 +45,18 @@
     fds: list[int] = []
     try:
         sock.connect(path)
-        sock.sendall(wrap(HELLO, {"listen": list(listen)}))
-        frames = Frames()
-        while (got := frames.next()) is None:
+        sock.sendall(encode_frame(FrameKind.HELLO, {"listen": list(listen)}))
+        frames = FrameReader()
+        while (got := frames.next_frame()) is None:
             data, more, _, _ = socket.recv_fds(sock, PIECE, 1)
             fds += more
             if not data:
                 raise HandoverError("ended")
-            frames.add(data)
+            frames.feed(data)
         kind, told = got
-        if kind != HERE or len(fds) != 1:
+        if kind != FrameKind.LISTENING or len(fds) != 1:
             raise HandoverError("no socket came")
-        known = read(told.get("list"))
+        known = parse_update(told.get("list"))
         listening = socket.socket(fileno=fds[0])
         if listening.getsockname()[:2] != listen:
             raise HandoverError("another address")
@@ -110,20 +110,20 @@
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
         if self.net.state_machine.handed_over_us >= 0:
             with suppress(OSError):
-                self.elder.sock.send(wrap(BYE, {}))
+                self.elder.sock.send(encode_frame(FrameKind.EXITED, {}))
 
     def _estate(self) -> dict[str, Any] | None:
         until_us = self.net.now() + SPAN_US
         try:
-            self.elder.sock.sendall(wrap(TAKE, {}))
-            while (got := self.elder.frames.next()) is None:
+            self.elder.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
+            while (got := self.elder.frames.next_frame()) is None:
                 if not (data := self._more(until_us)):
                     return None
-                self.elder.frames.add(data)
+                self.elder.frames.feed(data)
         except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
             self.net.log.write_event("estate_lost", {"why": str(fault)})
             return None
-        return got[1] if got[0] == ESTATE else None
+        return got.fields if got.kind == FrameKind.STATE else None
 
     def _count(self, told: dict[str, Any] | None) -> None:
         held = told.get("held") if told else None
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 from cressrail.event_loop.scheduler import MAIL, READ, WRITE
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, HandoverError, wrap
+from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
@@ -67,29 +67,29 @@
 
     def _serve(self, sock: socket.socket) -> None:
         """One who would take over, to the end of its connection. Only one at a time."""
-        frames, over = Frames(), False
+        frames, over = FrameReader(), False
         try:
             sock.setblocking(False)
             if not _same_user(sock):
                 return
             got = self._next(sock, frames, self.net.now() + SPAN_US)
-            if got is None or got[0] != HELLO or got[1].get("listen") != list(self.listen):
+            if got is None or got.kind != FrameKind.HELLO or got.fields.get("listen") != list(self.listen):
                 return
-            here = wrap(HERE, {"list": self.net.state_machine.endpoint_list()})
+            here = encode_frame(FrameKind.LISTENING, {"list": self.net.state_machine.endpoint_list()})
             sent = socket.send_fds(sock, [here], [self.listening.fileno()])
             self._send(sock, here[sent:])
             got = self._next(sock, frames, None)
-            if got is None or got[0] != TAKE:
+            if got is None or got.kind != FrameKind.TAKE_OVER:
                 return
             told, effects = self.net.state_machine.hand_over(self.net.now())
             over = True
             self.net.dispatch(effects)
-            self._send(sock, wrap(ESTATE, {**told, "held": self._held()}))
+            self._send(sock, encode_frame(FrameKind.STATE, {**told, "held": self._held()}))
             if self.net.gossip is not None:
                 self.net.gossip.tell("cede")
             self._withdraw()
             got = self._next(sock, frames, None)
-            if got is not None and got[0] == BYE:
+            if got is not None and got.kind == FrameKind.EXITED:
                 over = False  # a later one serves: no reason to come back
         except (OSError, HandoverError, ValueError) as fault:
             self.net.log.write_event("heir_junk", {"why": str(fault)})
@@ -112,10 +112,8 @@
         )
         return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.most]
 
-    def _next(
-        self, sock: socket.socket, frames: Frames, until_us: int | None
-    ) -> tuple[str, dict[str, object]] | None:
-        while (got := frames.next()) is None:
+    def _next(self, sock: socket.socket, frames: FrameReader, until_us: int | None) -> Frame | None:
+        while (got := frames.next_frame()) is None:
             try:
                 data = sock.recv(PIECE)
             except BlockingIOError:
@@ -126,7 +124,7 @@
                 continue
             if not data:
                 return None
-            frames.add(data)
+            frames.feed(data)
         return got
 
     def _send(self, sock: socket.socket, data: bytes) -> None:
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -31,7 +31,9 @@
         """The entries for the module, the connections to addresses that are no longer used, and those who
         have left."""
         entries, stale, left = [], [], []
-        kept = [self.endpoints[self.indices[name]].entry for name in news.kept if name in self.indices]
+        kept = [
+            self.endpoints[self.indices[name]].entry for name in news.unreadable_names if name in self.indices
+        ]
         for row in [*news.entries, *kept]:
             ix = self.indices.get(row.name)
             if ix is None:
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cressrail.buffers.pool import Chain
-from cressrail.discovery.endpoint_list import EndpointListUpdate
+from cressrail.discovery.endpoint_list import EndpointListUpdate, encode_endpoint_list
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HandoverError
 from cressrail.http1.answer import Response
@@ -171,7 +171,7 @@
 
     def on_endpoint_list(self, now: int, news: EndpointListUpdate) -> list[Command]:
         out: list[Command] = [
-            do.LogEvent("junk", {"from": "discovery", "what": what}) for what in news.faults[:3]
+            do.LogEvent("junk", {"from": "discovery", "what": what}) for what in news.errors[:3]
         ]
         self.watch_failures = 0
         first, self.has_endpoint_list = not self.has_endpoint_list, True
@@ -567,7 +567,7 @@
     # Two processes
 
     def endpoint_list(self) -> dict[str, Any]:
-        return estate.listed((at.entry for at in self.registry.endpoints.values()), self.revision)
+        return encode_endpoint_list((at.entry for at in self.registry.endpoints.values()), self.revision)
 
     def take_over(self, now: int, told: dict[str, Any] | None, clients: int, links: int) -> list[Command]:
         """The elder process has stopped taking clients, and left this; nothing if it has gone or does not
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
+from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from tests.helpers import member
 
 
@@ -26,7 +26,7 @@
 )
 def test_read_line_refuses_what_is_no_list(line: bytes) -> None:
     with pytest.raises(MalformedEndpointListError):
-        read_line(line)
+        parse_update_line(line)
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,9 @@
 )
 def test_read_line_keeps_the_entries_it_can_read(change: dict[str, Any], readable: bool) -> None:
     entries = [{**member("s1", 9001), **change}, member("s2", 9002)]
-    update = read_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
+    update = parse_update_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
     assert [entry.name for entry in update.entries] == (["s1", "s2"] if readable else ["s2"])
-    assert len(update.faults) == (0 if readable else 1)
-    assert update.kept == ([] if readable or change.get("id", "s1") == 5 else [change.get("id", "s1")])
+    assert len(update.errors) == (0 if readable else 1)
+    assert update.unreadable_names == (
+        [] if readable or change.get("id", "s1") == 5 else [change.get("id", "s1")]
+    )
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -14,9 +14,9 @@
 
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import SettingsReader
-from cressrail.discovery.endpoint_list import read
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
-from cressrail.handover.state import capture, listed, restore
+from cressrail.discovery.endpoint_list import encode_endpoint_list, parse_update
+from cressrail.handover.frame import Frame, FrameKind, FrameReader, encode_frame
+from cressrail.handover.state import capture, restore
 from cressrail.network.handover_client import find_predecessor
 from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, LoadBalancer, Outcome
 from tests.golden.neutral import stored
@@ -86,12 +86,12 @@
     """Every frame, in the order of `FRAMES`."""
     more = {"open": ["r1", "ö2"], "drained": False, "held": [24, 8, 25]}
     return [
-        wrap(HELLO, {"listen": list(LISTEN)}),
-        wrap(HERE, {"list": listed(read(rows()).entries, 41)}),
-        wrap(TAKE, {}),
-        wrap(ESTATE, {**estate("chain"), **more}),
-        wrap(ESTATE, {**estate("mesh"), **more, "drained": True}),
-        wrap(BYE, {}),
+        encode_frame(FrameKind.HELLO, {"listen": list(LISTEN)}),
+        encode_frame(FrameKind.LISTENING, {"list": encode_endpoint_list(parse_update(rows()).entries, 41)}),
+        encode_frame(FrameKind.TAKE_OVER, {}),
+        encode_frame(FrameKind.STATE, {**estate("chain"), **more}),
+        encode_frame(FrameKind.STATE, {**estate("mesh"), **more, "drained": True}),
+        encode_frame(FrameKind.EXITED, {}),
     ]
 
 
@@ -113,11 +113,11 @@
     return found
 
 
-def read_back(data: bytes, piece: int = 1 << 20) -> list[tuple[str, dict[str, Any]]]:
-    taken, found = Frames(), []
+def read_back(data: bytes, piece: int = 1 << 20) -> list[Frame]:
+    taken, found = FrameReader(), []
     for n in range(0, len(data), piece):
-        taken.add(data[n : n + piece])
-        while (got := taken.next()) is not None:
+        taken.feed(data[n : n + piece])
+        while (got := taken.next_frame()) is not None:
             found.append(got)
     return found
 
@@ -147,7 +147,7 @@
 
 def test_a_stored_list_is_read_and_told_again() -> None:
     told = orjson.loads(case("here")[2])["list"]
-    assert listed(read(told).entries, told["revision"]) == told
+    assert encode_endpoint_list(parse_update(told).entries, told["revision"]) == told
 
 
 def test_the_new_process_says_the_stored_hello_and_reads_the_stored_list(tmp_path: Path) -> None:
@@ -176,4 +176,4 @@
     [(kind, told)] = read_back(heard[0])
     assert (kind, list(told)) == ("hello", list(orjson.loads(case("hello")[2])))
     assert told["listen"] == list(listen)
-    assert listed(found.known.entries, 41) == orjson.loads(case("here")[2])["list"]
+    assert encode_endpoint_list(found.known.entries, 41) == orjson.loads(case("here")[2])["list"]
--- /dev/null
+++ b/tests/handover/test_frame.py
@@ -0,0 +1,45 @@
+"""Frames between two processes of one sidecar."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.handover.frame import (
+    HEADER,
+    MAGIC,
+    VERSION,
+    FrameKind,
+    FrameReader,
+    HandoverError,
+    encode_frame,
+)
+
+
+def test_next_frame_returns_whole_frames_from_pieces_of_any_size() -> None:
+    reader, data = (
+        FrameReader(),
+        encode_frame(FrameKind.HELLO, {"n": 1}) + encode_frame(FrameKind.TAKE_OVER, {}),
+    )
+    kinds = []
+    for n in range(len(data)):
+        reader.feed(data[n : n + 1])
+        while (frame := reader.next_frame()) is not None:
+            kinds.append(frame.kind)
+    assert kinds == ["hello", "take"]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        HEADER.pack(MAGIC, VERSION + 1, 2, 0) + b"{}",
+        HEADER.pack(MAGIC, VERSION, 2, 1) + b"{}",
+        HEADER.pack(MAGIC, VERSION, 1 << 30, 0),
+        encode_frame(FrameKind.TAKE_OVER, {})[:-2] + b"x}",
+    ],
+)
+def test_next_frame_refuses_a_torn_frame_and_another_version(data: bytes) -> None:
+    reader = FrameReader()
+    reader.feed(data)
+    with pytest.raises(HandoverError):
+        reader.next_frame()
--- /dev/null
+++ b/tests/handover/test_processes.py
@@ -0,0 +1,153 @@
+"""Take-over between whole processes of one sidecar."""
+
+from __future__ import annotations
+
+import copy
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import time
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from tests.helpers import CONFIG, ask, member, reply
+
+
+class Fleet:
+    """Processes of one sidecar in one $TMPDIR, an endpoint and a discovery that never speaks."""
+
+    def __init__(self, tmp: Path, tmpdir: str | None) -> None:
+        self.tmp = tmp
+        self.env = (
+            {**os.environ, "TMPDIR": tmpdir}
+            if tmpdir is not None
+            else {name: value for name, value in os.environ.items() if name != "TMPDIR"}
+        )
+        self.endpoint = socket.create_server(("127.0.0.1", 0))
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            self.port = server.getsockname()[1]
+        self.started: list[subprocess.Popen[bytes]] = []
+
+    def start(self) -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
+        """A process, once it says ready."""
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            ops = server.getsockname()[:2]
+        config = copy.deepcopy(CONFIG)
+        config["known"]["members"] = [member("s0", self.endpoint.getsockname()[1])]
+        config |= {"listen": f"127.0.0.1:{self.port}", "ops": f"{ops[0]}:{ops[1]}"}
+        path = self.tmp / f"config{len(self.started)}.json"
+        path.write_text(json.dumps(config))
+        process = subprocess.Popen(
+            [sys.executable, "-m", "cressrail", "serve", str(path)], env=self.env, stdout=subprocess.DEVNULL
+        )
+        self.started.append(process)
+        until = time.monotonic() + 20
+        while not self.say(ops, b"GET /control/ready").startswith(b"HTTP/1.1 200"):
+            assert process.poll() is None and time.monotonic() < until
+            time.sleep(0.02)
+        return process, ops
+
+    def say(self, at: tuple[str, int], what: bytes) -> bytes:
+        try:
+            with socket.create_connection(at, timeout=5) as sock:
+                sock.sendall(what + b" HTTP/1.1\r\nconnection: close\r\n\r\n")
+                heard = b""
+                while data := sock.recv(4096):
+                    heard += data
+                return heard
+        except OSError:
+            return b""
+
+    def client(self) -> socket.socket:
+        return socket.create_connection(("127.0.0.1", self.port), timeout=10)
+
+    def served(self, sock: socket.socket) -> bytes:
+        """What a client hears for one request, played with the endpoint's part."""
+        sock.sendall(ask())
+        far = self.endpoint.accept()[0]
+        with far:
+            heard = b""
+            while b"\r\n\r\n" not in heard:
+                heard += far.recv(4096)
+            far.sendall(reply(b"hello", more=b"connection: close\r\n"))
+            got = b""
+            while not got.endswith(b"hello") and (data := sock.recv(4096)):
+                got += data
+        return got
+
+
+@pytest.fixture
+def fleet(tmp_path: Path) -> Iterator[Fleet]:
+    made = Fleet(tmp_path, str(tmp_path))
+    yield made
+    for process in made.started:
+        process.kill()
+        process.wait()
+    made.endpoint.close()
+
+
+def test_successor_takes_over_and_predecessor_exits(fleet: Fleet) -> None:
+    first, _ = fleet.start()
+    kept = fleet.client()
+    assert fleet.served(kept).startswith(b"HTTP/1.1 200")
+    second, ops = fleet.start()
+    fresh = fleet.client()
+    assert b"connection: close" not in fleet.served(fresh)
+    assert b"connection: close" in fleet.served(kept)  # the last there, and no close crossed it
+    first.send_signal(signal.SIGTERM)
+    assert first.wait(20) == 0
+    assert fleet.served(fresh).startswith(b"HTTP/1.1 200")
+    assert b'app_answered{group="read"} 2' in fleet.say(ops, b"GET /control/counters")
+    third, _ = fleet.start()  # and again
+    second.send_signal(signal.SIGTERM)
+    assert second.wait(20) == 0
+    with fleet.client() as sock:
+        assert fleet.served(sock).startswith(b"HTTP/1.1 200")
+    third.send_signal(signal.SIGTERM)  # without a successor: as ever
+    assert third.wait(20) == 0
+    kept.close()
+    fresh.close()
+
+
+def test_predecessor_goes_on_when_the_successor_is_killed(fleet: Fleet) -> None:
+    first, _ = fleet.start()
+    second, _ = fleet.start()
+    second.kill()
+    second.wait()
+    until = time.monotonic() + 10
+    while True:
+        with fleet.client() as sock:
+            if fleet.served(sock).startswith(b"HTTP/1.1 200"):
+                break
+        assert time.monotonic() < until
+    assert first.poll() is None
+    third, _ = fleet.start()
+    first.send_signal(signal.SIGTERM)
+    assert first.wait(20) == 0 and third.poll() is None
+
+
+def test_successor_serves_when_the_predecessor_is_killed(fleet: Fleet) -> None:
+    first, _ = fleet.start()
+    fleet.start()
+    first.kill()
+    with fleet.client() as sock:
+        assert fleet.served(sock).startswith(b"HTTP/1.1 200")
+
+
+@pytest.mark.parametrize("tmpdir", [None, "/proc/nowhere"])
+def test_processes_without_a_common_directory_share_the_address(tmp_path: Path, tmpdir: str | None) -> None:
+    fleet = Fleet(tmp_path, tmpdir)
+    first, _ = fleet.start()
+    second, _ = fleet.start()
+    first.send_signal(signal.SIGTERM)
+    assert first.wait(20) == 0 and second.poll() is None
+    with fleet.client() as sock:
+        assert fleet.served(sock).startswith(b"HTTP/1.1 200")
+    second.kill()
+    second.wait()
+    fleet.endpoint.close()
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -13,9 +13,9 @@
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import parse_configuration
-from cressrail.discovery.endpoint_list import read, read_line
+from cressrail.discovery.endpoint_list import parse_update, parse_update_line
 from cressrail.handover import state as estate
-from cressrail.handover.frame import Frames, wrap
+from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
 from cressrail.http1.head import MalformedMessageError
 from cressrail.network.discovery_watch import MOST_LINE, LinesSink
 from cressrail.policy.load_balancer import Outcome
@@ -50,7 +50,7 @@
         sink.add(memoryview(text[at : at + 1000]))
         lines += sink.lines()
     front = Front(0)
-    front.told += front.reducer.on_endpoint_list(0, read_line(lines[0]))
+    front.told += front.reducer.on_endpoint_list(0, parse_update_line(lines[0]))
     assert sum(at_work(front)) == n == len(front.reducer.registry.endpoints)
     half = n // 2
     for k, change in enumerate(
@@ -60,19 +60,19 @@
             listed(0, half, 8, False, phase="removed"),
         )
     ):
-        front.told += front.reducer.on_endpoint_list(k, read(change))
+        front.told += front.reducer.on_endpoint_list(k, parse_update(change))
         assert sum(at_work(front)) == (n - half, n, n)[k]
     side = front.reducer.load_balancer
     assert len(side.endpoints) == n == len(front.reducer.registry.endpoints)
     assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
     assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
     side.endpoints[n].limit = 1.25
-    frames, heir = Frames(), Front(0)
-    frames.add(wrap("estate", front.reducer.hand_over(SECOND)[0]))
-    got = frames.next()
+    frames, heir = FrameReader(), Front(0)
+    frames.feed(encode_frame(FrameKind.STATE, front.reducer.hand_over(SECOND)[0]))
+    got = frames.next_frame()
     assert got is not None
-    heir.reducer.on_endpoint_list(SECOND, read(front.reducer.endpoint_list()))
-    estate.restore(got[1], heir.reducer.load_balancer, heir.reducer.registry.names(), SECOND)
+    heir.reducer.on_endpoint_list(SECOND, parse_update(front.reducer.endpoint_list()))
+    estate.restore(got.fields, heir.reducer.load_balancer, heir.reducer.registry.names(), SECOND)
     assert sum(at_work(heir)) == n
     assert [e.limit for e in heir.reducer.load_balancer.endpoints.values()].count(1.25) == 1
 
@@ -80,15 +80,15 @@
 @pytest.mark.parametrize("n", SIZES)
 def test_news_of_part_of_a_list_leave_what_news_of_it_whole_would(n: int) -> None:
     one, other = Front(0), Front(0)
-    one.reducer.on_endpoint_list(0, read(listed(0, n)))
-    other.reducer.on_endpoint_list(0, read(listed(0, n)))
+    one.reducer.on_endpoint_list(0, parse_update(listed(0, n)))
+    other.reducer.on_endpoint_list(0, parse_update(listed(0, n)))
     moved = listed(n - 9, 9, 6, False)["members"]
     for k, row in enumerate(moved):
         row.update(locality="ba"[k % 2], size=2.0, phase="up" if k % 3 else "draining")
-    one.reducer.on_endpoint_list(1, read({"revision": 6, "complete": False, "members": moved}))
+    one.reducer.on_endpoint_list(1, parse_update({"revision": 6, "complete": False, "members": moved}))
     whole = listed(0, n - 9, 6)
     whole["members"] += moved
-    other.reducer.on_endpoint_list(1, read(whole))
+    other.reducer.on_endpoint_list(1, parse_update(whole))
     for a, b in zip(
         one.reducer.load_balancer.zone_subsets, other.reducer.load_balancer.zone_subsets, strict=True
     ):
@@ -104,7 +104,7 @@
     front = Front(0, clients=40, links=links)
     side = front.reducer.load_balancer
     side.max_connections, side.instances, front.pool = links, 33.0, Pool(10_000)
-    front.reducer.on_endpoint_list(0, read(listed(0, endpoints)))
+    front.reducer.on_endpoint_list(0, parse_update(listed(0, endpoints)))
     opened = 0
     for k in range(3000):
         now = SECOND + k * 5000
@@ -150,7 +150,7 @@
     front = Front(0)
     twice = listed(0, 1024)
     twice["members"] += twice["members"][:9]
-    front.reducer.on_endpoint_list(0, read(twice))
+    front.reducer.on_endpoint_list(0, parse_update(twice))
     assert sum(at_work(front)) == 1024
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -11,7 +11,7 @@
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.configuration import policy_factory
 from cressrail.configuration.startup import parse_configuration
-from cressrail.discovery.endpoint_list import EndpointListUpdate, read
+from cressrail.discovery.endpoint_list import EndpointListUpdate, parse_update
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
 from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome, RandomGenerator
@@ -122,7 +122,7 @@
 
 
 def news(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
-    return read({"revision": revision, "complete": full, "members": list(members)})
+    return parse_update({"revision": revision, "complete": full, "members": list(members)})
 
 
 @pytest.mark.parametrize(
