--- a/cressrail/buffers/pipe.py
+++ b/cressrail/buffers/pipe.py
@@ -1,132 +1,178 @@
-"""Bodies too large to keep: a bounded run of buffers between the task that reads and the one that writes."""
+"""Bodies too large to keep: a bounded row of buffers between the receiving and the sending task."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 
-from cressrail.buffers.pool import SIZE, Chain, Pool
+from cressrail.buffers.pool import BUFFER_BYTES, BufferChain, BufferPool
 
-KEPT = 65536  # bytes of a body that are held whole
-MOST = 8  # buffers of a pipe; its writer looks for room before it reads more
+KEPT_BODY_BYTES = 65536  # of a body are kept whole, so that a request can be sent again
+MAX_PIPE_BUFFERS = 8  # the writing side checks `has_room` before it receives more
 
 
 class Pipe:
-    """`add` and `close` or `fail` on one side, `peek` and `used` or `drop` on the other. Whoever waits for
-    the other side leaves a call, made once."""
-
-    __slots__ = ("closed", "dropped", "failed", "hi", "lo", "on_data", "on_room", "parts", "pool", "taken")
-
-    def __init__(self, pool: Pool) -> None:
+    """A bounded queue of bytes between two tasks.
+
+    One side calls `append`, then `close` or `fail`; the other `views` and `consume`, or `discard`. Neither
+    call blocks: a side that has to wait for the other sets `on_data` or `on_room`, which is called once and
+    then cleared. Buffers return to the pool when their bytes are consumed, or all at once by `discard`.
+
+    Attributes:
+        is_closed: All of the body has been appended.
+        has_failed: The writing side can't provide the rest.
+        is_discarded: Nobody reads any more; what is appended is dropped.
+        has_been_consumed: Some bytes are gone for good.
+        on_data: Called when there is more to read, or no more to come.
+        on_room: Called when more may be appended.
+    """
+
+    __slots__ = (
+        "buffers",
+        "end",
+        "has_been_consumed",
+        "has_failed",
+        "is_closed",
+        "is_discarded",
+        "on_data",
+        "on_room",
+        "pool",
+        "start",
+    )
+
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
-        self.parts: deque[bytearray] = deque()
-        self.lo = self.hi = 0  # in the first of the buffers, and in the last
-        self.closed = self.failed = self.dropped = False
-        self.taken = False  # something of it is gone for good
+        self.buffers: deque[bytearray] = deque()
+        self.start = self.end = 0  # offsets in the first buffer and in the last
+        self.is_closed = self.has_failed = self.is_discarded = False
+        self.has_been_consumed = False
         self.on_data: Callable[[], None] | None = None
         self.on_room: Callable[[], None] | None = None
 
-    def roomy(self) -> bool:
-        """Whether more may be read for it; nothing is kept of what nobody wants."""
-        return self.dropped or (len(self.parts) < MOST and self.pool.lent < self.pool.most)
+    def has_room(self) -> bool:
+        """Returns whether more may be received for it; always so where what comes is dropped."""
+        return self.is_discarded or (
+            len(self.buffers) < MAX_PIPE_BUFFERS and self.pool.lent < self.pool.max_lent
+        )
+
+    def is_full(self) -> bool:
+        """Returns whether its own buffers are in use, which its reader ends; an empty pool does not count."""
+        return len(self.buffers) >= MAX_PIPE_BUFFERS
 
-    def crowded(self) -> bool:
-        """By its own fill, which its reader ends; not by a pool that others have emptied."""
-        return len(self.parts) >= MOST
+    def append(self, data: memoryview) -> None:
+        """Copies data to the end, and calls `on_data`.
 
-    def add(self, data: memoryview) -> None:
-        if self.dropped:
+        Data that was received has to be stored: the pool's bound is exceeded where necessary, by at most one
+        buffer, as the writing side checks `has_room` before it receives.
+        """
+        if self.is_discarded:
             return
         while data:
-            if not self.parts or self.hi == SIZE:
-                # What has been read has to go somewhere: one buffer over the pool's bound, at most.
-                self.parts.append(self.pool.take(over=True))
-                self.hi = 0
-                self.lo = self.lo if len(self.parts) > 1 else 0
-            n = min(len(data), SIZE - self.hi)
-            self.parts[-1][self.hi : self.hi + n] = data[:n]
-            self.hi += n
-            data = data[n:]
-        self._stir_reader()
+            if not self.buffers or self.end == BUFFER_BYTES:
+                self.buffers.append(self.pool.borrow(may_exceed=True))
+                self.end = 0
+                self.start = self.start if len(self.buffers) > 1 else 0
+            count = min(len(data), BUFFER_BYTES - self.end)
+            self.buffers[-1][self.end : self.end + count] = data[:count]
+            self.end += count
+            data = data[count:]
+        self._wake_reader()
 
     def close(self) -> None:
-        self.closed = True
-        self._stir_reader()
+        """Says that all has been appended, and calls `on_data`."""
+        self.is_closed = True
+        self._wake_reader()
 
     def fail(self) -> None:
-        self.failed = True
-        self._stir_reader()
+        """Says that the rest will not come, and calls `on_data`."""
+        self.has_failed = True
+        self._wake_reader()
 
-    def peek(self) -> list[memoryview]:
-        last = len(self.parts) - 1
+    def views(self) -> list[memoryview]:
+        """Returns the unconsumed bytes as views, valid until the next `consume` or `discard`."""
+        last = len(self.buffers) - 1
         return [
-            memoryview(part)[self.lo if k == 0 else 0 : self.hi if k == last else SIZE]
-            for k, part in enumerate(self.parts)
+            memoryview(buffer)[self.start if index == 0 else 0 : self.end if index == last else BUFFER_BYTES]
+            for index, buffer in enumerate(self.buffers)
         ]
 
-    def used(self, n: int) -> None:
-        self.taken = self.taken or n > 0
-        while n:
-            have = (self.hi if len(self.parts) == 1 else SIZE) - self.lo
-            if n < have:
-                self.lo += n
+    def consume(self, count: int) -> None:
+        """Drops the first `count` bytes, returns emptied buffers, and calls `on_room` if there is room."""
+        self.has_been_consumed = self.has_been_consumed or count > 0
+        while count:
+            available = (self.end if len(self.buffers) == 1 else BUFFER_BYTES) - self.start
+            if count < available:
+                self.start += count
                 break
-            n -= have
-            self.pool.give(self.parts.popleft())
-            self.lo = 0
-        if self.on_room is not None and self.roomy():
-            call, self.on_room = self.on_room, None
+            count -= available
+            self.pool.return_buffer(self.buffers.popleft())
+            self.start = 0
+        if self.on_room is not None and self.has_room():
+            self._wake_writer()
+
+    def discard(self) -> None:
+        """Says that nobody reads any more: returns all buffers and calls `on_room`."""
+        self.is_discarded = True
+        while self.buffers:
+            self.pool.return_buffer(self.buffers.popleft())
+        self._wake_writer()
+
+    def _wake_reader(self) -> None:
+        if self.on_data is not None:
+            call, self.on_data = self.on_data, None
             call()
 
-    def drop(self) -> None:
-        """Nobody reads it any more."""
-        self.dropped = True
-        while self.parts:
-            self.pool.give(self.parts.popleft())
+    def _wake_writer(self) -> None:
         if self.on_room is not None:
             call, self.on_room = self.on_room, None
             call()
 
-    def _stir_reader(self) -> None:
-        if self.on_data is not None:
-            call, self.on_data = self.on_data, None
-            call()
 
+class StreamingBody(BufferChain):
+    """A body whose first `KEPT_BODY_BYTES` are kept; the rest, if there is any, goes through a pipe.
 
-class Kept(Chain):
-    """A body of which so much is kept; the rest, if there is any, goes through a pipe."""
+    Attributes:
+        pipe: Of the rest; None while the whole body is kept.
+    """
 
-    __slots__ = ("rest",)
+    __slots__ = ("pipe",)
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         super().__init__(pool)
-        self.rest: Pipe | None = None
-
-    def add(self, data: memoryview) -> None:
-        if self.rest is None:
-            fits = data[: KEPT - self.size]
-            super().add(fits)
-            data = data[len(fits) :]
+        self.pipe: Pipe | None = None
+
+    def append(self, data: memoryview) -> None:
+        """Copies data to the kept part, and what exceeds it to the pipe.
+
+        Raises:
+            BufferPoolExhaustedError: No buffer is left for the kept part.
+        """
+        if self.pipe is None:
+            kept = data[: KEPT_BODY_BYTES - self.size]
+            super().append(kept)
+            data = data[len(kept) :]
             if not data:
                 return
-            self.open()
-        assert self.rest is not None
-        self.rest.add(data)
+            self.start_streaming()
+        assert self.pipe is not None
+        self.pipe.append(data)
 
-    def open(self) -> None:
-        """What comes from here on goes through the pipe."""
-        if self.rest is None:
-            self.rest = Pipe(self.pool)
+    def start_streaming(self) -> None:
+        """Makes what is appended from here on go through the pipe."""
+        if self.pipe is None:
+            self.pipe = Pipe(self.pool)
 
-    def give_kept_back(self) -> None:
-        super().give_back()
+    def release_kept(self) -> None:
+        """Returns the buffers of the kept part, which is not sent again."""
+        super().release()
 
-    def give_back(self) -> None:
-        self.give_kept_back()
-        if self.rest is not None:
-            self.rest.drop()
+    def release(self) -> None:
+        """Returns all buffers, and discards the pipe."""
+        self.release_kept()
+        if self.pipe is not None:
+            self.pipe.discard()
 
     @property
-    def spent(self) -> bool:
-        """It can't be sent anew."""
-        return self.rest is not None and self.rest.taken
+    def is_partly_consumed(self) -> bool:
+        """Whether some of it is gone for good, so that it can't be sent again."""
+        return self.pipe is not None and self.pipe.has_been_consumed
--- a/cressrail/event_loop/__init__.py
+++ b/cressrail/event_loop/__init__.py
@@ -1,1 +1,4 @@
-"""The project's scheduler: greenlet over select.poll, with timers and the clock."""
+"""The event loop: tasks on greenlets, one `select.poll` a round, timers and the clock.
+
+Called by `network`, whose tasks block in `Scheduler.wait` alone. Imports no other package.
+"""
--- a/cressrail/event_loop/clock.py
+++ b/cressrail/event_loop/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole microseconds: steady, and on the scale of Unix time, in which the list tells of starts."""
+"""The clock of a process: monotonic time on the scale of Unix time, in whole microseconds."""
 
 from __future__ import annotations
 
@@ -6,9 +6,14 @@
 
 
 class Clock:
+    """Monotonic time, shifted to the scale in which the endpoint list gives start times.
+
+    The shift is determined once: a step of the system's time must not make every endpoint look restarted.
+    """
+
     def __init__(self) -> None:
-        # Set once: a step of the system's time must not make every endpoint look restarted.
         self._offset_us = (time.time_ns() - time.monotonic_ns()) // 1000
 
-    def now(self) -> int:
+    def now_us(self) -> int:
+        """Returns the time in microseconds since the Unix epoch, as of the start of the process."""
         return time.monotonic_ns() // 1000 + self._offset_us
--- a/cressrail/event_loop/scheduler.py
+++ b/cressrail/event_loop/scheduler.py
@@ -1,11 +1,14 @@
-"""Tasks on greenlets, woken by descriptors, by messages and by time; one poll a round.
-
-poll walks all that it is given, so a round costs by what is open, not by what happens. Where many rest, there
-are therefore two: `busy` holds descriptors that were at work of late and is looked at each round; `every`
-holds all, and is looked at now and then while there is work, so rarely that it takes a small part of the
-time, and waited on where there is none. A descriptor stays registered after its task has woken, since most
-are waited for again; one that poll reports while nobody waits for it is taken out then, closed ones among
-them.
+"""Tasks on greenlets, woken by descriptors, messages and timers; one poll a round.
+
+A task runs until it calls `Scheduler.wait`, the only place where it blocks. It wakes when its descriptor is
+ready, a message is posted to it, or its time has come.
+
+`select.poll` walks all registered descriptors, so a round costs by what is open, not by what happens. Where
+many connections are idle, two poll objects are therefore used: `busy_poll` holds the descriptors that were
+active recently and is polled each round; `full_poll` holds all. While there is work, the full one is polled
+so rarely that it takes a small part of the time; while there is none, the process blocks in it. A descriptor
+stays registered after its task has woken, since most are waited for again; one that poll reports while no
+task waits for it, a closed one among them, is unregistered then.
 """
 
 from __future__ import annotations
@@ -19,194 +22,295 @@
 
 from greenlet import getcurrent, greenlet
 
-READ, WRITE, LEFT = select.POLLIN, select.POLLOUT, select.POLLRDHUP
-TIMED_OUT, MAIL = 0, -1  # of `wait`, beside what poll saw of the descriptor
-NEVER = 1 << 62
-BLOCKED_US = 200  # a poll that took longer had nothing to report at first
-FEW = 128  # so many that rest cost less than a second poll
-REST_US = 50_000  # a descriptor that is said to rest leaves `busy` after so long
-QUIET_US = 20_000  # with nothing to report for so long, there is no work: all is waited on together
-EVERY_PART = 10  # `every` is looked at so rarely that it takes one such part of the time,
-EVERY_US = 2_000  # and no more often than this
-MOST_FAULTS, FAULTS_US = 8, 10_000_000  # of a vital task within so long, then the loop ends
+# What `Scheduler.wait` waits for and returns: masks of poll, and two results beside them. Plain numbers,
+# since they are combined and tested on the hot path, where an IntFlag would cost a call each time.
+READABLE = select.POLLIN  # data, a new connection, or the end of the stream
+WRITABLE = select.POLLOUT  # the socket's send buffer has space
+PEER_CLOSED = select.POLLRDHUP  # the peer has shut down its side
+TIMED_OUT = 0  # the time has come and nothing else has happened
+MESSAGE = -1  # a message is there
+
+NEVER = 1 << 62  # as a time, in microseconds
+BLOCKING_POLL_US = 200  # a poll that took longer had nothing to report at first
+MAX_RESTING_IN_ONE_POLL = 128  # so many idle descriptors cost less than a second poll
+RESTING_AFTER_US = 50_000  # after which a descriptor said to be resting leaves `busy_poll`
+IDLE_AFTER_US = 20_000  # without any event, after which the process blocks in `full_poll`
+FULL_POLL_SHARE_DIVISOR = 10  # `full_poll` takes at most one such part of the time
+LEAST_FULL_POLL_INTERVAL_US = 2_000
+MAX_VITAL_FAULTS = 8  # of a vital task within the window, then the loop ends
+VITAL_FAULT_WINDOW_US = 10_000_000
 
 
 class Task:
-    __slots__ = ("arrived_us", "fd", "first", "glet", "mail", "turn", "waiting")
+    """One flow of control; made by `Scheduler.spawn`.
 
-    def __init__(self, glet: greenlet, first: bool) -> None:
-        self.glet = glet
-        self.first = first  # its descriptor goes before all others in a round
-        self.mail: deque[Any] = deque()
+    Attributes:
+        greenlet: Where it runs.
+        is_first: When several are ready, its descriptor goes before the others' in a round.
+        messages: Posted to it and not yet taken; the task takes them.
+        fd: The descriptor it waits for; -1 for none.
+        earliest_arrival_us: The earliest time at which what it was woken for may have arrived.
+        wait_number: Counts waits and wake-ups; a timer set for an earlier one is void.
+        is_waiting_for_message: A message wakes it.
+    """
+
+    __slots__ = (
+        "earliest_arrival_us",
+        "fd",
+        "greenlet",
+        "is_first",
+        "is_waiting_for_message",
+        "messages",
+        "wait_number",
+    )
+
+    def __init__(self, body: greenlet, is_first: bool) -> None:
+        self.greenlet = body
+        self.is_first = is_first
+        self.messages: deque[Any] = deque()
         self.fd = -1
-        self.arrived_us = 0  # the earliest that what it was woken for may have come
-        self.turn = 0  # of waits; a timer of an earlier one means nothing
-        self.waiting = False
+        self.earliest_arrival_us = 0
+        self.wait_number = 0
+        self.is_waiting_for_message = False
 
 
 class Scheduler:
+    """Runs tasks in rounds: one poll, then every task that is ready.
+
+    Attributes:
+        after_round: Called after each round, with no task running.
+        is_stopped: `run` returns after the task that runs now.
+        has_failed: Stopped because a vital task failed again and again.
+        current: The task that runs; None between rounds.
+        round_started_us: Time of the last poll.
+        earliest_event_us: The earliest time at which what the last poll reported may have arrived.
+    """
+
     def __init__(self, now: Callable[[], int], on_fault: Callable[[str], None]) -> None:
+        """Makes a scheduler without tasks.
+
+        Args:
+            now: Gives the time in microseconds.
+            on_fault: Is given the traceback of each exception that a task did not handle.
+        """
         self.now = now
         self.on_fault = on_fault
         self.after_round: Callable[[], None] = lambda: None
-        self.busy, self.every = select.poll(), select.poll()
+        self.busy_poll, self.full_poll = select.poll(), select.poll()
         self.busy_masks: dict[int, int] = {}  # what each descriptor is registered for
-        self.masks: dict[int, int] = {}
-        self.resting: deque[tuple[int, Task, int, int]] = deque()  # since when, who, its turn, its descriptor
-        self.every_us = self.every_due_us = self.heard_us = now()
-        self.by_fd: dict[int, Task] = {}
+        self.full_masks: dict[int, int] = {}
+        # Waits that were said to be resting: time, task, its wait number, descriptor.
+        self.resting: deque[tuple[int, Task, int, int]] = deque()
+        self.last_full_poll_us = self.next_full_poll_us = self.last_event_us = now()
+        self.task_by_descriptor: dict[int, Task] = {}
         self.ready: deque[tuple[Task, int]] = deque()
+        # A heap: time, number of the timer, task, its wait number.
         self.timers: list[tuple[int, int, Task, int]] = []
-        self.timer_no = 0
-        self.tasks = 0
-        self.stopped = False
-        self.failed = False  # stopped since a vital task failed again and again
+        self.timer_count = 0
+        self.task_count = 0
+        self.is_stopped = False
+        self.has_failed = False
         self.hub = getcurrent()
         self.current: Task | None = None
-        self.round_us = self.since_us = now()
+        self.round_started_us = self.earliest_event_us = now()
+
+    def spawn(self, work: Callable[[], None], is_first: bool = False, is_vital: bool = False) -> Task:
+        """Makes a task that starts in the next round.
 
-    def spawn(self, work: Callable[[], None], first: bool = False, vital: bool = False) -> Task:
-        """`vital`: a fault starts it again, since the process is of no use without it; where that does not
-        help, the loop ends. Guards against a process that is alive and deaf."""
+        Args:
+            work: What the task does; an exception that it raises ends no other task.
+            is_first: Its descriptor goes before the others' in a round.
+            is_vital: The process is of no use without the task: after an exception it starts again, and
+                where that happens too often, the loop ends, so that the process does not live on idle.
+        """
 
         def body(_: int) -> None:
-            faults: deque[int] = deque(maxlen=MOST_FAULTS)
-            again = True
-            while again:
+            faults: deque[int] = deque(maxlen=MAX_VITAL_FAULTS)
+            runs_again = True
+            while runs_again:
                 try:
                     work()
-                    again = False
-                except Exception:  # one connection's fault must not end the others
+                    runs_again = False
+                except Exception:  # an error on one connection must not end the others
                     self.on_fault(traceback.format_exc())
                     faults.append(self.now())
-                    again = vital
-                    if vital and len(faults) == MOST_FAULTS and faults[-1] - faults[0] <= FAULTS_US:
-                        again, self.stopped, self.failed = False, True, True
-            self.tasks -= 1
-
-        task = Task(greenlet(body, self.hub), first)
-        self.tasks += 1
-        task.waiting = True
+                    runs_again = is_vital
+                    if is_vital and _is_too_often(faults):
+                        runs_again, self.is_stopped, self.has_failed = False, True, True
+            self.task_count -= 1
+
+        task = Task(greenlet(body, self.hub), is_first)
+        self.task_count += 1
+        task.is_waiting_for_message = True
         self._wake(task, TIMED_OUT)
         return task
 
     def post(self, task: Task, message: Any) -> None:
-        task.mail.append(message)
-        if task.waiting:
-            self._wake(task, MAIL)
+        """Adds a message to a task, and wakes it if it waits for one."""
+        task.messages.append(message)
+        if task.is_waiting_for_message:
+            self._wake(task, MESSAGE)
 
     @property
-    def arrived_us(self) -> int:
-        """The earliest that what the current task reads may have come."""
-        return self.current.arrived_us if self.current is not None else self.since_us
+    def earliest_arrival_us(self) -> int:
+        """The earliest time at which what the current task reads may have arrived."""
+        return self.current.earliest_arrival_us if self.current is not None else self.earliest_event_us
 
     def wait(
-        self, fd: int = -1, mask: int = 0, until_us: int = NEVER, mail: bool = True, rest: bool = False
+        self,
+        descriptor: int = -1,
+        mask: int = 0,
+        until_us: int = NEVER,
+        wakes_on_message: bool = True,
+        is_resting: bool = False,
     ) -> int:
-        """Until the descriptor is ready, the time has come or, if asked for, a message is there. `rest`:
-        nothing is expected of the descriptor soon."""
+        """Blocks the current task; returns at once if it wakes on messages and has one.
+
+        Args:
+            descriptor: Wakes the task when it is ready; -1 for none. One task at a time waits for it.
+            mask: What it is to be ready for: `READABLE`, `WRITABLE`, `PEER_CLOSED`.
+            until_us: Time at which the task wakes in any case.
+            wakes_on_message: Whether a message wakes it.
+            is_resting: Nothing is expected of the descriptor soon.
+
+        Returns:
+            The mask that poll reported, `MESSAGE` or `TIMED_OUT`.
+        """
         task = self.current
         assert task is not None
-        if mail and task.mail:
-            return MAIL
-        task.turn += 1
-        task.waiting = mail
-        if fd >= 0:
-            task.fd = fd
-            self.by_fd[fd] = task
-            if self.busy_masks.get(fd) != mask:
-                self.busy_masks[fd] = mask
-                self.busy.register(fd, mask)
-            if self.masks.get(fd) != mask:
-                self.masks[fd] = mask
-                self.every.register(fd, mask)
-            if rest:
-                self.resting.append((self.round_us, task, task.turn, fd))
+        if wakes_on_message and task.messages:
+            return MESSAGE
+        task.wait_number += 1
+        task.is_waiting_for_message = wakes_on_message
+        if descriptor >= 0:
+            task.fd = descriptor
+            self.task_by_descriptor[descriptor] = task
+            if self.busy_masks.get(descriptor) != mask:
+                self.busy_masks[descriptor] = mask
+                self.busy_poll.register(descriptor, mask)
+            if self.full_masks.get(descriptor) != mask:
+                self.full_masks[descriptor] = mask
+                self.full_poll.register(descriptor, mask)
+            if is_resting:
+                self.resting.append((self.round_started_us, task, task.wait_number, descriptor))
         if until_us < NEVER:
-            self.timer_no += 1
-            heappush(self.timers, (until_us, self.timer_no, task, task.turn))
+            self.timer_count += 1
+            heappush(self.timers, (until_us, self.timer_count, task, task.wait_number))
         return int(self.hub.switch())
 
-    def _wake(self, task: Task, why: int) -> None:
-        task.waiting = False
-        task.turn += 1
-        task.arrived_us = self.since_us
+    def _wake(self, task: Task, result: int) -> None:
+        """Makes a task ready; its `wait` returns `result`."""
+        task.is_waiting_for_message = False
+        task.wait_number += 1
+        task.earliest_arrival_us = self.earliest_event_us
         if task.fd >= 0:
-            del self.by_fd[task.fd]
+            del self.task_by_descriptor[task.fd]
             task.fd = -1
-        if task.first:
-            self.ready.appendleft((task, why))
+        if task.is_first:
+            self.ready.appendleft((task, result))
         else:
-            self.ready.append((task, why))
+            self.ready.append((task, result))
 
     def run(self) -> None:
-        while not self.stopped:
+        """Runs rounds until `is_stopped`."""
+        while not self.is_stopped:
             self._poll()
-            for _ in range(len(self.ready)):  # what they start in turn waits for the next look at the sockets
-                task, why = self.ready.popleft()
+            # Tasks that become ready meanwhile run after the next poll.
+            for _ in range(len(self.ready)):
+                task, result = self.ready.popleft()
                 self.current = task
-                task.glet.switch(why)
-                if self.stopped:
+                task.greenlet.switch(result)
+                if self.is_stopped:
                     break
             self.current = None
             self.after_round()
 
     def _poll(self) -> None:
-        before = self.now()
-        while self.timers and self.timers[0][2].turn != self.timers[0][3]:
-            heappop(self.timers)
-        wait_us = NEVER if not self.timers else max(0, self.timers[0][0] - before)
-        if self.ready:
-            wait_us = 0
-        while self.resting and self.resting[0][0] + REST_US <= before:
-            _, task, turn, fd = self.resting.popleft()
-            if task.turn == turn and self.busy_masks.pop(fd, None) is not None:
-                self.busy.unregister(fd)
-        quiet = before - self.heard_us >= QUIET_US
-        if len(self.masks) - len(self.busy_masks) <= FEW or quiet or before >= self.every_due_us:
-            if not quiet and len(self.masks) - len(self.busy_masks) > FEW:
+        """Polls once, blocking while nothing is ready, and makes ready what has something to do."""
+        before_us = self.now()
+        wait_us = self._time_to_wait_us(before_us)
+        self._remove_resting(before_us)
+        has_many_resting = len(self.full_masks) - len(self.busy_masks) > MAX_RESTING_IN_ONE_POLL
+        is_idle = before_us - self.last_event_us >= IDLE_AFTER_US
+        if not has_many_resting or is_idle or before_us >= self.next_full_poll_us:
+            if has_many_resting and not is_idle:
                 wait_us = 0
-            seen = self.every.poll(_ms(wait_us))
-            now = self.now()
-            # Guards against time that a request spent in the kernel while this process was at work: if poll
-            # found it at once, it may have come any time since the poll before.
-            self.since_us = resting_since_us = now
-            if now - before <= BLOCKED_US or wait_us == 0:
-                self.since_us, resting_since_us = self.round_us, min(self.round_us, self.every_us)
-            cost_us = now - before if wait_us == 0 else 0
-            self.every_us = now
-            self.every_due_us = now + max(EVERY_US, cost_us * EVERY_PART)
+            events = self.full_poll.poll(_poll_timeout_ms(wait_us))
+            now_us = self.now()
+            resting_since_us = self._after_full_poll(before_us, now_us, wait_us)
         else:
-            seen = self.busy.poll(_ms(min(wait_us, self.every_due_us - before)))
-            now = self.now()
-            self.since_us = resting_since_us = now if now - before > BLOCKED_US else self.round_us
-        self.round_us = now
-        if seen:
-            self.heard_us = now
-        late = []
-        for fd, mask in seen:
-            woken = self.by_fd.get(fd)
-            if woken is None:  # nobody waits for it now, or it is closed
-                self._take_out(fd)
-            elif woken.first:  # news of the list is read before anything is sent
-                self._wake(woken, mask)
+            events = self.busy_poll.poll(_poll_timeout_ms(min(wait_us, self.next_full_poll_us - before_us)))
+            now_us = self.now()
+            has_blocked = now_us - before_us > BLOCKING_POLL_US
+            self.earliest_event_us = resting_since_us = now_us if has_blocked else self.round_started_us
+        self.round_started_us = now_us
+        if events:
+            self.last_event_us = now_us
+            self._wake_for_events(events, resting_since_us)
+        while self.timers and self.timers[0][0] <= now_us:
+            _, _, task, wait_number = heappop(self.timers)
+            if task.wait_number == wait_number:
+                self._wake(task, TIMED_OUT)
+
+    def _time_to_wait_us(self, now_us: int) -> int:
+        """Returns how long poll may block: until the next timer, and not at all while a task is ready."""
+        timers = self.timers
+        while timers and timers[0][2].wait_number != timers[0][3]:  # its task has woken since
+            heappop(timers)
+        if self.ready:
+            return 0
+        return max(0, timers[0][0] - now_us) if timers else NEVER
+
+    def _remove_resting(self, now_us: int) -> None:
+        """Takes descriptors that have rested long enough out of `busy_poll`."""
+        while self.resting and self.resting[0][0] + RESTING_AFTER_US <= now_us:
+            _, task, wait_number, descriptor = self.resting.popleft()
+            if task.wait_number == wait_number and self.busy_masks.pop(descriptor, None) is not None:
+                self.busy_poll.unregister(descriptor)
+
+    def _after_full_poll(self, before_us: int, now_us: int, wait_us: int) -> int:
+        """Sets the next full poll and `earliest_event_us`; returns the same for resting descriptors.
+
+        What poll reports at once may have arrived at any time since the poll before, while this process was
+        at work; the time that a request spent in the kernel counts towards its deadline. What it reports
+        after blocking has arrived just now.
+        """
+        resting_since_us = self.earliest_event_us = now_us
+        if now_us - before_us <= BLOCKING_POLL_US or wait_us == 0:
+            self.earliest_event_us = self.round_started_us
+            resting_since_us = min(self.round_started_us, self.last_full_poll_us)
+        cost_us = now_us - before_us if wait_us == 0 else 0
+        self.last_full_poll_us = now_us
+        self.next_full_poll_us = now_us + max(LEAST_FULL_POLL_INTERVAL_US, cost_us * FULL_POLL_SHARE_DIVISOR)
+        return resting_since_us
+
+    def _wake_for_events(self, events: list[tuple[int, int]], resting_since_us: int) -> None:
+        """Wakes the tasks whose descriptors are ready, those that go first before the others."""
+        others = []
+        for descriptor, mask in events:
+            task = self.task_by_descriptor.get(descriptor)
+            if task is None:  # no task waits for it now, or it is closed
+                self._unregister(descriptor)
+            elif task.is_first:
+                self._wake(task, mask)
             else:
-                late.append((woken, mask, fd))
-        for task, mask, fd in late:
+                others.append((task, mask, descriptor))
+        for task, mask, descriptor in others:
             self._wake(task, mask)
-            if fd not in self.busy_masks:
-                task.arrived_us = resting_since_us
-        while self.timers and self.timers[0][0] <= now:
-            _, _, task, turn = heappop(self.timers)
-            if task.turn == turn:
-                self._wake(task, TIMED_OUT)
+            if descriptor not in self.busy_masks:
+                task.earliest_arrival_us = resting_since_us
+
+    def _unregister(self, descriptor: int) -> None:
+        del self.full_masks[descriptor]
+        self.full_poll.unregister(descriptor)
+        if self.busy_masks.pop(descriptor, None) is not None:
+            self.busy_poll.unregister(descriptor)
+
 
-    def _take_out(self, fd: int) -> None:
-        del self.masks[fd]
-        self.every.unregister(fd)
-        if self.busy_masks.pop(fd, None) is not None:
-            self.busy.unregister(fd)
+def _is_too_often(faults: deque[int]) -> bool:
+    return len(faults) == MAX_VITAL_FAULTS and faults[-1] - faults[0] <= VITAL_FAULT_WINDOW_US
 
 
-def _ms(us: int) -> int | None:
+def _poll_timeout_ms(us: int) -> int | None:
+    """Returns the time in whole milliseconds, rounded up; None for `NEVER`."""
     return None if us >= NEVER else -(-us // 1000)
--- a/cressrail/experiment/relay.py
+++ b/cressrail/experiment/relay.py
@@ -10,7 +10,7 @@
 import sys
 
 from cressrail.event_loop.clock import Clock
-from cressrail.event_loop.scheduler import READ, Scheduler
+from cressrail.event_loop.scheduler import READABLE, Scheduler
 from cressrail.network.listener import bind
 
 MOST = 65536
@@ -20,7 +20,7 @@
     """Until the source ends; what the kernel does not take at once is small here and is waited for."""
     try:
         while True:
-            loop.wait(source.fileno(), READ)
+            loop.wait(source.fileno(), READABLE)
             data = source.recv(MOST)
             if not data:
                 break
@@ -36,13 +36,13 @@
 
 
 def main(listen: int, endpoint: int) -> None:
-    loop = Scheduler(Clock().now, lambda text: print(text, file=sys.stderr))
+    loop = Scheduler(Clock().now_us, lambda text: print(text, file=sys.stderr))
     door = bind("127.0.0.1", listen)
     print("ready", flush=True)
 
     def accept() -> None:
         while True:
-            loop.wait(door.fileno(), READ)
+            loop.wait(door.fileno(), READABLE)
             client, _ = door.accept()
             onward = socket.create_connection(("127.0.0.1", endpoint))
             for sock in (client, onward):
--- a/cressrail/http1/answer.py
+++ b/cressrail/http1/answer.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from cressrail.buffers.pipe import Kept
-from cressrail.buffers.pool import Chain
+from cressrail.buffers.pipe import StreamingBody
+from cressrail.buffers.pool import BufferChain
 from cressrail.http1 import body as bodies
 from cressrail.http1.head import Fields, MalformedMessageError, length, split_head, words
 
@@ -27,14 +27,14 @@
     """What a client is told. A committed one carries an endpoint's whole body."""
 
     status: int
-    body: Chain | None = None
+    body: BufferChain | None = None
     content_type: bytes = b""  # content-type
     retry_after_us: int = 0
     length: int | None = None  # of a body that still comes, where its endpoint has stated it
 
     @property
     def streams(self) -> bool:
-        return isinstance(self.body, Kept) and self.body.rest is not None
+        return isinstance(self.body, StreamingBody) and self.body.pipe is not None
 
     def chunked(self, modern: bool) -> bool:
         """`modern`: the client reads HTTP/1.1. To one that does not, only the end of the connection tells."""
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -11,7 +11,7 @@
 
 
 class Sink(Protocol):
-    def add(self, data: memoryview, /) -> None: ...
+    def append(self, data: memoryview, /) -> None: ...
 
 
 class Body:
@@ -34,7 +34,7 @@
         self.seen += len(data)
         if self.seen > self.most:
             raise MalformedMessageError(413, "body too large")
-        self.sink.add(data)
+        self.sink.append(data)
 
 
 class Counted(Body):
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass
 
-from cressrail.buffers.pipe import Kept
-from cressrail.buffers.pool import Chain
+from cressrail.buffers.pipe import StreamingBody
+from cressrail.buffers.pool import BufferChain
 from cressrail.http1 import body as bodies
 from cressrail.http1.head import BY_HOP, TOKEN, Fields, MalformedMessageError, length, split_head, words
 
@@ -20,14 +20,14 @@
     method: bytes
     target: bytes
     fields: Fields
-    body: Chain
+    body: BufferChain
     keep: bool  # the connection, afterwards
     length: int | None = None  # of the body, where it is stated
     modern: bool = True  # its client reads HTTP/1.1
 
     @property
     def streams(self) -> bool:
-        return isinstance(self.body, Kept) and self.body.rest is not None
+        return isinstance(self.body, StreamingBody) and self.body.pipe is not None
 
     @property
     def chunked(self) -> bool:
@@ -36,7 +36,7 @@
     @property
     def spent(self) -> bool:
         """It can't be sent anew."""
-        return isinstance(self.body, Kept) and self.body.spent
+        return isinstance(self.body, StreamingBody) and self.body.is_partly_consumed
 
     @property
     def path(self) -> bytes:
@@ -85,7 +85,7 @@
 class RequestReader:
     """Fed with what comes; `whole` is the request once it is."""
 
-    def __init__(self, body: Chain) -> None:
+    def __init__(self, body: BufferChain) -> None:
         self.chain = body
         self.whole: Request | None = None
         self.begun: Request | None = None  # its head is whole
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from cressrail.event_loop.scheduler import MAIL, READ, WRITE, Task
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE, Task
 from cressrail.http1.answer import REASONS
 from cressrail.http1.head import MalformedMessageError, split_head
 from cressrail.http1.request import parts_of
@@ -39,7 +39,7 @@
     def run(self) -> None:
         try:
             while True:
-                if self.net.loop.wait(self.sock.fileno(), READ) == MAIL:
+                if self.net.loop.wait(self.sock.fileno(), READABLE) == MESSAGE:
                     return
                 self._accept()
         finally:
@@ -50,7 +50,7 @@
             sock, _ = self.sock.accept()
         except OSError as fault:
             if fault.errno in SHORT:  # guards against a loop that spins on a caller it can't take in
-                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
+                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, wakes_on_message=False)
             return
         if len(self.calls) >= CALLS:
             # Guards against callers that finish no call keeping out those who would.
@@ -58,7 +58,7 @@
             del self.calls[oldest]
             self.net.loop.post(oldest, HANG_UP)
         call = Call(self, sock)
-        self.calls[self.net.loop.spawn(call.run, first=True)] = None
+        self.calls[self.net.loop.spawn(call.run, is_first=True)] = None
 
 
 def _of_zones(status: int, told: Any) -> AdminResponse:
@@ -123,7 +123,7 @@
             try:
                 return self.sock.recv(PIECE)
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), READ, until_us) in (MAIL, 0):
+                if self.net.loop.wait(self.sock.fileno(), READABLE, until_us) in (MESSAGE, 0):
                     return b""
 
     def _say(self, told: AdminResponse) -> None:
@@ -142,7 +142,7 @@
             try:
                 left = left[self.sock.send(left) :]
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, 0):
+                if self.net.loop.wait(self.sock.fileno(), WRITABLE, until_us) in (MESSAGE, 0):
                     return
         # Guards against a close with bytes unread, which would reset the answer on its way.
         self.sock.shutdown(socket.SHUT_WR)
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -6,9 +6,9 @@
 import struct
 from typing import Any
 
-from cressrail.buffers.pipe import Kept, Pipe
+from cressrail.buffers.pipe import Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.event_loop.scheduler import LEFT, MAIL, NEVER, READ, TIMED_OUT
+from cressrail.event_loop.scheduler import MESSAGE, NEVER, PEER_CLOSED, READABLE, TIMED_OUT
 from cressrail.http1.body import chunk
 from cressrail.http1.head import MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
@@ -30,7 +30,7 @@
         self.net = net
         self.number = number
         self.stream = SocketStream(net.loop, net.pool, sock)
-        self.body: Kept | None = None  # of a request that is not whole yet
+        self.body: StreamingBody | None = None  # of a request that is not whole yet
         self.upload: RequestReader | None = None  # of one that goes on before it is whole, and where to
         self.rest: Pipe | None = None
         self.due_us = 0  # more of it is to have come by then
@@ -42,7 +42,7 @@
         assert task is not None
         try:
             while True:
-                message = self._message(task.mail)
+                message = self._message(task.messages)
                 if isinstance(message, ReadRequest):
                     if not self._read():
                         return
@@ -58,13 +58,13 @@
         finally:
             self.stream.close()
             if self.body is not None:
-                self.body.give_back()
+                self.body.release()
             if self.rest is not None and self.upload is not None:
                 self.rest.fail()
-            for message in task.mail:  # an answer that came too late for its client
+            for message in task.messages:  # an answer that came too late for its client
                 if isinstance(message, SendResponse) and message.response.body is not None:
-                    message.response.body.give_back()
-            task.mail.clear()
+                    message.response.body.release()
+            task.messages.clear()
             self.net.client_connection_closed(self.number)
 
     def _linger(self, span_us: int) -> None:
@@ -79,7 +79,7 @@
             if self.upload is not None:
                 if not self._pump(mail):
                     return None
-            elif self.net.loop.wait(self.stream.fd, LEFT) != MAIL:
+            elif self.net.loop.wait(self.stream.fd, PEER_CLOSED) != MESSAGE:
                 return None
         return mail.popleft()
 
@@ -89,7 +89,7 @@
         stream, reader, rest, now = self.stream, self.upload, self.rest, self.net.now
         assert reader is not None and rest is not None
         while not mail:
-            if not rest.roomy():
+            if not rest.has_room():
                 since_us = now()
                 if not self._room(rest):
                     return False
@@ -100,12 +100,12 @@
                 if n == 0:
                     return False
                 if n < 0:
-                    if self.net.loop.wait(stream.fd, READ, self.due_us) == TIMED_OUT:
+                    if self.net.loop.wait(stream.fd, READABLE, self.due_us) == TIMED_OUT:
                         raise MalformedMessageError(408, "request too slow")
                     continue
                 # Guards against good clients with a lull taken for slow ones.
                 self.due_us = min(self.due_us + n * 1_000_000 // PACE_BYTES_PER_S, now() + PACE_US)
-                stream.inlet.use(reader.feed(stream.inlet.unread()))
+                stream.inlet.consume(reader.feed(stream.inlet.unread()))
             except BufferPoolExhaustedError:
                 self.net.loop.wait(until_us=now() + SHORT_US)
             except MalformedMessageError as fault:
@@ -125,14 +125,14 @@
         """Waits for what is on its way to go on; false if the client leaves."""
         task = self.net.loop.current
         assert task is not None
-        if not rest.crowded():  # the pool is short, and anybody's giving back ends that
+        if not rest.is_full():  # the pool is short, and anybody's giving back ends that
             self.net.loop.wait(until_us=self.net.now() + SHORT_US)
             return True
         rest.on_room = lambda: self.net.loop.post(task, STIR)
-        why = self.net.loop.wait(self.stream.fd, LEFT)
+        why = self.net.loop.wait(self.stream.fd, PEER_CLOSED)
         rest.on_room = None
-        _settle(task.mail)
-        return why == MAIL
+        _settle(task.messages)
+        return why == MESSAGE
 
     def _read(self) -> bool:
         """Until a request is whole, or what came is none; false if the connection is over."""
@@ -146,9 +146,9 @@
                         now = self.net.now()
                         self.net.dispatch(self.net.state_machine.on_request_started(now, self.number))
                         until_us = now + self.net.patience_us
-                        self.body = Kept(self.net.pool)
+                        self.body = StreamingBody(self.net.pool)
                         reader = RequestReader(self.body)
-                    stream.inlet.use(reader.feed(stream.inlet.unread()))
+                    stream.inlet.consume(reader.feed(stream.inlet.unread()))
                 except MalformedMessageError as fault:
                     return self._junk(fault.status, str(fault))
                 except BufferPoolExhaustedError:
@@ -178,7 +178,7 @@
                 if n == 0:
                     return False
                 if n < 0:
-                    stream.await_(READ, until_us, mail=True, rest=reader is None)
+                    stream.await_(READABLE, until_us, mail=True, rest=reader is None)
             except BufferPoolExhaustedError:
                 return self._junk(503, "no buffer left")
             except StreamTimeoutError:
@@ -186,7 +186,7 @@
             except StreamInterruptedError:
                 task = self.net.loop.current
                 assert task is not None
-                task.mail.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
+                task.messages.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
                 if reader is None and (n := stream.read()) <= 0:
                     if n:
                         self._linger(LINGER_US)
@@ -199,7 +199,7 @@
     def _begin(self, reader: RequestReader, request: Request) -> bool:
         """One too large to keep goes on before it is whole, or with what came last of it."""
         assert self.body is not None
-        self.upload, self.rest, self.due_us = reader, self.body.rest, self.net.now() + PACE_US
+        self.upload, self.rest, self.due_us = reader, self.body.pipe, self.net.now() + PACE_US
         self.body, self.fresh = None, False
         self.net.dispatch(
             self.net.state_machine.on_request(self.net.now(), self.number, request, self.net.now())
@@ -219,7 +219,7 @@
     def _junk(self, status: int, why: str) -> bool:
         self.junk = True
         if self.body is not None:
-            self.body.give_back()
+            self.body.release()
             self.body = None
         self.net.dispatch(
             self.net.state_machine.on_malformed_request(self.net.now(), self.number, status, why)
@@ -236,12 +236,12 @@
                 [head, *(chunk(kept, body.size) if chunked and body else kept)],
                 self.net.now() + self.net.patience_us,
             )
-            if isinstance(body, Kept) and body.rest is not None:
-                body.give_kept_back()
-                self._pass_on(body.rest, chunked, answer.length is None and not message.is_http11)
+            if isinstance(body, StreamingBody) and body.pipe is not None:
+                body.release_kept()
+                self._pass_on(body.pipe, chunked, answer.length is None and not message.is_http11)
         finally:
             if body is not None:
-                body.give_back()
+                body.release()
         self.net.dispatch(self.net.state_machine.on_response_written(self.net.now(), self.number))
 
     def _pass_on(self, rest: Pipe, chunked: bool, ends_with_it: bool) -> None:
@@ -249,25 +249,25 @@
         task = self.net.loop.current
         assert task is not None
         while True:
-            if parts := rest.peek():
+            if parts := rest.views():
                 size = sum(map(len, parts))
                 self.stream.send(
                     chunk(parts, size) if chunked else list(parts), self.net.now() + self.net.patience_us
                 )
                 del parts
-                rest.used(size)
-            elif rest.failed:
+                rest.consume(size)
+            elif rest.has_failed:
                 if ends_with_it:  # nothing else tells a client of this kind that it is not whole
                     self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 raise ConnectionError("the answer broke off")
-            elif rest.closed:
+            elif rest.is_closed:
                 break
             else:
                 rest.on_data = lambda: self.net.loop.post(task, STIR)
-                why = self.net.loop.wait(self.stream.fd, LEFT)
+                why = self.net.loop.wait(self.stream.fd, PEER_CLOSED)
                 rest.on_data = None
-                _settle(task.mail)
-                if why != MAIL:
+                _settle(task.messages)
+                if why != MESSAGE:
                     raise ConnectionError("the client left")
         if chunked:
             self.stream.send([memoryview(b"0\r\n\r\n")], self.net.now() + self.net.patience_us)
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -4,7 +4,7 @@
 
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
-from cressrail.event_loop.scheduler import MAIL, READ, Task
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, Task
 from cressrail.http1.answer import ResponseReader
 from cressrail.http1.head import MalformedMessageError
 from cressrail.network.dispatcher import CommandDispatcher
@@ -29,7 +29,7 @@
         self.parts: list[bytes] = []  # of an object that is indented
         self.depth = 0
 
-    def add(self, data: memoryview) -> None:
+    def append(self, data: memoryview) -> None:
         self.text += data
         self.ended += bytes(data).count(b"\n")
         if len(self.text) + sum(map(len, self.parts)) > MOST_LINE:
@@ -73,12 +73,12 @@
         if self.under_way:  # a fault has ended it amid one
             self.net.dispatch(self.net.state_machine.on_watch_ended(self.net.now(), "fault"))
         while True:
-            while not task.mail:
+            while not task.messages:
                 self.net.loop.wait()
-            message = task.mail.popleft()
+            message = task.messages.popleft()
             assert isinstance(message, WatchEndpoints)  # nothing else is posted here, see Net
-            while self.net.loop.wait(until_us=message.at_us) == MAIL:
-                message = task.mail.popleft()
+            while self.net.loop.wait(until_us=message.at_us) == MESSAGE:
+                message = task.messages.popleft()
             stream: SocketStream | None = None
             why, self.under_way = "ended", True
             try:
@@ -139,15 +139,15 @@
         reader = ResponseReader(sink, 1 << 62)
         ended = sink.before
         while not reader.done:
-            if task.mail:  # guards against news of an address that is no longer asked
+            if task.messages:  # guards against news of an address that is no longer asked
                 raise StreamInterruptedError
             n = stream.read()
             if n == 0:
                 reader.ended()
             elif n < 0:
-                stream.await_(READ, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
+                stream.await_(READABLE, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
             else:
-                stream.inlet.use(reader.feed(stream.inlet.unread()))
+                stream.inlet.consume(reader.feed(stream.inlet.unread()))
                 if reader.status not in (0, 200):
                     raise MalformedEndpointListError(f"status {reader.status}")
                 if reader.begun and sink.ended > ended:
--- a/cressrail/network/dispatcher.py
+++ b/cressrail/network/dispatcher.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from cressrail.buffers.pool import Pool
-from cressrail.event_loop.scheduler import LEFT, Scheduler, Task
+from cressrail.buffers.pool import BufferPool
+from cressrail.event_loop.scheduler import PEER_CLOSED, Scheduler, Task
 from cressrail.logs.log_writer import LogWriter
 from cressrail.proxy import commands as do
 from cressrail.proxy.commands import Command
@@ -31,7 +31,7 @@
     def __init__(
         self,
         loop: Scheduler,
-        pool: Pool,
+        pool: BufferPool,
         state_machine: StateMachine,
         log: LogWriter,
         *,
@@ -93,13 +93,13 @@
         self.loop.post(self.connections[effect.connection], effect)
 
     def _give_back(self, effect: do.ReleaseBody) -> None:
-        effect.body.give_back()
+        effect.body.release()
 
     def _note(self, effect: do.LogEvent) -> None:
         self.log.write_event(effect.event, effect.fields)
 
     def _leave(self, _: do.Exit) -> None:
-        self.loop.stopped = True
+        self.loop.is_stopped = True
 
     def _listen(self, effect: do.AcceptClients) -> None:
         assert self.listener is not None
@@ -122,7 +122,7 @@
         fd = self.client_fds.get(client, -1)
         if fd < 0:
             return False
-        self.look.register(fd, LEFT)
+        self.look.register(fd, PEER_CLOSED)
         seen = self.look.poll(0)
         self.look.unregister(fd)
         return bool(seen)
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -5,9 +5,9 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from cressrail.buffers.pipe import KEPT, Kept, Pipe
+from cressrail.buffers.pipe import KEPT_BODY_BYTES, Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE
 from cressrail.http1.answer import Response, ResponseReader
 from cressrail.http1.body import MOST, chunk
 from cressrail.http1.head import MalformedMessageError
@@ -55,15 +55,15 @@
         assert task is not None
         until_us = self.net.now() + int(self.net.idle_us * REST_SHARE)
         while True:
-            while task.mail:
-                message = task.mail.popleft()
+            while task.messages:
+                message = task.messages.popleft()
                 if isinstance(message, SendAttempt):
                     return message
                 if not isinstance(message, CancelAttempt):  # of a hop that had ended by then
                     return None
             if self.stream is None:
                 return None
-            if self.net.loop.wait(self.stream.fd, READ, until_us, rest=True) != MAIL:
+            if self.net.loop.wait(self.stream.fd, READABLE, until_us, is_resting=True) != MESSAGE:
                 self._check()
                 self._close()  # idle long enough, or closed by the endpoint; unless a hop has just come
 
@@ -77,7 +77,7 @@
 
     def _carry(self, job: SendAttempt) -> bool:
         """One hop; true if the connection is fit for another."""
-        body, kind = Kept(self.net.pool), b""
+        body, kind = StreamingBody(self.net.pool), b""
         reader = ResponseReader(body, MOST, job.request.method == b"HEAD")
         end = End(Outcome.CANCELLED, "fault")
         self.passed = False
@@ -86,10 +86,10 @@
             kind = reader.get(b"content-type")
         finally:
             whole = end.how is Outcome.SUCCEEDED
-            if self.passed and body.rest is not None:  # it is the client's, who learns how it ended
-                (body.rest.close if whole else body.rest.fail)()
+            if self.passed and body.pipe is not None:  # it is the client's, who learns how it ended
+                (body.pipe.close if whole else body.pipe.fail)()
             elif not whole:
-                body.give_back()
+                body.release()
             if not end.keep:
                 self._close()
             self.net.dispatch(
@@ -106,7 +106,7 @@
             )
         return end.keep
 
-    def _attempt(self, job: SendAttempt, reader: ResponseReader, body: Kept) -> End:
+    def _attempt(self, job: SendAttempt, reader: ResponseReader, body: StreamingBody) -> End:
         try:
             self._prepare(job)
         except (StreamTimeoutError, OSError) as fault:
@@ -154,23 +154,23 @@
         """The rest of a large request as it comes; nothing once all of it is written, else how the hop ended.
         Before its last byte is written nothing of it runs. An answer that comes before is looked out for."""
         task = self.net.loop.current
-        rest = request.body.rest if isinstance(request.body, Kept) else None
+        rest = request.body.pipe if isinstance(request.body, StreamingBody) else None
         assert task is not None and rest is not None
         left: list[memoryview] = []
         held, last = 0, False
         try:
             while True:
                 if not left:
-                    rest.used(held)  # not before: what is not written whole may be sent anew
+                    rest.consume(held)  # not before: what is not written whole may be sent anew
                     held = 0
-                    if rest.failed:
+                    if rest.has_failed:
                         return End(Outcome.CANCELLED, "its client broke off")
                     if last:
                         return None
-                    if parts := rest.peek():
+                    if parts := rest.views():
                         held = sum(map(len, parts))
                         left = chunk(parts, held) if request.chunked else parts
-                    elif rest.closed:
+                    elif rest.is_closed:
                         last = True
                         left = [memoryview(b"0\r\n\r\n")] if request.chunked else []
                         continue
@@ -178,17 +178,19 @@
                     continue
                 if not left:
                     rest.on_data = lambda: self.net.loop.post(task, STIR)
-                    why = self.net.loop.wait(stream.fd, READ)
+                    why = self.net.loop.wait(stream.fd, READABLE)
                     rest.on_data = None
                 else:
-                    why = self.net.loop.wait(stream.fd, READ | WRITE, self.net.now() + self.net.patience_us)
+                    why = self.net.loop.wait(
+                        stream.fd, READABLE | WRITABLE, self.net.now() + self.net.patience_us
+                    )
                 if why == TIMED_OUT:
                     return End(Outcome.CONNECT_FAILED, "not written in time")
-                if why == MAIL:
-                    purge(task.mail)
-                    if task.mail:
+                if why == MESSAGE:
+                    purge(task.messages)
+                    if task.messages:
                         return End(Outcome.CANCELLED)
-                elif why & ~WRITE and self._early(stream, reader):
+                elif why & ~WRITABLE and self._early(stream, reader):
                     return self._told(reader, False)
         except (OSError, MalformedMessageError) as fault:
             # It may have said why before it closed.
@@ -200,7 +202,7 @@
             return End(Outcome.CANCELLED, "no buffer left")
         finally:
             left.clear()
-            purge(task.mail)  # guards against a stir that crossed what ended the wait, taken for a call
+            purge(task.messages)  # guards against a stir that crossed what ended the wait, taken for a call
 
     def _early(self, stream: SocketStream, reader: ResponseReader) -> bool:
         """Whether an answer is whole by now; raises `Malformed` if the connection ends before."""
@@ -211,14 +213,14 @@
             if n == 0:
                 reader.ended()
             else:
-                stream.inlet.use(reader.feed(stream.inlet.unread()))
+                stream.inlet.consume(reader.feed(stream.inlet.unread()))
         return True
 
     def _prepare(self, job: SendAttempt) -> None:
         if (
             self.stream is not None
             and self.net.now() < job.not_before_us
-            and self.net.loop.wait(self.stream.fd, READ, job.not_before_us) == MAIL
+            and self.net.loop.wait(self.stream.fd, READABLE, job.not_before_us) == MESSAGE
         ):
             raise StreamInterruptedError
         self._check()
@@ -229,30 +231,37 @@
             )
 
     def _answer(
-        self, job: SendAttempt, stream: SocketStream, reader: ResponseReader, body: Kept, until_us: int
+        self,
+        job: SendAttempt,
+        stream: SocketStream,
+        reader: ResponseReader,
+        body: StreamingBody,
+        until_us: int,
     ) -> End:
         try:
-            stream.await_(READ, until_us, mail=True)  # a look so soon would find nothing
+            stream.await_(READABLE, until_us, mail=True)  # a look so soon would find nothing
             while not reader.done:
-                if body.rest is not None and not body.rest.roomy():
-                    self._room(body.rest)
+                if body.pipe is not None and not body.pipe.has_room():
+                    self._room(body.pipe)
                     continue
                 try:
                     n = stream.read()
                 except BufferPoolExhaustedError:
                     if not self.passed:
                         return End(Outcome.CANCELLED, "no buffer left")
-                    self.net.loop.wait(until_us=self.net.now() + SHORT_US, mail=False)
+                    self.net.loop.wait(until_us=self.net.now() + SHORT_US, wakes_on_message=False)
                     continue
                 if n == 0:
                     reader.ended()
                 elif n < 0:
                     # One that is passed on has no limit but silence: its client waits for its end.
                     stream.await_(
-                        READ, self.net.now() + self.net.patience_us if self.passed else until_us, mail=True
+                        READABLE,
+                        self.net.now() + self.net.patience_us if self.passed else until_us,
+                        mail=True,
                     )
                 else:
-                    stream.inlet.use(reader.feed(stream.inlet.unread()))
+                    stream.inlet.consume(reader.feed(stream.inlet.unread()))
                     if reader.begun and not self.passed and not self._pass_on(job, reader, body):
                         break
         except StreamTimeoutError:
@@ -270,14 +279,14 @@
             return End(Outcome.CANCELLED)  # nobody wants it any more
         return self._told(reader, reader.done and reader.keep and not stream.inlet.unread())
 
-    def _pass_on(self, job: SendAttempt, reader: ResponseReader, body: Kept) -> bool:
+    def _pass_on(self, job: SendAttempt, reader: ResponseReader, body: StreamingBody) -> bool:
         """Whether to read on. An answer too large to keep is the client's from here on; of one that is not to
         be passed on, the status is all that counts."""
-        if body.rest is None and (reader.length or 0) <= KEPT:
+        if body.pipe is None and (reader.length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != 200:
             return False
-        body.open()
+        body.start_streaming()
         effects = self.net.state_machine.on_response_started(
             self.net.now(),
             job.attempt,
@@ -291,14 +300,14 @@
         """Waits for the client to take what there is. Raises `Called` if it is not to go on."""
         task = self.net.loop.current
         assert task is not None
-        if not rest.crowded():  # the pool is short, and anybody's giving back ends that
-            self.net.loop.wait(until_us=self.net.now() + SHORT_US, mail=False)
+        if not rest.is_full():  # the pool is short, and anybody's giving back ends that
+            self.net.loop.wait(until_us=self.net.now() + SHORT_US, wakes_on_message=False)
             return
         rest.on_room = lambda: self.net.loop.post(task, STIR)
         self.net.loop.wait()
         rest.on_room = None
-        purge(task.mail)
-        if task.mail:
+        purge(task.messages)
+        if task.messages:
             raise StreamInterruptedError
 
     def _told(self, reader: ResponseReader, keep: bool) -> End:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
-from cressrail.event_loop.scheduler import READ
+from cressrail.event_loop.scheduler import READABLE
 from cressrail.handover.frame import FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
@@ -84,12 +84,12 @@
     def take(self) -> None:
         task = self.net.loop.current
         assert task is not None
-        while not task.mail:
+        while not task.messages:
             self.net.loop.wait()
-        task.mail.clear()
+        task.messages.clear()
         told = self._estate()
         self._count(told)
-        self.net.pool.most -= self.buffers
+        self.net.pool.max_lent -= self.buffers
         self.net.dispatch(self.net.state_machine.take_over(self.net.now(), told, self.clients, self.links))
 
     def outlive(self) -> None:
@@ -101,7 +101,7 @@
             pass
         finally:
             self.elder.sock.close()
-            self.net.pool.most += self.buffers
+            self.net.pool.max_lent += self.buffers
             self.net.dispatch(
                 self.net.state_machine.on_predecessor_exited(self.net.now(), self.clients, self.links)
             )
@@ -129,7 +129,7 @@
         held = told.get("held") if told else None
         if isinstance(held, list) and len(held) == 3 and all(isinstance(n, int) and n >= 0 for n in held):
             self.clients, self.links, self.buffers = held
-            self.buffers = min(self.buffers, self.net.pool.most * 3 // 4)
+            self.buffers = min(self.buffers, self.net.pool.max_lent * 3 // 4)
 
     def _more(self, until_us: int | None) -> bytes:
         while True:
@@ -138,9 +138,9 @@
             except BlockingIOError:
                 sock = self.elder.sock.fileno()
                 why = (
-                    self.net.loop.wait(sock, READ, mail=False)
+                    self.net.loop.wait(sock, READABLE, wakes_on_message=False)
                     if until_us is None
-                    else self.net.loop.wait(sock, READ, until_us, mail=False)
+                    else self.net.loop.wait(sock, READABLE, until_us, wakes_on_message=False)
                 )
                 if why == 0:
                     return b""
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -7,7 +7,7 @@
 import struct
 from contextlib import suppress
 
-from cressrail.event_loop.scheduler import MAIL, READ, WRITE
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE
 from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
@@ -32,7 +32,7 @@
         try:
             while self._publish():
                 assert self.place is not None
-                if self.net.loop.wait(self.place.fileno(), READ) == MAIL:
+                if self.net.loop.wait(self.place.fileno(), READABLE) == MESSAGE:
                     return
                 with suppress(OSError):
                     self._serve(self.place.accept()[0])
@@ -96,7 +96,7 @@
         finally:
             sock.close()
             if over:
-                self.net.pool.most = self.most
+                self.net.pool.max_lent = self.most
                 if self.net.gossip is not None and self.net.state_machine.stop_us < 0:
                     self.net.gossip.tell("resume")
                 self.net.dispatch(self.net.state_machine.on_successor_failed(self.net.now()))
@@ -104,13 +104,13 @@
     def _held(self) -> list[int]:
         """Clients, links and buffers that stay with this process; it lends and opens no more than these."""
         reducer, pool = self.net.state_machine, self.net.pool
-        self.most = pool.most
-        pool.most = max(pool.lent, pool.most // KEPT_PART)
-        pool.trim()
+        self.most = pool.max_lent
+        pool.max_lent = max(pool.lent, pool.max_lent // KEPT_PART)
+        pool.release_excess()
         reducer.limits.endpoint_connections = max(
             len(reducer.connections), reducer.limits.endpoint_connections // KEPT_PART
         )
-        return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.most]
+        return [len(reducer.clients) + FIXED, reducer.limits.endpoint_connections, pool.max_lent]
 
     def _next(self, sock: socket.socket, frames: FrameReader, until_us: int | None) -> Frame | None:
         while (got := frames.next_frame()) is None:
@@ -118,8 +118,8 @@
                 data = sock.recv(PIECE)
             except BlockingIOError:
                 if until_us is None:
-                    self.net.loop.wait(sock.fileno(), READ, mail=False)
-                elif self.net.loop.wait(sock.fileno(), READ, until_us, mail=False) == 0:
+                    self.net.loop.wait(sock.fileno(), READABLE, wakes_on_message=False)
+                elif self.net.loop.wait(sock.fileno(), READABLE, until_us, wakes_on_message=False) == 0:
                     return None
                 continue
             if not data:
@@ -134,7 +134,7 @@
             try:
                 left = left[sock.send(left) :]
             except BlockingIOError:
-                if self.net.loop.wait(sock.fileno(), WRITE, until_us, mail=False) == 0:
+                if self.net.loop.wait(sock.fileno(), WRITABLE, until_us, wakes_on_message=False) == 0:
                     raise HandoverError("does not read") from None
 
 
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -5,7 +5,7 @@
 import errno
 import socket
 
-from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
 from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SHORT
@@ -47,17 +47,17 @@
         task = self.net.loop.current
         assert task is not None
         while True:
-            why = self.net.loop.wait(self.sock.fileno() if self.on else -1, READ)
-            while task.mail:
-                message = task.mail.popleft()
+            why = self.net.loop.wait(self.sock.fileno() if self.on else -1, READABLE)
+            while task.messages:
+                message = task.messages.popleft()
                 assert isinstance(message, AcceptClients)  # nothing else is posted here, see Net
                 self.on = message.on
                 if message.closed:
                     self._close()
                     return
-            if why != MAIL and self.on:
+            if why != MESSAGE and self.on:
                 for _ in range(AT_ONCE):
-                    if task.mail or not self._accept():
+                    if task.messages or not self._accept():
                         break  # nobody more, or told to stop
 
     def _close(self) -> None:
@@ -83,7 +83,7 @@
             if self.short:
                 # Guards against a listener that spins, or dies, when descriptors run out.
                 self.net.dispatch(self.net.state_machine.on_descriptors_exhausted(self.net.now()))
-                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
+                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, wakes_on_message=False)
             # One that was reset while it waited says nothing of those behind it.
             return fault.errno in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR)
         self.numbers += 1
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -16,7 +16,7 @@
 import orjson
 
 from cressrail.configuration.membership import MembershipConfiguration
-from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
 from cressrail.membership.load_reports import PeerReports
 from cressrail.membership.messages import Command, InstanceCount, Report, Send, Word
 from cressrail.membership.peer_reports import Hearing
@@ -62,7 +62,7 @@
         self.copy = self._copy()
         self.hearing = Hearing()
         self.zones: FailoverDriver | None = None
-        self.task = net.loop.spawn(self.run, first=True)
+        self.task = net.loop.spawn(self.run, is_first=True)
 
     def _copy(self) -> MembershipStateMachine:
         now = self.net.now()
@@ -83,21 +83,21 @@
         assert task is not None
         try:
             while True:
-                if self.sock is None and not self._open(task.mail):
+                if self.sock is None and not self._open(task.messages):
                     return
                 assert self.sock is not None
                 self.zones = self._zones()
                 self._carry(self.copy.start(self.net.now()))
-                goes_on = self._serve(self.sock, task.mail)
+                goes_on = self._serve(self.sock, task.messages)
                 if self.zones is not None:
                     self.zones.close()
                     self.zones = None
                 if not goes_on:
                     return
                 self._close()
-                while not task.mail:
+                while not task.messages:
                     self.net.loop.wait()
-                if task.mail.popleft() != RESUME:
+                if task.messages.popleft() != RESUME:
                     return
                 self.copy = self._copy()  # the other process was this copy meanwhile: this one begins anew
         finally:
@@ -121,12 +121,12 @@
         """Until told to cede; false once it has left for good."""
         while True:
             wake_us = self.copy.wake_us if self.zones is None else min(self.copy.wake_us, self.zones.wake_us)
-            why = self.net.loop.wait(sock.fileno(), READ, wake_us)
+            why = self.net.loop.wait(sock.fileno(), READABLE, wake_us)
             if mail:
                 told = mail.popleft()
                 self._carry(self.copy.leave(self.net.now(), tell=told == LEAVE))
                 return bool(told == CEDE)
-            if why != MAIL:
+            if why != MESSAGE:
                 self._read(sock)
                 self._refusals(sock)
             if self.net.now() >= self.copy.wake_us:
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -6,7 +6,7 @@
 import os
 import resource
 
-from cressrail.buffers.pool import SIZE, Pool
+from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
 from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
@@ -50,13 +50,13 @@
 def assemble(start: StartupConfiguration, log_fd: int = 1) -> tuple[CommandDispatcher, listener.ListenerTask]:
     """Everything in its place and the first tasks waiting; nothing runs until the loop does."""
     clock = Clock()
-    log = LogWriter(log_fd, clock.now, start.name)
-    loop = Scheduler(clock.now, lambda text: log.write_event("fault", {"trace": text}))
+    log = LogWriter(log_fd, clock.now_us, start.name)
+    loop = Scheduler(clock.now_us, lambda text: log.write_event("fault", {"trace": text}))
     loop.after_round = log.flush
     profiles = policy_factory.read_request_classes(start.settings)
     members = policy_factory.read_tenant_quotas(start.settings)
     roster = EndpointRegistry(start.settings.names(setting_names.ZONES))
-    now = clock.now()
+    now = clock.now_us()
     aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
     rooms = room(start.max_sockets, aside)
     sidecar = policy_factory.build_load_balancer(
@@ -79,7 +79,7 @@
         start.discovery,
         start.settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
-    pool = Pool(int(start.memory_limit_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
+    pool = BufferPool(int(start.memory_limit_mb * BUFFERS_SHARE * (1 << 20)) // BUFFER_BYTES)
     connect_us, idle_us = policy_factory.read_connection_timeouts(start.settings)
     net = CommandDispatcher(
         loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us
@@ -93,7 +93,7 @@
         None if elder else now,
     )
     if start.admin:
-        loop.spawn(ops.AdminServerTask(net, listener.bind(*start.admin)).run, first=True)
+        loop.spawn(ops.AdminServerTask(net, listener.bind(*start.admin)).run, is_first=True)
     if start.membership is not None:
         from cressrail.network.membership_transport import (
             MembershipTransport,  # nothing of it is loaded where it is off
@@ -101,9 +101,9 @@
 
         net.gossip = MembershipTransport(net, start.membership, waits=elder is not None)
     net.start_link = lambda number: EndpointConnectionTask(net, number).run
-    net.watch = loop.spawn(DiscoveryWatchTask(net).run, first=True, vital=True)
-    net.listener = loop.spawn(door.run, vital=True)
-    net.waker = loop.spawn(lambda: wake_task(net), vital=True)
+    net.watch = loop.spawn(DiscoveryWatchTask(net).run, is_first=True, is_vital=True)
+    net.listener = loop.spawn(door.run, is_vital=True)
+    net.waker = loop.spawn(lambda: wake_task(net), is_vital=True)
     log.write_event(
         "start",
         {
@@ -119,7 +119,7 @@
     )
     if path:
         successor = HandoverServerTask(net, path, door.sock, start.listen)
-        net.relay = loop.spawn(lambda: _relay(net, elder, successor), first=True)
+        net.relay = loop.spawn(lambda: _relay(net, elder, successor), is_first=True)
     net.dispatch(reducer.start(now, elder.known if elder else start.known_endpoints, elder is not None))
     return net, door
 
@@ -130,7 +130,7 @@
         before = HandoverClientTask(net, elder)
         before.take()
         net.at_end.append(before.farewell)
-        net.loop.spawn(before.outlive, first=True)
+        net.loop.spawn(before.outlive, is_first=True)
     successor.run()
 
 
@@ -144,6 +144,6 @@
         net.loop.run()
     for last in net.at_end:
         last()
-    net.log.write_event("end", {"failed": True} if net.loop.failed else {})
+    net.log.write_event("end", {"failed": True} if net.loop.has_failed else {})
     net.log.flush()
-    return int(net.loop.failed)
+    return int(net.loop.has_failed)
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from cressrail.event_loop.scheduler import READ
+from cressrail.event_loop.scheduler import READABLE
 from cressrail.network.configuration_reload import ConfigurationReload
 from cressrail.network.dispatcher import CommandDispatcher
 
@@ -21,7 +21,7 @@
 
     def task() -> None:
         while True:
-            net.loop.wait(woken.fileno(), READ)
+            net.loop.wait(woken.fileno(), READABLE)
             heard = woken.recv(64)  # a byte for each signal, its number
             if signal.SIGHUP in heard:
                 reread.now(net)
@@ -33,7 +33,7 @@
     signal.set_wakeup_fd(waking.fileno(), warn_on_full_buffer=False)
     for name in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(name, lambda *_: None)
-    net.loop.spawn(task, vital=True)
+    net.loop.spawn(task, is_vital=True)
     try:
         yield
     finally:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -7,8 +7,8 @@
 import socket
 from enum import Enum
 
-from cressrail.buffers.pool import BufferPoolExhaustedError, Inlet, Pool
-from cressrail.event_loop.scheduler import MAIL, NEVER, READ, TIMED_OUT, WRITE, Scheduler
+from cressrail.buffers.pool import BufferPool, BufferPoolExhaustedError, ReceiveBuffer
+from cressrail.event_loop.scheduler import MESSAGE, NEVER, READABLE, TIMED_OUT, WRITABLE, Scheduler
 
 PARTS = 64  # of a write
 SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # own lack, nobody else's fault
@@ -29,19 +29,19 @@
 
 
 class SocketStream:
-    def __init__(self, loop: Scheduler, pool: Pool, sock: socket.socket) -> None:
+    def __init__(self, loop: Scheduler, pool: BufferPool, sock: socket.socket) -> None:
         self.loop = loop
         self.sock = sock
         self.fd = sock.fileno()
-        self.inlet = Inlet(pool)
-        self.arrived_us = loop.arrived_us  # of what was read last
+        self.inlet = ReceiveBuffer(pool)
+        self.arrived_us = loop.earliest_arrival_us  # of what was read last
         self._accepted_with = True  # its first bytes may have come with the connection
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
     def connect(
-        cls, loop: Scheduler, pool: Pool, host: str, port: int, until_us: int, mail: bool
+        cls, loop: Scheduler, pool: BufferPool, host: str, port: int, until_us: int, mail: bool
     ) -> SocketStream:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
@@ -49,7 +49,7 @@
             stream = cls(loop, pool, sock)
             code = sock.connect_ex((host, port))
             if code == errno.EINPROGRESS:
-                stream.await_(WRITE, until_us, mail)
+                stream.await_(WRITABLE, until_us, mail)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
@@ -62,7 +62,7 @@
         why = self.loop.wait(self.fd, mask, until_us, mail, rest)
         if why == TIMED_OUT:
             raise StreamTimeoutError
-        if why == MAIL:
+        if why == MESSAGE:
             raise StreamInterruptedError
         return why
 
@@ -70,7 +70,7 @@
         parts = [part for part in parts if part]
         while parts:
             if not self.some(parts):
-                self.await_(WRITE, until_us, mail)
+                self.await_(WRITABLE, until_us, mail)
 
     def some(self, parts: list[memoryview]) -> bool:
         """Writes what goes without waiting, and takes it out; false if nothing did."""
@@ -87,16 +87,16 @@
     def read(self) -> int:
         """How many bytes more there are to use: 0 at the end, -1 if none have come yet."""
         try:
-            n = self.sock.recv_into(self.inlet.room())
+            n = self.sock.recv_into(self.inlet.free_space())
         except BlockingIOError:
             self._accepted_with = False
             if not self.inlet.unread():
-                self.inlet.give_back()
+                self.inlet.release()
             return -1
         if not self._accepted_with:
-            self.arrived_us = self.loop.arrived_us
+            self.arrived_us = self.loop.earliest_arrival_us
         self._accepted_with = False  # guards against later requests timed from the connection's start
-        self.inlet.came(n)
+        self.inlet.add_received(n)
         return n
 
     def at_rest(self) -> Rest:
@@ -115,15 +115,15 @@
         """Until the other side has seen the end and closed as well, for so long at most; what it still sends
         is dropped. Guards against a close with bytes unread, which would reset the answer that is on its
         way, and against a request that crosses the close being taken for one that is answered."""
-        self.inlet.give_back()
+        self.inlet.release()
         try:
             self.sock.shutdown(socket.SHUT_WR)
             while self.read() != 0:
-                self.inlet.give_back()
-                self.await_(READ, until_us)
+                self.inlet.release()
+                self.await_(READABLE, until_us)
         except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
 
     def close(self) -> None:
-        self.inlet.give_back()
+        self.inlet.release()
         self.sock.close()
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -14,8 +14,8 @@
     due_us = net.state_machine.wake_us
     while True:
         net.loop.wait(until_us=due_us)
-        while task.mail:
-            message = task.mail.popleft()
+        while task.messages:
+            message = task.messages.popleft()
             assert isinstance(message, SetTimer)
             due_us = message.at_us
         if net.now() >= due_us:
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from cressrail.buffers.pool import Chain
+from cressrail.buffers.pool import BufferChain
 from cressrail.http1.answer import Response
 from cressrail.http1.request import Request
 
@@ -61,7 +61,7 @@
 
 
 class ReleaseBody(NamedTuple):
-    body: Chain
+    body: BufferChain
 
 
 class WatchEndpoints(NamedTuple):
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any
 
-from cressrail.buffers.pool import Chain
+from cressrail.buffers.pool import BufferChain
 from cressrail.discovery.endpoint_list import EndpointListUpdate, encode_endpoint_list
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HandoverError
@@ -444,7 +444,7 @@
         hop: int,
         how: Outcome,
         keep: bool,
-        body: Chain | None = None,
+        body: BufferChain | None = None,
         kind: bytes = b"",
         why: str = "",
         refused: bool = False,
@@ -732,7 +732,7 @@
         )
 
     def _reply(
-        self, now: int, client: int, status: int, body: Chain | None, counted: str | None = None
+        self, now: int, client: int, status: int, body: BufferChain | None, counted: str | None = None
     ) -> list[Command]:
         """Without a transaction; `counted` is the profile that it stands under in the figures."""
         held = self.clients[client]
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -96,7 +96,7 @@
         if message.response.body is None or self.net.state_machine.numbers % 7:
             write(self, message)
             return
-        message.response.body.give_back()
+        message.response.body.release()
         raise OSError("swallowed on purpose")
 
     ClientConnectionTask._write = eats  # type: ignore[method-assign]
--- /dev/null
+++ b/tests/event_loop/test_scheduler.py
@@ -0,0 +1,117 @@
+"""A scheduler with many resting descriptors: no round polls them, and their data is noticed and timed."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+import pytest
+
+from cressrail.event_loop import scheduler
+from cressrail.event_loop.scheduler import READABLE, Scheduler
+
+
+class RestingTasks:
+    """A scheduler on a simulated clock, with resting tasks and one that works."""
+
+    def __init__(self, number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+        monkeypatch.setattr(scheduler, "MAX_RESTING_IN_ONE_POLL", 4)
+        self.now = 1_000_000
+        self.loop = Scheduler(lambda: self.now, lambda text: self.faults.append(text))
+        self.faults: list[str] = []
+        self.pairs = [socket.socketpair() for _ in range(number)]
+        self.received: list[tuple[int, int]] = []  # which, and since when it may have come
+        for n, (near, _) in enumerate(self.pairs):
+            near.setblocking(False)
+            self.loop.spawn(lambda n=n, near=near: self._rest(n, near))  # type: ignore[misc]
+
+    def _rest(self, n: int, near: socket.socket) -> None:
+        while True:
+            mask = self.loop.wait(near.fileno(), READABLE, is_resting=True)
+            if not near.recv(10):
+                near.close()
+                return
+            assert mask & select.POLLIN
+            self.received.append((n, self.loop.earliest_arrival_us))
+
+    def work(self, rounds: int, step_us: int) -> None:
+        """A task that wakes at every step, so there is work all the time."""
+
+        def works() -> None:
+            for _ in range(rounds):
+                self.now += step_us
+                self.loop.last_event_us = self.now
+                self.loop.wait(until_us=self.now)
+            self.loop.is_stopped = True
+
+        self.loop.is_stopped = False
+        self.loop.spawn(works)
+        self.loop.run()
+
+    def close(self) -> None:
+        for pair in self.pairs:
+            for sock in pair:
+                sock.close()
+
+
+def test_resting_descriptors_leave_the_poll_of_each_round(monkeypatch: pytest.MonkeyPatch) -> None:
+    tasks = RestingTasks(10, monkeypatch)
+    tasks.work(3, 1000)
+    assert len(tasks.loop.busy_masks) == 10
+    tasks.work(80, 1000)
+    assert (len(tasks.loop.busy_masks), len(tasks.loop.full_masks)) == (0, 10)
+    tasks.pairs[0][1].send(b"x")
+    assert tasks.loop.busy_poll.poll(0) == [] and len(tasks.loop.full_poll.poll(0)) == 1
+    tasks.close()
+
+
+def test_resting_descriptor_with_data_wakes_its_task_and_is_timed_from_the_poll_before(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    tasks = RestingTasks(10, monkeypatch)
+    tasks.work(80, 1000)
+    looked = tasks.loop.last_full_poll_us
+    tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
+    tasks.pairs[3][1].send(b"x")
+    tasks.work(8, 1000)
+    assert len(tasks.received) == 1 and tasks.received[0][0] == 3
+    assert tasks.received[0][1] == looked  # no later than it can have come
+    assert list(tasks.loop.busy_masks) == [tasks.pairs[3][0].fileno()]
+    tasks.close()
+    assert not tasks.faults
+
+
+def test_idle_scheduler_polls_all_descriptors_together(monkeypatch: pytest.MonkeyPatch) -> None:
+    tasks = RestingTasks(10, monkeypatch)
+    tasks.work(80, 1000)
+    tasks.pairs[7][1].send(b"x")
+    tasks.now += scheduler.IDLE_AFTER_US  # no event for so long; no full poll is due otherwise
+    tasks.loop.next_full_poll_us = tasks.now + 50_000
+    tasks.loop.is_stopped = False
+    tasks.loop.after_round = lambda: setattr(tasks.loop, "is_stopped", True)
+    tasks.loop.run()
+    assert [n for n, _ in tasks.received] == [7]
+    tasks.close()
+
+
+@pytest.mark.parametrize("rounds", [3, 80])
+def test_closed_descriptor_is_unregistered_and_its_number_serves_again(
+    monkeypatch: pytest.MonkeyPatch, rounds: int
+) -> None:
+    tasks = RestingTasks(10, monkeypatch)
+    tasks.work(rounds, 1000)
+    numbers = {near.fileno() for near, _ in tasks.pairs[:6]}
+    for _, far in tasks.pairs[:6]:
+        far.close()
+    tasks.work(10, 1000)  # their tasks see the end and close
+    tasks.work(10, 1000)
+    assert not numbers & set(tasks.loop.full_masks) and len(tasks.loop.full_masks) == 4 and not tasks.faults
+    more = socket.socketpair()
+    tasks.pairs.append(more)
+    more[0].setblocking(False)
+    tasks.loop.spawn(lambda: tasks._rest(99, more[0]))
+    tasks.work(3, 1000)
+    more[1].send(b"x")
+    tasks.work(6, 1000)
+    assert [n for n, _ in tasks.received] == [99]
+    tasks.close()
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -6,8 +6,8 @@
 import socket
 from typing import Any
 
-from cressrail.buffers.pipe import KEPT, Kept
-from cressrail.buffers.pool import Chain, Pool
+from cressrail.buffers.pipe import KEPT_BODY_BYTES, StreamingBody
+from cressrail.buffers.pool import BufferChain, BufferPool
 from cressrail.http1.answer import REASONS, Response
 from cressrail.http1.body import chunk as encoded_chunk
 from cressrail.http1.request import RequestReader
@@ -24,11 +24,11 @@
 
 
 def test_heads_of_answers() -> None:
-    pool, found = Pool(100), {}
-    small, kept, open_ = Chain(pool), Kept(pool), Kept(pool)
-    small.add(memoryview(b"hello"))
-    kept.add(memoryview(b"hello, kept"))
-    open_.open()
+    pool, found = BufferPool(100), {}
+    small, kept, open_ = BufferChain(pool), StreamingBody(pool), StreamingBody(pool)
+    small.append(memoryview(b"hello"))
+    kept.append(memoryview(b"hello, kept"))
+    open_.start_streaming()
     bodies: dict[str, tuple[Any, int | None]] = {
         "no body": (None, None),
         "body": (small, None),
@@ -74,7 +74,7 @@
         for version in ("1.0", "1.1"):
             for name, rest in ways.items():
                 for left_us in (1, 2_999_999):
-                    reader = RequestReader(Chain(Pool(10)))
+                    reader = RequestReader(BufferChain(BufferPool(10)))
                     first = f"{method} /api/a%20b?x=1&y HTTP/{version}\r\n".encode()
                     reader.feed(memoryview(first + FIELDS + rest))
                     assert reader.whole is not None
@@ -89,10 +89,10 @@
         ("length", b"Content-Length: 100400\r\n\r\n"),
         ("chunked", b"Transfer-Encoding: chunked\r\n\r\n"),
     ):
-        body = Kept(Pool(10))
+        body = StreamingBody(BufferPool(10))
         reader = RequestReader(body)
         reader.feed(memoryview(b"POST /up HTTP/1.1\r\n" + FIELDS + rest))
-        body.open()
+        body.start_streaming()
         assert reader.begun is not None
         found[name] = reader.begun.onward("10.0.0.7:9100", 5).decode("latin-1")
     hold(found, "upload_heads.json")
@@ -227,7 +227,7 @@
 
 def test_a_large_answer_is_streamed() -> None:
     """Sizes of chunks go by what has come at a time; the head, the body and the last chunk do not."""
-    assert len(LARGE) > KEPT
+    assert len(LARGE) > KEPT_BODY_BYTES
     found: dict[str, Any] = {}
     for name, head in (
         ("length", b"content-length: %d\r\n" % len(LARGE)),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from cressrail.configuration.startup import parse_configuration
-from cressrail.event_loop.scheduler import READ, WRITE, Scheduler
+from cressrail.event_loop.scheduler import READABLE, WRITABLE, Scheduler
 from cressrail.network import listener
 from cressrail.network.server import assemble
 from cressrail.policy.load_balancer import (
@@ -165,7 +165,7 @@
             try:
                 view = view[self.sock.send(view) :]
             except BlockingIOError:
-                self._wait(WRITE)
+                self._wait(WRITABLE)
 
     def hear(self, end: bytes = b"\r\n\r\n") -> bytes:
         """Up to and with these bytes, or all there is if the connection ends first."""
@@ -188,7 +188,7 @@
             try:
                 more = self.sock.recv(4096)
             except BlockingIOError:
-                self._wait(READ)
+                self._wait(READABLE)
                 continue
             except ConnectionResetError:
                 more = b""
@@ -256,7 +256,7 @@
 
     def _accept(self, sock: socket.socket, script: Script) -> None:
         while True:
-            self.loop.wait(sock.fileno(), READ)
+            self.loop.wait(sock.fileno(), READABLE)
             peer = Peer(self.loop, sock.accept()[0])
             self.open.append(peer.sock)
             self.loop.spawn(lambda peer=peer: script(peer))  # type: ignore[misc]
@@ -283,7 +283,7 @@
                     sock.shutdown(socket.SHUT_RDWR)
         while self.net.clients or self.net.connections:
             self.loop.wait(until_us=self.loop.now() + 1000)
-        self.loop.stopped = True
+        self.loop.is_stopped = True
 
     def run(self) -> None:
         self.loop.run()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cressrail.event_loop.scheduler import MAIL, READ, Scheduler
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, Scheduler
 from cressrail.network import discovery_watch as watch
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError
 from cressrail.proxy import commands as do
@@ -72,7 +72,7 @@
         if to == port():
             dials.append(to)
             while not gate:
-                if loop.wait(until_us=loop.now() + 1000, mail=mail) == MAIL:
+                if loop.wait(until_us=loop.now() + 1000, wakes_on_message=mail) == MESSAGE:
                     raise StreamInterruptedError
         return connect(cls, loop, pool, host, to, loop.now() + SECOND, mail)  # type: ignore[no-any-return]
 
@@ -458,7 +458,7 @@
         peer.until(lambda: play.reducer.idle_clients)
         crossing(peer.sock, ask(), monkeypatch)
         play.net.dispatch([play.reducer._shut_idle(1)])
-        heard.append(peer.sock.recv(100) if peer.loop.wait(peer.sock.fileno(), READ) else b"?")
+        heard.append(peer.sock.recv(100) if peer.loop.wait(peer.sock.fileno(), READABLE) else b"?")
         assert 1 in play.net.clients  # it is told the end at once, and then listened to for a while
         peer.sock.close()
         peer.until(lambda: not play.net.clients)
@@ -762,7 +762,7 @@
     told: list[str] = []
     play.loop.on_fault = told.append
     play.run()
-    assert heard == [b"200"] and len(told) == 1 and "as asked" in told[0] and not play.loop.failed
+    assert heard == [b"200"] and len(told) == 1 and "as asked" in told[0] and not play.loop.has_failed
 
 
 def test_a_fault_that_comes_again_and_again_ends_the_process_with_a_status() -> None:
@@ -772,9 +772,9 @@
     def wrong() -> None:
         raise KeyError("as asked")
 
-    loop.spawn(wrong, vital=True)
+    loop.spawn(wrong, is_vital=True)
     loop.run()
-    assert loop.failed and len(told) == 8
+    assert loop.has_failed and len(told) == 8
 
 
 # Clients in a crowd
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from cressrail.buffers.pool import SIZE, BufferPoolExhaustedError, Chain, Inlet, Pool
+from cressrail.buffers.pool import (
+    BUFFER_BYTES,
+    BufferChain,
+    BufferPool,
+    BufferPoolExhaustedError,
+    ReceiveBuffer,
+)
 from cressrail.http1.answer import Response, ResponseReader
 from cressrail.http1.figures import span_us
 from cressrail.http1.head import Fields, MalformedMessageError
@@ -35,59 +41,61 @@
 ]
 
 
-def fed(reader: RequestReader | ResponseReader, pool: Pool, text: bytes, step: int) -> int:
+def fed(reader: RequestReader | ResponseReader, pool: BufferPool, text: bytes, step: int) -> int:
     """Feeds it through an inlet, so many bytes at a time; what is left over."""
-    inlet = Inlet(pool)
+    inlet = ReceiveBuffer(pool)
     done = False
     for at in range(0, len(text), step):
-        for part in (text[at : at + step][k : k + SIZE // 2] for k in range(0, step, SIZE // 2)):
+        for part in (
+            text[at : at + step][k : k + BUFFER_BYTES // 2] for k in range(0, step, BUFFER_BYTES // 2)
+        ):
             if not part:
                 continue
-            inlet.room()[: len(part)] = part
-            inlet.came(len(part))
+            inlet.free_space()[: len(part)] = part
+            inlet.add_received(len(part))
             while inlet.unread() and not done and (used := reader.feed(inlet.unread())):
-                inlet.use(used)
+                inlet.consume(used)
                 done = reader.whole is not None if isinstance(reader, RequestReader) else reader.done
     left = len(inlet.unread())
-    inlet.give_back()
+    inlet.release()
     return left
 
 
-def text_of(chain: Chain) -> bytes:
+def text_of(chain: BufferChain) -> bytes:
     return b"".join(chain.views())
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 4096, 1 << 20])
 @pytest.mark.parametrize("text, body", POSTS)
 def test_requests_split_anywhere(text: bytes, body: bytes, step: int) -> None:
-    pool = Pool(100)
-    chain = Chain(pool)
+    pool = BufferPool(100)
+    chain = BufferChain(pool)
     reader = RequestReader(chain)
     assert fed(reader, pool, text + b"rest", step) <= 4
     assert reader.whole is not None and reader.whole.keep and text_of(chain) == body
-    chain.give_back()
+    chain.release()
     assert pool.lent == 0
 
 
 @pytest.mark.parametrize("step", [1, 3, 4096, 1 << 20])
 @pytest.mark.parametrize("text, body, keep", ANSWERS)
 def test_answers_of_any_framing(text: bytes, body: bytes, keep: bool, step: int) -> None:
-    pool = Pool(100)
-    chain = Chain(pool)
+    pool = BufferPool(100)
+    chain = BufferChain(pool)
     reader = ResponseReader(chain, 65536)
     fed(reader, pool, text, step)
     if not reader.done:
         reader.ended()
     assert reader.done and reader.keep is keep and text_of(chain) == body
-    chain.give_back()
+    chain.release()
     assert pool.lent == 0
 
 
 @pytest.mark.parametrize("text, body, keep", [a for a in ANSWERS if a[2] and len(a[0]) < 200])
 def test_an_answer_cut_at_any_byte_looks_cut(text: bytes, body: bytes, keep: bool) -> None:
     for cut in range(len(text)):
-        pool = Pool(10)
-        reader = ResponseReader(Chain(pool), 65536)
+        pool = BufferPool(10)
+        reader = ResponseReader(BufferChain(pool), 65536)
         fed(reader, pool, text[:cut], 5)
         with pytest.raises(MalformedMessageError):
             assert not reader.done
@@ -123,9 +131,9 @@
     ],
 )
 def test_what_is_no_request(text: bytes, status: int) -> None:
-    pool = Pool(100)
+    pool = BufferPool(100)
     with pytest.raises(MalformedMessageError) as fault:
-        fed(RequestReader(Chain(pool)), pool, text, 1 << 20)
+        fed(RequestReader(BufferChain(pool)), pool, text, 1 << 20)
     assert fault.value.status == status
 
 
@@ -143,13 +151,13 @@
     ],
 )
 def test_what_is_no_answer(text: bytes) -> None:
-    pool = Pool(100)
+    pool = BufferPool(100)
     with pytest.raises(MalformedMessageError):
-        fed(ResponseReader(Chain(pool), 65536), pool, text, 1 << 20)
+        fed(ResponseReader(BufferChain(pool), 65536), pool, text, 1 << 20)
 
 
 def test_what_goes_on_to_an_endpoint() -> None:
-    chain = Chain(Pool(4))
+    chain = BufferChain(BufferPool(4))
     request = Request(
         b"POST",
         b"/api?x=1",
@@ -214,12 +222,12 @@
 
 
 def test_a_pool_lends_no_more_than_it_may_and_uses_buffers_again() -> None:
-    pool = Pool(2)
-    chain = Chain(pool)
-    chain.add(memoryview(b"a" * (SIZE + 1)))
+    pool = BufferPool(2)
+    chain = BufferChain(pool)
+    chain.append(memoryview(b"a" * (BUFFER_BYTES + 1)))
     with pytest.raises(BufferPoolExhaustedError):
-        pool.take()
-    kept = chain.parts[0]
-    chain.give_back()
-    chain.give_back()
-    assert pool.lent == 0 and any(buffer is kept for buffer in (pool.take(), pool.take()))
+        pool.borrow()
+    kept = chain.buffers[0]
+    chain.release()
+    chain.release()
+    assert pool.lent == 0 and any(buffer is kept for buffer in (pool.borrow(), pool.borrow()))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cressrail.buffers.pool import Pool
+from cressrail.buffers.pool import BufferPool
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import parse_configuration
@@ -47,7 +47,7 @@
 def test_a_long_list_comes_in_pieces_changes_by_half_and_is_handed_over(n: int) -> None:
     text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", LinesSink(), []
     for at in range(0, len(text), 1000):
-        sink.add(memoryview(text[at : at + 1000]))
+        sink.append(memoryview(text[at : at + 1000]))
         lines += sink.lines()
     front = Front(0)
     front.told += front.reducer.on_endpoint_list(0, parse_update_line(lines[0]))
@@ -103,7 +103,7 @@
 ) -> None:
     front = Front(0, clients=40, links=links)
     side = front.reducer.load_balancer
-    side.max_connections, side.instances, front.pool = links, 33.0, Pool(10_000)
+    side.max_connections, side.instances, front.pool = links, 33.0, BufferPool(10_000)
     front.reducer.on_endpoint_list(0, parse_update(listed(0, endpoints)))
     opened = 0
     for k in range(3000):
@@ -146,7 +146,7 @@
     sink = LinesSink()
     with pytest.raises(MalformedMessageError):
         for _ in range(MOST_LINE // 1000 + 1):
-            sink.add(memoryview(b"x" * 1000))
+            sink.append(memoryview(b"x" * 1000))
     front = Front(0)
     twice = listed(0, 1024)
     twice["members"] += twice["members"][:9]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -196,7 +196,7 @@
 def opened() -> tuple[Play, ops.AdminServerTask, tuple[str, int]]:
     made = Play([serving(reply(b"hello"))])
     door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0))
-    made.loop.spawn(door.run, first=True)
+    made.loop.spawn(door.run, is_first=True)
     return made, door, door.sock.getsockname()
 
 
@@ -271,7 +271,7 @@
 
 def test_a_full_house_without_a_buffer_still_answers_its_operators() -> None:
     made, at = play()
-    made.net.pool.most = 0
+    made.net.pool.max_lent = 0
     got: list[bytes] = []
 
     def script(peer: Peer) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, Scheduler
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, Scheduler
 from cressrail.logs.log_writer import MOST_WAITING, LogWriter
 from cressrail.network import client_connection as client
 from cressrail.network.endpoint_connection import EndpointConnectionTask
@@ -447,17 +447,17 @@
 
 def test_no_buffer_left_is_answered_and_passes() -> None:
     play = Play([serving(reply())])
-    play.net.pool.most = 3
+    play.net.pool.max_lent = 3
     assert asked(play, ask(body=BIG[:60_000]))[0] == b"503 "
 
 
 def test_a_watch_without_a_buffer_is_opened_again() -> None:
     play = Play([serving(reply())])
-    most, play.net.pool.most = play.net.pool.most, 0
+    most, play.net.pool.max_lent = play.net.pool.max_lent, 0
 
     def client(peer: Peer) -> None:
         peer.until(lambda: play.reducer.watch_failures)
-        play.net.pool.most = most
+        play.net.pool.max_lent = most
         peer.until(lambda: len(play.open) == 3)  # this client, the first watch and another
 
     play.client(client)
@@ -471,12 +471,12 @@
     woken: list[object] = []
 
     def waits() -> None:
-        woken.append(loop.wait(near.fileno(), READ, 50))
-        woken.append(task.mail.popleft())
+        woken.append(loop.wait(near.fileno(), READABLE, 50))
+        woken.append(task.messages.popleft())
         woken.append(loop.wait(until_us=70))
-        woken.append(loop.wait(near.fileno(), READ) & select.POLLIN)
-        woken.append(loop.arrived_us)
-        loop.stopped = True
+        woken.append(loop.wait(near.fileno(), READABLE) & select.POLLIN)
+        woken.append(loop.earliest_arrival_us)
+        loop.is_stopped = True
 
     def drives() -> None:
         loop.post(task, "a letter")
@@ -489,7 +489,7 @@
     task = loop.spawn(waits)
     loop.spawn(drives)
     loop.run()
-    assert woken == [MAIL, "a letter", TIMED_OUT, select.POLLIN, 80]
+    assert woken == [MESSAGE, "a letter", TIMED_OUT, select.POLLIN, 80]
     near.close()
     far.close()
 
@@ -502,9 +502,9 @@
         raise ValueError("mine")
 
     loop.spawn(fails)
-    loop.spawn(lambda: setattr(loop, "stopped", True))
+    loop.spawn(lambda: setattr(loop, "is_stopped", True))
     loop.run()
-    assert len(faults) == 1 and "ValueError: mine" in faults[0] and loop.tasks == 0
+    assert len(faults) == 1 and "ValueError: mine" in faults[0] and loop.task_count == 0
 
 
 def test_a_log_that_nobody_reads_blocks_nothing_and_drops_the_newest() -> None:
@@ -529,7 +529,7 @@
     stream = SocketStream(loop, Play([]).net.pool, near)
     far.send(b"x")
     select.select([near], [], [])
-    loop.since_us = 900
+    loop.earliest_event_us = 900
     stream.read()
     assert stream.arrived_us == 100
     far.send(b"y")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cressrail.buffers.pipe import KEPT, MOST, Kept, Pipe
-from cressrail.buffers.pool import SIZE, Pool
+from cressrail.buffers.pipe import KEPT_BODY_BYTES, MAX_PIPE_BUFFERS, Pipe, StreamingBody
+from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
 from cressrail.network import client_connection as client
 from tests.helpers import Peer, Play, Script, ask, chunk, reply
 from tests.test_sockets import AWAY, CHUNKED, HEAD, serving
@@ -20,38 +20,38 @@
 
 
 def test_a_pipe_keeps_order_and_gives_every_buffer_back() -> None:
-    pool = Pool(50)
+    pool = BufferPool(50)
     pipe, text, got, at = Pipe(pool), LARGE[:100_000], b"", 0
     while len(got) < len(text):
-        while pipe.roomy() and at < len(text):
-            pipe.add(memoryview(text[at : at + 5000]))
+        while pipe.has_room() and at < len(text):
+            pipe.append(memoryview(text[at : at + 5000]))
             at += 5000
-        assert pool.lent <= MOST + 1
-        view = b"".join(bytes(part) for part in pipe.peek())
+        assert pool.lent <= MAX_PIPE_BUFFERS + 1
+        view = b"".join(bytes(part) for part in pipe.views())
         n = min(len(view), 7001)
         got += view[:n]
-        pipe.used(n)
-    assert got == text and pool.lent == 0 and pipe.taken
+        pipe.consume(n)
+    assert got == text and pool.lent == 0 and pipe.has_been_consumed
 
 
 def test_what_nobody_reads_any_more_holds_no_buffer_and_stops_nobody() -> None:
-    pool, calls = Pool(50), []
-    body = Kept(pool)
-    body.add(memoryview(b"x" * (KEPT + SIZE * MOST)))
-    assert body.size == KEPT and body.rest is not None and not body.rest.roomy()
-    body.rest.on_room = lambda: calls.append(1)
-    body.give_back()
-    body.rest.add(memoryview(b"y"))
-    assert pool.lent == 0 and calls == [1] and body.rest.roomy()
+    pool, calls = BufferPool(50), []
+    body = StreamingBody(pool)
+    body.append(memoryview(b"x" * (KEPT_BODY_BYTES + BUFFER_BYTES * MAX_PIPE_BUFFERS)))
+    assert body.size == KEPT_BODY_BYTES and body.pipe is not None and not body.pipe.has_room()
+    body.pipe.on_room = lambda: calls.append(1)
+    body.release()
+    body.pipe.append(memoryview(b"y"))
+    assert pool.lent == 0 and calls == [1] and body.pipe.has_room()
 
 
 def test_a_pool_that_others_have_emptied_halts_a_pipe_without_loss() -> None:
-    pool = Pool(1)
-    pool.take()
+    pool = BufferPool(1)
+    pool.borrow()
     pipe = Pipe(pool)
-    assert not pipe.roomy() and not pipe.crowded()
-    pipe.add(memoryview(b"read already"))
-    assert bytes(pipe.peek()[0]) == b"read already"
+    assert not pipe.has_room() and not pipe.is_full()
+    pipe.append(memoryview(b"read already"))
+    assert bytes(pipe.views()[0]) == b"read already"
 
 
 def hung_up_on(script: Script) -> Script:
@@ -114,12 +114,18 @@
         (sized(LARGE), False),
         (in_chunks(LARGE), False),
         (HEAD + b"\r\n" + LARGE, True),
-        (in_chunks(LARGE[: KEPT + 1], 1000), False),
-        (sized(LARGE[:KEPT]), False),
+        (in_chunks(LARGE[: KEPT_BODY_BYTES + 1], 1000), False),
+        (sized(LARGE[:KEPT_BODY_BYTES]), False),
     ],
 )
 def test_a_large_answer_goes_through_unchanged_in_any_framing(text: bytes, close: bool) -> None:
-    body = LARGE if len(text) >= len(LARGE) else LARGE[: KEPT + 1] if CHUNKED in text else LARGE[:KEPT]
+    body = (
+        LARGE
+        if len(text) >= len(LARGE)
+        else LARGE[: KEPT_BODY_BYTES + 1]
+        if CHUNKED in text
+        else LARGE[:KEPT_BODY_BYTES]
+    )
     play = Play([serving(text, close)])
     heard = heard_by_one(play, ask() if close else b"", 1)
     assert heard == [(b"200", body)]
@@ -238,7 +244,7 @@
     play.client(slow)
     play.client(quick)
     play.run()
-    assert done == [b"200"] and lent[0] <= 2 * (MOST + 2)
+    assert done == [b"200"] and lent[0] <= 2 * (MAX_PIPE_BUFFERS + 2)
 
 
 def uploading(body: bytes, framing: str, step: int = 40_000, pause: int = 0) -> Script:
@@ -278,7 +284,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-@pytest.mark.parametrize("size", [KEPT, KEPT + 1, KEPT * 3, len(LARGE)])
+@pytest.mark.parametrize("size", [KEPT_BODY_BYTES, KEPT_BODY_BYTES + 1, KEPT_BODY_BYTES * 3, len(LARGE)])
 def test_a_large_request_streams_to_one_hop(framing: str, size: int) -> None:
     seen: list[tuple[bytes, bytes]] = []
     play = Play([taking(seen, reply(b"hello"))])
@@ -332,7 +338,7 @@
 ) -> None:
     def endpoint(peer: Peer) -> None:
         peer.hear()
-        peer.take(KEPT + 1000)
+        peer.take(KEPT_BODY_BYTES + 1000)
         peer.say(answer)
 
     play = Play([endpoint])
@@ -368,16 +374,16 @@
         for _ in range(4):
             other = Peer(peer.loop, socket.create_connection(play.at))
             with other.sock:
-                text = ask("write", Content_Length=str(KEPT * 2)) + LARGE[: KEPT * 2]
-                other.say(text[: KEPT + 3000])
+                text = ask("write", Content_Length=str(KEPT_BODY_BYTES * 2)) + LARGE[: KEPT_BODY_BYTES * 2]
+                other.say(text[: KEPT_BODY_BYTES + 3000])
                 other.sleep(20_000)
-                other.say(text[KEPT + 3000 :])
+                other.say(text[KEPT_BODY_BYTES + 3000 :])
                 heard.append(whole(other))
 
     play.client(script)
     play.run()
     assert {status for status, _ in heard} <= {b"200", b"503"}
-    assert all(body in (b"", LARGE[: KEPT * 2]) for _, body in seen)  # whole, or not at all
+    assert all(body in (b"", LARGE[: KEPT_BODY_BYTES * 2]) for _, body in seen)  # whole, or not at all
 
 
 def test_a_client_that_leaves_amid_a_large_request_ends_its_hop() -> None:
@@ -388,7 +394,7 @@
         ends.append(peer.take(len(LARGE))[:0] + peer.hear(b"\0never\0"))
 
     def script(peer: Peer) -> None:
-        peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[: KEPT + 50_000])
+        peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[: KEPT_BODY_BYTES + 50_000])
         peer.sleep(50_000)
 
     play = Play([endpoint])
@@ -407,7 +413,9 @@
     heard: list[bytes] = []
 
     def script(peer: Peer) -> None:
-        peer.say(ask(Content_Length="", Transfer_Encoding="chunked") + chunk(LARGE[: KEPT * 2]) + tail)
+        peer.say(
+            ask(Content_Length="", Transfer_Encoding="chunked") + chunk(LARGE[: KEPT_BODY_BYTES * 2]) + tail
+        )
         heard.append(peer.hear()[9:12])
 
     play.client(script)
@@ -419,7 +427,7 @@
 def test_an_endpoint_that_dies_amid_a_large_request_is_one_that_never_ran_it() -> None:
     def endpoint(peer: Peer) -> None:
         peer.hear()
-        peer.take(KEPT + 100_000)
+        peer.take(KEPT_BODY_BYTES + 100_000)
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.sock.close()
 
@@ -438,7 +446,7 @@
 
 def test_a_short_pool_slows_streams_and_ends_none() -> None:
     play = Play([serving(sized(LARGE))])
-    play.net.pool.most = 12
+    play.net.pool.max_lent = 12
     done: list[tuple[bytes, bytes]] = []
 
     def script(peer: Peer) -> None:
@@ -482,9 +490,9 @@
 
     def sending(step: int, pause_us: int) -> Script:
         def script(peer: Peer) -> None:
-            text = ask(Content_Length=str(KEPT * 2)) + LARGE[: KEPT * 2]
-            peer.say(text[: KEPT + 5000])
-            for at in range(KEPT + 5000, len(text), step):
+            text = ask(Content_Length=str(KEPT_BODY_BYTES * 2)) + LARGE[: KEPT_BODY_BYTES * 2]
+            peer.say(text[: KEPT_BODY_BYTES + 5000])
+            for at in range(KEPT_BODY_BYTES + 5000, len(text), step):
                 peer.sleep(pause_us)
                 with suppress(OSError):
                     peer.say(text[at : at + step])
@@ -504,12 +512,12 @@
 
     def endpoint(peer: Peer) -> None:
         peer.hear()
-        peer.take(KEPT * 3)
+        peer.take(KEPT_BODY_BYTES * 3)
         peer.sleep(300_000)
         peer.say(reply(b"hello"))
 
     def script(peer: Peer) -> None:
-        peer.say(ask("write", Content_Length=str(KEPT * 3)) + LARGE[: KEPT * 3])
+        peer.say(ask("write", Content_Length=str(KEPT_BODY_BYTES * 3)) + LARGE[: KEPT_BODY_BYTES * 3])
         heard.append(whole(peer))
 
     play = Play([endpoint])
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cressrail.buffers.pool import Chain, Pool
+from cressrail.buffers.pool import BufferChain, BufferPool
 from cressrail.configuration import policy_factory
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import EndpointListUpdate, parse_update
@@ -52,7 +52,7 @@
             start.discovery,
             grace_us,
         )
-        self.pool = Pool(100)
+        self.pool = BufferPool(100)
         self.told: list[Command] = self.reducer.start(0, start.known_endpoints)
         if heard:
             self.told += self.reducer.on_endpoint_list(0, start.known_endpoints)
@@ -87,8 +87,8 @@
             "idempotency-key": "k",
             **{name.replace("_", "-"): value for name, value in fields.items()},
         }
-        body = Chain(self.pool)
-        body.add(memoryview(b"x"))
+        body = BufferChain(self.pool)
+        body.append(memoryview(b"x"))
         request = Request(
             b"POST",
             (told.pop("path", None) or "/api").encode(),
@@ -107,18 +107,18 @@
         return carry
 
     def end(self, hop: do.SendAttempt, how: Outcome, now: int = 1000, keep: bool = True) -> None:
-        body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
+        body = BufferChain(self.pool) if how is Outcome.SUCCEEDED else None
         if body:
-            body.add(memoryview(b"y"))
+            body.append(memoryview(b"y"))
         self.told += self.reducer.on_attempt_finished(now, hop.attempt, how, keep, body)
 
     def settle(self) -> None:
         """Gives back what the effects ask to be, as the tasks on sockets would."""
         for effect in self.told:
             if isinstance(effect, do.ReleaseBody):
-                effect.body.give_back()
+                effect.body.release()
             if isinstance(effect, do.SendResponse) and effect.response.body:
-                effect.response.body.give_back()
+                effect.response.body.release()
 
 
 def news(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
