--- a/cressrail/http1/head.py
+++ b/cressrail/http1/headers.py
@@ -5,14 +5,14 @@
 import re
 from collections.abc import Iterable
 
-MOST = 8000  # bytes of a head; it must fit in one buffer
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
+MAX_HEADER_SECTION_BYTES = 8000  # bytes of a head; it must fit in one buffer
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 # A name, and a value without the blanks before it in which nothing but a tab is below a space. Nothing is
 # given
 # back once taken (*+): guards against a head of blanks and one bad byte that is tried in all its splits.
-FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
-END = b"\r\n\r\n"
-BY_HOP = {
+FIELD_LINE_PATTERN = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
+HEADER_SECTION_END = b"\r\n\r\n"
+HOP_BY_HOP_FIELDS = {
     b"connection",
     b"keep-alive",
     b"te",
@@ -25,25 +25,25 @@
 }
 
 
-class Fields(list[tuple[bytes, bytes]]):
+class Headers(list[tuple[bytes, bytes]]):
     """Names, in lower case, and values, in the order in which they came; `first` finds a name without a walk,
     which each message asks for a dozen times."""
 
-    __slots__ = ("first", "twice")
+    __slots__ = ("first_values", "has_repeated_name")
 
     def __init__(self, pairs: Iterable[tuple[bytes, bytes]] = ()) -> None:
         super().__init__()
-        self.first: dict[bytes, bytes] = {}
-        self.twice = False  # a name came more than once
+        self.first_values: dict[bytes, bytes] = {}
+        self.has_repeated_name = False  # a name came more than once
         for name, value in pairs:
             self.add(name, value)
 
     def add(self, name: bytes, value: bytes) -> None:
         self.append((name, value))
-        if name in self.first:
-            self.twice = True
+        if name in self.first_values:
+            self.has_repeated_name = True
         else:
-            self.first[name] = value
+            self.first_values[name] = value
 
 
 class MalformedMessageError(Exception):
@@ -54,21 +54,21 @@
         self.status = status
 
 
-def split_head(data: memoryview, ended: bool) -> tuple[int, bytes, Fields] | None:
+def parse_head(data: memoryview, ended: bool) -> tuple[int, bytes, Headers] | None:
     """How long the head is, its first line and its fields; nothing while it is not whole."""
     text = bytes(data)
     skip = 2 if text.startswith(b"\r\n") else 0  # one empty line before a message is let pass
-    end = text.find(END, skip)
-    if end > MOST or (end < 0 and len(text) > MOST):
+    end = text.find(HEADER_SECTION_END, skip)
+    if end > MAX_HEADER_SECTION_BYTES or (end < 0 and len(text) > MAX_HEADER_SECTION_BYTES):
         raise MalformedMessageError(431, "head too large")
     if end < 0:
         if ended:
             raise MalformedMessageError(400, "ends inside a head")
         return None
     first, *lines = text[skip:end].split(b"\r\n")
-    fields = Fields()
+    fields = Headers()
     for line in lines:
-        found = FIELD.match(line)
+        found = FIELD_LINE_PATTERN.match(line)
         if found is None:
             raise MalformedMessageError(400, "field that is none")
         name, value = found.groups()
@@ -76,22 +76,22 @@
     return end + 4, first, fields
 
 
-def values(fields: Fields, name: bytes) -> list[bytes]:
-    if fields.twice:
+def field_values(fields: Headers, name: bytes) -> list[bytes]:
+    if fields.has_repeated_name:
         return [value for field, value in fields if field == name]
-    found = fields.first.get(name)
+    found = fields.first_values.get(name)
     return [] if found is None else [found]
 
 
-def words(fields: Fields, name: bytes) -> list[bytes]:
+def list_items(fields: Headers, name: bytes) -> list[bytes]:
     """The items of a field that holds a list, over all lines that carry it."""
-    if name not in fields.first:
+    if name not in fields.first_values:
         return []
-    return [word.strip().lower() for value in values(fields, name) for word in value.split(b",")]
+    return [word.strip().lower() for value in field_values(fields, name) for word in value.split(b",")]
 
 
-def length(fields: Fields) -> int | None:
-    found = words(fields, b"content-length")
+def parse_content_length(fields: Headers) -> int | None:
+    found = list_items(fields, b"content-length")
     if not found:
         return None
     word = found[0]
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -10,9 +10,9 @@
 import orjson
 
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE, Task
-from cressrail.http1.answer import REASONS
-from cressrail.http1.head import MalformedMessageError, split_head
-from cressrail.http1.request import parts_of
+from cressrail.http1.headers import MalformedMessageError, parse_head
+from cressrail.http1.request import parse_request_line
+from cressrail.http1.response import REASON_PHRASES
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.listener import SHORT_PAUSE_US
 from cressrail.network.socket_stream import SHORT
@@ -98,10 +98,10 @@
                 return None
             text += data
             try:
-                found = split_head(memoryview(text), False)
+                found = parse_head(memoryview(text), False)
                 if found is None:
                     continue
-                method, target = parts_of(found[1])
+                method, target = parse_request_line(found[1])
             except MalformedMessageError as fault:
                 return AdminResponse(400, f"{fault}\n".encode())
             if target == PAGE and self.net.gossip is not None:
@@ -128,7 +128,7 @@
 
     def _say(self, told: AdminResponse) -> None:
         lines = [
-            b"HTTP/1.1 %d %s" % (told.status, REASONS.get(told.status, b"-")),
+            b"HTTP/1.1 %d %s" % (told.status, REASON_PHRASES.get(told.status, b"-")),
             b"content-type: " + told.kind,
             b"content-length: %d" % len(told.body),
             b"cache-control: no-store",
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -9,8 +9,8 @@
 from cressrail.buffers.pipe import Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import MESSAGE, NEVER, PEER_CLOSED, READABLE, TIMED_OUT
-from cressrail.http1.body import chunk
-from cressrail.http1.head import MalformedMessageError
+from cressrail.http1.body import encode_chunk
+from cressrail.http1.headers import MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
 from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
@@ -115,7 +115,7 @@
                     self.net.state_machine.on_request_aborted(now(), self.number, fault.status, str(fault))
                 )
                 return True
-            if reader.whole is not None:
+            if reader.request is not None:
                 # Guards against a pace that runs on when all is there: slow answers became slow requests.
                 self._uploaded()
                 return True
@@ -153,23 +153,27 @@
                     return self._junk(fault.status, str(fault))
                 except BufferPoolExhaustedError:
                     return self._junk(503, "no buffer left")
-                if reader.begun is not None and reader.begun.streams:
-                    return self._begin(reader, reader.begun)
-                if reader.whole is not None:
+                if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
+                    return self._begin(reader, reader.incomplete_request)
+                if reader.request is not None:
                     self.body, self.fresh = None, False  # the body is the reducer's from here on
                     self.net.dispatch(
                         self.net.state_machine.on_request(
-                            self.net.now(), self.number, reader.whole, stream.arrived_us
+                            self.net.now(), self.number, reader.request, stream.arrived_us
                         )
                     )
                     return True
                 moved_us = self.net.now()
                 self.net.dispatch(self.net.state_machine.on_request_progress(moved_us, self.number))
-                if reader.begun is not None and self.body is not None and self.body.size // STEP + 1 > step:
+                if (
+                    reader.incomplete_request is not None
+                    and self.body is not None
+                    and self.body.size // STEP + 1 > step
+                ):
                     step = self.body.size // STEP + 1
                     until_us = moved_us + self.net.patience_us
-                if reader.wants_go_on:
-                    reader.wants_go_on = False
+                if reader.expects_continue:
+                    reader.expects_continue = False
                     stream.send([memoryview(GO_ON)], until_us)
             try:
                 # After an answer the next request is a round trip away at least: a look would find nothing.
@@ -204,7 +208,7 @@
         self.net.dispatch(
             self.net.state_machine.on_request(self.net.now(), self.number, request, self.net.now())
         )
-        if reader.whole is not None:
+        if reader.request is not None:
             self._uploaded()
         return True
 
@@ -228,17 +232,17 @@
 
     def _write(self, message: SendResponse) -> None:
         answer = message.response
-        body, chunked = answer.body, answer.chunked(message.is_http11)
-        head = memoryview(answer.head(not message.closes_connection, message.is_http11))
+        body, chunked = answer.body, answer.is_chunked(message.is_http11)
+        head = memoryview(answer.encode_head(not message.closes_connection, message.is_http11))
         try:
             kept = body.views() if body else []
             self.stream.send(
-                [head, *(chunk(kept, body.size) if chunked and body else kept)],
+                [head, *(encode_chunk(kept, body.size) if chunked and body else kept)],
                 self.net.now() + self.net.patience_us,
             )
             if isinstance(body, StreamingBody) and body.pipe is not None:
                 body.release_kept()
-                self._pass_on(body.pipe, chunked, answer.length is None and not message.is_http11)
+                self._pass_on(body.pipe, chunked, answer.content_length is None and not message.is_http11)
         finally:
             if body is not None:
                 body.release()
@@ -252,7 +256,8 @@
             if parts := rest.views():
                 size = sum(map(len, parts))
                 self.stream.send(
-                    chunk(parts, size) if chunked else list(parts), self.net.now() + self.net.patience_us
+                    encode_chunk(parts, size) if chunked else list(parts),
+                    self.net.now() + self.net.patience_us,
                 )
                 del parts
                 rest.consume(size)
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -5,8 +5,8 @@
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, Task
-from cressrail.http1.answer import ResponseReader
-from cressrail.http1.head import MalformedMessageError
+from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.response import ResponseReader
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 from cressrail.proxy.commands import WatchEndpoints
@@ -138,19 +138,19 @@
         lines: one that is long in coming gets time by its length, and half of one is as good as silence."""
         reader = ResponseReader(sink, 1 << 62)
         ended = sink.before
-        while not reader.done:
+        while not reader.is_complete:
             if task.messages:  # guards against news of an address that is no longer asked
                 raise StreamInterruptedError
             n = stream.read()
             if n == 0:
-                reader.ended()
+                reader.on_connection_closed()
             elif n < 0:
                 stream.await_(READABLE, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
             else:
                 stream.inlet.consume(reader.feed(stream.inlet.unread()))
                 if reader.status not in (0, 200):
                     raise MalformedEndpointListError(f"status {reader.status}")
-                if reader.begun and sink.ended > ended:
+                if reader.has_head and sink.ended > ended:
                     until_us, ended = self.net.now() + SILENT_US, sink.ended
                 for line in sink.lines():
                     self.net.dispatch(
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -8,10 +8,10 @@
 from cressrail.buffers.pipe import KEPT_BODY_BYTES, Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE
-from cressrail.http1.answer import Response, ResponseReader
-from cressrail.http1.body import MOST, chunk
-from cressrail.http1.head import MalformedMessageError
+from cressrail.http1.body import MAX_BODY_BYTES, encode_chunk
+from cressrail.http1.headers import MalformedMessageError
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response, ResponseReader
 from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
 from cressrail.network.socket_stream import (
     SHORT,
@@ -78,12 +78,12 @@
     def _carry(self, job: SendAttempt) -> bool:
         """One hop; true if the connection is fit for another."""
         body, kind = StreamingBody(self.net.pool), b""
-        reader = ResponseReader(body, MOST, job.request.method == b"HEAD")
+        reader = ResponseReader(body, MAX_BODY_BYTES, job.request.method == b"HEAD")
         end = End(Outcome.CANCELLED, "fault")
         self.passed = False
         try:
             end = self._attempt(job, reader, body)
-            kind = reader.get(b"content-type")
+            kind = reader.header(b"content-type")
         finally:
             whole = end.how is Outcome.SUCCEEDED
             if self.passed and body.pipe is not None:  # it is the client's, who learns how it ended
@@ -133,16 +133,16 @@
         try:
             host = f"[{job.host}]" if ":" in job.host else job.host
             left_us = min(until_us - now, self.net.patience_us)  # one that still comes has no end yet
-            head = memoryview(job.request.onward(f"{host}:{job.port}", left_us))
+            head = memoryview(job.request.encode_head(f"{host}:{job.port}", left_us))
             kept = job.request.body.views()
-            if job.request.chunked:
-                kept = chunk(kept, job.request.body.size)
+            if job.request.is_chunked:
+                kept = encode_chunk(kept, job.request.body.size)
             stream.send([head, *kept], min(until_us, now + self.net.patience_us), mail=True)
         except (StreamTimeoutError, OSError) as fault:  # before the last byte was written: it never ran
             return End(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
         except StreamInterruptedError:
             return End(Outcome.CANCELLED)
-        if job.request.streams:
+        if job.request.is_streaming:
             early = self._upload(job.request, stream, reader)
             if early is not None:
                 return early
@@ -169,10 +169,10 @@
                         return None
                     if parts := rest.views():
                         held = sum(map(len, parts))
-                        left = chunk(parts, held) if request.chunked else parts
+                        left = encode_chunk(parts, held) if request.is_chunked else parts
                     elif rest.is_closed:
                         last = True
-                        left = [memoryview(b"0\r\n\r\n")] if request.chunked else []
+                        left = [memoryview(b"0\r\n\r\n")] if request.is_chunked else []
                         continue
                 if left and stream.some(left):
                     continue
@@ -195,7 +195,7 @@
         except (OSError, MalformedMessageError) as fault:
             # It may have said why before it closed.
             with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
-                if reader.done or self._early(stream, reader):
+                if reader.is_complete or self._early(stream, reader):
                     return self._told(reader, False)
             return End(Outcome.CONNECT_FAILED, str(fault) or "ended")
         except BufferPoolExhaustedError:
@@ -206,12 +206,12 @@
 
     def _early(self, stream: SocketStream, reader: ResponseReader) -> bool:
         """Whether an answer is whole by now; raises `Malformed` if the connection ends before."""
-        while not reader.done:
+        while not reader.is_complete:
             n = stream.read()
             if n < 0:
                 return False
             if n == 0:
-                reader.ended()
+                reader.on_connection_closed()
             else:
                 stream.inlet.consume(reader.feed(stream.inlet.unread()))
         return True
@@ -240,7 +240,7 @@
     ) -> End:
         try:
             stream.await_(READABLE, until_us, mail=True)  # a look so soon would find nothing
-            while not reader.done:
+            while not reader.is_complete:
                 if body.pipe is not None and not body.pipe.has_room():
                     self._room(body.pipe)
                     continue
@@ -252,7 +252,7 @@
                     self.net.loop.wait(until_us=self.net.now() + SHORT_US, wakes_on_message=False)
                     continue
                 if n == 0:
-                    reader.ended()
+                    reader.on_connection_closed()
                 elif n < 0:
                     # One that is passed on has no limit but silence: its client waits for its end.
                     stream.await_(
@@ -262,7 +262,7 @@
                     )
                 else:
                     stream.inlet.consume(reader.feed(stream.inlet.unread()))
-                    if reader.begun and not self.passed and not self._pass_on(job, reader, body):
+                    if reader.has_head and not self.passed and not self._pass_on(job, reader, body):
                         break
         except StreamTimeoutError:
             return End(
@@ -275,14 +275,14 @@
             return End(Outcome.CANCELLED, "no buffer left")
         except (OSError, MalformedMessageError) as fault:
             return End(Outcome.CONNECTION_RESET, str(fault))
-        if reader.status == 200 and not reader.done:
+        if reader.status == 200 and not reader.is_complete:
             return End(Outcome.CANCELLED)  # nobody wants it any more
-        return self._told(reader, reader.done and reader.keep and not stream.inlet.unread())
+        return self._told(reader, reader.is_complete and reader.keep_alive and not stream.inlet.unread())
 
     def _pass_on(self, job: SendAttempt, reader: ResponseReader, body: StreamingBody) -> bool:
         """Whether to read on. An answer too large to keep is the client's from here on; of one that is not to
         be passed on, the status is all that counts."""
-        if body.pipe is None and (reader.length or 0) <= KEPT_BODY_BYTES:
+        if body.pipe is None and (reader.content_length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != 200:
             return False
@@ -290,7 +290,7 @@
         effects = self.net.state_machine.on_response_started(
             self.net.now(),
             job.attempt,
-            Response(200, body, reader.get(b"content-type"), length=reader.length),
+            Response(200, body, reader.header(b"content-type"), content_length=reader.content_length),
         )
         self.passed = any(isinstance(effect, SendResponse) for effect in effects)
         self.net.dispatch(effects)
@@ -313,7 +313,7 @@
     def _told(self, reader: ResponseReader, keep: bool) -> End:
         if reader.status == 200:
             return End(Outcome.SUCCEEDED, keep=keep)
-        declined = reader.status in (503, 504) and reader.get(b"srv-declined") == b"1"
+        declined = reader.status in (503, 504) and reader.header(b"srv-declined") == b"1"
         # Guards against endpoints left out, and retries spent, for what bad clients send.
         rejected = 400 <= reader.status < 500 and reader.status not in (408, 429)
         how = (
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -5,8 +5,8 @@
 from typing import Any, NamedTuple
 
 from cressrail.buffers.pool import BufferChain
-from cressrail.http1.answer import Response
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response
 
 
 class AcceptClients(NamedTuple):
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -14,9 +14,9 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate, encode_endpoint_list
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HandoverError
-from cressrail.http1.answer import Response
-from cressrail.http1.figures import span_us
+from cressrail.http1.duration import parse_duration_us
 from cressrail.http1.request import Request
+from cressrail.http1.response import Response
 from cressrail.policy import load_balancer as brain
 from cressrail.policy.load_balancer import (
     NON_IDEMPOTENT,
@@ -277,20 +277,20 @@
     def on_request(self, now: int, client: int, request: Request, arrived_us: int) -> list[Command]:
         held = self.clients[client]
         # One that is answered before it has come whole is the last: what is left of it may never come.
-        held.keep_alive = request.keep and not request.streams
+        held.keep_alive = request.keep_alive and not request.is_streaming
         self.fresh_clients.pop(client, None)  # it may just have been told to give its place up
         if request.path == HEALTH:
             return self._reply(now, client, 200 if self.is_ready(now) else 503, request.body)
-        kind = request.get(b"req-kind")
+        kind = request.header_text(b"req-kind")
         if kind is None and request.path != b"/api":
             return self._reply(now, client, 404, request.body)
         profile = self.request_classes.get(kind or "")
         counted = kind if profile is not None else None
-        span = request.get(b"req-deadline")
-        name = request.get(b"req-id")
+        span = request.header_text(b"req-deadline")
+        name = request.header_text(b"req-id")
         if profile is None or not name:
             return self._reply(now, client, 400, request.body, counted)
-        limit_us = span_us(span) if span is not None else profile.deadline_us
+        limit_us = parse_duration_us(span) if span is not None else profile.deadline_us
         elsewhere = self.predecessor_request_ids.get(name, 0) > now
         if limit_us is None or name in self.open_request_ids or elsewhere:  # an id is of one request only
             return self._reply(now, client, 400, request.body, counted)
@@ -300,11 +300,11 @@
                 do.LogEvent("no_room", {"side": "clients", "open": len(self.clients)}),
                 *self._reply(now, client, 503, request.body, counted),
             ]
-        if profile.idempotency == brain.IDEMPOTENT_WITH_KEY and not request.get(b"idempotency-key"):
+        if profile.idempotency == brain.IDEMPOTENT_WITH_KEY and not request.header_text(b"idempotency-key"):
             # Guards against a repeat that nothing marks as one.
             profile = replace(profile, idempotency=NON_IDEMPOTENT)
-        member = self.tenants.get(request.get(b"req-owner") or "", -1)
-        left_us = -1 if request.streams else max(0, limit_us - (now - arrived_us))
+        member = self.tenants.get(request.header_text(b"req-owner") or "", -1)
+        left_us = -1 if request.is_streaming else max(0, limit_us - (now - arrived_us))
         tx = self.load_balancer.start_request(now, profile, member, left_us)
         held.request = tx
         self.pending_requests[tx] = PendingRequest(
@@ -319,7 +319,7 @@
         if tx is None or tx.is_finished:
             return []
         held = self.pending_requests[tx]
-        self.clients[client].keep_alive = held.request.keep
+        self.clients[client].keep_alive = held.request.keep_alive
         tx.start_clock(now, max(0, min(held.time_limit_us, self._answer_all_us() - now) - (now - arrived_us)))
         return self._out(now, [])
 
@@ -331,7 +331,7 @@
         out: list[Command] = [do.LogEvent("junk", {"from": "client", "what": why})]
         if tx is None or tx.is_finished:  # it has its answer already
             return self._out(now, out)
-        kind = self.pending_requests[tx].request.get(b"req-kind")
+        kind = self.pending_requests[tx].request.header_text(b"req-kind")
         self._shut_id(tx)
         held.request = None
         out += self._decided(now, tx.on_client_disconnected())
@@ -413,7 +413,7 @@
         """Its last byte has gone to its endpoint, which begins a request only then."""
         self.counters.sends += 1
         held = self.attempts[hop]
-        if self.pending_requests[held.request].request.streams:
+        if self.pending_requests[held.request].request.is_streaming:
             held.sent_us = now
 
     def on_response_started(self, now: int, hop: int, answer: Response) -> list[Command]:
@@ -425,7 +425,7 @@
         of = self.pending_requests[tx]
         of.streaming_attempt = hop
         client = self.clients[of.client]
-        if answer.length is None and not of.request.modern:
+        if answer.content_length is None and not of.request.is_http11:
             client.keep_alive = False  # its end is told by the end of the connection alone
         # To the module it has ended: the endpoint's work is done. Guards against places that slow readers
         # hold while endpoints have nothing to do.
@@ -434,7 +434,7 @@
             now,
             [
                 *self._decided(now, decided),
-                do.SendResponse(of.client, answer, self._last(client), of.request.modern),
+                do.SendResponse(of.client, answer, self._last(client), of.request.is_http11),
             ],
         )
 
@@ -457,10 +457,10 @@
         if keep:
             out += self._rest(now, ended.connection)
         complete = how is Outcome.SUCCEEDED and not tx.is_finished
-        tx.is_body_gone = tx.is_body_gone or held.request.spent
+        tx.is_body_gone = tx.is_body_gone or held.request.is_partly_consumed
         if held.streaming_attempt == hop:  # to its end or not: there is no other answer
             held.streaming_attempt = 0
-            if self.open_request_ids.get(held.request.get(b"req-id") or "") == held.client:
+            if self.open_request_ids.get(held.request.header_text(b"req-id") or "") == held.client:
                 self._finish(tx, 200 if how is Outcome.SUCCEEDED else 502)
         if complete and body is not None:
             out += self._answer(tx, Response(200, body, kind))
@@ -471,7 +471,7 @@
                 do.LogEvent(
                     "hop",
                     {
-                        "tx": held.request.get(b"req-id"),
+                        "tx": held.request.header_text(b"req-id"),
                         "how": how.value,
                         "why": why,
                         "endpoint": self.registry.endpoints[ended.endpoint].name,
@@ -750,11 +750,11 @@
         """Its answer is final; the one place where a transaction with a client is counted."""
         held = self.pending_requests[tx]
         self.clients[held.client].request = None
-        self.counters.on_final_answer(held.request.get(b"req-kind") or "", status)
+        self.counters.on_final_answer(held.request.header_text(b"req-kind") or "", status)
         self._shut_id(tx)
 
     def _shut_id(self, tx: RoutedRequest) -> None:
-        del self.open_request_ids[self.pending_requests[tx].request.get(b"req-id") or ""]
+        del self.open_request_ids[self.pending_requests[tx].request.header_text(b"req-id") or ""]
 
     def _decided(self, now: int, decisions: list[Decision]) -> list[Command]:
         out: list[Command] = []
@@ -797,9 +797,9 @@
                     do.LogEvent(
                         what.replace(" ", "_"),
                         {
-                            "tx": held.request.get(b"req-id"),
-                            "profile": held.request.get(b"req-kind"),
-                            "member": held.request.get(b"req-owner"),
+                            "tx": held.request.header_text(b"req-id"),
+                            "profile": held.request.header_text(b"req-kind"),
+                            "member": held.request.header_text(b"req-owner"),
                             "hops": held.attempt_count,
                             "left_us": tx.deadline_us - now,
                         },
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -12,7 +12,7 @@
 from cressrail.cli.launch import launch
 from cressrail.configuration import policy_factory
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from cressrail.http1.answer import Response
+from cressrail.http1.response import Response
 from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.policy import load_balancer as brain
 from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
@@ -83,7 +83,7 @@
     def twice(self: ClientConnectionTask, message: SendResponse) -> None:
         write(self, message)
         if self.number % 3 == 0:
-            self.stream.send([memoryview(Response(503).head(True))], self.net.now() + 100_000)
+            self.stream.send([memoryview(Response(503).encode_head(True))], self.net.now() + 100_000)
 
     ClientConnectionTask._write = twice  # type: ignore[method-assign]
 
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -8,9 +8,9 @@
 
 from cressrail.buffers.pipe import KEPT_BODY_BYTES, StreamingBody
 from cressrail.buffers.pool import BufferChain, BufferPool
-from cressrail.http1.answer import REASONS, Response
-from cressrail.http1.body import chunk as encoded_chunk
+from cressrail.http1.body import encode_chunk as encoded_chunk
 from cressrail.http1.request import RequestReader
+from cressrail.http1.response import REASON_PHRASES, Response
 from tests.golden_edges.stored import hold
 from tests.helpers import Peer, Play, Script, ask, chunk, reply
 from tests.test_sockets import AWAY, CUT, serving
@@ -36,7 +36,7 @@
         "streamed": (open_, None),
         "streamed, length stated": (open_, 123456),
     }
-    for status in sorted({*REASONS, 204, 418, 500, 504}):
+    for status in sorted({*REASON_PHRASES, 204, 418, 500, 504}):
         for name, (body, length) in bodies.items():
             whole = status in (200, 503)
             for kind in (b"", b"text/x; a=b") if whole else (b"",):
@@ -46,8 +46,8 @@
                             made = Response(status, body, kind, back_us, length)
                             key = f"{status}, {name}, kind {kind.decode()!r}, back {back_us}, "
                             key += f"{'stays' if keep else 'last'}, 1.{int(modern)}"
-                            told = made.head(keep, modern).decode("latin-1")
-                            found[key] = [made.chunked(modern), told]
+                            told = made.encode_head(keep, modern).decode("latin-1")
+                            found[key] = [made.is_chunked(modern), told]
     hold(found, "answer_heads.json")
 
 
@@ -77,9 +77,9 @@
                     reader = RequestReader(BufferChain(BufferPool(10)))
                     first = f"{method} /api/a%20b?x=1&y HTTP/{version}\r\n".encode()
                     reader.feed(memoryview(first + FIELDS + rest))
-                    assert reader.whole is not None
-                    told = reader.whole.onward("10.0.0.7:9100", left_us).decode("latin-1")
-                    found[f"{method}, {version}, {name}, {left_us}"] = [reader.whole.keep, told]
+                    assert reader.request is not None
+                    told = reader.request.encode_head("10.0.0.7:9100", left_us).decode("latin-1")
+                    found[f"{method}, {version}, {name}, {left_us}"] = [reader.request.keep_alive, told]
     hold(found, "request_heads.json")
 
 
@@ -93,8 +93,8 @@
         reader = RequestReader(body)
         reader.feed(memoryview(b"POST /up HTTP/1.1\r\n" + FIELDS + rest))
         body.start_streaming()
-        assert reader.begun is not None
-        found[name] = reader.begun.onward("10.0.0.7:9100", 5).decode("latin-1")
+        assert reader.incomplete_request is not None
+        found[name] = reader.incomplete_request.encode_head("10.0.0.7:9100", 5).decode("latin-1")
     hold(found, "upload_heads.json")
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -11,10 +11,10 @@
     BufferPoolExhaustedError,
     ReceiveBuffer,
 )
-from cressrail.http1.answer import Response, ResponseReader
-from cressrail.http1.figures import span_us
-from cressrail.http1.head import Fields, MalformedMessageError
+from cressrail.http1.duration import parse_duration_us
+from cressrail.http1.headers import Headers, MalformedMessageError
 from cressrail.http1.request import Request, RequestReader
+from cressrail.http1.response import Response, ResponseReader
 
 GET = b"GET /api?a=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: r1\r\n\r\n"
 BIG = bytes(range(256)) * 256
@@ -55,7 +55,7 @@
             inlet.add_received(len(part))
             while inlet.unread() and not done and (used := reader.feed(inlet.unread())):
                 inlet.consume(used)
-                done = reader.whole is not None if isinstance(reader, RequestReader) else reader.done
+                done = reader.request is not None if isinstance(reader, RequestReader) else reader.is_complete
     left = len(inlet.unread())
     inlet.release()
     return left
@@ -72,7 +72,7 @@
     chain = BufferChain(pool)
     reader = RequestReader(chain)
     assert fed(reader, pool, text + b"rest", step) <= 4
-    assert reader.whole is not None and reader.whole.keep and text_of(chain) == body
+    assert reader.request is not None and reader.request.keep_alive and text_of(chain) == body
     chain.release()
     assert pool.lent == 0
 
@@ -84,9 +84,9 @@
     chain = BufferChain(pool)
     reader = ResponseReader(chain, 65536)
     fed(reader, pool, text, step)
-    if not reader.done:
-        reader.ended()
-    assert reader.done and reader.keep is keep and text_of(chain) == body
+    if not reader.is_complete:
+        reader.on_connection_closed()
+    assert reader.is_complete and reader.keep_alive is keep and text_of(chain) == body
     chain.release()
     assert pool.lent == 0
 
@@ -98,8 +98,8 @@
         reader = ResponseReader(BufferChain(pool), 65536)
         fed(reader, pool, text[:cut], 5)
         with pytest.raises(MalformedMessageError):
-            assert not reader.done
-            reader.ended()
+            assert not reader.is_complete
+            reader.on_connection_closed()
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
     request = Request(
         b"POST",
         b"/api?x=1",
-        Fields(
+        Headers(
             [
                 (b"host", b"app.svc"),
                 (b"req-id", b"r1"),
@@ -176,7 +176,7 @@
         chain,
         True,
     )
-    assert request.onward("10.0.0.1:80", 1500) == (
+    assert request.encode_head("10.0.0.1:80", 1500) == (
         b"POST /api?x=1 HTTP/1.1\r\nhost: 10.0.0.1:80\r\nreq-deadline: 1500u\r\nreq-id: r1\r\n"
         b"idempotency-key: k\r\nx-else: 2\r\ncontent-length: 0\r\n\r\n"
     )
@@ -199,7 +199,7 @@
     ],
 )
 def test_what_goes_out_to_a_client(answer: Response, keep: bool, head: bytes) -> None:
-    assert answer.head(keep) == head
+    assert answer.encode_head(keep) == head
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     ],
 )
 def test_spans(text: str, us: int | None) -> None:
-    assert span_us(text) == us
+    assert parse_duration_us(text) == us
 
 
 def test_a_pool_lends_no_more_than_it_may_and_uses_buffers_again() -> None:
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.buffers.pool import BufferChain, BufferPool
-from cressrail.http1.head import Fields
+from cressrail.http1.headers import Headers
 from cressrail.http1.request import Request
 from cressrail.logs.log_writer import LogWriter
 from tests.helpers import CONFIG, Play, Script, reply
@@ -53,8 +53,8 @@
     ],
 )
 def test_a_field_is_read_as_utf_8_and_byte_by_byte_where_it_is_none(value: bytes, text: str) -> None:
-    request = Request(b"GET", b"/api", Fields([(b"req-kind", value)]), BufferChain(BufferPool(1)), True)
-    assert request.get(b"req-kind") == text
+    request = Request(b"GET", b"/api", Headers([(b"req-kind", value)]), BufferChain(BufferPool(1)), True)
+    assert request.header_text(b"req-kind") == text
 
 
 def test_a_line_of_the_log_that_is_no_text_is_said_so_and_raises_nothing() -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -12,7 +12,7 @@
 from cressrail.configuration import policy_factory
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import EndpointListUpdate, parse_update
-from cressrail.http1.head import Fields
+from cressrail.http1.headers import Headers
 from cressrail.http1.request import Request
 from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome, RandomGenerator
 from cressrail.proxy import admin as control
@@ -92,7 +92,7 @@
         request = Request(
             b"POST",
             (told.pop("path", None) or "/api").encode(),
-            Fields((n.encode(), v.encode()) for n, v in told.items() if v),
+            Headers((n.encode(), v.encode()) for n, v in told.items() if v),
             body,
             True,
         )
