--- a/cressrail/http1/duration.py
+++ b/cressrail/http1/duration.py
@@ -1,13 +1,19 @@
-"""Figures in fields: spans of time."""
+"""Durations in header fields, such as the deadline of a request."""
 
 from __future__ import annotations
 
 import re
 
 DURATION_PATTERN = re.compile(r"(\d{1,12})([mu])\Z")
+US_PER_MS = 1000
 
 
 def parse_duration_us(text: str) -> int | None:
-    """A number and a unit: `m` milliseconds or `u` microseconds."""
+    """Returns a duration in microseconds; None for text that is none.
+
+    A duration is a whole number and a unit: `m` for milliseconds or `u` for microseconds, as in `480m`.
+    """
     found = DURATION_PATTERN.match(text.strip())
-    return int(found[1]) * (1000 if found[2] == "m" else 1) if found else None
+    if found is None:
+        return None
+    return int(found[1]) * (US_PER_MS if found[2] == "m" else 1)
--- a/cressrail/http1/headers.py
+++ b/cressrail/http1/headers.py
@@ -1,17 +1,20 @@
-"""The head of a message: its first line and its fields."""
+"""The head of a message: its start line and its header section."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterable
 
-MAX_HEADER_SECTION_BYTES = 8000  # bytes of a head; it must fit in one buffer
+from cressrail.http1.errors import HeaderSectionTooLargeError, MalformedMessageError
+
+MAX_HEADER_SECTION_BYTES = 8000  # of a head; it must fit in one buffer
+MAX_CONTENT_LENGTH_DIGITS = 15
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-# A name, and a value without the blanks before it in which nothing but a tab is below a space. Nothing is
-# given
-# back once taken (*+): guards against a head of blanks and one bad byte that is tried in all its splits.
+# A name, and a value without leading blanks in which no control character but a tab stands. The quantifiers
+# are possessive (*+): without backtracking, a line of blanks with one bad byte takes linear time.
 FIELD_LINE_PATTERN = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
 HEADER_SECTION_END = b"\r\n\r\n"
+# Fields of one connection (RFC 9110, section 7.6.1), and those by which this proxy frames messages anew.
 HOP_BY_HOP_FIELDS = {
     b"connection",
     b"keep-alive",
@@ -26,19 +29,25 @@
 
 
 class Headers(list[tuple[bytes, bytes]]):
-    """Names, in lower case, and values, in the order in which they came; `first` finds a name without a walk,
-    which each message asks for a dozen times."""
+    """Names, in lower case, and values of a header section, in the order of its lines.
+
+    Attributes:
+        first_values: The first value of each name: finds a field without a walk, which each message needs a
+            dozen times.
+        has_repeated_name: Some name came more than once.
+    """
 
     __slots__ = ("first_values", "has_repeated_name")
 
     def __init__(self, pairs: Iterable[tuple[bytes, bytes]] = ()) -> None:
         super().__init__()
         self.first_values: dict[bytes, bytes] = {}
-        self.has_repeated_name = False  # a name came more than once
+        self.has_repeated_name = False
         for name, value in pairs:
             self.add(name, value)
 
     def add(self, name: bytes, value: bytes) -> None:
+        """Adds a field line; the name is in lower case."""
         self.append((name, value))
         if name in self.first_values:
             self.has_repeated_name = True
@@ -46,55 +55,60 @@
             self.first_values[name] = value
 
 
-class MalformedMessageError(Exception):
-    """What came is no message that may be taken; `status` is what a client is told."""
+def parse_head(data: memoryview) -> tuple[int, bytes, Headers] | None:
+    """Parses the head at the start of received bytes.
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(what)
-        self.status = status
+    Returns:
+        The number of bytes that the head takes, its start line and its fields; None while it is incomplete.
 
-
-def parse_head(data: memoryview, ended: bool) -> tuple[int, bytes, Headers] | None:
-    """How long the head is, its first line and its fields; nothing while it is not whole."""
+    Raises:
+        HeaderSectionTooLargeError: It is longer than `MAX_HEADER_SECTION_BYTES`.
+        MalformedMessageError: A line of it is no field line.
+    """
     text = bytes(data)
-    skip = 2 if text.startswith(b"\r\n") else 0  # one empty line before a message is let pass
-    end = text.find(HEADER_SECTION_END, skip)
+    start = 2 if text.startswith(b"\r\n") else 0  # one empty line before a message is passed over
+    end = text.find(HEADER_SECTION_END, start)
     if end > MAX_HEADER_SECTION_BYTES or (end < 0 and len(text) > MAX_HEADER_SECTION_BYTES):
-        raise MalformedMessageError(431, "head too large")
+        raise HeaderSectionTooLargeError("head too large")
     if end < 0:
-        if ended:
-            raise MalformedMessageError(400, "ends inside a head")
         return None
-    first, *lines = text[skip:end].split(b"\r\n")
-    fields = Headers()
+    start_line, *lines = text[start:end].split(b"\r\n")
+    headers = Headers()
     for line in lines:
         found = FIELD_LINE_PATTERN.match(line)
         if found is None:
-            raise MalformedMessageError(400, "field that is none")
+            raise MalformedMessageError("field that is none")
         name, value = found.groups()
-        fields.add(name.lower(), value.rstrip(b" \t"))
-    return end + 4, first, fields
+        headers.add(name.lower(), value.rstrip(b" \t"))
+    return end + len(HEADER_SECTION_END), start_line, headers
 
 
-def field_values(fields: Headers, name: bytes) -> list[bytes]:
-    if fields.has_repeated_name:
-        return [value for field, value in fields if field == name]
-    found = fields.first_values.get(name)
+def field_values(headers: Headers, name: bytes) -> list[bytes]:
+    """Returns the values of all lines with this name."""
+    if headers.has_repeated_name:
+        return [value for field_name, value in headers if field_name == name]
+    found = headers.first_values.get(name)
     return [] if found is None else [found]
 
 
-def list_items(fields: Headers, name: bytes) -> list[bytes]:
-    """The items of a field that holds a list, over all lines that carry it."""
-    if name not in fields.first_values:
+def list_items(headers: Headers, name: bytes) -> list[bytes]:
+    """Returns the items, in lower case, of a comma-separated field, over all lines that carry it."""
+    if name not in headers.first_values:
         return []
-    return [word.strip().lower() for value in field_values(fields, name) for word in value.split(b",")]
+    return [item.strip().lower() for value in field_values(headers, name) for item in value.split(b",")]
+
 
+def parse_content_length(headers: Headers) -> int | None:
+    """Returns the stated length of the body in bytes; None where none is stated.
 
-def parse_content_length(fields: Headers) -> int | None:
-    found = list_items(fields, b"content-length")
-    if not found:
+    Raises:
+        MalformedMessageError: It is no number, or stated in different ways.
+    """
+    stated = list_items(headers, b"content-length")
+    if not stated:
         return None
-    word = found[0]
-    if any(other != word for other in found) or not word.isdigit() or len(word) > 15:
-        raise MalformedMessageError(400, "content-length that is none")
-    return int(word)
+    first = stated[0]
+    is_number = first.isdigit() and len(first) <= MAX_CONTENT_LENGTH_DIGITS
+    if not is_number or any(other != first for other in stated):
+        raise MalformedMessageError("content-length that is none")
+    return int(first)
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -10,7 +10,8 @@
 import orjson
 
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE, Task
-from cressrail.http1.headers import MalformedMessageError, parse_head
+from cressrail.http1.errors import MalformedMessageError
+from cressrail.http1.headers import parse_head
 from cressrail.http1.request import parse_request_line
 from cressrail.http1.response import REASON_PHRASES
 from cressrail.network.dispatcher import CommandDispatcher
@@ -98,7 +99,7 @@
                 return None
             text += data
             try:
-                found = parse_head(memoryview(text), False)
+                found = parse_head(memoryview(text))
                 if found is None:
                     continue
                 method, target = parse_request_line(found[1])
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -10,7 +10,7 @@
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import MESSAGE, NEVER, PEER_CLOSED, READABLE, TIMED_OUT
 from cressrail.http1.body import encode_chunk
-from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.errors import MalformedMessageError, RequestTimeoutError
 from cressrail.http1.request import Request, RequestReader
 from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
@@ -101,7 +101,7 @@
                     return False
                 if n < 0:
                     if self.net.loop.wait(stream.fd, READABLE, self.due_us) == TIMED_OUT:
-                        raise MalformedMessageError(408, "request too slow")
+                        raise RequestTimeoutError("request too slow")
                     continue
                 # Guards against good clients with a lull taken for slow ones.
                 self.due_us = min(self.due_us + n * 1_000_000 // PACE_BYTES_PER_S, now() + PACE_US)
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -5,7 +5,7 @@
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, Task
-from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.errors import ContentTooLargeError, MalformedMessageError
 from cressrail.http1.response import ResponseReader
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
@@ -33,7 +33,7 @@
         self.text += data
         self.ended += bytes(data).count(b"\n")
         if len(self.text) + sum(map(len, self.parts)) > MOST_LINE:
-            raise MalformedMessageError(413, "line too long")
+            raise ContentTooLargeError("line too long")
 
     def lines(self) -> list[bytes]:
         *lines, rest = self.text.split(b"\n")
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -9,7 +9,7 @@
 from cressrail.buffers.pool import BufferPoolExhaustedError
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE
 from cressrail.http1.body import MAX_BODY_BYTES, encode_chunk
-from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.errors import MalformedMessageError
 from cressrail.http1.request import Request
 from cressrail.http1.response import Response, ResponseReader
 from cressrail.network.dispatcher import SHORT_US, STIR, CommandDispatcher, purge
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,7 +16,7 @@
 from cressrail.discovery.endpoint_list import parse_update, parse_update_line
 from cressrail.handover import state as estate
 from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
-from cressrail.http1.headers import MalformedMessageError
+from cressrail.http1.errors import MalformedMessageError
 from cressrail.network.discovery_watch import MOST_LINE, LinesSink
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
