--- a/tests/test_platform.py
+++ b/tests/cli/test_refused_calls.py
@@ -15,8 +15,8 @@
 from cressrail.network import listener
 from tests.helpers import CONFIG
 
-# Python tells of each of these before it is done. A thread is allowed, another program, a fork, a Unix socket
-# that has a name and a file that is written are not.
+# An audit hook sees each of these calls before it is made. Threads are allowed; other programs, forks, named
+# Unix sockets and files open for writing are not.
 REFUSES = """
 import os, sys
 for name in ("sendfile", "splice", "fork", "forkpty", "posix_spawn", "posix_spawnp"):
@@ -58,7 +58,7 @@
     )
 
 
-def test_run_is_one_process_that_asks_for_nothing_the_platform_refuses(tmp_path: Path) -> None:
+def test_run_is_one_process_and_makes_no_call_that_the_platform_refuses(tmp_path: Path) -> None:
     program = start(tmp_path)
     try:
         assert program.stdout is not None
@@ -89,7 +89,7 @@
         "os.system('true')",
     ],
 )
-def test_what_is_refused_would_show(tmp_path: Path, tries: str) -> None:
+def test_refused_call_ends_the_process_with_a_message(tmp_path: Path, tries: str) -> None:
     program = start(tmp_path, tries)
     _, said = program.communicate(timeout=60)
     assert program.returncode == 99 and b"REFUSED" in said
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,7 +19,7 @@
 import pytest
 
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, Scheduler
-from cressrail.logs.log_writer import MOST_WAITING, LogWriter
+from cressrail.logs.log_writer import MAX_WAITING_LINES, LogWriter
 from cressrail.network import client_connection as client
 from cressrail.network.endpoint_connection import EndpointConnectionTask
 from cressrail.network.socket_stream import SocketStream
@@ -510,15 +510,15 @@
 def test_a_log_that_nobody_reads_blocks_nothing_and_drops_the_newest() -> None:
     reading, writing = os.pipe()
     lines = LogWriter(writing, lambda: 5, "n1")
-    for n in range(MOST_WAITING + 10):
+    for n in range(MAX_WAITING_LINES + 10):
         lines.write_event("x", {"n": n, "pad": "p" * 100})
     lines.flush()
-    assert lines.waiting and lines.dropped == 10
+    assert lines.waiting_lines and lines.dropped_lines == 10
     first = os.read(reading, 1 << 16).split(b"\n")[0]
     assert json.loads(first) == {"at_us": 5, "sidecar": "n1", "event": "x", "n": 0, "pad": "p" * 100}
     os.close(reading)
     lines.flush()
-    assert not lines.waiting
+    assert not lines.waiting_lines
     os.close(writing)
 
 
