--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -42,7 +42,7 @@
     Attributes:
         listen: Where datagrams are read and sent from.
         settings: Of the protocol's state machine.
-        failover: MembershipSettings of the failover between zones, where that is configured.
+        failover: Settings of the failover between zones, where that is configured.
     """
 
     listen: Address
--- a/cressrail/logs/log_writer.py
+++ b/cressrail/logs/log_writer.py
@@ -1,4 +1,4 @@
-"""Lines that wait until they can be written without blocking; the oldest wait, the newest are dropped."""
+"""Lines of the log that wait until they can be written without blocking."""
 
 from __future__ import annotations
 
@@ -11,11 +11,29 @@
 import orjson
 
 MAX_WAITING_LINES = 2000
-MAX_LINE_BYTES = 4096  # of a write that a pipe with room takes whole
+MAX_LINE_BYTES = 4096  # of a write that a pipe with room takes whole (PIPE_BUF)
+MAX_SHOWN_BYTES = MAX_LINE_BYTES // 2  # of an event that can't be written as it is
 
 
 class LogWriter:
+    """Writes events without ever blocking the process.
+
+    Lines wait until the descriptor can take them. While too many wait, new ones are dropped; how many is
+    logged once all others are written.
+
+    Attributes:
+        waiting_lines: Encoded and not yet written, oldest first.
+        dropped_lines: Since that was last logged.
+    """
+
     def __init__(self, fd: int, now: Callable[[], int], name: str) -> None:
+        """Makes a writer.
+
+        Args:
+            fd: Descriptor to write to.
+            now: Gives the time in microseconds.
+            name: Of this instance, part of each line.
+        """
         self.fd = fd
         self.now = now
         self.name = name
@@ -25,44 +43,34 @@
         self.poller.register(fd, select.POLLOUT)
 
     def write_event(self, event: str, fields: dict[str, Any]) -> None:
+        """Adds one line; an event that is no JSON or too long is cut and written as text."""
         if len(self.waiting_lines) >= MAX_WAITING_LINES:
             self.dropped_lines += 1
             return
-        said = {"at_us": self.now(), "sidecar": self.name, "event": event, **fields}
+        at_us = self.now()
         try:
-            line = orjson.dumps(said, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        except TypeError:  # guards against a word of a peer that ends a task by the line that tells of it
             line = orjson.dumps(
-                {
-                    "at_us": said["at_us"],
-                    "sidecar": ascii(self.name),
-                    "event": event,
-                    "raw": ascii(fields)[: MAX_LINE_BYTES // 2],
-                },
+                {"at_us": at_us, "sidecar": self.name, "event": event, **fields},
+                default=str,
                 option=orjson.OPT_APPEND_NEWLINE,
             )
+        except TypeError:  # text of a peer that is no UTF-8 must not end the task that logs it
+            line = _encode_shortened(at_us, ascii(self.name), event, "raw", ascii(fields)[:MAX_SHOWN_BYTES])
         if len(line) > MAX_LINE_BYTES:
-            line = orjson.dumps(
-                {
-                    "at_us": said["at_us"],
-                    "sidecar": self.name,
-                    "event": event,
-                    "cut": line[: MAX_LINE_BYTES // 2].decode("utf-8", "replace"),
-                },
-                option=orjson.OPT_APPEND_NEWLINE,
-            )
+            shown = line[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
+            line = _encode_shortened(at_us, self.name, event, "cut", shown)
         self.waiting_lines.append(line)
 
     def flush(self) -> None:
-        """As much as goes without waiting."""
+        """Writes as many lines as the descriptor takes without blocking."""
         while self.waiting_lines and self._is_writable():
             text = self.waiting_lines.popleft()
             while self.waiting_lines and len(text) + len(self.waiting_lines[0]) <= MAX_LINE_BYTES:
                 text += self.waiting_lines.popleft()
             try:
                 os.write(self.fd, text)
-            except OSError:
-                self.waiting_lines.clear()  # nobody reads it any more
+            except OSError:  # nobody reads the log any more
+                self.waiting_lines.clear()
                 return
             if self.dropped_lines and not self.waiting_lines:
                 dropped, self.dropped_lines = self.dropped_lines, 0
@@ -70,3 +78,10 @@
 
     def _is_writable(self) -> bool:
         return any(mask & select.POLLOUT for _, mask in self.poller.poll(0))
+
+
+def _encode_shortened(at_us: int, name: str, event: str, field: str, text: str) -> bytes:
+    """Returns a line that holds an event as cut text."""
+    return orjson.dumps(
+        {"at_us": at_us, "sidecar": name, "event": event, field: text}, option=orjson.OPT_APPEND_NEWLINE
+    )
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -12,7 +12,8 @@
 import orjson
 
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, WRITABLE, Task
-from cressrail.http1.headers import MalformedMessageError, parse_head
+from cressrail.http1.errors import MalformedMessageError
+from cressrail.http1.headers import parse_head
 from cressrail.http1.request import parse_request_line
 from cressrail.http1.response import REASON_PHRASES
 from cressrail.network.dispatcher import CommandDispatcher
@@ -99,7 +100,7 @@
         while data := self._receive(until_us):
             received += data
             try:
-                found = parse_head(memoryview(received), False)
+                found = parse_head(memoryview(received))
                 if found is not None:
                     return self._respond(*parse_request_line(found[1]))
             except MalformedMessageError as fault:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -9,7 +9,7 @@
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
 from cressrail.event_loop.scheduler import READABLE
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, FrameReader, HandoverError, encode_frame
+from cressrail.handover.frame import FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 FIRST_ANSWER_TIMEOUT_S = (
@@ -47,7 +47,7 @@
     fds: list[int] = []
     try:
         sock.connect(path)
-        sock.sendall(encode_frame(HELLO, {"listen": list(listen)}))
+        sock.sendall(encode_frame(FrameKind.HELLO, {"listen": list(listen)}))
         frames = FrameReader()
         while (got := frames.next_frame()) is None:
             data, more, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
@@ -56,7 +56,7 @@
                 raise HandoverError("ended")
             frames.feed(data)
         kind, told = got
-        if kind != HERE or len(fds) != 1:
+        if kind != FrameKind.LISTENING or len(fds) != 1:
             raise HandoverError("no socket came")
         known = parse_update(told.get("list"))
         listening = socket.socket(fileno=fds[0])
@@ -118,12 +118,12 @@
         """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
         if self.dispatcher.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
-                self.predecessor.sock.send(encode_frame(BYE, {}))
+                self.predecessor.sock.send(encode_frame(FrameKind.EXITED, {}))
 
     def _receive_state(self) -> dict[str, Any] | None:
         until_us = self.dispatcher.now() + STATE_TIMEOUT_US
         try:
-            self.predecessor.sock.sendall(encode_frame(TAKE, {}))
+            self.predecessor.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
             while (got := self.predecessor.frames.next_frame()) is None:
                 if not (data := self._receive(until_us)):
                     return None
@@ -131,7 +131,7 @@
         except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
             self.dispatcher.log.write_event("estate_lost", {"why": str(fault)})
             return None
-        return got[1] if got[0] == ESTATE else None
+        return got.fields if got.kind == FrameKind.STATE else None
 
     def _count_held_resources(self, told: dict[str, Any] | None) -> None:
         held = told.get("held") if told else None
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, FrameReader, HandoverError, encode_frame
+from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
 from cressrail.network.dispatcher import CommandDispatcher
 
 if TYPE_CHECKING:
@@ -83,23 +83,23 @@
             if not _same_user(sock):
                 return
             got = self._receive_frame(sock, frames, self.dispatcher.now() + HELLO_TIMEOUT_US)
-            if got is None or got[0] != HELLO or got[1].get("listen") != list(self.listen):
+            if got is None or got.kind != FrameKind.HELLO or got.fields.get("listen") != list(self.listen):
                 return
-            here = encode_frame(HERE, {"list": self.dispatcher.state_machine.endpoint_list()})
+            here = encode_frame(FrameKind.LISTENING, {"list": self.dispatcher.state_machine.endpoint_list()})
             sent = socket.send_fds(sock, [here], [self.listening_socket.fileno()])
             self._send(sock, here[sent:])
             got = self._receive_frame(sock, frames, None)
-            if got is None or got[0] != TAKE:
+            if got is None or got.kind != FrameKind.TAKE_OVER:
                 return
             told, effects = self.dispatcher.state_machine.hand_over(self.dispatcher.now())
             over = True
             self.dispatcher.dispatch(effects)
-            self._send(sock, encode_frame(ESTATE, {**told, "held": self._held_resources()}))
+            self._send(sock, encode_frame(FrameKind.STATE, {**told, "held": self._held_resources()}))
             if self.membership is not None:
                 self.membership.notify("cede")
             self._unpublish()
             got = self._receive_frame(sock, frames, None)
-            if got is not None and got[0] == BYE:
+            if got is not None and got.kind == FrameKind.EXITED:
                 over = False  # a later one serves: no reason to come back
         except (OSError, HandoverError, ValueError) as fault:
             self.dispatcher.log.write_event("heir_junk", {"why": str(fault)})
@@ -122,9 +122,7 @@
         connections_kept = reducer.keep_connections(KEPT_DIVISOR)
         return [len(reducer.clients.open) + FIXED_DESCRIPTORS, connections_kept, pool.max_lent]
 
-    def _receive_frame(
-        self, sock: socket.socket, frames: FrameReader, until_us: int | None
-    ) -> tuple[str, dict[str, object]] | None:
+    def _receive_frame(self, sock: socket.socket, frames: FrameReader, until_us: int | None) -> Frame | None:
         while (got := frames.next_frame()) is None:
             try:
                 data = sock.recv(READ_BYTES)
--- a/cressrail/proxy/process_handover.py
+++ b/cressrail/proxy/process_handover.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+from cressrail.discovery.endpoint_list import encode_endpoint_list
 from cressrail.handover import state as handover_state
 from cressrail.handover.frame import HandoverError
 from cressrail.policy.load_balancer import LoadBalancer
@@ -36,7 +37,7 @@
     def endpoint_list(self, revision: int) -> dict[str, Any]:
         """Returns the endpoint list in discovery's form."""
         entries = (registered.entry for registered in self.registry.endpoints.values())
-        return handover_state.encode_endpoint_list(entries, revision)
+        return encode_endpoint_list(entries, revision)
 
     def capture(self) -> dict[str, Any]:
         """Returns what the successor goes on from."""
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -14,9 +14,9 @@
 
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import SettingsReader
-from cressrail.discovery.endpoint_list import parse_update
-from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, FrameReader, encode_frame
-from cressrail.handover.state import capture, encode_endpoint_list, restore
+from cressrail.discovery.endpoint_list import encode_endpoint_list, parse_update
+from cressrail.handover.frame import Frame, FrameKind, FrameReader, encode_frame
+from cressrail.handover.state import capture, restore
 from cressrail.network.handover_client import find_predecessor
 from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, LoadBalancer, Outcome
 from tests.golden.neutral import stored
@@ -86,12 +86,12 @@
     """Every frame, in the order of `FRAMES`."""
     more = {"open": ["r1", "ö2"], "drained": False, "held": [24, 8, 25]}
     return [
-        encode_frame(HELLO, {"listen": list(LISTEN)}),
-        encode_frame(HERE, {"list": encode_endpoint_list(parse_update(rows()).entries, 41)}),
-        encode_frame(TAKE, {}),
-        encode_frame(ESTATE, {**estate("chain"), **more}),
-        encode_frame(ESTATE, {**estate("mesh"), **more, "drained": True}),
-        encode_frame(BYE, {}),
+        encode_frame(FrameKind.HELLO, {"listen": list(LISTEN)}),
+        encode_frame(FrameKind.LISTENING, {"list": encode_endpoint_list(parse_update(rows()).entries, 41)}),
+        encode_frame(FrameKind.TAKE_OVER, {}),
+        encode_frame(FrameKind.STATE, {**estate("chain"), **more}),
+        encode_frame(FrameKind.STATE, {**estate("mesh"), **more, "drained": True}),
+        encode_frame(FrameKind.EXITED, {}),
     ]
 
 
@@ -113,7 +113,7 @@
     return found
 
 
-def read_back(data: bytes, piece: int = 1 << 20) -> list[tuple[str, dict[str, Any]]]:
+def read_back(data: bytes, piece: int = 1 << 20) -> list[Frame]:
     taken, found = FrameReader(), []
     for n in range(0, len(data), piece):
         taken.feed(data[n : n + piece])
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -15,8 +15,8 @@
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import parse_update, parse_update_line
 from cressrail.handover import state as estate
-from cressrail.handover.frame import FrameReader, encode_frame
-from cressrail.http1.headers import MalformedMessageError
+from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
+from cressrail.http1.errors import MalformedMessageError
 from cressrail.network.discovery_watch import MOST_LINE, LinesSink
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
@@ -47,7 +47,7 @@
 def test_a_long_list_comes_in_pieces_changes_by_half_and_is_handed_over(n: int) -> None:
     text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", LinesSink(), []
     for at in range(0, len(text), 1000):
-        sink.add(memoryview(text[at : at + 1000]))
+        sink.append(memoryview(text[at : at + 1000]))
         lines += sink.lines()
     front = Front(0)
     front.told += front.reducer.on_endpoint_list(0, parse_update_line(lines[0]))
@@ -68,11 +68,11 @@
     assert f"app_cluster_size {n}\n" in front.reducer.admin_calls.counters_text(SECOND).decode()
     side.endpoints[n].limit = 1.25
     frames, heir = FrameReader(), Front(0)
-    frames.feed(encode_frame("estate", front.reducer.hand_over(SECOND)[0]))
+    frames.feed(encode_frame(FrameKind.STATE, front.reducer.hand_over(SECOND)[0]))
     got = frames.next_frame()
     assert got is not None
     heir.reducer.on_endpoint_list(SECOND, parse_update(front.reducer.endpoint_list()))
-    estate.restore(got[1], heir.reducer.load_balancer, heir.reducer.registry.names(), SECOND)
+    estate.restore(got.fields, heir.reducer.load_balancer, heir.reducer.registry.names(), SECOND)
     assert sum(at_work(heir)) == n
     assert [e.limit for e in heir.reducer.load_balancer.endpoints.values()].count(1.25) == 1
 
@@ -146,7 +146,7 @@
     sink = LinesSink()
     with pytest.raises(MalformedMessageError):
         for _ in range(MOST_LINE // 1000 + 1):
-            sink.add(memoryview(b"x" * 1000))
+            sink.append(memoryview(b"x" * 1000))
     front = Front(0)
     twice = listed(0, 1024)
     twice["members"] += twice["members"][:9]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -507,7 +507,7 @@
         raise ValueError("mine")
 
     loop.spawn(fails)
-    loop.spawn(lambda: setattr(loop, "stopped", True))
+    loop.spawn(lambda: setattr(loop, "is_stopped", True))
     loop.run()
     assert len(faults) == 1 and "ValueError: mine" in faults[0] and loop.task_count == 0
 
