--- a/cressrail/load/record.py
+++ b/cressrail/load/record.py
@@ -8,7 +8,7 @@
 import orjson
 
 from cressrail.load.trace import BadRow
-from cressrail.proxy import events
+from cressrail.logs import events
 
 Row = tuple[int, str, str, int, str]
 # Events of an instance's log that end a request without an answer of an endpoint, and those of earlier
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: one request after another, each answered before the next is read."""
+"""A client's connection: receives one request after another and answers each before it reads the next."""
 
 from __future__ import annotations
 
@@ -8,321 +8,181 @@
 
 from cressrail.buffers.pipe import Pipe, StreamingBody
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.event_loop.scheduler import MESSAGE, NEVER, PEER_CLOSED, READABLE, TIMED_OUT
+from cressrail.event_loop.scheduler import MESSAGE, PEER_CLOSED
 from cressrail.http1.body import encode_chunk
-from cressrail.http1.errors import MalformedMessageError, RequestTimeoutError
-from cressrail.http1.request import Request, RequestReader
-from cressrail.network.dispatcher import (
-    BUFFER_RETRY_US,
-    PIPE_CHANGED,
-    CommandDispatcher,
-    discard_pipe_messages,
-)
-from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
+from cressrail.network.dispatcher import PIPE_CHANGED, CommandDispatcher
+from cressrail.network.pipe_sender import LAST_CHUNK
+from cressrail.network.request_reception import ReceptionResult, RequestReception
+from cressrail.network.request_upload import RequestUpload, UploadState
+from cressrail.network.socket_stream import SocketStream, StreamTimeoutError
+from cressrail.network.stale_messages import discard_stale_messages
 from cressrail.proxy.commands import CloseClient, ReadRequest, SendResponse
 
 LINGER_US = 500_000
-UPLOAD_LINGER_US = 2_000_000  # the rest of a request that is answered before it is whole
-CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-MAX_UPLOAD_LAG_US = (
-    4_000_000  # a large request may halt for so long, if it made good what it was behind before
-)
-MIN_UPLOAD_BYTES_PER_S = (
-    48_000  # good clients send 64 kB a second; one that stays below this is ended in time
-)
-PROGRESS_STEP_BYTES = 16 << 10  # bytes of a body that is kept, by which it makes good progress
+UPLOAD_LINGER_US = 2_000_000  # while the rest of a request that has its answer may still come
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
 class ClientConnectionTask:
+    """Owns the connection, and the body of a request until that is complete.
+
+    Attributes:
+        number: Of the client, as the state machine knows it.
+        stream: The connection.
+        upload: The rest of a request that was passed on before it was complete.
+    """
+
     def __init__(self, dispatcher: CommandDispatcher, number: int, sock: socket.socket) -> None:
+        """Raises `OSError` where the client has left already."""
         self.dispatcher = dispatcher
         self.number = number
         self.stream = SocketStream(dispatcher.scheduler, dispatcher.pool, sock)
-        self.body: StreamingBody | None = None  # of a request that is not whole yet
-        self.upload: RequestReader | None = None  # of one that goes on before it is whole, and where to
-        self.upload_pipe: Pipe | None = None
-        self.upload_due_us = 0  # more of it is to have come by then
-        self.awaits_first_request = True  # no request of it has come yet
-        self.has_unread_input = False  # what it sent is not read to its end
+        self.upload: RequestUpload | None = None
+        self._reception: RequestReception | None = None
+        self._awaits_first_request = True
+        self._has_unread_input = False  # what the client sent is not read to its end
 
     def run(self) -> None:
-        task = self.dispatcher.scheduler.current
-        assert task is not None
+        """Carries out commands of the state machine until the connection ends."""
+        messages = self.dispatcher.scheduler.current_task().messages
         try:
-            while True:
-                message = self._next_command(task.messages)
-                if isinstance(message, ReadRequest):
-                    if not self._read_request():
-                        return
-                elif isinstance(message, SendResponse):
-                    self._send_response(message)
-                elif isinstance(message, CloseClient) and not message.only_if_idle:
-                    self._linger(UPLOAD_LINGER_US if self.upload is not None else LINGER_US)
-                    return
-                elif message is None:
-                    return
+            while self._carry_out(self._next_command(messages)):
+                pass
         except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
         finally:
             self.stream.close()
-            if self.body is not None:
-                self.body.release()
-            if self.upload_pipe is not None and self.upload is not None:
-                self.upload_pipe.fail()
-            for message in task.messages:  # an answer that came too late for its client
-                if isinstance(message, SendResponse) and message.response.body is not None:
-                    message.response.body.release()
-            task.messages.clear()
+            if self._reception is not None:
+                self._reception.release()
+            if self.upload is not None:
+                self.upload.pipe.fail()
+            for command in messages:  # a response that came too late for its client
+                if isinstance(command, SendResponse) and command.response.body is not None:
+                    command.response.body.release()
+            messages.clear()
             self.dispatcher.client_connection_closed(self.number)
 
-    def _linger(self, span_us: int) -> None:
-        """Closes as far as this side goes, and waits for the client to do so. Not for long where new clients
-        wait for its place, unless more is sure to come that would reset the answer."""
-        must = self.has_unread_input or self.upload is not None
-        self.stream.linger(
-            self.dispatcher.now() + (span_us if must or not self.dispatcher.state_machine.is_full() else 0)
-        )
-
-    def _next_command(self, mail: Any) -> Any:
-        """The next thing to do, or nothing if the client leaves first."""
-        while not mail:
+    def _next_command(self, messages: Any) -> Any:
+        """Returns the next command; None if the client leaves first."""
+        while not messages:
             if self.upload is not None:
-                if not self._continue_upload(mail):
+                if not self._continue_upload(self.upload):
                     return None
-            elif self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED) != MESSAGE:
+            elif self.dispatcher.scheduler.wait(self.stream.descriptor, PEER_CLOSED) != MESSAGE:
                 return None
-        return mail.popleft()
-
-    def _continue_upload(self, mail: Any) -> bool:
-        """The rest of a large request goes on to where it is wanted, until there is something else to do;
-        false if the client leaves amid it."""
-        stream, reader, rest, now = self.stream, self.upload, self.upload_pipe, self.dispatcher.now
-        assert reader is not None and rest is not None
-        while not mail:
-            if not rest.has_room():
-                since_us = now()
-                if not self._wait_for_pipe(rest):
-                    return False
-                self.upload_due_us += now() - since_us  # it was not the client who halted
-                continue
-            try:
-                n = stream.read()
-                if n == 0:
-                    return False
-                if n < 0:
-                    if self.dispatcher.scheduler.wait(stream.fd, READABLE, self.upload_due_us) == TIMED_OUT:
-                        raise RequestTimeoutError("request too slow")
-                    continue
-                # Guards against good clients with a lull taken for slow ones.
-                self.upload_due_us = min(
-                    self.upload_due_us + n * 1_000_000 // MIN_UPLOAD_BYTES_PER_S, now() + MAX_UPLOAD_LAG_US
-                )
-                stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
-            except BufferPoolExhaustedError:
-                self.dispatcher.scheduler.wait(until_us=now() + BUFFER_RETRY_US)
-            except MalformedMessageError as fault:
-                self.upload, self.has_unread_input = None, True
-                rest.fail()
-                self.dispatcher.dispatch(
-                    self.dispatcher.state_machine.on_request_aborted(
-                        now(), self.number, fault.status, str(fault)
-                    )
-                )
-                return True
-            if reader.request is not None:
-                # Guards against a pace that runs on when all is there: slow answers became slow requests.
-                self._finish_upload()
+        return messages.popleft()
+
+    def _carry_out(self, command: Any) -> bool:
+        """Returns whether the connection goes on."""
+        if isinstance(command, ReadRequest):
+            return self._read_request()
+        if isinstance(command, SendResponse):
+            self._send_response(command)
+            return True
+        if isinstance(command, CloseClient):
+            if command.only_if_idle:  # a request has begun meanwhile
                 return True
-        return True
+            self._linger(UPLOAD_LINGER_US if self.upload is not None else LINGER_US)
+        return False
 
-    def _wait_for_pipe(self, rest: Pipe) -> bool:
-        """Waits for what is on its way to go on; false if the client leaves."""
-        task = self.dispatcher.scheduler.current
-        assert task is not None
-        if not rest.is_full():  # the pool is short, and anybody's giving back ends that
-            self.dispatcher.scheduler.wait(until_us=self.dispatcher.now() + BUFFER_RETRY_US)
-            return True
-        rest.on_room = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
-        why = self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED)
-        rest.on_room = None
-        _discard_stale_messages(task.messages)
-        return why == MESSAGE
+    # Requests
 
     def _read_request(self) -> bool:
-        """Until a request is whole, or what came is none; false if the connection is over."""
-        stream, reader, until_us, looked = self.stream, None, NEVER, False
-        step = 0  # of the request's bytes, at the last of which its time began anew; 0: no head yet
-        moved_us = 0  # something came of it last
-        while True:
-            if stream.input_buffer.unread():
-                try:
-                    if reader is None:
-                        now = self.dispatcher.now()
-                        self.dispatcher.dispatch(
-                            self.dispatcher.state_machine.on_request_started(now, self.number)
-                        )
-                        until_us = now + self.dispatcher.peer_timeout_us
-                        self.body = StreamingBody(self.dispatcher.pool)
-                        reader = RequestReader(self.body)
-                    stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
-                except MalformedMessageError as fault:
-                    return self._refuse(fault.status, str(fault))
-                except BufferPoolExhaustedError:
-                    return self._refuse(503, "no buffer left")
-                if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
-                    return self._start_upload(reader, reader.incomplete_request)
-                if reader.request is not None:
-                    self.body, self.awaits_first_request = (
-                        None,
-                        False,
-                    )  # the body is the reducer's from here on
-                    self.dispatcher.dispatch(
-                        self.dispatcher.state_machine.on_request(
-                            self.dispatcher.now(), self.number, reader.request, stream.arrived_us
-                        )
-                    )
-                    return True
-                moved_us = self.dispatcher.now()
-                self.dispatcher.dispatch(
-                    self.dispatcher.state_machine.on_request_progress(moved_us, self.number)
-                )
-                if (
-                    reader.incomplete_request is not None
-                    and self.body is not None
-                    and self.body.size // PROGRESS_STEP_BYTES + 1 > step
-                ):
-                    step = self.body.size // PROGRESS_STEP_BYTES + 1
-                    until_us = moved_us + self.dispatcher.peer_timeout_us
-                if reader.expects_continue:
-                    reader.expects_continue = False
-                    stream.send([memoryview(CONTINUE_RESPONSE)], until_us)
-            try:
-                # After an answer the next request is a round trip away at least: a look would find nothing.
-                n = -1 if reader is None and not self.awaits_first_request and not looked else stream.read()
-                looked = True
-                if n == 0:
-                    return False
-                if n < 0:
-                    stream.wait(READABLE, until_us, mail=True, rest=reader is None)
-            except BufferPoolExhaustedError:
-                return self._refuse(503, "no buffer left")
-            except StreamTimeoutError:
-                return self._refuse(408, "request not whole in time")
-            except StreamInterruptedError:
-                task = self.dispatcher.scheduler.current
-                assert task is not None
-                task.messages.popleft()  # a `Shut` of an idle one: nothing else is told while it is read from
-                if reader is None and (n := stream.read()) <= 0:
-                    if n:
-                        self._linger(LINGER_US)
-                    return False  # between requests; what has come meanwhile is still answered
-                if reader is not None and self.dispatcher.state_machine.has_client_stalled(
-                    self.dispatcher.now(), moved_us
-                ):
-                    return self._refuse(408, "request long in coming")
-                if reader is not None:  # it goes on, and may be asked for its place another time
-                    self.dispatcher.dispatch(
-                        self.dispatcher.state_machine.on_request_started(self.dispatcher.now(), self.number)
-                    )
-
-    def _start_upload(self, reader: RequestReader, request: Request) -> bool:
-        """One too large to keep goes on before it is whole, or with what came last of it."""
-        assert self.body is not None
-        self.upload, self.upload_pipe, self.upload_due_us = (
-            reader,
-            self.body.pipe,
-            self.dispatcher.now() + MAX_UPLOAD_LAG_US,
-        )
-        self.body, self.awaits_first_request = None, False
-        self.dispatcher.dispatch(
-            self.dispatcher.state_machine.on_request(
-                self.dispatcher.now(), self.number, request, self.dispatcher.now()
-            )
+        """Receives a request or refuses what came; returns whether the connection goes on."""
+        self._reception = RequestReception(
+            self.dispatcher, self.number, self.stream, self._awaits_first_request
         )
-        if reader.request is not None:
-            self._finish_upload()
+        result = self._reception.run()
+        if result is ReceptionResult.CLOSED_WHILE_IDLE:
+            self._linger(LINGER_US)
+            return False
+        if result is ReceptionResult.CLIENT_LEFT:
+            return False
+        if result is ReceptionResult.REFUSED:
+            self._has_unread_input = True
+            return True
+        self._awaits_first_request = False
+        if result is ReceptionResult.UPLOAD_STARTED:
+            self.upload = self._reception.upload
+            if self.upload is not None and self.upload.is_complete():
+                self._finish_upload(self.upload)
+        return True
+
+    def _continue_upload(self, upload: RequestUpload) -> bool:
+        """Passes on the rest of a large request until there is something else to do; False at the end."""
+        state = upload.run()
+        if state is UploadState.CLIENT_LEFT:
+            return False
+        if state is UploadState.ABORTED:
+            self.upload, self._has_unread_input = None, True
+        elif state is UploadState.COMPLETE:
+            self._finish_upload(upload)
         return True
 
-    def _finish_upload(self) -> None:
-        assert self.upload_pipe is not None
+    def _finish_upload(self, upload: RequestUpload) -> None:
         self.upload = None
-        self.dispatcher.dispatch(
-            self.dispatcher.state_machine.on_request_complete(
-                self.dispatcher.now(), self.number, self.stream.arrived_us
-            )
-        )
-        self.upload_pipe.close()
+        upload.finish()
 
-    def _refuse(self, status: int, why: str) -> bool:
-        self.has_unread_input = True
-        if self.body is not None:
-            self.body.release()
-            self.body = None
-        self.dispatcher.dispatch(
-            self.dispatcher.state_machine.on_malformed_request(
-                self.dispatcher.now(), self.number, status, why
-            )
-        )
-        return True
+    def _linger(self, span_us: int) -> None:
+        """Closes gently, and at once where new clients wait for the place of this one.
 
-    def _send_response(self, message: SendResponse) -> None:
-        answer = message.response
-        body, chunked = answer.body, answer.is_chunked(message.is_http11)
-        head = memoryview(answer.encode_head(not message.closes_connection, message.is_http11))
+        What is sure to come would reset the response: then it lingers in any case.
+        """
+        has_more_to_come = self._has_unread_input or self.upload is not None
+        may_linger = has_more_to_come or not self.dispatcher.state_machine.is_full()
+        self.stream.linger(self.dispatcher.now() + (span_us if may_linger else 0))
+
+    # Responses
+
+    def _send_response(self, command: SendResponse) -> None:
+        dispatcher, response = self.dispatcher, command.response
+        body, is_chunked = response.body, response.is_chunked(command.is_http11)
+        head = memoryview(response.encode_head(not command.closes_connection, command.is_http11))
         try:
             kept = body.views() if body else []
-            self.stream.send(
-                [head, *(encode_chunk(kept, body.size) if chunked and body else kept)],
-                self.dispatcher.now() + self.dispatcher.peer_timeout_us,
-            )
+            if is_chunked and body:
+                kept = encode_chunk(kept, body.size)
+            self.stream.send([head, *kept], dispatcher.now() + dispatcher.peer_timeout_us)
             if isinstance(body, StreamingBody) and body.pipe is not None:
                 body.release_kept()
-                self._stream_response(
-                    body.pipe, chunked, answer.content_length is None and not message.is_http11
-                )
+                ends_with_connection = response.content_length is None and not command.is_http11
+                self._stream_response(body.pipe, is_chunked, ends_with_connection)
         finally:
             if body is not None:
                 body.release()
-        self.dispatcher.dispatch(
-            self.dispatcher.state_machine.on_response_written(self.dispatcher.now(), self.number)
-        )
+        dispatcher.dispatch(dispatcher.state_machine.on_response_written(dispatcher.now(), self.number))
 
-    def _stream_response(self, rest: Pipe, chunked: bool, ends_with_it: bool) -> None:
-        """What still comes of an answer, as it comes. One that breaks off ends the connection short."""
-        task = self.dispatcher.scheduler.current
-        assert task is not None
+    def _stream_response(self, pipe: Pipe, is_chunked: bool, ends_with_connection: bool) -> None:
+        """Sends the rest of a response as it comes.
+
+        Raises:
+            ConnectionError: The response broke off, or the client left.
+        """
+        dispatcher = self.dispatcher
         while True:
-            if parts := rest.views():
+            if parts := pipe.views():
                 size = sum(map(len, parts))
-                self.stream.send(
-                    encode_chunk(parts, size) if chunked else list(parts),
-                    self.dispatcher.now() + self.dispatcher.peer_timeout_us,
-                )
-                del parts
-                rest.consume(size)
-            elif rest.has_failed:
-                if ends_with_it:  # nothing else tells a client of this kind that it is not whole
-                    self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                raise ConnectionError("the answer broke off")
-            elif rest.is_closed:
+                chunk = encode_chunk(parts, size) if is_chunked else list(parts)
+                self.stream.send(chunk, dispatcher.now() + dispatcher.peer_timeout_us)
+                del parts, chunk
+                pipe.consume(size)
+            elif pipe.has_failed:
+                if ends_with_connection:  # only a reset tells such a client that the response is cut
+                    self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                raise ConnectionError("the response broke off")
+            elif pipe.is_closed:
                 break
             else:
-                rest.on_data = lambda: self.dispatcher.scheduler.post(task, PIPE_CHANGED)
-                why = self.dispatcher.scheduler.wait(self.stream.fd, PEER_CLOSED)
-                rest.on_data = None
-                _discard_stale_messages(task.messages)
-                if why != MESSAGE:
-                    raise ConnectionError("the client left")
-        if chunked:
-            self.stream.send(
-                [memoryview(b"0\r\n\r\n")], self.dispatcher.now() + self.dispatcher.peer_timeout_us
-            )
-
-
-def _discard_stale_messages(mail: Any) -> None:
-    """Takes out what came for a wait that is over, and calls to close that a request has overtaken. Guards
-    against a wait that ends at once for ever."""
-    discard_pipe_messages(mail)
-    for _ in range(len(mail)):
-        if not isinstance(message := mail.popleft(), CloseClient) or not message.only_if_idle:
-            mail.append(message)
+                self._wait_for_response(pipe)
+        if is_chunked:
+            self.stream.send([memoryview(LAST_CHUNK)], dispatcher.now() + dispatcher.peer_timeout_us)
+
+    def _wait_for_response(self, pipe: Pipe) -> None:
+        scheduler = self.dispatcher.scheduler
+        task = scheduler.current_task()
+        pipe.on_data = lambda: scheduler.post(task, PIPE_CHANGED)
+        event = scheduler.wait(self.stream.descriptor, PEER_CLOSED)
+        pipe.on_data = None
+        discard_stale_messages(task.messages)
+        if event != MESSAGE:
+            raise ConnectionError("the client left")
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -11,6 +11,7 @@
     paths_needing_restart,
     reread_startup_configuration,
 )
+from cressrail.logs import events
 from cressrail.network.dispatcher import CommandDispatcher
 
 if TYPE_CHECKING:
@@ -33,11 +34,11 @@
             with error_prefix(f"{self.path}: settings."):
                 policy_factory.check_policy_settings(start.settings, start.seed)
         except ConfigurationError as fault:
-            dispatcher.log.write_event("config_kept", {"why": str(fault)})
+            dispatcher.log.write_event(events.CONFIGURATION_REJECTED, {"reason": str(fault)})
             return
         waiting = paths_needing_restart(self.start, start)
         dispatcher.log.write_event(
-            "config",
+            events.CONFIGURATION_RELOADED,
             {
                 "discovery": ":".join(map(str, start.discovery)),
                 "needs_restart": waiting[:MAX_NAMED_PATHS],
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -1,162 +1,160 @@
-"""The watch on discovery: one line of news after the other, and again once it ends, wherever it is told."""
+"""The watch on discovery: reads updates of the endpoint list, and opens again when it ends."""
 
 from __future__ import annotations
 
+from typing import Any
+
 from cressrail.buffers.pool import BufferPoolExhaustedError
-from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
-from cressrail.event_loop.scheduler import MESSAGE, READABLE, Task
-from cressrail.http1.errors import ContentTooLargeError, MalformedMessageError
+from cressrail.discovery.endpoint_list import (
+    EndpointListUpdate,
+    MalformedEndpointListError,
+    parse_update_line,
+)
+from cressrail.discovery.watch_lines import WatchLines, WholeDocument
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
+from cressrail.http1.errors import MalformedMessageError
 from cressrail.http1.response import ResponseReader
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 from cressrail.proxy.commands import WatchEndpoints
 
-BEAT_US = 2_000_000  # an empty line comes so often while all is well
-SILENT_US = 2 * BEAT_US  # a watch with no whole line for so long has fallen silent
-ANSWER_US = BEAT_US // 2  # discovery answers at once; doubled for each watch in a row that brought nothing
-PACE_BYTES_PER_S = 2_000  # a line that is long in coming has so much more time
-MOST_LINE = 4 << 20
-
-
-class LinesSink:
-    """Takes a body that never ends and hands on its lines; an object over several lines counts as one."""
-
-    before = 0  # its first word is a line
-
-    def __init__(self) -> None:
-        self.text = bytearray()
-        self.ended = 0  # lines so far, empty ones too
-        self.parts: list[bytes] = []  # of an object that is indented
-        self.depth = 0
-
-    def append(self, data: memoryview) -> None:
-        self.text += data
-        self.ended += bytes(data).count(b"\n")
-        if len(self.text) + sum(map(len, self.parts)) > MOST_LINE:
-            raise ContentTooLargeError("line too long")
-
-    def lines(self) -> list[bytes]:
-        *lines, rest = self.text.split(b"\n")
-        self.text = bytearray(rest)
-        whole = []
-        for line in map(bytes, lines):
-            if not line.strip():
-                # Guards against all news taken for more of an object whose end was lost.
-                if self.parts:
-                    raise MalformedEndpointListError("a line that is none")
-                continue
-            self.parts.append(line)
-            self.depth += line.count(b"{") - line.count(b"}")
-            if self.depth <= 0 or not self.parts[0].lstrip().startswith(b"{"):
-                whole.append(b"\n".join(self.parts))
-                self.parts, self.depth = [], 0
-        return whole
-
-
-class WholeSink(LinesSink):
-    """Takes a body that is one document."""
-
-    before = -1  # its first word is the answer's head
-
-    def lines(self) -> list[bytes]:
-        return []
+HEARTBEAT_US = 2_000_000  # discovery sends an empty line so often where there is nothing else to send
+SILENCE_TIMEOUT_US = 2 * HEARTBEAT_US  # for the next complete line
+FIRST_ANSWER_TIMEOUT_US = HEARTBEAT_US // 2  # doubled with each watch in a row that brought nothing
+MAX_TIMEOUT_DOUBLINGS = 2
+MIN_LINE_BYTES_PER_S = 2_000  # a long line gets so much more time
+UNLIMITED_BODY_BYTES = 1 << 62
+LIST_PATH = "/catalog/members"
+OK = 200
+US_PER_S = 1_000_000
+NO_STATUS_YET = 0
 
 
 class DiscoveryWatchTask:
+    """Watches what the last `WatchEndpoints` command names."""
+
     def __init__(self, dispatcher: CommandDispatcher) -> None:
         self.dispatcher = dispatcher
-        self.under_way = False
+        self._is_watching = False
 
     def run(self) -> None:
-        task = self.dispatcher.scheduler.current
-        assert task is not None
-        if self.under_way:  # a fault has ended it amid one
-            self.dispatcher.dispatch(
-                self.dispatcher.state_machine.on_watch_ended(self.dispatcher.now(), "fault")
-            )
+        """Runs for the life of the process; started again after a fault."""
+        dispatcher = self.dispatcher
+        messages = dispatcher.scheduler.current_task().messages
+        if self._is_watching:  # a fault ended the watch
+            self._report_end("fault")
         while True:
-            while not task.messages:
-                self.dispatcher.scheduler.wait()
-            message = task.messages.popleft()
-            assert isinstance(message, WatchEndpoints)  # nothing else is posted here, see Net
-            while self.dispatcher.scheduler.wait(until_us=message.at_us) == MESSAGE:
-                message = task.messages.popleft()
-            stream: SocketStream | None = None
-            why, self.under_way = "ended", True
-            try:
-                # Guards against news told late: one time for the way there and the first word.
-                patience_us = min(SILENT_US, ANSWER_US << min(message.consecutive_failures, 2))
-                until_us = self.dispatcher.now() + patience_us
-                stream = SocketStream.connect(
-                    self.dispatcher.scheduler,
-                    self.dispatcher.pool,
-                    message.source[0],
-                    message.source[1],
-                    min(until_us, self.dispatcher.now() + self.dispatcher.connect_timeout_us),
-                    mail=True,
-                )
-                after = message.after_revision
-                if after < 0:
-                    after = self._whole(task, stream, message.source, until_us)
-                    until_us = self.dispatcher.now() + patience_us
-                self._ask(stream, message.source, f"?watch=1&after={after}", until_us)
-                self._follow(task, stream, LinesSink(), until_us)
-            except StreamInterruptedError:
-                continue  # to be watched elsewhere, or from elsewhere on
-            except StreamTimeoutError:
-                why = "silent"
-            except (
-                OSError,
-                MalformedMessageError,
-                MalformedEndpointListError,
-                BufferPoolExhaustedError,
-            ) as fault:  # the last: guards against drains unheard
-                why = str(fault) or "no buffer left"
-            finally:
-                if stream is not None:
-                    stream.close()
-            self.dispatcher.dispatch(self.dispatcher.state_machine.on_watch_ended(self.dispatcher.now(), why))
-
-    def _ask(self, stream: SocketStream, source: tuple[str, int], query: str, until_us: int) -> None:
-        asked = (
-            f"GET /catalog/members{query} HTTP/1.1\r\n"
+            command = self._next_command(messages)
+            self._is_watching = True
+            reason = self._watch(command, messages)
+            if reason is not None:
+                self._report_end(reason)
+
+    def _next_command(self, messages: Any) -> WatchEndpoints:
+        """Waits for a command and then for its time; a later command takes its place."""
+        scheduler = self.dispatcher.scheduler
+        while not messages:
+            scheduler.wait()
+        command: WatchEndpoints = messages.popleft()
+        while scheduler.wait(until_us=command.at_us) == MESSAGE:
+            command = messages.popleft()
+        return command
+
+    def _report_end(self, reason: str) -> None:
+        dispatcher = self.dispatcher
+        dispatcher.dispatch(dispatcher.state_machine.on_watch_ended(dispatcher.now(), reason))
+
+    def _watch(self, command: WatchEndpoints, messages: Any) -> str | None:
+        """Watches until the watch ends; returns why, or None where another command has come."""
+        stream: SocketStream | None = None
+        doublings = min(command.consecutive_failures, MAX_TIMEOUT_DOUBLINGS)
+        answer_timeout_us = min(SILENCE_TIMEOUT_US, FIRST_ANSWER_TIMEOUT_US << doublings)
+        try:
+            # One limit for connecting, asking and the first answer: updates must not come late.
+            until_us = self.dispatcher.now() + answer_timeout_us
+            stream = self._connect(command, until_us)
+            after_revision = command.after_revision
+            if after_revision < 0:
+                after_revision = self._read_whole_list(command, stream, until_us, messages)
+                until_us = self.dispatcher.now() + answer_timeout_us
+            self._request(stream, command.source, f"?watch=1&after={after_revision}", until_us)
+            self._read_updates(stream, WatchLines(), 0, until_us, messages)
+        except StreamInterruptedError:
+            return None
+        except StreamTimeoutError:
+            return "silent"
+        except BufferPoolExhaustedError:  # waiting for a buffer could leave a drain unnoticed
+            return "no buffer left"
+        except (OSError, MalformedMessageError, MalformedEndpointListError) as fault:
+            return str(fault) or "ended"
+        finally:
+            if stream is not None:
+                stream.close()
+        return "ended"
+
+    def _connect(self, command: WatchEndpoints, until_us: int) -> SocketStream:
+        dispatcher = self.dispatcher
+        host, port = command.source
+        until_us = min(until_us, dispatcher.now() + dispatcher.connect_timeout_us)
+        return SocketStream.connect(
+            dispatcher.scheduler, dispatcher.pool, host, port, until_us, wakes_on_message=True
+        )
+
+    def _request(self, stream: SocketStream, source: tuple[str, int], query: str, until_us: int) -> None:
+        request = (
+            f"GET {LIST_PATH}{query} HTTP/1.1\r\n"
             f"host: {source[0]}:{source[1]}\r\naccept: application/json\r\n\r\n"
         )
-        stream.send([memoryview(asked.encode())], until_us)
-
-    def _whole(self, task: Task, stream: SocketStream, source: tuple[str, int], until_us: int) -> int:
-        """Tells the whole list; its revision."""
-        self._ask(stream, source, "", until_us)
-        sink = WholeSink()
-        self._follow(task, stream, sink, until_us)
-        news = parse_update_line(bytes(sink.text))
-        if not news.is_complete:
+        stream.send([memoryview(request.encode())], until_us)
+
+    def _read_whole_list(
+        self, command: WatchEndpoints, stream: SocketStream, until_us: int, messages: Any
+    ) -> int:
+        """Reads and reports the whole list; returns its revision."""
+        self._request(stream, command.source, "", until_us)
+        document = WholeDocument()
+        self._read_updates(stream, document, -1, until_us, messages)
+        update = parse_update_line(bytes(document.text))
+        if not update.is_complete:
             raise MalformedEndpointListError("not the whole list")
-        self.dispatcher.dispatch(self.dispatcher.state_machine.on_endpoint_list(self.dispatcher.now(), news))
-        return news.revision
-
-    def _follow(self, task: Task, stream: SocketStream, sink: LinesSink, until_us: int) -> None:
-        """To the end of the answer, whose first word is to come by a time. From then on what counts is whole
-        lines: one that is long in coming gets time by its length, and half of one is as good as silence."""
-        reader = ResponseReader(sink, 1 << 62)
-        ended = sink.before
+        self._report(update)
+        return update.revision
+
+    def _read_updates(
+        self, stream: SocketStream, lines: WatchLines, lines_before: int, until_us: int, messages: Any
+    ) -> None:
+        """Reads a response to its end and reports each document.
+
+        The first sign of an answer must come by `until_us`: the head where `lines_before` is -1, else a line.
+        From then on complete lines count: half of one is as good as silence.
+
+        Raises:
+            StreamTimeoutError: Discovery is silent.
+            StreamInterruptedError: Another command has come.
+            MalformedMessageError: The response is malformed or ends early.
+            MalformedEndpointListError: It is of another status, or a document is malformed.
+        """
+        reader = ResponseReader(lines, UNLIMITED_BODY_BYTES)
+        line_count = lines_before
         while not reader.is_complete:
-            if task.messages:  # guards against news of an address that is no longer asked
+            if messages:  # updates from an address that is no longer watched do not count
                 raise StreamInterruptedError
-            n = stream.read()
-            if n == 0:
+            count = stream.receive()
+            if count == 0:
                 reader.on_connection_closed()
-            elif n < 0:
-                stream.wait(READABLE, until_us + len(sink.text) * 1_000_000 // PACE_BYTES_PER_S, mail=True)
+            elif count < 0:
+                time_for_length_us = len(lines.text) * US_PER_S // MIN_LINE_BYTES_PER_S
+                stream.wait(READABLE, until_us + time_for_length_us, wakes_on_message=True)
             else:
-                stream.input_buffer.consume(reader.feed(stream.input_buffer.unread()))
-                if reader.status not in (0, 200):
+                stream.feed_to(reader.feed)
+                if reader.status not in (NO_STATUS_YET, OK):
                     raise MalformedEndpointListError(f"status {reader.status}")
-                if reader.has_head and sink.ended > ended:
-                    until_us, ended = self.dispatcher.now() + SILENT_US, sink.ended
-                for line in sink.lines():
-                    self.dispatcher.dispatch(
-                        self.dispatcher.state_machine.on_endpoint_list(
-                            self.dispatcher.now(), parse_update_line(line)
-                        )
-                    )
+                if reader.has_head and lines.line_count > line_count:
+                    line_count = lines.line_count
+                    until_us = self.dispatcher.now() + SILENCE_TIMEOUT_US
+                for document in lines.take_documents():
+                    self._report(parse_update_line(document))
+
+    def _report(self, update: EndpointListUpdate) -> None:
+        dispatcher = self.dispatcher
+        dispatcher.dispatch(dispatcher.state_machine.on_endpoint_list(dispatcher.now(), update))
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -1,154 +1,156 @@
-"""The process that this one takes over from: asked before anything is listened on, then told to let go."""
+"""The successor's side of a hand-over: finds the process that serves, and takes over from it."""
 
 from __future__ import annotations
 
 import os
 import socket
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
-from cressrail.event_loop.scheduler import READABLE
-from cressrail.handover.frame import FrameKind, FrameReader, HandoverError, encode_frame
+from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
+from cressrail.logs import events
 from cressrail.network.dispatcher import CommandDispatcher
-
-FIRST_ANSWER_TIMEOUT_S = (
-    1.0  # for the first answer; a process that serves gives it within a round of its loop
+from cressrail.network.handover_connection import (
+    ENDPOINT_LIST,
+    HELD_RESOURCES,
+    LISTEN_ADDRESS,
+    READ_BYTES,
+    HandoverConnection,
+    HeldResources,
 )
-STATE_TIMEOUT_US = 1_000_000  # for the estate
-READ_BYTES = 65536
-MAX_PATH_BYTES = 100  # bytes; the system takes few more
-
 
-def rendezvous_path(listen: tuple[str, int], tmp: str | None) -> str | None:
-    """Where the processes of a sidecar that listens there meet; nothing where they cannot."""
-    if not tmp:
-        return None
-    path = os.path.join(tmp, f"cressrail-{listen[0].replace(':', '_')}-{listen[1]}")
-    return path if len(os.fsencode(path)) <= MAX_PATH_BYTES else None
+FIRST_ANSWER_TIMEOUT_S = 1.0  # a process that serves answers within a round of its event loop
+STATE_TIMEOUT_US = 1_000_000
+MAX_HELD_BUFFERS_SHARE = 0.75  # of the pool, so that this process has some from the start
 
 
+@dataclass(frozen=True)
 class Predecessor:
-    """A connection to the process that serves, the socket that it listens on, and the list as it knows it."""
+    """The process that serves.
+
+    Attributes:
+        sock: A connection to it.
+        frames: What was received on the connection after the first frame.
+        listening_socket: The socket on which both processes accept clients, by turns.
+        endpoint_list: As the predecessor knows it.
+    """
 
-    def __init__(
-        self, sock: socket.socket, listening: socket.socket, known: EndpointListUpdate, frames: FrameReader
-    ) -> None:
-        self.sock = sock
-        self.listening_socket = listening
-        self.endpoint_list = known
-        self.frames = frames
+    sock: socket.socket
+    frames: FrameReader
+    listening_socket: socket.socket
+    endpoint_list: EndpointListUpdate
 
 
 def find_predecessor(path: str, listen: tuple[str, int]) -> Predecessor | None:
-    """Nothing if there is none, or one that is not to be relied on: a start from nothing, then. Waits."""
+    """Connects to the process that serves, blocking; None if there is none that can be relied on.
+
+    Args:
+        path: The rendezvous path.
+        listen: The address on which this process is to accept clients.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     sock.settimeout(FIRST_ANSWER_TIMEOUT_S)
-    fds: list[int] = []
+    descriptors: list[int] = []
     try:
         sock.connect(path)
-        sock.sendall(encode_frame(FrameKind.HELLO, {"listen": list(listen)}))
+        sock.sendall(encode_frame(FrameKind.HELLO, {LISTEN_ADDRESS: list(listen)}))
         frames = FrameReader()
-        while (got := frames.next_frame()) is None:
-            data, more, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
-            fds += more
-            if not data:
-                raise HandoverError("ended")
-            frames.feed(data)
-        kind, told = got
-        if kind != FrameKind.LISTENING or len(fds) != 1:
+        answer = _receive_first_frame(sock, frames, descriptors)
+        if answer.kind != FrameKind.LISTENING or len(descriptors) != 1:
             raise HandoverError("no socket came")
-        known = parse_update(told.get("list"))
-        listening = socket.socket(fileno=fds[0])
-        if listening.getsockname()[:2] != listen:
+        endpoint_list = parse_update(answer.fields.get(ENDPOINT_LIST))
+        listening_socket = socket.socket(fileno=descriptors.pop())
+        if listening_socket.getsockname()[:2] != listen:
+            listening_socket.close()
             raise HandoverError("another address")
-        fds.clear()
-        listening.setblocking(False)
-        sock.setblocking(False)
-        return Predecessor(sock, listening, known, frames)
     except (OSError, HandoverError, MalformedEndpointListError, ValueError):
         sock.close()
-        return None
-    finally:
-        for fd in fds:
+        for descriptor in descriptors:
             with suppress(OSError):
-                os.close(fd)
+                os.close(descriptor)
+        return None
+    listening_socket.setblocking(False)
+    sock.setblocking(False)
+    return Predecessor(sock, frames, listening_socket, endpoint_list)
+
+
+def _receive_first_frame(sock: socket.socket, frames: FrameReader, descriptors: list[int]) -> Frame:
+    """Returns the first frame, and adds the descriptors that come with it to the list."""
+    while (frame := frames.next_frame()) is None:
+        data, received, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
+        descriptors += received
+        if not data:
+            raise HandoverError("ended")
+        frames.feed(data)
+    return frame
 
 
 class HandoverClientTask:
-    """Takes over once the reducer asks for it, and hears when the other has left."""
+    """Takes over when the state machine asks for it, and waits for the predecessor's exit.
+
+    Attributes:
+        connection: To the predecessor.
+        held: What stays with the predecessor until then.
+    """
 
     def __init__(self, dispatcher: CommandDispatcher, predecessor: Predecessor) -> None:
         self.dispatcher = dispatcher
-        self.predecessor = predecessor
-        self.clients = self.connections = self.buffers = 0  # that are the other's
+        self.connection = HandoverConnection(dispatcher.scheduler, predecessor.sock, predecessor.frames)
+        self.held = HeldResources()
 
     def take_over(self) -> None:
-        task = self.dispatcher.scheduler.current
-        assert task is not None
+        """Waits for `BeginTakeover`, then asks for the predecessor's state."""
+        dispatcher = self.dispatcher
+        task = dispatcher.scheduler.current_task()
         while not task.messages:
-            self.dispatcher.scheduler.wait()
+            dispatcher.scheduler.wait()
         task.messages.clear()
-        told = self._receive_state()
-        self._count_held_resources(told)
-        self.dispatcher.pool.max_lent -= self.buffers
-        self.dispatcher.dispatch(
-            self.dispatcher.state_machine.take_over(
-                self.dispatcher.now(), told, self.clients, self.connections
-            )
+        state = self._receive_state()
+        self.held = self._held_by_predecessor(state)
+        dispatcher.pool.max_lent -= self.held.buffers
+        commands = dispatcher.state_machine.take_over(
+            dispatcher.now(), state, self.held.clients, self.held.connections
         )
+        dispatcher.dispatch(commands)
 
     def wait_for_exit(self) -> None:
-        """What is the other's comes to this process once it has ended; nothing else comes from it."""
+        """Waits until the predecessor has exited, and takes what it held."""
+        dispatcher = self.dispatcher
         try:
-            while self._receive(None):
-                pass
-        except OSError:  # as good as an end
-            pass
+            with suppress(OSError):
+                while self.connection.receive():
+                    pass  # nothing that it sends now means anything
         finally:
-            self.predecessor.sock.close()
-            self.dispatcher.pool.max_lent += self.buffers
-            self.dispatcher.dispatch(
-                self.dispatcher.state_machine.on_predecessor_exited(
-                    self.dispatcher.now(), self.clients, self.connections
-                )
+            self.connection.close()
+            dispatcher.pool.max_lent += self.held.buffers
+            commands = dispatcher.state_machine.on_predecessor_exited(
+                dispatcher.now(), self.held.clients, self.held.connections
             )
+            dispatcher.dispatch(commands)
 
     def announce_exit(self) -> None:
-        """This process ends and a later one serves: the other is not to come back. May wait for nothing."""
+        """Tells the predecessor not to serve again, as this process ends and a later one serves.
+
+        Called after the event loop has ended, so it may not wait.
+        """
         if self.dispatcher.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
-                self.predecessor.sock.send(encode_frame(FrameKind.EXITED, {}))
+                self.connection.sock.send(encode_frame(FrameKind.EXITED, {}))
 
     def _receive_state(self) -> dict[str, Any] | None:
+        """Returns the state; None if the predecessor has gone or cannot be relied on."""
         until_us = self.dispatcher.now() + STATE_TIMEOUT_US
         try:
-            self.predecessor.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
-            while (got := self.predecessor.frames.next_frame()) is None:
-                if not (data := self._receive(until_us)):
-                    return None
-                self.predecessor.frames.feed(data)
-        except (OSError, HandoverError, ValueError) as fault:  # it has gone, or is not to be relied on
-            self.dispatcher.log.write_event("estate_lost", {"why": str(fault)})
+            self.connection.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
+            frame = self.connection.receive_frame(until_us)
+        except (OSError, HandoverError, ValueError) as fault:
+            self.dispatcher.log.write_event(events.HANDOVER_STATE_LOST, {"reason": str(fault)})
             return None
-        return got.fields if got.kind == FrameKind.STATE else None
-
-    def _count_held_resources(self, told: dict[str, Any] | None) -> None:
-        held = told.get("held") if told else None
-        if isinstance(held, list) and len(held) == 3 and all(isinstance(n, int) and n >= 0 for n in held):
-            self.clients, self.connections, self.buffers = held
-            self.buffers = min(self.buffers, self.dispatcher.pool.max_lent * 3 // 4)
-
-    def _receive(self, until_us: int | None) -> bytes:
-        while True:
-            try:
-                return self.predecessor.sock.recv(READ_BYTES)
-            except BlockingIOError:
-                sock = self.predecessor.sock.fileno()
-                why = (
-                    self.dispatcher.scheduler.wait(sock, READABLE, wakes_on_message=False)
-                    if until_us is None
-                    else self.dispatcher.scheduler.wait(sock, READABLE, until_us, wakes_on_message=False)
-                )
-                if why == 0:
-                    return b""
+        return frame.fields if frame is not None and frame.kind == FrameKind.STATE else None
+
+    def _held_by_predecessor(self, state: dict[str, Any] | None) -> HeldResources:
+        held = HeldResources.from_frame(state.get(HELD_RESOURCES) if state else None)
+        max_buffers = int(self.dispatcher.pool.max_lent * MAX_HELD_BUFFERS_SHARE)
+        return held._replace(buffers=min(held.buffers, max_buffers))
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -1,4 +1,4 @@
-"""The process that may take over from this one: where it finds it, and what it is told."""
+"""The predecessor's side of a hand-over: publishes the rendezvous path and hands over to a successor."""
 
 from __future__ import annotations
 
@@ -8,67 +8,80 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from cressrail.event_loop.scheduler import MESSAGE, READABLE, WRITABLE
-from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
+from cressrail.event_loop.scheduler import MESSAGE, READABLE
+from cressrail.handover.frame import FrameKind, HandoverError, encode_frame
+from cressrail.logs import events
 from cressrail.network.dispatcher import CommandDispatcher
+from cressrail.network.handover_connection import (
+    ENDPOINT_LIST,
+    HELD_RESOURCES,
+    LISTEN_ADDRESS,
+    HandoverConnection,
+    HeldResources,
+)
 
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-DESCRIPTORS = 4  # the meeting place, one who comes, one who is refused, and the way to the elder process
-HELLO_TIMEOUT_US = 1_000_000  # to say who it is
-READ_BYTES = 65536
-FIXED_DESCRIPTORS = 24  # descriptors that a process holds beside clients' and endpoints'
-KEPT_DIVISOR = 4  # of the buffers a process that hands over keeps one such part, or what it has lent out
+DESCRIPTORS = 4  # rendezvous socket, a successor, one that is refused, and the way to the predecessor
+BACKLOG = 4
+PEER_TIMEOUT_US = 1_000_000  # for a hello, and to read what is sent
+FIXED_DESCRIPTORS = 24  # that a process holds beside those of clients and endpoints
+KEPT_DIVISOR = 4  # a process that hands over keeps such a part of buffers and connections, or what is in use
+PEER_CREDENTIALS = struct.Struct("3i")  # of unix(7): process, user and group
 
 
 class HandoverServerTask:
+    """Owns the rendezvous socket; serves one successor at a time."""
+
     def __init__(
         self,
         dispatcher: CommandDispatcher,
         path: str,
-        listening: socket.socket,
+        listening_socket: socket.socket,
         listen: tuple[str, int],
         membership: MembershipTransport | None,
     ) -> None:
-        self.membership = membership
+        """`listen` is the address of `listening_socket`, and part of the rendezvous path."""
         self.dispatcher = dispatcher
         self.path = path
-        self.listening_socket = listening
+        self.listening_socket = listening_socket
         self.listen = listen
+        self.membership = membership
         self.rendezvous_socket: socket.socket | None = None
+        self._buffers_before_handover = dispatcher.pool.max_lent
 
     def run(self) -> None:
+        """Waits for successors until a message ends it or the path cannot be published."""
         try:
-            while self._publish():
-                assert self.rendezvous_socket is not None
-                if self.dispatcher.scheduler.wait(self.rendezvous_socket.fileno(), READABLE) == MESSAGE:
+            while (rendezvous_socket := self._publish()) is not None:
+                if self.dispatcher.scheduler.wait(rendezvous_socket.fileno(), READABLE) == MESSAGE:
                     return
                 with suppress(OSError):
-                    self._serve(self.rendezvous_socket.accept()[0])
+                    self._serve(rendezvous_socket.accept()[0])
         finally:
             self._unpublish()
 
-    def _publish(self) -> bool:
-        """Under a name of its own first, then in place of whoever was there before, in one step."""
+    def _publish(self) -> socket.socket | None:
+        """Returns the rendezvous socket; replaces another process's path in one step."""
         if self.rendezvous_socket is not None:
-            return True
-        place = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-        own = f"{self.path}.{os.getpid()}"
+            return self.rendezvous_socket
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
+        own_path = f"{self.path}.{os.getpid()}"
         try:
             with suppress(FileNotFoundError):
-                os.unlink(own)
-            place.bind(own)
-            os.chmod(own, 0o600)
-            place.listen(4)
-            place.setblocking(False)
-            os.rename(own, self.path)
-        except OSError as fault:  # no upgrade beside it then, and all else as ever
-            place.close()
-            self.dispatcher.log.write_event("no_meeting", {"why": str(fault)})
-            return False
-        self.rendezvous_socket = place
-        return True
+                os.unlink(own_path)
+            sock.bind(own_path)
+            os.chmod(own_path, 0o600)
+            sock.listen(BACKLOG)
+            sock.setblocking(False)
+            os.rename(own_path, self.path)
+        except OSError as fault:  # this process cannot hand over; all else goes on
+            sock.close()
+            self.dispatcher.log.write_event(events.RENDEZVOUS_UNAVAILABLE, {"reason": str(fault)})
+            return None
+        self.rendezvous_socket = sock
+        return sock
 
     def _unpublish(self) -> None:
         if self.rendezvous_socket is not None:
@@ -76,84 +89,65 @@
             self.rendezvous_socket = None
 
     def _serve(self, sock: socket.socket) -> None:
-        """One who would take over, to the end of its connection. Only one at a time."""
-        frames, over = FrameReader(), False
+        """Serves one successor until it is gone; then this process serves again, unless told not to."""
+        has_handed_over = serves_again = False
         try:
-            sock.setblocking(False)
-            if not _same_user(sock):
-                return
-            got = self._receive_frame(sock, frames, self.dispatcher.now() + HELLO_TIMEOUT_US)
-            if got is None or got.kind != FrameKind.HELLO or got.fields.get("listen") != list(self.listen):
-                return
-            here = encode_frame(FrameKind.LISTENING, {"list": self.dispatcher.state_machine.endpoint_list()})
-            sent = socket.send_fds(sock, [here], [self.listening_socket.fileno()])
-            self._send(sock, here[sent:])
-            got = self._receive_frame(sock, frames, None)
-            if got is None or got.kind != FrameKind.TAKE_OVER:
-                return
-            told, effects = self.dispatcher.state_machine.hand_over(self.dispatcher.now())
-            over = True
-            self.dispatcher.dispatch(effects)
-            self._send(sock, encode_frame(FrameKind.STATE, {**told, "held": self._held_resources()}))
-            if self.membership is not None:
-                self.membership.notify("cede")
-            self._unpublish()
-            got = self._receive_frame(sock, frames, None)
-            if got is not None and got.kind == FrameKind.EXITED:
-                over = False  # a later one serves: no reason to come back
+            connection = HandoverConnection(self.dispatcher.scheduler, sock)
+            if _is_same_user(sock) and self._introduce(connection):
+                has_handed_over = serves_again = True
+                self._hand_over(connection)
+                frame = connection.receive_frame()
+                serves_again = frame is None or frame.kind != FrameKind.EXITED
         except (OSError, HandoverError, ValueError) as fault:
-            self.dispatcher.log.write_event("heir_junk", {"why": str(fault)})
+            self.dispatcher.log.write_event(events.HANDOVER_PEER_REJECTED, {"reason": str(fault)})
         finally:
             sock.close()
-            if over:
-                self.dispatcher.pool.max_lent = self.buffers_before
-                if self.membership is not None and not self.dispatcher.state_machine.lifecycle.is_stopping:
-                    self.membership.notify("resume")
-                self.dispatcher.dispatch(
-                    self.dispatcher.state_machine.on_successor_failed(self.dispatcher.now())
-                )
-
-    def _held_resources(self) -> list[int]:
-        """Clients, links and buffers that stay with this process; it lends and opens no more than these."""
-        reducer, pool = self.dispatcher.state_machine, self.dispatcher.pool
-        self.buffers_before = pool.max_lent
+            if has_handed_over and serves_again:
+                self._serve_again()
+
+    def _introduce(self, connection: HandoverConnection) -> bool:
+        """Sends the listening socket and the endpoint list; returns whether the successor takes over."""
+        dispatcher = self.dispatcher
+        hello = connection.receive_frame(dispatcher.now() + PEER_TIMEOUT_US)
+        if hello is None or hello.kind != FrameKind.HELLO:
+            return False
+        if hello.fields.get(LISTEN_ADDRESS) != list(self.listen):
+            return False
+        endpoint_list = dispatcher.state_machine.endpoint_list()
+        listening = encode_frame(FrameKind.LISTENING, {ENDPOINT_LIST: endpoint_list})
+        sent = socket.send_fds(connection.sock, [listening], [self.listening_socket.fileno()])
+        connection.send(listening[sent:], dispatcher.now() + PEER_TIMEOUT_US)
+        frame = connection.receive_frame()
+        return frame is not None and frame.kind == FrameKind.TAKE_OVER
+
+    def _hand_over(self, connection: HandoverConnection) -> None:
+        dispatcher = self.dispatcher
+        state, commands = dispatcher.state_machine.hand_over(dispatcher.now())
+        dispatcher.dispatch(commands)
+        fields = {**state, HELD_RESOURCES: list(self._limit_held_resources())}
+        connection.send(encode_frame(FrameKind.STATE, fields), dispatcher.now() + PEER_TIMEOUT_US)
+        if self.membership is not None:
+            self.membership.notify("cede")
+        self._unpublish()
+
+    def _limit_held_resources(self) -> HeldResources:
+        """Lowers this process's limits to what stays with it, and returns that."""
+        pool, state_machine = self.dispatcher.pool, self.dispatcher.state_machine
+        self._buffers_before_handover = pool.max_lent
         pool.max_lent = max(pool.lent, pool.max_lent // KEPT_DIVISOR)
         pool.release_excess()
-        connections_kept = reducer.keep_connections(KEPT_DIVISOR)
-        return [len(reducer.clients.open) + FIXED_DESCRIPTORS, connections_kept, pool.max_lent]
-
-    def _receive_frame(self, sock: socket.socket, frames: FrameReader, until_us: int | None) -> Frame | None:
-        while (got := frames.next_frame()) is None:
-            try:
-                data = sock.recv(READ_BYTES)
-            except BlockingIOError:
-                if until_us is None:
-                    self.dispatcher.scheduler.wait(sock.fileno(), READABLE, wakes_on_message=False)
-                elif (
-                    self.dispatcher.scheduler.wait(sock.fileno(), READABLE, until_us, wakes_on_message=False)
-                    == 0
-                ):
-                    return None
-                continue
-            if not data:
-                return None
-            frames.feed(data)
-        return got
-
-    def _send(self, sock: socket.socket, data: bytes) -> None:
-        left = memoryview(data)
-        until_us = self.dispatcher.now() + HELLO_TIMEOUT_US
-        while left:
-            try:
-                left = left[sock.send(left) :]
-            except BlockingIOError:
-                if (
-                    self.dispatcher.scheduler.wait(sock.fileno(), WRITABLE, until_us, wakes_on_message=False)
-                    == 0
-                ):
-                    raise HandoverError("does not read") from None
-
-
-def _same_user(sock: socket.socket) -> bool:
-    _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
-    return bool(uid == os.getuid())
+        connections = state_machine.keep_connections(KEPT_DIVISOR)
+        return HeldResources(len(state_machine.clients.open) + FIXED_DESCRIPTORS, connections, pool.max_lent)
+
+    def _serve_again(self) -> None:
+        dispatcher = self.dispatcher
+        dispatcher.pool.max_lent = self._buffers_before_handover
+        if self.membership is not None and not dispatcher.state_machine.lifecycle.is_stopping:
+            self.membership.notify("resume")
+        dispatcher.dispatch(dispatcher.state_machine.on_successor_failed(dispatcher.now()))
+
+
+def _is_same_user(sock: socket.socket) -> bool:
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    _, user, _ = PEER_CREDENTIALS.unpack(credentials)
+    return bool(user == os.getuid())
--- /dev/null
+++ b/cressrail/network/request_reception.py
@@ -0,0 +1,169 @@
+"""Receives one request of a client, from its first byte until it is complete or too large to keep."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from cressrail.buffers.pipe import StreamingBody
+from cressrail.buffers.pool import BufferPoolExhaustedError
+from cressrail.event_loop.scheduler import NEVER, READABLE
+from cressrail.http1.errors import MalformedMessageError
+from cressrail.http1.request import Request, RequestReader
+from cressrail.network.dispatcher import CommandDispatcher
+from cressrail.network.request_upload import RequestUpload
+from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
+
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+PROGRESS_STEP_BYTES = 16 << 10  # of a body that is kept: with each the time for the request begins anew
+REQUEST_TIMEOUT_STATUS, SERVICE_UNAVAILABLE_STATUS = 408, 503
+NO_BUFFER_REASON = "no buffer left"
+
+
+class ReceptionResult(Enum):
+    """How the reception ended."""
+
+    RECEIVED = auto()  # the state machine has the complete request
+    UPLOAD_STARTED = auto()  # it has the request, of which the rest is still to come
+    REFUSED = auto()  # a response says why; the connection closes after it
+    CLIENT_LEFT = auto()
+    CLOSED_WHILE_IDLE = auto()  # asked for by the state machine, before the request began
+
+
+class RequestReception:
+    """One request on its way in.
+
+    Attributes:
+        upload: The rest of the request, after `UPLOAD_STARTED`.
+    """
+
+    def __init__(
+        self, dispatcher: CommandDispatcher, client: int, stream: SocketStream, receives_at_once: bool
+    ) -> None:
+        """`receives_at_once`: the request may have come already; else it is awaited first."""
+        self.dispatcher = dispatcher
+        self.state_machine = dispatcher.state_machine
+        self.client = client
+        self.stream = stream
+        self.upload: RequestUpload | None = None
+        self._receives_at_once = receives_at_once
+        self._reader: RequestReader | None = None  # None before the first byte
+        self._body: StreamingBody | None = None
+        self._until_us = NEVER
+        self._progress_steps = 0  # of the body; 0 before the head is complete
+        self._last_progress_us = 0
+
+    def run(self) -> ReceptionResult:
+        """Receives until the request is complete, too large to keep, or refused.
+
+        Raises:
+            OSError: The connection was reset.
+            StreamTimeoutError: The client does not read.
+        """
+        while True:
+            result = self._parse() if self.stream.input_buffer.unread() else None
+            if result is None:
+                result = self._receive()
+            if result is not None:
+                return result
+
+    def release(self) -> None:
+        """Returns the buffers of a request that the state machine has not taken over."""
+        if self._body is not None:
+            self._body.release()
+            self._body = None
+
+    def _parse(self) -> ReceptionResult | None:
+        """Parses what was received; None if more is needed."""
+        try:
+            reader = self._reader or self._start()
+            self.stream.feed_to(reader.feed)
+        except MalformedMessageError as fault:
+            return self._refuse(fault.status, str(fault))
+        except BufferPoolExhaustedError:
+            return self._refuse(SERVICE_UNAVAILABLE_STATUS, NO_BUFFER_REASON)
+        if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
+            return self._start_upload(reader, reader.incomplete_request)
+        if reader.request is not None:
+            self._body = None  # the state machine's from here on
+            self._pass_on(reader.request, self.stream.arrived_us)
+            return ReceptionResult.RECEIVED
+        self._note_progress(reader)
+        if reader.expects_continue:
+            reader.expects_continue = False
+            self.stream.send([memoryview(CONTINUE_RESPONSE)], self._until_us)
+        return None
+
+    def _start(self) -> RequestReader:
+        """The first byte has come: the time for the request begins."""
+        now_us = self.dispatcher.now()
+        self.dispatcher.dispatch(self.state_machine.on_request_started(now_us, self.client))
+        self._until_us = now_us + self.dispatcher.peer_timeout_us
+        self._body = StreamingBody(self.dispatcher.pool)
+        self._reader = RequestReader(self._body)
+        return self._reader
+
+    def _note_progress(self, reader: RequestReader) -> None:
+        self._last_progress_us = self.dispatcher.now()
+        progress = self.state_machine.on_request_progress(self._last_progress_us, self.client)
+        self.dispatcher.dispatch(progress)
+        if reader.incomplete_request is None or self._body is None:
+            return
+        steps = self._body.size // PROGRESS_STEP_BYTES + 1
+        if steps > self._progress_steps:
+            self._progress_steps = steps
+            self._until_us = self._last_progress_us + self.dispatcher.peer_timeout_us
+
+    def _receive(self) -> ReceptionResult | None:
+        """Receives once, or waits; None if the reception goes on."""
+        try:
+            # After a response the next request is a round trip away: receiving at once would find nothing.
+            receives = self._receives_at_once or self._reader is not None
+            count = self.stream.receive() if receives else -1
+            self._receives_at_once = True
+            if count == 0:
+                return ReceptionResult.CLIENT_LEFT
+            if count < 0:
+                is_resting = self._reader is None
+                self.stream.wait(READABLE, self._until_us, wakes_on_message=True, is_resting=is_resting)
+        except BufferPoolExhaustedError:
+            return self._refuse(SERVICE_UNAVAILABLE_STATUS, NO_BUFFER_REASON)
+        except StreamTimeoutError:
+            return self._refuse(REQUEST_TIMEOUT_STATUS, "request not complete in time")
+        except StreamInterruptedError:
+            return self._on_close_requested()
+        return None
+
+    def _on_close_requested(self) -> ReceptionResult | None:
+        """The state machine asks to close the connection if it is idle; None if the reception goes on."""
+        self.dispatcher.scheduler.current_task().messages.popleft()  # nothing else is sent meanwhile
+        if self._reader is None:
+            count = self.stream.receive()  # what has come meanwhile is still answered
+            if count == 0:
+                return ReceptionResult.CLIENT_LEFT
+            return ReceptionResult.CLOSED_WHILE_IDLE if count < 0 else None
+        now_us = self.dispatcher.now()
+        if self.state_machine.has_client_stalled(now_us, self._last_progress_us):
+            return self._refuse(REQUEST_TIMEOUT_STATUS, "request long in coming")
+        # It goes on, and may be asked again.
+        self.dispatcher.dispatch(self.state_machine.on_request_started(now_us, self.client))
+        return None
+
+    def _start_upload(self, reader: RequestReader, request: Request) -> ReceptionResult:
+        """Passes on a request that is too large to keep, before or with its last byte."""
+        if self._body is None or self._body.pipe is None:
+            raise ValueError("a streaming request without a pipe")
+        pipe, self._body = self._body.pipe, None
+        self.upload = RequestUpload(self.dispatcher, self.client, self.stream, reader, pipe)
+        self._pass_on(request, self.dispatcher.now())
+        return ReceptionResult.UPLOAD_STARTED
+
+    def _pass_on(self, request: Request, arrived_us: int) -> None:
+        commands = self.state_machine.on_request(self.dispatcher.now(), self.client, request, arrived_us)
+        self.dispatcher.dispatch(commands)
+
+    def _refuse(self, status: int, reason: str) -> ReceptionResult:
+        self.release()
+        self.dispatcher.dispatch(
+            self.state_machine.on_malformed_request(self.dispatcher.now(), self.client, status, reason)
+        )
+        return ReceptionResult.REFUSED
--- /dev/null
+++ b/cressrail/network/request_upload.py
@@ -0,0 +1,127 @@
+"""The rest of a request that was passed on before it was complete: from the client into a pipe."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from cressrail.buffers.pipe import Pipe
+from cressrail.buffers.pool import BufferPoolExhaustedError
+from cressrail.event_loop.scheduler import MESSAGE, PEER_CLOSED, READABLE, TIMED_OUT
+from cressrail.http1.errors import MalformedMessageError, RequestTimeoutError
+from cressrail.http1.request import RequestReader
+from cressrail.network.dispatcher import BUFFER_RETRY_US, PIPE_CHANGED, CommandDispatcher
+from cressrail.network.socket_stream import SocketStream
+from cressrail.network.stale_messages import discard_stale_messages
+
+MIN_UPLOAD_BYTES_PER_S = 48_000  # a client that stays below is refused in time
+MAX_UPLOAD_LAG_US = 4_000_000  # by which a client may be behind that rate
+US_PER_S = 1_000_000
+
+
+class UploadState(Enum):
+    """Why `RequestUpload.run` has returned."""
+
+    INTERRUPTED = auto()  # a message waits
+    COMPLETE = auto()
+    ABORTED = auto()  # the state machine has been told why
+    CLIENT_LEFT = auto()
+
+
+class RequestUpload:
+    """Receives the rest of a request while its attempt's task sends it on.
+
+    Attributes:
+        pipe: Where the bytes go; failed by whoever ends the upload early.
+    """
+
+    def __init__(
+        self,
+        dispatcher: CommandDispatcher,
+        client: int,
+        stream: SocketStream,
+        reader: RequestReader,
+        pipe: Pipe,
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.client = client
+        self.stream = stream
+        self.reader = reader
+        self.pipe = pipe
+        self._due_us = dispatcher.now() + MAX_UPLOAD_LAG_US  # when more of it must have come
+
+    def is_complete(self) -> bool:
+        """Whether all of the request has been received."""
+        return self.reader.request is not None
+
+    def finish(self) -> None:
+        """Reports the complete request."""
+        dispatcher = self.dispatcher
+        commands = dispatcher.state_machine.on_request_complete(
+            dispatcher.now(), self.client, self.stream.arrived_us
+        )
+        dispatcher.dispatch(commands)
+        self.pipe.close()
+
+    def run(self) -> UploadState:
+        """Receives until the request is complete, the client leaves, or a message comes."""
+        now, scheduler = self.dispatcher.now, self.dispatcher.scheduler
+        messages = scheduler.current_task().messages
+        while not messages:
+            if not self.pipe.has_room():
+                waits_since_us = now()
+                if not self._wait_for_room():
+                    return UploadState.CLIENT_LEFT
+                self._due_us += now() - waits_since_us  # the client was not the one who was slow
+                continue
+            try:
+                count = self._receive()
+            except BufferPoolExhaustedError:
+                scheduler.wait(until_us=now() + BUFFER_RETRY_US)
+            except MalformedMessageError as fault:
+                self._abort(fault)
+                return UploadState.ABORTED
+            else:
+                if count == 0:
+                    return UploadState.CLIENT_LEFT
+            if self.is_complete():
+                return UploadState.COMPLETE
+        return UploadState.INTERRUPTED
+
+    def _receive(self) -> int:
+        """Receives and parses once, or waits; returns as `SocketStream.receive` does.
+
+        Raises:
+            MalformedMessageError: The request is malformed, or slower than `MIN_UPLOAD_BYTES_PER_S`.
+        """
+        count = self.stream.receive()
+        if count < 0:
+            event = self.dispatcher.scheduler.wait(self.stream.descriptor, READABLE, self._due_us)
+            if event == TIMED_OUT:
+                raise RequestTimeoutError("request too slow")
+        elif count > 0:
+            # A pause is allowed for as long as faster bytes before or after make up for it.
+            latest_due_us = self.dispatcher.now() + MAX_UPLOAD_LAG_US
+            self._due_us = min(self._due_us + count * US_PER_S // MIN_UPLOAD_BYTES_PER_S, latest_due_us)
+            self.stream.feed_to(self.reader.feed)
+        return count
+
+    def _abort(self, fault: MalformedMessageError) -> None:
+        dispatcher = self.dispatcher
+        self.pipe.fail()
+        commands = dispatcher.state_machine.on_request_aborted(
+            dispatcher.now(), self.client, fault.status, str(fault)
+        )
+        dispatcher.dispatch(commands)
+
+    def _wait_for_room(self) -> bool:
+        """Waits until the attempt's task has sent something; False if the client leaves."""
+        scheduler = self.dispatcher.scheduler
+        task = scheduler.current_task()
+        if not self.pipe.is_full():  # the pool is exhausted: any task may return a buffer
+            scheduler.wait(until_us=self.dispatcher.now() + BUFFER_RETRY_US)
+            return True
+        self.pipe.on_room = lambda: scheduler.post(task, PIPE_CHANGED)
+        event = scheduler.wait(self.stream.descriptor, PEER_CLOSED)
+        self.pipe.on_room = None
+        discard_stale_messages(task.messages)
+        return event == MESSAGE
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -14,6 +14,7 @@
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
 from cressrail.event_loop.scheduler import Scheduler
+from cressrail.logs import events
 from cressrail.logs.log_writer import LogWriter
 from cressrail.network import admin_server, handover_server, listener
 from cressrail.network.admin_server import AdminServerTask
@@ -21,12 +22,8 @@
 from cressrail.network.discovery_watch import DiscoveryWatchTask
 from cressrail.network.dispatcher import CommandDispatcher
 from cressrail.network.endpoint_connection import EndpointConnectionTask
-from cressrail.network.handover_client import (
-    HandoverClientTask,
-    Predecessor,
-    find_predecessor,
-    rendezvous_path,
-)
+from cressrail.network.handover_client import HandoverClientTask, Predecessor, find_predecessor
+from cressrail.network.handover_connection import rendezvous_path
 from cressrail.network.handover_server import HandoverServerTask
 from cressrail.network.listener import ListenerTask
 from cressrail.network.signals import handle_signals
@@ -89,7 +86,7 @@
     """
     clock = Clock()
     log = LogWriter(log_descriptor, clock.now_us, configuration.name)
-    scheduler = Scheduler(clock.now_us, lambda trace: log.write_event("fault", {"trace": trace}))
+    scheduler = Scheduler(clock.now_us, lambda trace: log.write_event(events.FAULT, {"trace": trace}))
     scheduler.after_round = log.flush
     now = clock.now_us()
     state_machine = _build_state_machine(configuration, now)
@@ -128,7 +125,7 @@
     for callback in dispatcher.at_end:
         callback()
     has_failed = dispatcher.scheduler.has_failed
-    dispatcher.log.write_event("end", {"failed": True} if has_failed else {})
+    dispatcher.log.write_event(events.END, {"failed": True} if has_failed else {})
     dispatcher.log.flush()
     return int(has_failed)
 
@@ -203,16 +200,16 @@
 
 def _log_start(configuration: StartupConfiguration, log: LogWriter, state_machine: StateMachine) -> None:
     log.write_event(
-        "start",
+        events.START,
         {
             "listen": ":".join(map(str, configuration.listen)),
-            "ops": ":".join(map(str, configuration.admin)) if configuration.admin else None,
+            "admin": ":".join(map(str, configuration.admin)) if configuration.admin else None,
             "discovery": ":".join(map(str, configuration.discovery)),
-            "shape": configuration.deployment_type,
+            "deployment_type": configuration.deployment_type,
             "stage": configuration.settings.whole_number(setting_names.TIER_INDEX, 0),
-            "known": len(configuration.known_endpoints.entries),
+            "known_endpoints": len(configuration.known_endpoints.entries),
             "clients": state_machine.limits.clients,
-            "links": state_machine.limits.endpoint_connections,
+            "endpoint_connections": state_machine.limits.endpoint_connections,
         },
     )
 
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -1,134 +1,182 @@
-"""A non-blocking stream socket of one task: the one owner of its descriptor and of what was read too far."""
+"""A non-blocking stream socket that one task owns, with what was received and not yet consumed."""
 
 from __future__ import annotations
 
 import errno
 import os
 import socket
+from collections.abc import Callable
 from enum import Enum
 
 from cressrail.buffers.pool import BufferPool, BufferPoolExhaustedError, ReceiveBuffer
 from cressrail.event_loop.scheduler import MESSAGE, NEVER, READABLE, TIMED_OUT, WRITABLE, Scheduler
 
-MAX_BUFFERS_PER_WRITE = 64  # of a write
-DESCRIPTORS_EXHAUSTED = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # own lack, nobody else's fault
+MAX_BUFFERS_PER_WRITE = 64
+# Errors that say that this process is short of something; the peer is not to blame.
+DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class IdleState(Enum):
-    QUIET = "quiet"  # open, with nothing to read: fit to carry another request
-    RESET = "reset"  # by a process that died
-    OVER = "over"  # ended, or with bytes that nobody asked for
+    """How a connection fares on which nothing is expected."""
+
+    USABLE = "usable"  # open, with nothing to read
+    RESET = "reset"  # by a process that has died
+    ENDED = "ended"  # closed in order, or with bytes that nobody asked for
 
 
 class StreamTimeoutError(Exception):
-    """The time for it is over."""
+    """The time for an operation is over."""
 
 
 class StreamInterruptedError(Exception):
-    """A message came first."""
+    """A message for the task came before the operation was complete."""
 
 
 class SocketStream:
+    """Owns the socket; `close` returns descriptor and buffer.
+
+    Attributes:
+        descriptor: The socket's file descriptor.
+        input_buffer: What was received and not yet consumed.
+        arrived_us: The earliest time at which what was received last may have arrived.
+    """
+
     def __init__(self, scheduler: Scheduler, pool: BufferPool, sock: socket.socket) -> None:
         self.scheduler = scheduler
         self.sock = sock
-        self.fd = sock.fileno()
+        self.descriptor = sock.fileno()
         self.input_buffer = ReceiveBuffer(pool)
-        self.arrived_us = scheduler.earliest_arrival_us  # of what was read last
-        self._accepted_with = True  # its first bytes may have come with the connection
+        self.arrived_us = scheduler.earliest_arrival_us
+        self._may_have_come_with_connection = True
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
     def connect(
-        cls, scheduler: Scheduler, pool: BufferPool, host: str, port: int, until_us: int, mail: bool
+        cls,
+        scheduler: Scheduler,
+        pool: BufferPool,
+        host: str,
+        port: int,
+        until_us: int,
+        wakes_on_message: bool,
     ) -> SocketStream:
+        """Returns an established connection.
+
+        Raises:
+            StreamTimeoutError: It was not established in time.
+            StreamInterruptedError: A message came first, if `wakes_on_message`.
+            OSError: It was refused, or there is no descriptor.
+        """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             stream = cls(scheduler, pool, sock)
             code = sock.connect_ex((host, port))
             if code == errno.EINPROGRESS:
-                stream.wait(WRITABLE, until_us, mail)
+                stream.wait(WRITABLE, until_us, wakes_on_message)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
-            return stream
         except BaseException:
             sock.close()
             raise
-
-    def wait(self, mask: int, until_us: int = NEVER, mail: bool = False, rest: bool = False) -> int:
-        why = self.scheduler.wait(self.fd, mask, until_us, mail, rest)
-        if why == TIMED_OUT:
+        return stream
+
+    def wait(
+        self,
+        mask: int,
+        until_us: int = NEVER,
+        wakes_on_message: bool = False,
+        is_resting: bool = False,
+    ) -> int:
+        """Blocks until the socket is ready; returns the poll mask.
+
+        Raises:
+            StreamTimeoutError: The time came first.
+            StreamInterruptedError: A message came first, if `wakes_on_message`.
+        """
+        result = self.scheduler.wait(self.descriptor, mask, until_us, wakes_on_message, is_resting)
+        if result == TIMED_OUT:
             raise StreamTimeoutError
-        if why == MESSAGE:
+        if result == MESSAGE:
             raise StreamInterruptedError
-        return why
+        return result
 
-    def send(self, parts: list[memoryview], until_us: int = NEVER, mail: bool = False) -> None:
-        parts = [part for part in parts if part]
-        while parts:
-            if not self.send_some(parts):
-                self.wait(WRITABLE, until_us, mail)
+    def send(self, parts: list[memoryview], until_us: int = NEVER, wakes_on_message: bool = False) -> None:
+        """Sends all parts; raises as `wait` does, and `OSError`."""
+        unsent = [part for part in parts if part]
+        while unsent:
+            if not self.send_some(unsent):
+                self.wait(WRITABLE, until_us, wakes_on_message)
 
-    def send_some(self, parts: list[memoryview]) -> bool:
-        """Writes what goes without waiting, and takes it out; false if nothing did."""
+    def send_some(self, unsent: list[memoryview]) -> bool:
+        """Sends what goes without blocking and removes it from the list; False if nothing went."""
         try:
-            n = self.sock.sendmsg(parts[:MAX_BUFFERS_PER_WRITE])
+            count = self.sock.sendmsg(unsent[:MAX_BUFFERS_PER_WRITE])
         except BlockingIOError:
             return False
-        while parts and n >= len(parts[0]):
-            n -= len(parts.pop(0))
-        if n:
-            parts[0] = parts[0][n:]
+        while unsent and count >= len(unsent[0]):
+            count -= len(unsent.pop(0))
+        if count:
+            unsent[0] = unsent[0][count:]
         return True
 
-    def read(self) -> int:
-        """How many bytes more there are to use: 0 at the end, -1 if none have come yet."""
+    def receive(self) -> int:
+        """Receives into `input_buffer` without blocking.
+
+        Returns:
+            The number of bytes received: 0 at the end of the stream, -1 if none have come yet.
+
+        Raises:
+            BufferPoolExhaustedError: There is no buffer to receive into.
+            OSError: The connection was reset.
+        """
         try:
-            n = self.sock.recv_into(self.input_buffer.free_space())
+            count = self.sock.recv_into(self.input_buffer.free_space())
         except BlockingIOError:
-            self._accepted_with = False
+            self._may_have_come_with_connection = False
             if not self.input_buffer.unread():
                 self.input_buffer.release()
             return -1
-        if not self._accepted_with:
+        if not self._may_have_come_with_connection:
             self.arrived_us = self.scheduler.earliest_arrival_us
-        self._accepted_with = False  # guards against later requests timed from the connection's start
-        self.input_buffer.add_received(n)
-        return n
+        self._may_have_come_with_connection = False
+        self.input_buffer.add_received(count)
+        return count
+
+    def feed_to(self, parse: Callable[[memoryview], int]) -> None:
+        """Gives the unconsumed bytes to a parser, which returns how many of them it has consumed."""
+        self.input_buffer.consume(parse(self.input_buffer.unread()))
 
     def idle_state(self) -> IdleState:
-        """How a connection fares on which nothing is out."""
+        """Looks at a connection on which nothing is expected, without consuming anything."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            return IdleState.QUIET
+            return IdleState.USABLE
         except ConnectionResetError:
             return IdleState.RESET
         except OSError:
-            return IdleState.OVER
-        return IdleState.OVER
+            return IdleState.ENDED
+        return IdleState.ENDED
 
     def linger(self, until_us: int) -> None:
-        """Until the other side has seen the end and closed as well, for so long at most; what it still sends
-        is dropped. Guards against a close with bytes unread, which would reset the answer that is on its
-        way, and against a request that crosses the close being taken for one that is answered."""
+        """Shuts the sending side and drops what still comes, until the peer closes or the time is over.
+
+        A close with bytes unread would reset the connection, and with it a response that is on its way; and
+        a request that crosses the close would look like one that was accepted.
+        """
         self.input_buffer.release()
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            while self.read() != 0:
+            while self.receive() != 0:
                 self.input_buffer.release()
                 self.wait(READABLE, until_us)
         except (OSError, StreamTimeoutError, BufferPoolExhaustedError):
             return
 
     def close(self) -> None:
+        """Returns the descriptor and the buffer."""
         self.input_buffer.release()
         self.sock.close()
--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
+from cressrail.logs import events
 from cressrail.policy.load_balancer import LoadBalancer
-from cressrail.proxy import events
 from cressrail.proxy.clients import Clients
 from cressrail.proxy.commands import Command, LogEvent
 from cressrail.proxy.endpoint_list import EndpointListWatch
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from cressrail.buffers.pool import BufferChain
+from cressrail.logs import events
 from cressrail.policy.load_balancer import LATE_MOST, LoadBalancer, Outcome, RoutedRequest
-from cressrail.proxy import events
 from cressrail.proxy.commands import CancelAttempt, Command, LogEvent, SendAttempt
 from cressrail.proxy.endpoint_connections import EndpointConnections
 from cressrail.proxy.endpoint_registry import EndpointRegistry
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -6,6 +6,7 @@
 
 from cressrail.buffers.pool import BufferChain
 from cressrail.http1.response import Response
+from cressrail.logs import events
 from cressrail.policy.load_balancer import (
     ATTEMPT,
     CANCEL,
@@ -15,7 +16,6 @@
     Outcome,
     RoutedRequest,
 )
-from cressrail.proxy import events
 from cressrail.proxy.attempts import AttemptResult, Attempts
 from cressrail.proxy.clients import Client, Clients
 from cressrail.proxy.commands import Command, LogEvent, ReleaseBody, SendResponse
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -6,8 +6,8 @@
 
 from cressrail.http1.duration import parse_duration_us
 from cressrail.http1.request import Request
+from cressrail.logs import events
 from cressrail.policy.load_balancer import IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT, LoadBalancer, RequestClass
-from cressrail.proxy import events
 from cressrail.proxy.clients import Clients
 from cressrail.proxy.commands import Command, LogEvent
 from cressrail.proxy.endpoint_list import EndpointListWatch
--- a/cressrail/proxy/process_handover.py
+++ b/cressrail/proxy/process_handover.py
@@ -7,8 +7,8 @@
 from cressrail.discovery.endpoint_list import encode_endpoint_list
 from cressrail.handover import state as handover_state
 from cressrail.handover.frame import HandoverError
+from cressrail.logs import events
 from cressrail.policy.load_balancer import LoadBalancer
-from cressrail.proxy import events
 from cressrail.proxy.commands import Command, LogEvent
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.lifecycle import Lifecycle
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -13,8 +13,9 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate
 from cressrail.http1.request import Request
 from cressrail.http1.response import Response
+from cressrail.logs import events
 from cressrail.policy.load_balancer import LoadBalancer, Outcome, RandomGenerator
-from cressrail.proxy import admin, clients, commands, events
+from cressrail.proxy import admin, clients, commands
 from cressrail.proxy.attempts import AttemptResult, Attempts
 from cressrail.proxy.commands import Command, LogEvent
 from cressrail.proxy.connection_limits import ConnectionLimits
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from cressrail.logs import events
 from cressrail.policy.load_balancer import LoadBalancer
-from cressrail.proxy import events
 from cressrail.proxy.clients import Clients, silence_limit_us
 from cressrail.proxy.commands import AcceptClients, Command, LogEvent
 from cressrail.proxy.endpoint_list import EndpointListWatch
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -79,8 +79,8 @@
     """Rule 1: something is sent after the final answer."""
     write = ClientConnectionTask._send_response
 
-    def twice(self: ClientConnectionTask, message: SendResponse) -> None:
-        write(self, message)
+    def twice(self: ClientConnectionTask, command: SendResponse) -> None:
+        write(self, command)
         if self.number % 3 == 0:
             self.stream.send([memoryview(Response(503).encode_head(True))], self.dispatcher.now() + 100_000)
 
@@ -91,11 +91,11 @@
     """Rule 1: some that were taken get no answer."""
     write = ClientConnectionTask._send_response
 
-    def eats(self: ClientConnectionTask, message: SendResponse) -> None:
-        if message.response.body is None or self.dispatcher.state_machine.ids.last % 7:
-            write(self, message)
+    def eats(self: ClientConnectionTask, command: SendResponse) -> None:
+        if command.response.body is None or self.dispatcher.state_machine.ids.last % 7:
+            write(self, command)
             return
-        message.response.body.release()
+        command.response.body.release()
         raise OSError("swallowed on purpose")
 
     ClientConnectionTask._send_response = eats  # type: ignore[method-assign]
--- a/tests/configuration/test_deployment_type.py
+++ b/tests/configuration/test_deployment_type.py
@@ -56,7 +56,7 @@
         assert output.startswith(f"cressrail: {path}: settings.{message}") and output.count("\n") == 1
     reread, net = ConfigurationReload(str(path), before), RecordedEvents()
     reread.reload(net)  # type: ignore[arg-type]
-    assert net.events == ["config_kept"] and reread.start is before
+    assert net.events == ["configuration_rejected"] and reread.start is before
 
 
 @pytest.mark.parametrize(
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -17,7 +17,8 @@
     HandoverError,
     encode_frame,
 )
-from cressrail.network.handover_client import MAX_PATH_BYTES, find_predecessor, rendezvous_path
+from cressrail.network.handover_client import find_predecessor
+from cressrail.network.handover_connection import MAX_PATH_BYTES, rendezvous_path
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -67,14 +67,20 @@
     connect, dials = SocketStream.connect.__func__, list[int]()  # type: ignore[attr-defined]
 
     def late(
-        cls: type[SocketStream], loop: Scheduler, pool: Any, host: str, to: int, until_us: int, mail: bool
+        cls: type[SocketStream],
+        loop: Scheduler,
+        pool: Any,
+        host: str,
+        to: int,
+        until_us: int,
+        wakes_on_message: bool,
     ) -> SocketStream:
         if to == port():
             dials.append(to)
             while not gate:
-                if loop.wait(until_us=loop.now() + 1000, wakes_on_message=mail) == MESSAGE:
+                if loop.wait(until_us=loop.now() + 1000, wakes_on_message=wakes_on_message) == MESSAGE:
                     raise StreamInterruptedError
-        return connect(cls, loop, pool, host, to, loop.now() + SECOND, mail)  # type: ignore[no-any-return]
+        return connect(cls, loop, pool, host, to, loop.now() + SECOND, wakes_on_message)  # type: ignore[no-any-return]
 
     monkeypatch.setattr(SocketStream, "connect", classmethod(late))
     return dials
@@ -438,7 +444,7 @@
 
 def crossing(sock: socket.socket, late: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes of a client come right after a look at its connection that found none."""
-    read = SocketStream.read
+    read = SocketStream.receive
 
     def reads(stream: SocketStream) -> int:
         n = read(stream)
@@ -448,7 +454,7 @@
         return n
 
     armed = [1]
-    monkeypatch.setattr(SocketStream, "read", reads)
+    monkeypatch.setattr(SocketStream, "receive", reads)
 
 
 def test_a_request_that_crosses_an_idle_close_meets_an_end_and_no_reset(
@@ -601,16 +607,18 @@
     """News counts as told six seconds after a watch fell silent, four after a new address was told. A
     connection that says nothing either may come between."""
     pause_us = 75_000  # the longest first one
-    assert watch.SILENT_US + watch.ANSWER_US + 2 * pause_us <= 6 * SECOND - 500_000
-    assert 3 * watch.ANSWER_US + 2 * pause_us <= 4 * SECOND - 500_000  # one silent, and the next one patient
+    assert watch.SILENCE_TIMEOUT_US + watch.FIRST_ANSWER_TIMEOUT_US + 2 * pause_us <= 6 * SECOND - 500_000
+    assert (
+        3 * watch.FIRST_ANSWER_TIMEOUT_US + 2 * pause_us <= 4 * SECOND - 500_000
+    )  # one silent, and the next one patient
 
 
 @pytest.mark.parametrize("what", ["nothing", "head alone", "half a line", "an indented half"])
 def test_a_watch_that_says_less_than_a_line_is_opened_again(
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch, "ANSWER_US", 30_000)
-    monkeypatch.setattr(watch, "SILENT_US", 60_000)
+    monkeypatch.setattr(watch, "FIRST_ANSWER_TIMEOUT_US", 30_000)
+    monkeypatch.setattr(watch, "SILENCE_TIMEOUT_US", 60_000)
     words = {
         "nothing": b"",
         "head alone": HEAD + CHUNKED,
@@ -663,8 +671,8 @@
 def test_a_line_that_dribbles_is_as_good_as_silence_and_a_long_list_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watch, "SILENT_US", 100_000)
-    monkeypatch.setattr(watch, "PACE_BYTES_PER_S", 100_000)
+    monkeypatch.setattr(watch, "SILENCE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(watch, "MIN_LINE_BYTES_PER_S", 100_000)
     dribbled: list[int] = []
     play = Play([Seen()], lambda peer: agent(peer))
     text = reply(play.list.replace(b'"members"', b" " * 30_000 + b'"members"'))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -14,10 +14,10 @@
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import parse_update, parse_update_line
+from cressrail.discovery.watch_lines import MAX_DOCUMENT_BYTES, WatchLines
 from cressrail.handover import state as estate
 from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
 from cressrail.http1.errors import MalformedMessageError
-from cressrail.network.discovery_watch import MOST_LINE, LinesSink
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
@@ -45,10 +45,10 @@
 
 @pytest.mark.parametrize("n", SIZES)
 def test_a_long_list_comes_in_pieces_changes_by_half_and_is_handed_over(n: int) -> None:
-    text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", LinesSink(), []
+    text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", WatchLines(), []
     for at in range(0, len(text), 1000):
         sink.append(memoryview(text[at : at + 1000]))
-        lines += sink.lines()
+        lines += sink.take_documents()
     front = Front(0)
     front.told += front.reducer.on_endpoint_list(0, parse_update_line(lines[0]))
     assert sum(at_work(front)) == n == len(front.reducer.registry.endpoints)
@@ -143,9 +143,9 @@
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
-    sink = LinesSink()
+    sink = WatchLines()
     with pytest.raises(MalformedMessageError):
-        for _ in range(MOST_LINE // 1000 + 1):
+        for _ in range(MAX_DOCUMENT_BYTES // 1000 + 1):
             sink.append(memoryview(b"x" * 1000))
     front = Front(0)
     twice = listed(0, 1024)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -535,11 +535,11 @@
     far.send(b"x")
     select.select([near], [], [])
     loop.earliest_event_us = 900
-    stream.read()
+    stream.receive()
     assert stream.arrived_us == 100
     far.send(b"y")
     select.select([near], [], [])
-    stream.read()
+    stream.receive()
     assert stream.arrived_us == 900
     stream.close()
     far.close()
@@ -619,11 +619,11 @@
             heard(endpoint)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
-            assert str(path) in until("config_kept")["why"]
+            assert str(path) in until("configuration_rejected")["reason"]
             later = {**CONFIG, "name": "n2", "listen": at["door"], "discovery": at["new"]}
             path.write_text(json.dumps(later))
             program.send_signal(signal.SIGHUP)
-            assert until("config")["needs_restart"] == ["name"]
+            assert until("configuration_reloaded")["needs_restart"] == ["name"]
             new = watched("new", agent(3, [member("s1", 9)]))
             assert until("endpoint_list_updated")["revision"] == 3 and old.recv(9) == b""
             endpoint.sendall(reply(b"hello"))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,7 +12,7 @@
 
 from cressrail.buffers.pipe import KEPT_BODY_BYTES, MAX_PIPE_BUFFERS, Pipe, StreamingBody
 from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
-from cressrail.network import client_connection as client
+from cressrail.network import request_upload as client
 from tests.helpers import Peer, Play, Script, ask, chunk, reply
 from tests.test_sockets import AWAY, CHUNKED, HEAD, serving
 
