--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -19,10 +19,10 @@
 
 
 class Fleet:
-    """Processes of one sidecar in one $TMPDIR, an endpoint and a discovery that never speaks."""
+    """Processes of one sidecar in one $TMPDIR, with one endpoint; discovery never answers."""
 
-    def __init__(self, tmp: Path, tmpdir: str | None) -> None:
-        self.tmp = tmp
+    def __init__(self, folder: Path, tmpdir: str | None) -> None:
+        self.folder = folder
         self.env = (
             {**os.environ, "TMPDIR": tmpdir}
             if tmpdir is not None
@@ -34,81 +34,83 @@
         self.started: list[subprocess.Popen[bytes]] = []
 
     def start(self) -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
-        """A process, once it says ready."""
+        """Starts a process and returns it, once it is ready, with the address of its admin API."""
         with socket.create_server(("127.0.0.1", 0)) as server:
-            ops = server.getsockname()[:2]
+            admin = server.getsockname()[:2]
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member("s0", self.endpoint.getsockname()[1])]
-        config |= {"listen": f"127.0.0.1:{self.port}", "ops": f"{ops[0]}:{ops[1]}"}
-        path = self.tmp / f"config{len(self.started)}.json"
+        config |= {"listen": f"127.0.0.1:{self.port}", "ops": f"{admin[0]}:{admin[1]}"}
+        path = self.folder / f"config{len(self.started)}.json"
         path.write_text(json.dumps(config))
         process = subprocess.Popen(
             [sys.executable, "-m", "cressrail", "serve", str(path)], env=self.env, stdout=subprocess.DEVNULL
         )
         self.started.append(process)
         until = time.monotonic() + 20
-        while not self.say(ops, b"GET /control/ready").startswith(b"HTTP/1.1 200"):
+        while not self.call(admin, b"GET /control/ready").startswith(b"HTTP/1.1 200"):
             assert process.poll() is None and time.monotonic() < until
             time.sleep(0.02)
-        return process, ops
+        return process, admin
 
-    def say(self, at: tuple[str, int], what: bytes) -> bytes:
+    def call(self, address: tuple[str, int], request_line: bytes) -> bytes:
+        """Returns the response of an admin API; empty where none came."""
         try:
-            with socket.create_connection(at, timeout=5) as sock:
-                sock.sendall(what + b" HTTP/1.1\r\nconnection: close\r\n\r\n")
-                heard = b""
+            with socket.create_connection(address, timeout=5) as sock:
+                sock.sendall(request_line + b" HTTP/1.1\r\nconnection: close\r\n\r\n")
+                received = b""
                 while data := sock.recv(4096):
-                    heard += data
-                return heard
+                    received += data
+                return received
         except OSError:
             return b""
 
     def client(self) -> socket.socket:
+        """Returns a new connection of a client."""
         return socket.create_connection(("127.0.0.1", self.port), timeout=10)
 
     def served(self, sock: socket.socket) -> bytes:
-        """What a client hears for one request, played with the endpoint's part."""
+        """Returns the response to one request, for which the endpoint answers."""
         sock.sendall(ask())
-        far = self.endpoint.accept()[0]
-        with far:
-            heard = b""
-            while b"\r\n\r\n" not in heard:
-                heard += far.recv(4096)
-            far.sendall(reply(b"hello", more=b"connection: close\r\n"))
-            got = b""
-            while not got.endswith(b"hello") and (data := sock.recv(4096)):
-                got += data
-        return got
+        connection = self.endpoint.accept()[0]
+        with connection:
+            received = b""
+            while b"\r\n\r\n" not in received:
+                received += connection.recv(4096)
+            connection.sendall(reply(b"hello", more=b"connection: close\r\n"))
+            response = b""
+            while not response.endswith(b"hello") and (data := sock.recv(4096)):
+                response += data
+        return response
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path, str(tmp_path))
-    yield made
-    for process in made.started:
+    processes = Fleet(tmp_path, str(tmp_path))
+    yield processes
+    for process in processes.started:
         process.kill()
         process.wait()
-    made.endpoint.close()
+    processes.endpoint.close()
 
 
 def test_successor_takes_over_and_predecessor_exits(fleet: Fleet) -> None:
     first, _ = fleet.start()
     kept = fleet.client()
     assert fleet.served(kept).startswith(b"HTTP/1.1 200")
-    second, ops = fleet.start()
+    second, admin = fleet.start()
     fresh = fleet.client()
     assert b"connection: close" not in fleet.served(fresh)
-    assert b"connection: close" in fleet.served(kept)  # the last there, and no close crossed it
+    assert b"connection: close" in fleet.served(kept)  # the last response on this connection
     first.send_signal(signal.SIGTERM)
     assert first.wait(20) == 0
     assert fleet.served(fresh).startswith(b"HTTP/1.1 200")
-    assert b'app_answered{group="read"} 2' in fleet.say(ops, b"GET /control/counters")
+    assert b'app_answered{group="read"} 2' in fleet.call(admin, b"GET /control/counters")
     third, _ = fleet.start()  # and again
     second.send_signal(signal.SIGTERM)
     assert second.wait(20) == 0
     with fleet.client() as sock:
         assert fleet.served(sock).startswith(b"HTTP/1.1 200")
-    third.send_signal(signal.SIGTERM)  # without a successor: as ever
+    third.send_signal(signal.SIGTERM)  # without a successor it drains as usual
     assert third.wait(20) == 0
     kept.close()
     fresh.close()
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -27,18 +27,18 @@
 
 
 def captured(front: Front, now: int = SECOND) -> dict[str, Any]:
-    """The estate, as it comes out of a frame."""
-    found, effects = front.reducer.hand_over(now)
-    front.told += effects
-    frames = FrameReader()
-    frames.feed(encode_frame(FrameKind.STATE, found))
-    got = frames.next_frame()
-    assert got is not None
-    return got.fields
+    """Hands over, and returns the state as the successor reads it from a frame."""
+    state, commands = front.reducer.hand_over(now)
+    front.told += commands
+    reader = FrameReader()
+    reader.feed(encode_frame(FrameKind.STATE, state))
+    frame = reader.next_frame()
+    assert frame is not None
+    return frame.fields
 
 
 def successor() -> Front:
-    """A process that waits for the one before it."""
+    """Returns a process that waits for its predecessor."""
     front = Front()
     front.reducer.lifecycle.set_accepting(False)
     front.reducer.lifecycle.wait_for_predecessor()
@@ -53,70 +53,72 @@
     old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
     new.reducer.on_endpoint_list(SECOND, parse_update(old.reducer.endpoint_list()))
     new.told = new.reducer.take_over(SECOND, captured(old), 1, 1)
-    side = new.reducer.load_balancer
+    balancer = new.reducer.load_balancer
     assert (
         new.reducer.endpoint_watch.revision == 9
-        and not side.endpoints[1].accepts_requests
-        and side.endpoints[1].limit == 1.25
+        and not balancer.endpoints[1].accepts_requests
+        and balancer.endpoints[1].limit == 1.25
     )
-    assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.taken) == 50
-    assert side.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
+    assert balancer.unavailable_endpoints(SECOND) == [0, 1] and len(balancer.budget.taken) == 50
+    assert balancer.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
     assert new.all(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_restore_recomputes_the_figures_that_are_derived() -> None:
     old, new = successor(), successor()
-    rule, side = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
-    for n in range(200):
-        rule.carry(n * SECOND // 40, side.zone_subsets[0])
-        side._learn_usual(SECOND, (0.1, 0.3)[n % 2])
+    slow_start, balancer = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
+    for number in range(200):
+        slow_start.carry(number * SECOND // 40, balancer.zone_subsets[0])
+        balancer._learn_usual(SECOND, (0.1, 0.3)[number % 2])
     handover_state.restore(
         captured(old, 5 * SECOND), new.reducer.load_balancer, new.reducer.registry.names(), 5 * SECOND
     )
     assert new.reducer.load_balancer.zone_subsets[0].each == pytest.approx(
-        side.zone_subsets[0].each, rel=0.15
+        balancer.zone_subsets[0].each, rel=0.15
     )
-    before = side.late
-    for heir in (side, new.reducer.load_balancer):
-        heir._learn_usual(SECOND, 0.9)
-        assert heir.late == pytest.approx(before)
+    before = balancer.late
+    for each in (balancer, new.reducer.load_balancer):
+        each._learn_usual(SECOND, 0.9)
+        assert each.late == pytest.approx(before)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
-        lambda e: e.pop("budget"),
-        lambda e: e["whole"].pop(),
-        lambda e: e["endpoints"][0].pop(),
-        lambda e: e.update(cold=[1, "x", 2]),
-        lambda e: e["budget"][0].append(1.5),
-        lambda e: e.update(shares=[]),
+        lambda state: state.pop("budget"),
+        lambda state: state["whole"].pop(),
+        lambda state: state["endpoints"][0].pop(),
+        lambda state: state.update(cold=[1, "x", 2]),
+        lambda state: state["budget"][0].append(1.5),
+        lambda state: state.update(shares=[]),
     ],
 )
-def test_restore_refuses_a_damaged_state_and_changes_nothing(spoil: Any) -> None:
+def test_restore_refuses_a_damaged_state_and_changes_nothing(damage: Any) -> None:
     old, new = Front(), successor()
     warm_up(old.reducer.load_balancer)
     old.reducer.load_balancer.endpoints[0].limit = 1.25
-    found = captured(old)
-    spoil(found)
+    state = captured(old)
+    damage(state)
     with pytest.raises(HandoverError):
-        handover_state.restore(found, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
-    new.told = new.reducer.take_over(SECOND, found, 0, 0)
+        handover_state.restore(state, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
+    new.told = new.reducer.take_over(SECOND, state, 0, 0)
     assert not new.reducer.load_balancer.budget.taken and new.reducer.load_balancer.endpoints[0].limit != 1.25
-    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # and yet it serves
+    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
 
 
 def test_two_processes_share_one_retry_budget_and_slow_start_credit() -> None:
     front = Front()
     warm_up(front.reducer.load_balancer)
-    side, now = front.reducer.load_balancer, SECOND
-    side.endpoints[0].started_us = side.endpoints[0].cold_us = 1
-    e, own = side.endpoints[0], side.zone_subsets[0]
-    assert side.slow_start.credit(e, 5 * SECOND, own, True)
+    balancer, now = front.reducer.load_balancer, SECOND
+    balancer.endpoints[0].started_us = balancer.endpoints[0].cold_us = 1
+    endpoint, own_subset = balancer.endpoints[0], balancer.zone_subsets[0]
+    assert balancer.slow_start.credit(endpoint, 5 * SECOND, own_subset, True)
     captured(front)
-    assert not side.budget.spend(now) and not side.slow_start.credit(e, 6 * SECOND, own, True)
+    assert not balancer.budget.spend(now) and not balancer.slow_start.credit(
+        endpoint, 6 * SECOND, own_subset, True
+    )
     front.reducer.on_successor_failed(now)
-    assert side.budget.spend(now) and side.slow_start.credit(e, 7 * SECOND, own, True)
+    assert balancer.budget.spend(now) and balancer.slow_start.credit(endpoint, 7 * SECOND, own_subset, True)
 
 
 def test_request_id_in_flight_at_the_predecessor_is_refused_by_the_successor() -> None:
@@ -165,7 +167,9 @@
     front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
     assert [write.closes_connection for write in front.all(do.SendResponse)] == [True, True]
     front.told += front.reducer.on_stop_requested(2 * SECOND)
-    assert front.reducer.is_ready(2 * SECOND)  # a front that asks here is not to leave a sidecar that serves
+    assert front.reducer.is_ready(
+        2 * SECOND
+    )  # a health check that reaches this process must not see the sidecar as gone
     for client in (1, 2):
         front.told += front.reducer.on_response_written(2 * SECOND, client)
         front.told += front.reducer.on_client_closed(2 * SECOND, client)
@@ -188,22 +192,22 @@
     assert not front.all(do.AcceptClients)
 
 
-@pytest.mark.parametrize("tmp", [None, "", "/x" * MAX_PATH_BYTES])
-def test_rendezvous_path_is_none_without_a_usable_directory(tmp: str | None) -> None:
-    assert rendezvous_path(("127.0.0.1", 1), tmp) is None
+@pytest.mark.parametrize("directory", [None, "", "/x" * MAX_PATH_BYTES])
+def test_rendezvous_path_is_none_without_a_usable_directory(directory: str | None) -> None:
+    assert rendezvous_path(("127.0.0.1", 1), directory) is None
 
 
 def test_find_predecessor_passes_over_a_process_that_sends_no_frame(tmp_path: Path) -> None:
-    at = str(tmp_path / "s")
-    with socket.socket(socket.AF_UNIX) as place:
-        place.bind(at)
-        place.listen()
-        place.settimeout(5)
+    path = str(tmp_path / "s")
+    with socket.socket(socket.AF_UNIX) as listening:
+        listening.bind(path)
+        listening.listen()
+        listening.settimeout(5)
         if os.fork() == 0:
-            other = place.accept()[0]
-            other.recv(4096)
-            other.sendall(b"HTTP/1.1 400 Bad Request\r\n\r\n")
+            connection = listening.accept()[0]
+            connection.recv(4096)
+            connection.sendall(b"HTTP/1.1 400 Bad Request\r\n\r\n")
             os._exit(0)
-        assert find_predecessor(at, ("127.0.0.1", 1)) is None
+        assert find_predecessor(path, ("127.0.0.1", 1)) is None
         os.wait()
-    assert find_predecessor(at, ("127.0.0.1", 1)) is None  # nobody listens there any more
+    assert find_predecessor(path, ("127.0.0.1", 1)) is None  # nobody listens there any more
