--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -16,7 +16,7 @@
 from cressrail.policy.load_balancer import Endpoint, LoadBalancer
 
 # Members of a state; the words are part of the frame.
-ENDPOINTS, BALANCER, RETRY_BUDGET = "endpoints", "whole", "budget"
+ENDPOINTS, LATENCY_BASELINE, RETRY_BUDGET = "endpoints", "whole", "budget"
 SLOW_START, TENANT_QUOTAS, ZONE_SUBSETS = "cold", "shares", "groups"
 
 MAX_MAGNITUDE = 1e18  # of a number that is not taken for an error
@@ -25,7 +25,21 @@
 
 
 class EndpointState(NamedTuple):
-    """One endpoint's entry in the state; its fields are written in this order."""
+    """One endpoint's entry in the state; its fields are written in this order.
+
+    Attributes:
+        name: As discovery gives it.
+        started_us: Its last start; an entry of an earlier one is not restored.
+        limit: Of this instance's attempts in flight.
+        latency: Moving average of succeeded attempts, in latency objectives.
+        success_rate: Moving average, from 0 to 1.
+        slow_start_credit: Attempts that it may be sent while it warms up.
+        limit_cut_us: When the limit was last cut.
+        last_prompt_sent_us: When the latest attempt was sent that was answered in time.
+        last_outcome_us: When the last outcome was observed.
+        unavailable_until_us: Until then its process counts as gone.
+        slow_start_credit_us: When the credit was last brought up to date.
+    """
 
     name: str
     started_us: int
@@ -34,47 +48,47 @@
     success_rate: float
     slow_start_credit: float
     limit_cut_us: int
-    last_prompt_answer_us: int
+    last_prompt_sent_us: int
     last_outcome_us: int
     unavailable_until_us: int
     slow_start_credit_us: int
 
 
-class BalancerState(NamedTuple):
-    """What is kept for all endpoints in common; its fields are written in this order."""
+class LatencyBaselineState(NamedTuple):
+    """The latency that all endpoints in common show; its fields are written in this order."""
 
-    mean_latency: float
+    mean: float
     mean_deviation: float
-    baseline_latency: float
-    latency_threshold: float
-    baseline_updated_us: int
-    last_outcome_us: int
+    baseline: float
+    threshold: float
+    updated_us: int
+    sample_count: int
 
 
 class SlowStartState(NamedTuple):
     """What slow start has counted; its fields are written in this order."""
 
     born_us: int
-    carried: float
-    carried_us: int
+    recent_successes: float
+    recent_successes_us: int
 
 
 class TenantQuotasState(NamedTuple):
     """What the tenants have used of their quotas; its fields are written in this order."""
 
-    credit: list[float]
+    tokens: list[float]
     filled_us: list[int]
     clock_us: int
-    seen_us: int
-    short_us: int
-    sends: int
+    last_request_us: int
+    short_until_us: int
+    sent_since_request: int
 
 
 class ZoneSubsetState(NamedTuple):
     """The admission figures of one subset of endpoints; its fields are written in this order."""
 
-    admits: float
-    attempts: int
+    admitted_fraction: float
+    attempts_this_second: int
     attempts_per_s: float
 
 
@@ -82,9 +96,9 @@
     """A whole state, checked and converted."""
 
     endpoints: dict[str, EndpointState]
-    balancer: BalancerState
-    requests_us: list[int]
-    retries_us: list[int]
+    latency_baseline: LatencyBaselineState
+    request_times_us: list[int]
+    retry_times_us: list[int]
     slow_start: SlowStartState
     quotas: TenantQuotasState
     subsets: list[ZoneSubsetState]
@@ -95,26 +109,26 @@
     slow_start, quotas = balancer.slow_start, balancer.quotas
     return {
         ENDPOINTS: [list(_capture_endpoint(name, balancer.endpoints[ix])) for ix, name in names.items()],
-        BALANCER: list(
-            BalancerState(
-                mean_latency=balancer.mean,
+        LATENCY_BASELINE: list(
+            LatencyBaselineState(
+                mean=balancer.mean,
                 mean_deviation=balancer.swing,
-                baseline_latency=balancer.usual,
-                latency_threshold=balancer.late,
-                baseline_updated_us=balancer.usual_us,
-                last_outcome_us=balancer.heard,
+                baseline=balancer.usual,
+                threshold=balancer.late,
+                updated_us=balancer.usual_us,
+                sample_count=balancer.heard,
             )
         ),
         RETRY_BUDGET: [list(balancer.budget.taken), list(balancer.budget.retried)],
         SLOW_START: list(SlowStartState(slow_start.born_us, slow_start.carried, slow_start.carried_us)),
         TENANT_QUOTAS: list(
             TenantQuotasState(
-                credit=quotas.credit,
+                tokens=quotas.credit,
                 filled_us=quotas.filled_us,
                 clock_us=quotas.clock_us,
-                seen_us=quotas.seen_us,
-                short_us=quotas.short_us,
-                sends=quotas.sends,
+                last_request_us=quotas.seen_us,
+                short_until_us=quotas.short_us,
+                sent_since_request=quotas.sends,
             )
         ),
         ZONE_SUBSETS: [
@@ -133,7 +147,7 @@
         success_rate=endpoint.success_rate,
         slow_start_credit=endpoint.slow_start_credit,
         limit_cut_us=endpoint.cut_us,
-        last_prompt_answer_us=endpoint.prompt_us,
+        last_prompt_sent_us=endpoint.prompt_us,
         last_outcome_us=endpoint.last_outcome_us,
         unavailable_until_us=endpoint.unavailable_until_us,
         slow_start_credit_us=endpoint.cold_us,
@@ -159,13 +173,16 @@
         endpoint_state = state.endpoints.get(name)
         if endpoint_state is not None and endpoint_state.started_us == endpoint.started_us:
             _restore_endpoint(endpoint_state, endpoint)
-    _restore_balancer(state.balancer, balancer)
-    balancer.budget.taken, balancer.budget.retried = deque(state.requests_us), deque(state.retries_us)
+    _restore_latency_baseline(state.latency_baseline, balancer)
+    balancer.budget.taken, balancer.budget.retried = (
+        deque(state.request_times_us),
+        deque(state.retry_times_us),
+    )
     _restore_slow_start(state.slow_start, balancer)
     _restore_quotas(state.quotas, balancer)
     for subset, subset_state in zip(balancer.zone_subsets, state.subsets, strict=False):
-        subset.admits = subset_state.admits or subset.admits
-        subset.hops = subset_state.attempts
+        subset.admits = subset_state.admitted_fraction or subset.admits
+        subset.hops = subset_state.attempts_this_second
         subset.hops_per_s = subset_state.attempts_per_s
     for subset in balancer.zone_subsets:
         subset.choose(now_us)
@@ -177,19 +194,19 @@
     endpoint.success_rate = state.success_rate
     endpoint.slow_start_credit = state.slow_start_credit
     endpoint.cut_us = state.limit_cut_us
-    endpoint.prompt_us = state.last_prompt_answer_us
+    endpoint.prompt_us = state.last_prompt_sent_us
     endpoint.last_outcome_us = state.last_outcome_us
     endpoint.unavailable_until_us = state.unavailable_until_us
     endpoint.cold_us = state.slow_start_credit_us
 
 
-def _restore_balancer(state: BalancerState, balancer: LoadBalancer) -> None:
-    balancer.mean = state.mean_latency
+def _restore_latency_baseline(state: LatencyBaselineState, balancer: LoadBalancer) -> None:
+    balancer.mean = state.mean
     balancer.swing = state.mean_deviation
-    balancer.usual = state.baseline_latency
-    balancer.late = state.latency_threshold
-    balancer.usual_us = state.baseline_updated_us
-    balancer.heard = state.last_outcome_us
+    balancer.usual = state.baseline
+    balancer.late = state.threshold
+    balancer.usual_us = state.updated_us
+    balancer.heard = state.sample_count
     # Derived figures are not part of a frame, so that processes of two versions can exchange state.
     balancer.margin = max(0.0, balancer.late / balancer.usual - 1) if balancer.usual else 0.0
 
@@ -197,41 +214,41 @@
 def _restore_slow_start(state: SlowStartState, balancer: LoadBalancer) -> None:
     slow_start = balancer.slow_start
     slow_start.born_us = state.born_us
-    slow_start.carried = state.carried
-    slow_start.carried_us = state.carried_us
+    slow_start.carried = state.recent_successes
+    slow_start.carried_us = state.recent_successes_us
     own_subset = balancer.zone_subsets[balancer.order[0]]
-    own_subset.each = state.carried / max(LEAST_SIZE, own_subset.size)
-    own_subset.each_us = state.carried_us
+    own_subset.each = state.recent_successes / max(LEAST_SIZE, own_subset.size)
+    own_subset.each_us = state.recent_successes_us
 
 
 def _restore_quotas(state: TenantQuotasState, balancer: LoadBalancer) -> None:
     """Restores the quotas' use, unless the number of tenants differs."""
     quotas = balancer.quotas
-    if len(state.credit) != len(quotas.credit):
+    if len(state.tokens) != len(quotas.credit):
         return
-    quotas.credit = state.credit
+    quotas.credit = state.tokens
     quotas.filled_us = state.filled_us
     quotas.clock_us = state.clock_us
-    quotas.seen_us = state.seen_us
-    quotas.short_us = state.short_us
-    quotas.sends = state.sends
+    quotas.seen_us = state.last_request_us
+    quotas.short_us = state.short_until_us
+    quotas.sends = state.sent_since_request
 
 
 def _parse(fields: dict[str, Any]) -> HandoverState:
     try:
         endpoints = [_parse_endpoint(values) for values in fields[ENDPOINTS]]
-        balancer = _parse_balancer(fields[BALANCER])
-        requests_us, retries_us = (sorted(_times(times)) for times in fields[RETRY_BUDGET])
-        born_us, carried, carried_us = fields[SLOW_START]
+        latency_baseline = _parse_latency_baseline(fields[LATENCY_BASELINE])
+        request_times_us, retry_times_us = (sorted(_whole_numbers(times)) for times in fields[RETRY_BUDGET])
+        born_us, successes, successes_us = fields[SLOW_START]
         return HandoverState(
             {endpoint.name: endpoint for endpoint in endpoints},
-            balancer,
-            requests_us,
-            retries_us,
-            SlowStartState(_time(born_us), _number(carried), _time(carried_us)),
+            latency_baseline,
+            request_times_us,
+            retry_times_us,
+            SlowStartState(_whole_number(born_us), _number(successes), _whole_number(successes_us)),
             _parse_quotas(fields[TENANT_QUOTAS]),
             [
-                ZoneSubsetState(_number(admits), _time(attempts), _number(attempts_per_s))
+                ZoneSubsetState(_number(admits), _whole_number(attempts), _number(attempts_per_s))
                 for admits, attempts, attempts_per_s in fields[ZONE_SUBSETS]
             ],
         )
@@ -243,26 +260,28 @@
     name, started_us, limit, latency, success_rate, credit, *times = values
     return EndpointState(
         str(name),
-        _time(started_us),
+        _whole_number(started_us),
         _number(limit),
         _number(latency),
         _number(success_rate),
         _number(credit),
-        *_times(times, 5),
+        *_whole_numbers(times, 5),
     )
 
 
-def _parse_balancer(values: Any) -> BalancerState:
+def _parse_latency_baseline(values: Any) -> LatencyBaselineState:
     mean, deviation, baseline, threshold, *times = values
-    return BalancerState(
-        _number(mean), _number(deviation), _number(baseline), _number(threshold), *_times(times, 2)
+    return LatencyBaselineState(
+        _number(mean), _number(deviation), _number(baseline), _number(threshold), *_whole_numbers(times, 2)
     )
 
 
 def _parse_quotas(values: Any) -> TenantQuotasState:
     credit, filled_us, *times = values
     return TenantQuotasState(
-        [_number(value) for value in credit], _times(filled_us, len(credit)), *_times(times, 4)
+        [_number(value) for value in credit],
+        _whole_numbers(filled_us, len(credit)),
+        *_whole_numbers(times, 4),
     )
 
 
@@ -276,14 +295,14 @@
     return float(value)
 
 
-def _time(value: Any) -> int:
+def _whole_number(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(f"no whole number: {str(value)[:MAX_SHOWN_CHARS]}")
     return value
 
 
-def _times(values: Iterable[Any], count: int | None = None) -> list[int]:
-    found = [_time(value) for value in values]
+def _whole_numbers(values: Iterable[Any], count: int | None = None) -> list[int]:
+    found = [_whole_number(value) for value in values]
     if count is not None and len(found) != count:
         raise ValueError(f"{len(found)} figures, {count} wanted")
     return found
