--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -150,13 +150,8 @@
     Raises:
         ConfigurationError: A setting is missing or impossible.
     """
-    if settings.text(names.OWN_ZONE) not in zones:
-        raise ConfigurationError(
-            names.OWN_ZONE, f"is not one of {names.ZONES}: {shown(settings.text(names.OWN_ZONE))}"
-        )
-    tiers, tier_index = settings.names(names.TIERS), settings.whole_number(names.TIER_INDEX, 0)
-    if tier_index >= len(tiers):
-        raise ConfigurationError(names.TIER_INDEX, f"is not below the number of tiers: {tier_index}")
+    own_zone = _read_own_zone(settings, zones)
+    tier_index, tier_count = _read_tier(settings)
     is_list_polled = settings.choice(names.LIST_DELIVERY, IS_LIST_POLLED)
     random_generator = RandomGenerator(seed)
     instance_count = settings.whole_number(names.INSTANCE_COUNT, 1)
@@ -164,10 +159,10 @@
     quotas = TenantQuotas(quotas_per_s, instance_count, over_quota_priority)
     return LoadBalancer(
         rng=random_generator,
-        zone=zones.index(settings.text(names.OWN_ZONE)),
+        zone=own_zone,
         zones=len(zones),
-        tiers_to_go=(len(tiers) - tier_index) / len(tiers),
-        last_tier=tier_index == len(tiers) - 1,
+        tiers_to_go=(tier_count - tier_index) / tier_count,
+        last_tier=tier_index == tier_count - 1,
         is_ingress=tier_index == 0,
         round_us=settings.whole_number(names.ROUND_US, 1),
         come_back_us=_max_retry_after_us(settings),
@@ -190,6 +185,23 @@
     )
 
 
+def _read_own_zone(settings: SettingsReader, zones: list[str]) -> int:
+    """Returns the index of this instance's zone."""
+    name = settings.text(names.OWN_ZONE)
+    if name not in zones:
+        raise ConfigurationError(names.OWN_ZONE, f"is not one of {names.ZONES}: {shown(name)}")
+    return zones.index(name)
+
+
+def _read_tier(settings: SettingsReader) -> tuple[int, int]:
+    """Returns the index of this instance's tier, and the number of tiers."""
+    tier_count = len(settings.names(names.TIERS))
+    tier_index = settings.whole_number(names.TIER_INDEX, 0)
+    if tier_index >= tier_count:
+        raise ConfigurationError(names.TIER_INDEX, f"is not below the number of tiers: {tier_index}")
+    return tier_index, tier_count
+
+
 def _max_retry_after_us(settings: SettingsReader) -> int:
     """Returns the longest retry-after that may be sent; zero where none may be."""
     if not settings.flag(names.MAY_SEND_RETRY_AFTER):
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -24,7 +24,7 @@
         b'{"revision":1,"complete":1,"members":[]}',
     ],
 )
-def test_read_line_refuses_what_is_no_list(line: bytes) -> None:
+def test_parse_update_line_refuses_what_is_no_list(line: bytes) -> None:
     with pytest.raises(MalformedEndpointListError):
         parse_update_line(line)
 
@@ -50,7 +50,7 @@
         ({"up_since_ms": "x"}, False),
     ],
 )
-def test_read_line_keeps_the_entries_it_can_read(change: dict[str, Any], readable: bool) -> None:
+def test_parse_update_line_keeps_the_entries_it_can_read(change: dict[str, Any], readable: bool) -> None:
     entries = [{**member("s1", 9001), **change}, member("s2", 9002)]
     update = parse_update_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
     assert [entry.name for entry in update.entries] == (["s1", "s2"] if readable else ["s2"])
