--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -12,7 +12,7 @@
 from cressrail.proxy.endpoint_connections import EndpointConnections
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.id_sequence import IdSequence
-from cressrail.proxy.requests import REQUEST_ID_FIELD, PendingRequest
+from cressrail.proxy.requests import PendingRequest
 
 if TYPE_CHECKING:
     from cressrail.proxy.zone_statistics import ZoneStatistics
@@ -155,7 +155,7 @@
         return LogEvent(
             events.ATTEMPT_FAILED,
             {
-                "request_id": pending.request.get(REQUEST_ID_FIELD),
+                "request_id": pending.request_id,
                 "outcome": result.outcome.name.lower(),
                 "reason": result.reason,
                 "endpoint": self.registry.endpoints[attempt.endpoint].name,
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -22,8 +22,6 @@
 from cressrail.proxy.lifecycle import Lifecycle
 from cressrail.proxy.request_counters import RequestCounters
 from cressrail.proxy.requests import (
-    REQUEST_CLASS_FIELD,
-    REQUEST_ID_FIELD,
     TENANT_FIELD,
     PendingRequest,
     PendingRequests,
@@ -105,8 +103,8 @@
             LogEvent(
                 events.REQUEST_REJECTED if is_rejected else events.REQUEST_FAILED,
                 {
-                    "request_id": pending.request.get(REQUEST_ID_FIELD),
-                    "request_class": pending.request.get(REQUEST_CLASS_FIELD),
+                    "request_id": pending.request_id,
+                    "request_class": pending.class_name,
                     "tenant": pending.request.get(TENANT_FIELD),
                     "attempts": pending.attempt_count,
                     "remaining_us": routed_request.deadline_us - now_us,
@@ -167,7 +165,7 @@
         """Its answer is final; the one place where a forwarded request is counted."""
         pending = self.requests.pending[routed_request]
         self.clients.clear_request(pending.client)
-        self.counters.on_final_answer(pending.request.get(REQUEST_CLASS_FIELD) or "", status)
+        self.counters.on_final_answer(pending.class_name, status)
         self.requests.release_id(routed_request)
 
     # Requests
@@ -201,7 +199,7 @@
         routed_request = self.clients.open[client].routed_request
         if routed_request is None or routed_request.is_finished:  # it has its answer already
             return []
-        request_class = self.requests.pending[routed_request].request.get(REQUEST_CLASS_FIELD)
+        request_class = self.requests.pending[routed_request].class_name
         self.requests.release_id(routed_request)
         self.clients.clear_request(client)
         commands = self._decided(now_us, routed_request.on_client_disconnected())
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -71,8 +71,11 @@
         if class_name is None and request.path != REQUEST_PATH:
             return self.forwarder.reply(client, UNKNOWN_PATH_STATUS, request.body)
         request_class = self.settings.request_classes.get(class_name or "")
-        limit_us = self._time_limit_us(now_us, request, request_class)
-        if request_class is None or limit_us is None:
+        request_id = request.get(REQUEST_ID_FIELD)
+        limit_us = None
+        if request_class is not None and request_id:
+            limit_us = self._time_limit_us(now_us, request, request_id, request_class)
+        if class_name is None or request_class is None or not request_id or limit_us is None:
             counted = class_name if request_class is not None else None
             return self.forwarder.reply(client, INVALID_REQUEST_STATUS, request.body, counted)
         if self.clients.open[client].is_over_limit:
@@ -80,14 +83,13 @@
             reply = self.forwarder.reply(client, OVER_LIMIT_STATUS, request.body, class_name)
             return [LogEvent(events.CONNECTION_LIMIT_REACHED, counts), *reply]
         remaining_us = STILL_COMING if request.streams else max(0, limit_us - (now_us - arrived_us))
-        pending = PendingRequest(client, request, arrived_us, limit_us)
+        pending = PendingRequest(client, request, request_id, class_name, arrived_us, limit_us)
         return self._forward(now_us, request_class, remaining_us, pending)
 
-    def _time_limit_us(self, now_us: int, request: Request, request_class: RequestClass | None) -> int | None:
-        """Returns the time that a request has; None if its class, its id or its deadline is invalid."""
-        request_id = request.get(REQUEST_ID_FIELD)
-        if request_class is None or not request_id:
-            return None
+    def _time_limit_us(
+        self, now_us: int, request: Request, request_id: str, request_class: RequestClass
+    ) -> int | None:
+        """Returns the time that a request has; None if its deadline is invalid or its id is in use."""
         deadline = request.get(DEADLINE_FIELD)
         limit_us = span_us(deadline) if deadline is not None else request_class.deadline_us
         if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -23,6 +23,8 @@
     Attributes:
         client: The client that sent it.
         request: As it came.
+        request_id: Its id, no other request's while it waits for its answer.
+        class_name: Name of its request class.
         arrived_us: When its last byte came, or its head where it goes on before it is complete.
         time_limit_us: The time it has once the client has sent all of it.
         attempts: This process's attempt ids, by the load balancer's numbers of the request's attempts.
@@ -34,6 +36,8 @@
 
     client: int
     request: Request
+    request_id: str
+    class_name: str
     arrived_us: int
     time_limit_us: int
     attempts: dict[int, int] = field(default_factory=dict)
@@ -82,7 +86,7 @@
     def add(self, routed_request: RoutedRequest, pending: PendingRequest) -> None:
         """Adds a request, and takes its id."""
         self.pending[routed_request] = pending
-        self.open_ids[pending.request.get(REQUEST_ID_FIELD) or ""] = pending.client
+        self.open_ids[pending.request_id] = pending.client
 
     def is_id_in_use(self, now_us: int, request_id: str) -> bool:
         """Whether a request with this id waits for its answer, here or at the predecessor process."""
@@ -90,11 +94,11 @@
 
     def release_id(self, routed_request: RoutedRequest) -> None:
         """Another request may have this one's id: it has its answer, or its client has left."""
-        del self.open_ids[self.pending[routed_request].request.get(REQUEST_ID_FIELD) or ""]
+        del self.open_ids[self.pending[routed_request].request_id]
 
     def is_answer_due(self, pending: PendingRequest) -> bool:
         """Whether the request's client still waits, so that its id is in use."""
-        return self.open_ids.get(pending.request.get(REQUEST_ID_FIELD) or "") == pending.client
+        return self.open_ids.get(pending.request_id) == pending.client
 
     def release(self, routed_request: RoutedRequest) -> list[Command]:
         """Forgets a request that is answered and has no attempt in flight; releases its body."""
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -52,8 +52,9 @@
         lifecycle = self.lifecycle
         next_us = self.load_balancer.wake_us
         has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
-        if has_to_ask or not self.endpoint_watch.is_settled(now_us):
-            next_us = min(next_us, self.endpoint_watch.settles_us)
+        watch = self.endpoint_watch
+        if has_to_ask or not (watch.has_list or watch.is_settled(now_us)):
+            next_us = min(next_us, watch.settles_us)
         if lifecycle.is_stopping:
             next_us = min(next_us, lifecycle.next_stop_phase_us)
             if self.forwarder.has_unanswered():
