--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -125,7 +125,7 @@
             return End(Outcome.CANCELLED)
         stream = self.stream
         assert stream is not None
-        now, until_us = self.net.now(), job.until_us
+        now, until_us = self.net.now(), job.timeout_at_us
         if (client := self.net.state_machine.waiting_client(now, job.attempt)) and self.net.has_left(client):
             # Guards against work for those who left while their request lay unread, or a connection came up.
             self.net.dispatch(self.net.state_machine.on_client_disconnected(now, client))
@@ -226,7 +226,7 @@
             raise StreamInterruptedError
         self._check()
         if self.stream is None:
-            until_us = min(job.until_us, self.net.now() + self.net.connect_us)
+            until_us = min(job.timeout_at_us, self.net.now() + self.net.connect_us)
             self.stream = SocketStream.connect(
                 self.net.loop, self.net.pool, job.host, job.port, until_us, True
             )
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -51,8 +51,8 @@
             while task.mail:
                 message = task.mail.popleft()
                 assert isinstance(message, AcceptClients)  # nothing else is posted here, see Net
-                self.on = message.on
-                if message.closed:
+                self.on = message.is_accepting
+                if message.is_final:
                     self._close()
                     return
             if why != MAIL and self.on:
--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -14,10 +14,10 @@
 from cressrail.proxy.request_counters import RequestCounters
 from cressrail.proxy.requests import PendingRequests
 
-READY, COUNTERS = b"/control/ready", b"/control/counters"
-OUT, IN = b"/control/out-of-service", b"/control/in-service"
-METHODS = {READY: b"GET", COUNTERS: b"GET", OUT: b"POST", IN: b"POST"}
-TEXT = b"text/plain; version=0.0.4; charset=utf-8"
+READY_PATH, COUNTERS_PATH = b"/control/ready", b"/control/counters"
+OUT_OF_SERVICE_PATH, IN_SERVICE_PATH = b"/control/out-of-service", b"/control/in-service"
+METHODS = {READY_PATH: b"GET", COUNTERS_PATH: b"GET", OUT_OF_SERVICE_PATH: b"POST", IN_SERVICE_PATH: b"POST"}
+TEXT_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class AdminResponse(NamedTuple):
@@ -32,7 +32,7 @@
 
     status: int
     body: bytes = b""
-    kind: bytes = TEXT
+    kind: bytes = TEXT_CONTENT_TYPE
     allow: bytes = b""
 
 
@@ -43,7 +43,7 @@
 HAS_HANDED_OVER = AdminResponse(503, b"another process has taken over\n")
 
 
-def refused(method: bytes, path: bytes) -> AdminResponse | None:
+def refusal_of(method: bytes, path: bytes) -> AdminResponse | None:
     """Returns the answer to a call that there is none of; None for one that there is."""
     allowed = METHODS.get(path)
     if allowed is None:
@@ -74,17 +74,17 @@
 
     def answer(self, now_us: int, method: bytes, path: bytes) -> tuple[AdminResponse, list[Command]]:
         """Returns the answer to a call, and the commands; there are some only if it has changed something."""
-        refusal = refused(method, path)
+        refusal = refusal_of(method, path)
         if refusal is not None:
             return refusal, []
-        if path == COUNTERS:
+        if path == COUNTERS_PATH:
             return AdminResponse(200, self.counters_text(now_us)), []
-        if path == READY:
+        if path == READY_PATH:
             is_ready = self.lifecycle.rules.is_ready and self.endpoint_watch.can_serve(now_us)
             return IS_READY if is_ready else IS_NOT_READY, []
         if self.lifecycle.has_handed_over:  # a change would end with this process
             return HAS_HANDED_OVER, []
-        if path == OUT:
+        if path == OUT_OF_SERVICE_PATH:
             return IS_OUT_OF_SERVICE, self._leave_service(now_us)
         return IS_IN_SERVICE, self._return_to_service()
 
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -17,8 +17,8 @@
         closed: Whether the listening socket is closed, so that no client is accepted any more.
     """
 
-    on: bool
-    closed: bool = False
+    is_accepting: bool
+    is_final: bool = False
 
 
 class ReadRequest(NamedTuple):
@@ -75,7 +75,7 @@
     host: str
     port: int
     request: Request
-    until_us: int
+    timeout_at_us: int
     not_before_us: int = 0
 
 
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -55,7 +55,7 @@
 
     # Decisions
 
-    def _decided(self, now_us: int, decisions: list[Decision]) -> list[Command]:
+    def _apply_decisions(self, now_us: int, decisions: list[Decision]) -> list[Command]:
         """Turns decisions into commands. What follows from one at once is decided after those at hand."""
         commands: list[Command] = []
         remaining = deque(decisions)
@@ -117,7 +117,7 @@
         """Asks the load balancer for what is decided by time alone."""
         if now_us < self.load_balancer.wake_us:
             return []
-        return self._decided(now_us, self.load_balancer.on_timer(now_us))
+        return self._apply_decisions(now_us, self.load_balancer.on_timer(now_us))
 
     def has_unanswered(self) -> bool:
         """Whether a client waits for an answer that has not begun."""
@@ -137,7 +137,7 @@
         commands: list[Command] = []
         for routed_request in waiting:
             if not self.requests.pending[routed_request].streaming_attempt:
-                commands += self._decided(now_us, routed_request.finish_now())
+                commands += self._apply_decisions(now_us, routed_request.finish_now())
         return commands
 
     # Answers
@@ -174,7 +174,7 @@
         """Routes a new request."""
         self.clients.set_request(pending.client, routed_request)
         self.requests.add(routed_request, pending)
-        return self._decided(now_us, routed_request.route(now_us))
+        return self._apply_decisions(now_us, routed_request.route(now_us))
 
     def complete(self, now_us: int, client: int, arrived_us: int) -> bool:
         """The last byte of a request has come that was forwarded before: its time runs from here.
@@ -202,16 +202,16 @@
         request_class = self.requests.pending[routed_request].class_name
         self.requests.release_id(routed_request)
         self.clients.clear_request(client)
-        commands = self._decided(now_us, routed_request.on_client_disconnected())
+        commands = self._apply_decisions(now_us, routed_request.on_client_disconnected())
         commands += self.requests.release(routed_request)
         return commands + self.reply(client, status, None, request_class)
 
-    def drop(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
+    def drop_request(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
         """A client has left: the attempts of its request, if any, are cancelled where that is allowed."""
         if routed_request is None:
             return []
         self.requests.release_id(routed_request)
-        commands = self._decided(now_us, routed_request.on_client_disconnected())
+        commands = self._apply_decisions(now_us, routed_request.on_client_disconnected())
         streaming = self.requests.pending[routed_request].streaming_attempt
         if streaming and self.load_balancer.may_cancel:
             commands += self.attempts.cancel(streaming)
@@ -252,7 +252,7 @@
         decisions = routed_request.on_attempt_finished(
             started.number, now_us, Outcome.SUCCEEDED, now_us - started.sent_us, True
         )
-        commands = self._decided(now_us, decisions)
+        commands = self._apply_decisions(now_us, decisions)
         closes = self.closes_after_response(client)
         commands.append(SendResponse(pending.client, response, closes, request.modern))
         return commands
@@ -286,7 +286,7 @@
         decisions = routed_request.on_attempt_finished(
             ended.number, now_us, result.outcome, now_us - ended.sent_us, is_answer
         )
-        commands += self._decided(now_us, decisions)
+        commands += self._apply_decisions(now_us, decisions)
         self.attempts.forget_if_removed(ended.endpoint)
         return commands + self.requests.release(routed_request)
 
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -234,12 +234,12 @@
     def on_client_closed(self, now_us: int, client: int) -> list[Command]:
         """The connection of a client has ended, by whichever side."""
         routed_request = self.clients.remove(client).routed_request
-        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
+        return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def on_client_disconnected(self, now_us: int, client: int) -> list[Command]:
         """A client has closed its connection, which its task has not noticed yet."""
         routed_request = self.clients.clear_request(client)
-        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
+        return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def is_full(self) -> bool:
         """Whether new clients may have to wait until another one closes."""
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -39,7 +39,7 @@
         if lifecycle.close_listener(now_us):
             out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
             if not lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
-                out.append(AcceptClients(False, closed=True))
+                out.append(AcceptClients(False, is_final=True))
         if lifecycle.begin_last_answers(now_us):
             out += self.clients.close_all_idle()
         if lifecycle.close_idle_out_of_service(now_us):
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -12,6 +12,7 @@
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
 from cressrail.policy.load_balancer import Outcome, RandomGenerator
+from cressrail.proxy import admin
 from cressrail.proxy import commands as do
 from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import Command
@@ -22,58 +23,58 @@
 from tests.helpers import CONFIG, SECOND, member
 
 
-class Front:
-    """A reducer, and what it has asked for so far."""
+class ProxyDriver:
+    """A state machine, and the commands that it has returned so far."""
 
     def __init__(
         self,
         endpoints: int = 2,
-        clients: int = 8,
-        links: int = 8,
-        heard: bool = False,
-        grace_us: int = 2 * SECOND,
+        max_clients: int = 8,
+        max_endpoint_connections: int = 8,
+        has_list: bool = False,
+        drain_notice_us: int = 2 * SECOND,
     ) -> None:
-        """`heard`: discovery has told the list that the configuration holds."""
+        """`has_list`: discovery has sent the list that the configuration holds."""
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = read_config(config, {})
-        roster, members = EndpointRegistry(["a", "b"]), policy_factory.tenants(start.settings)
-        self.reducer = StateMachine(
+        registry, members = EndpointRegistry(["a", "b"]), policy_factory.tenants(start.settings)
+        self.state_machine = StateMachine(
             ProxySettings(
                 policy_factory.request_classes(start.settings),
                 dict.fromkeys(members, 0),
                 SECOND,
                 start.discovery,
-                grace_us,
+                drain_notice_us,
             ),
             policy_factory.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
-            roster,
-            ConnectionLimits(clients, 2, links),
+            registry,
+            ConnectionLimits(max_clients, 2, max_endpoint_connections),
             RandomGenerator(5),
             0,
         )
         self.known = start.known
         self.pool = Pool(100)
-        self.told: list[Command] = self.reducer.start(0, start.known)
-        if heard:
-            self.told += self.reducer.on_endpoint_list(0, start.known)
+        self.commands: list[Command] = self.state_machine.start(0, start.known)
+        if has_list:
+            self.commands += self.state_machine.on_endpoint_list(0, start.known)
 
-    def all(self, kind: type) -> list[Any]:
-        found = [effect for effect in self.told if isinstance(effect, kind)]
-        self.told = [effect for effect in self.told if not isinstance(effect, kind)]
+    def take_commands(self, kind: type) -> list[Any]:
+        found = [command for command in self.commands if isinstance(command, kind)]
+        self.commands = [command for command in self.commands if not isinstance(command, kind)]
         return found
 
-    def came(self, client: int, now: int = 0) -> None:
-        self.told += self.reducer.on_client_connected(now, client)
+    def connect_client(self, client: int, now: int = 0) -> None:
+        self.commands += self.state_machine.on_client_connected(now, client)
 
-    def rest(self, client: int, now: int = 0) -> None:
-        """One that has had an answer, and keeps its connection."""
-        self.came(client, now)
-        self.ask(client, path="/_health")
-        self.told += self.reducer.on_response_written(now, client)
-        self.all(do.SendResponse)
+    def connect_idle_client(self, client: int, now: int = 0) -> None:
+        """Connects a client that has had an answer, and keeps its connection."""
+        self.connect_client(client, now)
+        self.send_request(client, path="/_health")
+        self.commands += self.state_machine.on_response_written(now, client)
+        self.take_commands(do.SendResponse)
 
-    def ask(
+    def send_request(
         self,
         client: int,
         kind: str = "read",
@@ -82,7 +83,7 @@
         began: bool = True,
         **fields: str | None,
     ) -> None:
-        told = {
+        all_fields = {
             "req-id": f"r{client}",
             "req-kind": kind,
             "idempotency-key": "k",
@@ -92,35 +93,53 @@
         body.add(memoryview(b"x"))
         request = Request(
             b"POST",
-            (told.pop("path", None) or "/api").encode(),
-            Fields((n.encode(), v.encode()) for n, v in told.items() if v),
+            (all_fields.pop("path", None) or "/api").encode(),
+            Fields((n.encode(), v.encode()) for n, v in all_fields.items() if v),
             body,
             True,
         )
         if began:
-            self.reducer.on_request_started(now, client)
+            self.state_machine.on_request_started(now, client)
         arrived_us = now if arrived_us is None else arrived_us
-        self.told += self.reducer.on_request(now, client, request, arrived_us)
+        self.commands += self.state_machine.on_request(now, client, request, arrived_us)
 
-    def hop(self) -> do.SendAttempt:
-        [carry] = self.all(do.SendAttempt)
-        assert isinstance(carry, do.SendAttempt)
-        return carry
+    def take_attempt(self) -> do.SendAttempt:
+        [command] = self.take_commands(do.SendAttempt)
+        assert isinstance(command, do.SendAttempt)
+        return command
 
-    def end(self, hop: do.SendAttempt, how: Outcome, now: int = 1000, keep: bool = True) -> None:
-        body = Chain(self.pool) if how is Outcome.SUCCEEDED else None
+    def finish_attempt(
+        self, command: do.SendAttempt, outcome: Outcome, now: int = 1000, keep: bool = True
+    ) -> None:
+        body = Chain(self.pool) if outcome is Outcome.SUCCEEDED else None
         if body:
             body.add(memoryview(b"y"))
-        self.told += self.reducer.on_attempt_finished(now, hop.attempt, AttemptResult(how, keep, body))
+        self.commands += self.state_machine.on_attempt_finished(
+            now, command.attempt, AttemptResult(outcome, keep, body)
+        )
 
-    def settle(self) -> None:
-        """Gives back what the effects ask to be, as the tasks on sockets would."""
-        for effect in self.told:
-            if isinstance(effect, do.ReleaseBody):
-                effect.body.give_back()
-            if isinstance(effect, do.SendResponse) and effect.response.body:
-                effect.response.body.give_back()
+    def release_buffers(self) -> None:
+        """Releases the bodies in the commands, as the tasks on sockets would."""
+        for command in self.commands:
+            if isinstance(command, do.ReleaseBody):
+                command.body.give_back()
+            if isinstance(command, do.SendResponse) and command.response.body:
+                command.response.body.give_back()
 
 
-def news(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
+def list_update(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
     return read({"revision": revision, "complete": full, "members": list(members)})
+
+
+def counters_of(driver: ProxyDriver, now: int = 0) -> dict[str, int]:
+    response, _ = driver.state_machine.on_admin_call(now, b"GET", admin.COUNTERS_PATH)
+    return {
+        name: int(value)
+        for name, _, value in (line.partition(" ") for line in response.body.decode().splitlines())
+    }
+
+
+def admin_status(driver: ProxyDriver, path: bytes, now: int = 0) -> int:
+    response, commands = driver.state_machine.on_admin_call(now, admin.METHODS[path], path)
+    driver.commands += commands
+    return response.status
--- /dev/null
+++ b/tests/proxy/test_attempts.py
@@ -0,0 +1,111 @@
+"""Attempts, and what their ends tell of endpoints."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
+from tests.helpers import member
+from tests.proxy.support import ProxyDriver, list_update
+
+
+@pytest.mark.parametrize(
+    "change, wanted",
+    [
+        ({}, True),
+        ({"phase": "draining"}, False),
+        ({"phase": "removed"}, False),
+        ({"host_port": "127.0.0.1:9999"}, False),
+        ({"up_since_ms": 5}, False),
+    ],
+)
+def test_attempt_is_not_sent_if_endpoint_drains_moves_or_restarts(
+    change: dict[str, Any], wanted: bool
+) -> None:
+    driver = ProxyDriver(1)
+    driver.connect_client(1)
+    driver.send_request(1)
+    command = driver.take_attempt()
+    driver.commands += driver.state_machine.on_endpoint_list(
+        1, list_update(5, False, {**member("s0", 9000), **change})
+    )
+    outcome, _ = driver.state_machine.check_before_send(1, command.attempt) or (None, "")
+    assert outcome is (None if wanted else Outcome.REJECTED_BY_ENDPOINT)
+
+
+def test_removed_endpoint_is_forgotten_once_no_attempt_is_in_flight() -> None:
+    driver = ProxyDriver(1)
+    driver.connect_client(1)
+    driver.send_request(1)
+    command = driver.take_attempt()
+    driver.commands += driver.state_machine.on_endpoint_list(
+        0, list_update(5, False, member("s0", 9000, phase="removed"))
+    )
+    assert 0 in driver.state_machine.load_balancer.endpoints
+    driver.commands += driver.state_machine.on_endpoint_list(
+        0, list_update(6, False, member("t0", 9000))
+    )  # its address under a new id
+    driver.finish_attempt(command, Outcome.SUCCEEDED)
+    assert driver.take_commands(do.CloseEndpointConnection) == [
+        do.CloseEndpointConnection(command.connection)
+    ] and not driver.state_machine.on_idle_connection_reset(0, command.connection)
+    driver.state_machine.on_connection_closed(command.connection)
+    for k in range(7, 50):
+        driver.connect_idle_client(k)
+        driver.send_request(k)
+        later = driver.take_attempt()
+        assert later.is_new_connection
+        driver.finish_attempt(later, Outcome.SUCCEEDED)
+        driver.commands += driver.state_machine.on_endpoint_list(
+            0,
+            list_update(
+                k,
+                k % 2 == 0,
+                member(f"t{k}", 9000),
+                *([member(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
+            ),
+        )
+        assert driver.take_commands(do.CloseEndpointConnection) == [
+            do.CloseEndpointConnection(later.connection)
+        ]
+        driver.commands += driver.state_machine.on_client_closed(0, k)
+        driver.commands += driver.state_machine.on_connection_closed(later.connection)
+        driver.release_buffers()
+        driver.take_commands(do.SendResponse)
+    state_machine = driver.state_machine
+    assert (
+        len(state_machine.load_balancer.endpoints)
+        == len(state_machine.registry.endpoints)
+        == len(state_machine.registry.indices)
+        == 1
+    )
+    assert (
+        len(state_machine.connections.open)
+        == len(state_machine.requests.open_ids)
+        == len(state_machine.requests.pending)
+        == len(state_machine.attempts.in_flight)
+        == 0
+    )
+
+
+@pytest.mark.parametrize(
+    "change, is_reported", [({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)]
+)
+def test_idle_connection_reset_reports_only_the_process_it_was_made_to(
+    change: dict[str, Any], is_reported: bool
+) -> None:
+    driver = ProxyDriver(1)
+    driver.connect_client(1)
+    driver.send_request(1)
+    command = driver.take_attempt()
+    driver.finish_attempt(command, Outcome.SUCCEEDED)
+    driver.state_machine.on_endpoint_list(1, list_update(5, False, {**member("s0", 9000), **change}))
+    driver.commands = driver.state_machine.on_idle_connection_reset(2, command.connection)
+    assert [note.event for note in driver.take_commands(do.LogEvent)] == (
+        ["endpoint_unavailable"] if is_reported else []
+    )
+    assert driver.state_machine.load_balancer.endpoints[0].is_available(2) is not is_reported
+    assert not driver.state_machine.connections.idle
--- /dev/null
+++ b/tests/proxy/test_clients.py
@@ -0,0 +1,81 @@
+"""Clients' connections: limits, and which one closes first."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.proxy import commands as do
+from cressrail.proxy.clients import CLIENT_SILENCE_LIMIT_US, CLIENT_STALL_US
+from cressrail.proxy.commands import Command
+from tests.helpers import SECOND
+from tests.proxy.support import ProxyDriver
+
+
+def test_idle_client_closes_first_and_clients_over_limit_are_answered() -> None:
+    driver = ProxyDriver(max_clients=2, has_list=True)
+    driver.connect_client(1)
+    driver.connect_idle_client(2)
+    driver.send_request(1)
+    driver.connect_client(3)
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
+    driver.commands += driver.state_machine.on_client_closed(0, 2)
+    driver.take_commands(do.AcceptClients)
+    driver.send_request(3)
+    driver.connect_client(4)  # nobody is idle
+    driver.send_request(4)
+    assert not driver.take_commands(do.AcceptClients)
+    driver.connect_client(5)
+    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(False)]
+    [write] = driver.take_commands(do.SendResponse)
+    assert (write.client, write.response.status, write.closes_connection) == (4, 503, True)
+    driver.commands += driver.state_machine.on_response_written(0, 4)
+    assert do.CloseClient(4, False) in driver.commands
+    driver.commands += driver.state_machine.on_client_closed(0, 4)
+    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+
+
+@pytest.mark.parametrize("began", [False, True])
+@pytest.mark.parametrize("silent_us, closed", [(0, []), (SECOND, [do.CloseClient(1, True)])])
+def test_new_client_is_not_closed_before_it_had_time_to_send(
+    silent_us: int, closed: list[Command], began: bool
+) -> None:
+    driver = ProxyDriver(max_clients=1)
+    driver.connect_client(1)
+    if began:
+        driver.state_machine.on_request_started(0, 1)
+    driver.connect_client(2, now=silent_us)
+    assert driver.take_commands(do.CloseClient) == closed
+    driver.send_request(1, now=silent_us, began=not began)  # its request has come all the same
+    assert len(driver.take_commands(do.SendAttempt)) == 1
+
+
+def test_client_stalled_longest_closes_first() -> None:
+    driver = ProxyDriver(max_clients=2)
+    for client in (1, 2):
+        driver.connect_client(client)
+        driver.state_machine.on_request_started(0, client)
+    driver.state_machine.on_request_progress(SECOND, 1)  # slow, and good
+    driver.connect_client(3, now=CLIENT_STALL_US)
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
+    driver.connect_client(4, now=CLIENT_STALL_US + 1)
+    assert not driver.take_commands(do.CloseClient)
+
+
+@pytest.mark.parametrize("began_us", [None, 0, SECOND])
+def test_silent_client_is_closed_even_with_room(
+    began_us: int | None,
+) -> None:
+    driver = ProxyDriver()
+    driver.connect_idle_client(1)
+    driver.connect_client(2)
+    if began_us is not None:
+        driver.state_machine.on_request_started(began_us, 2)
+    driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US - 1)
+    assert not driver.take_commands(do.CloseClient)
+    driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US)
+    assert driver.take_commands(do.CloseClient) == [
+        do.CloseClient(2, True)
+    ]  # one that has had an answer may rest
+    driver.state_machine.on_request_started(CLIENT_SILENCE_LIMIT_US, 1)
+    driver.commands = driver.state_machine.on_timer(2 * CLIENT_SILENCE_LIMIT_US)
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(1, True)]
--- /dev/null
+++ b/tests/proxy/test_endpoint_connections.py
@@ -0,0 +1,66 @@
+"""Connections to endpoints: reuse, limits and ends."""
+
+from __future__ import annotations
+
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
+from tests.helpers import member
+from tests.proxy.support import ProxyDriver, list_update
+
+
+def test_connection_is_reused_until_endpoint_address_changes() -> None:
+    driver = ProxyDriver(1)
+    driver.connect_client(1)
+    driver.send_request(1)
+    first = driver.take_attempt()
+    driver.finish_attempt(first, Outcome.SUCCEEDED)
+    driver.commands += driver.state_machine.on_response_written(0, 1)
+    driver.send_request(1)
+    second = driver.take_attempt()
+    assert (first.is_new_connection, second.is_new_connection) == (
+        True,
+        False,
+    ) and first.connection == second.connection
+    driver.commands += driver.state_machine.on_endpoint_list(1, list_update(5, False, member("s0", 9500)))
+    driver.finish_attempt(second, Outcome.SUCCEEDED)
+    assert [close.connection for close in driver.take_commands(do.CloseEndpointConnection)] == [
+        second.connection
+    ]
+    driver.commands += driver.state_machine.on_response_written(0, 1)
+    driver.send_request(1)
+    assert (third := driver.take_attempt()).is_new_connection and third.port == 9500
+
+
+def test_longest_idle_connection_closes_at_limit_and_no_endpoint_is_blamed() -> None:
+    driver = ProxyDriver(3, max_endpoint_connections=2)
+    attempts = []
+    for client in (1, 2, 3):
+        driver.connect_client(client)
+        driver.send_request(client, req_deadline="100m")
+        attempts += driver.take_commands(do.SendAttempt)
+    assert len(attempts) == 2 and [write.client for write in driver.take_commands(do.SendResponse)] == [3]
+    assert all(e.success_rate == 1.0 for e in driver.state_machine.load_balancer.endpoints.values())
+    for command in attempts:
+        driver.finish_attempt(command, Outcome.SUCCEEDED)
+    for _ in range(50):  # until an endpoint is drawn to which there is no link
+        driver.commands += driver.state_machine.on_response_written(0, 1)
+        driver.send_request(1)
+        if (command := driver.take_attempt()).is_new_connection:
+            break
+        driver.finish_attempt(command, Outcome.SUCCEEDED)
+    assert [close.connection for close in driver.take_commands(do.CloseEndpointConnection)][:1] and len(
+        driver.state_machine.connections.idle
+    ) == 1
+
+
+def test_exhausted_descriptors_close_idle_connections() -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1)
+    driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED)
+    driver.commands += driver.state_machine.on_response_written(0, 1)
+    driver.commands = driver.state_machine.on_descriptors_exhausted(0)
+    assert len(driver.take_commands(do.CloseEndpointConnection)) == 1 and driver.take_commands(
+        do.CloseClient
+    ) == [do.CloseClient(1, True)]
+    assert not driver.take_commands(do.CloseClient) and not driver.state_machine.connections.idle
--- /dev/null
+++ b/tests/proxy/test_forwarding.py
@@ -0,0 +1,77 @@
+"""Requests between their clients and the endpoints."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
+from tests.helpers import SECOND
+from tests.proxy.support import ProxyDriver
+
+
+@pytest.mark.parametrize(
+    "kind, outcome, status",
+    [
+        ("read", Outcome.SUCCEEDED, 200),
+        ("read", Outcome.TIMED_OUT, 503),
+        ("write", Outcome.TIMED_OUT, 502),
+        ("write", Outcome.CONNECT_FAILED, 503),
+        ("write", Outcome.CONNECTION_RESET, 502),
+        ("note", Outcome.CONNECTION_RESET, 503),
+        ("read", Outcome.ERROR, 503),
+        ("write", Outcome.NOT_SENT, 503),
+        ("write", Outcome.CANCELLED, 502),
+    ],
+)
+def test_request_is_answered_once_and_releases_all_buffers(kind: str, outcome: Outcome, status: int) -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1, kind)
+    driver.finish_attempt(driver.take_attempt(), outcome)
+    assert [write.response.status for write in driver.commands if isinstance(write, do.SendResponse)] == [
+        status
+    ]
+    driver.release_buffers()
+    assert (
+        driver.pool.lent == 0
+        and not driver.state_machine.requests.pending
+        and not driver.state_machine.attempts.in_flight
+    )
+
+
+@pytest.mark.parametrize("kind", ["read", "write"])
+def test_invalid_request_is_answered_400_and_leaves_success_rates(kind: str) -> None:
+    driver = ProxyDriver(max_clients=20)
+    for client in range(20):
+        driver.connect_client(client)
+        driver.send_request(client, kind)
+        driver.finish_attempt(driver.take_attempt(), Outcome.INVALID_REQUEST)
+        assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [400]
+    assert all(e.success_rate == 1 for e in driver.state_machine.load_balancer.endpoints.values())
+
+
+def test_disconnected_client_cancels_attempt_and_late_answer_is_released() -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1)
+    command = driver.take_attempt()
+    driver.commands += driver.state_machine.on_client_closed(0, 1)
+    assert driver.take_commands(do.CancelAttempt) == [do.CancelAttempt(command.connection, command.attempt)]
+    driver.finish_attempt(command, Outcome.SUCCEEDED)
+    assert not driver.take_commands(do.SendResponse)
+    driver.release_buffers()
+    assert driver.pool.lent == 0 and not driver.state_machine.requests.pending
+
+
+@pytest.mark.parametrize("waited_us, looked", [(0, False), (99_999, False), (100_000, True), (900_000, True)])
+def test_client_is_checked_before_send_only_if_it_waited_long(waited_us: int, looked: bool) -> None:
+    driver = ProxyDriver(has_list=True)
+    driver.connect_client(1)
+    driver.send_request(1, now=SECOND, arrived_us=SECOND - waited_us)
+    command = driver.take_attempt()
+    assert driver.state_machine.waiting_client(SECOND, command.attempt) == (1 if looked else 0)
+    driver.commands += driver.state_machine.on_client_disconnected(SECOND, 1)
+    assert driver.state_machine.waiting_client(
+        SECOND, command.attempt
+    ) == 0 and driver.state_machine.check_before_send(SECOND, command.attempt)
--- /dev/null
+++ b/tests/proxy/test_intake.py
@@ -0,0 +1,109 @@
+"""Requests as they come in: answered at once, or forwarded."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
+from tests.helpers import SECOND
+from tests.proxy.support import ProxyDriver, list_update
+
+
+@pytest.mark.parametrize(
+    "fields, status",
+    [
+        ({"path": "/"}, None),
+        ({"path": "/", "req_kind": None}, 404),
+        ({"req_kind": None}, 400),
+        ({"req_kind": "nonsense"}, 400),
+        ({"req_id": None}, 400),
+        ({"req_deadline": "soon"}, 400),
+        ({"path": "/_health"}, 200),
+        ({"path": "/_health?x=1"}, 200),
+    ],
+)
+def test_request_is_answered_without_attempt(fields: dict[str, str | None], status: int | None) -> None:
+    driver = ProxyDriver()
+    driver.commands += driver.state_machine.on_endpoint_list(0, list_update(5, False))
+    driver.connect_client(1)
+    driver.send_request(1, **fields)  # type: ignore[arg-type]
+    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == (
+        [status] if status else []
+    )
+
+
+def test_request_id_is_taken_until_answered_or_client_left() -> None:
+    driver = ProxyDriver()
+    for client in (1, 2, 3):
+        driver.connect_client(client)
+    driver.send_request(1, req_id="same")
+    driver.send_request(2, req_id="same")
+    command = driver.take_attempt()
+    assert [(write.client, write.response.status) for write in driver.take_commands(do.SendResponse)] == [
+        (2, 400)
+    ]
+    driver.commands += driver.state_machine.on_client_closed(0, 1)
+    driver.send_request(3, req_id="same")
+    later = driver.take_attempt()
+    driver.finish_attempt(command, Outcome.CANCELLED)
+    driver.finish_attempt(later, Outcome.SUCCEEDED)
+    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [
+        200
+    ] and not driver.state_machine.requests.open_ids
+    driver.send_request(3, req_id="same")
+    assert driver.take_attempt()
+
+
+@pytest.mark.parametrize("deadline, end_us", [("500m", 500_000), ("999999999m", 3 * SECOND)])
+def test_deadline_is_capped_by_request_class(deadline: str, end_us: int) -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1, req_deadline=deadline)
+    assert end_us * 9 // 10 < driver.take_attempt().timeout_at_us <= end_us
+
+
+@pytest.mark.parametrize(
+    "endpoints, has_list, after_us, stopping, ready",
+    [
+        (2, False, 0, False, False),
+        (2, False, SECOND, False, True),
+        (0, False, SECOND, False, False),
+        (2, True, 0, False, True),
+        (0, True, 0, False, True),
+        (2, True, SECOND, True, False),
+    ],
+)
+def test_health_check_succeeds_once_requests_can_be_served(
+    endpoints: int, has_list: bool, after_us: int, stopping: bool, ready: bool
+) -> None:
+    driver = ProxyDriver(endpoints)
+    if has_list:
+        driver.state_machine.on_endpoint_list(0, list_update(5, False))
+    if stopping:
+        driver.state_machine.on_stop_requested(0)
+    assert driver.state_machine.is_ready(after_us) is ready
+
+
+@pytest.mark.parametrize(
+    "deadline, waited_us, left_us",
+    [("100m", 0, 98_438), ("100m", 60_000, 39_375), ("100m", 200_000, None), (None, 0, 2_990_000)],
+)
+def test_remaining_time_runs_from_last_byte(
+    deadline: str | None, waited_us: int, left_us: int | None
+) -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1, now=SECOND, arrived_us=SECOND - waited_us, req_deadline=deadline)
+    assert [command.timeout_at_us - SECOND for command in driver.take_commands(do.SendAttempt)] == (
+        [left_us] if left_us else []
+    )
+    assert len(driver.take_commands(do.SendResponse)) == (0 if left_us else 1)
+
+
+def test_request_without_idempotency_key_is_not_retried() -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.send_request(1, "note", idempotency_key=None)
+    driver.finish_attempt(driver.take_attempt(), Outcome.CONNECTION_RESET)
+    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [502]
--- /dev/null
+++ b/tests/proxy/test_large_lists.py
@@ -0,0 +1,169 @@
+"""Lists of a thousand endpoints and more, and as many instances, some with few connections."""
+
+from __future__ import annotations
+
+import copy
+import json
+from typing import Any
+
+import pytest
+
+from cressrail.buffers.pool import Pool
+from cressrail.configuration import policy_factory as parts
+from cressrail.configuration.settings_reader import ConfigurationError
+from cressrail.configuration.startup import read_config
+from cressrail.discovery.endpoint_list import read, read_line
+from cressrail.handover import state as handover_state
+from cressrail.handover.frame import Frames, wrap
+from cressrail.http1.head import MalformedMessageError
+from cressrail.network.discovery_watch import MOST_LINE, LinesSink
+from cressrail.policy.load_balancer import Outcome
+from cressrail.proxy import commands as do
+from tests.helpers import CONFIG, SECOND, member
+from tests.proxy.support import ProxyDriver
+from tests.test_wire import BORN, HEARD, TX
+from tests.test_wire import play as on_the_wire
+
+SIZES = (1023, 1024, 1025, 3000)
+
+
+def listed(first: int, n: int, revision: int = 5, complete: bool = True, **change: Any) -> dict[str, Any]:
+    return {
+        "revision": revision,
+        "complete": complete,
+        "members": [
+            member(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
+            for k in range(first, first + n)
+        ],
+    }
+
+
+def at_work(driver: ProxyDriver) -> list[int]:
+    return [len(group.all) for group in driver.state_machine.load_balancer.zone_subsets]
+
+
+@pytest.mark.parametrize("n", SIZES)
+def test_long_list_arrives_in_pieces_changes_and_is_handed_over(n: int) -> None:
+    text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", LinesSink(), []
+    for at in range(0, len(text), 1000):
+        sink.add(memoryview(text[at : at + 1000]))
+        lines += sink.lines()
+    driver = ProxyDriver(0)
+    driver.commands += driver.state_machine.on_endpoint_list(0, read_line(lines[0]))
+    assert sum(at_work(driver)) == n == len(driver.state_machine.registry.endpoints)
+    half = n // 2
+    for k, change in enumerate(
+        (
+            listed(0, half, 6, False, phase="draining"),
+            listed(n, half, 7, False),
+            listed(0, half, 8, False, phase="removed"),
+        )
+    ):
+        driver.commands += driver.state_machine.on_endpoint_list(k, read(change))
+        assert sum(at_work(driver)) == (n - half, n, n)[k]
+    load_balancer = driver.state_machine.load_balancer
+    assert len(load_balancer.endpoints) == n == len(driver.state_machine.registry.endpoints)
+    assert all(
+        sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in load_balancer.zone_subsets
+    )
+    assert f"app_cluster_size {n}\n" in driver.state_machine.admin_calls.counters_text(SECOND).decode()
+    load_balancer.endpoints[n].limit = 1.25
+    frames, successor = Frames(), ProxyDriver(0)
+    frames.add(wrap("estate", driver.state_machine.hand_over(SECOND)[0]))
+    got = frames.next()
+    assert got is not None
+    successor.state_machine.on_endpoint_list(SECOND, read(driver.state_machine.endpoint_list()))
+    handover_state.restore(
+        got[1], successor.state_machine.load_balancer, successor.state_machine.registry.names(), SECOND
+    )
+    assert sum(at_work(successor)) == n
+    assert [e.limit for e in successor.state_machine.load_balancer.endpoints.values()].count(1.25) == 1
+
+
+@pytest.mark.parametrize("n", SIZES)
+def test_partial_update_equals_complete_update(n: int) -> None:
+    one, other = ProxyDriver(0), ProxyDriver(0)
+    one.state_machine.on_endpoint_list(0, read(listed(0, n)))
+    other.state_machine.on_endpoint_list(0, read(listed(0, n)))
+    moved = listed(n - 9, 9, 6, False)["members"]
+    for k, row in enumerate(moved):
+        row.update(locality="ba"[k % 2], size=2.0, phase="up" if k % 3 else "draining")
+    one.state_machine.on_endpoint_list(1, read({"revision": 6, "complete": False, "members": moved}))
+    whole = listed(0, n - 9, 6)
+    whole["members"] += moved
+    other.state_machine.on_endpoint_list(1, read(whole))
+    for a, b in zip(
+        one.state_machine.load_balancer.zone_subsets,
+        other.state_machine.load_balancer.zone_subsets,
+        strict=True,
+    ):
+        assert [e.index for e in a.all] == [e.index for e in b.all]
+        assert [e.index for e in a.use] == [e.index for e in b.use]
+        assert (a.whole, a.size, a.sharers, a.limit) == pytest.approx((b.whole, b.size, b.sharers, b.limit))
+
+
+@pytest.mark.parametrize("endpoints, connections, dearest", [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)])
+def test_connection_limit_below_endpoint_count_causes_no_churn(
+    endpoints: int, connections: int, dearest: int
+) -> None:
+    driver = ProxyDriver(0, max_clients=40, max_endpoint_connections=connections)
+    load_balancer = driver.state_machine.load_balancer
+    load_balancer.max_connections, load_balancer.instances, driver.pool = connections, 33.0, Pool(10_000)
+    driver.state_machine.on_endpoint_list(0, read(listed(0, endpoints)))
+    opened = 0
+    for k in range(3000):
+        now = SECOND + k * 5000
+        driver.connect_client(k, now)
+        driver.send_request(k, now=now)
+        for command in driver.take_commands(do.SendAttempt):
+            opened += command.is_new_connection
+            driver.finish_attempt(command, Outcome.SUCCEEDED, now + 1000)
+        driver.commands += driver.state_machine.on_client_closed(now + 2000, k)
+    assert not [
+        note for note in driver.take_commands(do.LogEvent) if note.event == "connection_limit_reached"
+    ]
+    assert not driver.take_commands(do.CloseEndpointConnection) and opened <= dearest
+    assert len(driver.state_machine.connections.open) <= connections
+
+
+@pytest.mark.parametrize(
+    "instances, wrong",
+    [
+        (1024, ""),
+        (4096, ""),
+        (0, "n_instances is below 1: 0"),
+        (-3, "n_instances is below 1: -3"),
+        (1.5, "n_instances is not a whole number: 1.5"),
+    ],
+)
+def test_instance_count_is_validated(instances: float, wrong: str) -> None:
+    config = copy.deepcopy(CONFIG)
+    config["known"] = listed(0, 1024)
+    config["settings"]["n_instances"] = instances
+    start = read_config(config, {})
+    if wrong:
+        with pytest.raises(ConfigurationError, match=wrong):
+            parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+        return
+    load_balancer = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    assert load_balancer.instances == instances and len(start.known.entries) == 1024
+
+
+def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
+    sink = LinesSink()
+    with pytest.raises(MalformedMessageError):
+        for _ in range(MOST_LINE // 1000 + 1):
+            sink.add(memoryview(b"x" * 1000))
+    driver = ProxyDriver(0)
+    twice = listed(0, 1024)
+    twice["members"] += twice["members"][:9]
+    driver.state_machine.on_endpoint_list(0, read(twice))
+    assert sum(at_work(driver)) == 1024
+
+
+def test_adapter_takes_long_list() -> None:
+    rows = "".join(
+        f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
+    )
+    said = on_the_wire(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{HEARD}", TX)
+    assert said[0].startswith("ISSUE i=sidecar/0 xid=t1")
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -15,7 +15,7 @@
     StopPhase,
 )
 from tests.helpers import SECOND
-from tests.proxy.support import Front
+from tests.proxy.support import ProxyDriver
 
 State = tuple[Ownership, StopPhase, bool]  # and whether it is out of service
 
@@ -88,30 +88,30 @@
 handed  last    =             handed-ended   =                =               =
 handed  ended   =             =              =                =               =
 """
-EVENTS: dict[str, Callable[[Front, int], object]] = {
-    "signal": lambda front, now_us: front.reducer.on_stop_requested(now_us),
-    "time passes": lambda front, now_us: front.reducer.on_timer(
-        min(front.reducer.lifecycle.next_stop_phase_us, now_us + 2 * SECOND)
+EVENTS: dict[str, Callable[[ProxyDriver, int], object]] = {
+    "signal": lambda driver, now_us: driver.state_machine.on_stop_requested(now_us),
+    "time passes": lambda driver, now_us: driver.state_machine.on_timer(
+        min(driver.state_machine.lifecycle.next_stop_phase_us, now_us + 2 * SECOND)
     ),
-    "taken over": lambda front, now_us: front.reducer.take_over(now_us, None, 0, 0),
-    "handed over": lambda front, now_us: front.reducer.hand_over(now_us),
-    "successor fails": lambda front, now_us: front.reducer.on_successor_failed(now_us),
+    "taken over": lambda driver, now_us: driver.state_machine.take_over(now_us, None, 0, 0),
+    "handed over": lambda driver, now_us: driver.state_machine.hand_over(now_us),
+    "successor fails": lambda driver, now_us: driver.state_machine.on_successor_failed(now_us),
 }
 
 # An operator's call to leave or to return to service: the flag afterwards, the same in every phase of a stop.
 SERVICE_CALLS = {
-    ("taking", "in", admin.OUT): True,
-    ("taking", "in", admin.IN): False,
-    ("taking", "out", admin.OUT): True,
-    ("taking", "out", admin.IN): False,
-    ("serving", "in", admin.OUT): True,
-    ("serving", "in", admin.IN): False,
-    ("serving", "out", admin.OUT): True,
-    ("serving", "out", admin.IN): False,
-    ("handed", "in", admin.OUT): False,  # refused: the change would end with this process
-    ("handed", "in", admin.IN): False,
-    ("handed", "out", admin.OUT): True,
-    ("handed", "out", admin.IN): True,
+    ("taking", "in", admin.OUT_OF_SERVICE_PATH): True,
+    ("taking", "in", admin.IN_SERVICE_PATH): False,
+    ("taking", "out", admin.OUT_OF_SERVICE_PATH): True,
+    ("taking", "out", admin.IN_SERVICE_PATH): False,
+    ("serving", "in", admin.OUT_OF_SERVICE_PATH): True,
+    ("serving", "in", admin.IN_SERVICE_PATH): False,
+    ("serving", "out", admin.OUT_OF_SERVICE_PATH): True,
+    ("serving", "out", admin.IN_SERVICE_PATH): False,
+    ("handed", "in", admin.OUT_OF_SERVICE_PATH): False,  # refused: the change would end with this process
+    ("handed", "in", admin.IN_SERVICE_PATH): False,
+    ("handed", "out", admin.OUT_OF_SERVICE_PATH): True,
+    ("handed", "out", admin.IN_SERVICE_PATH): True,
 }
 
 
@@ -123,28 +123,28 @@
     return OWNERSHIPS[ownership], PHASES[phase], service == "out"
 
 
-def reach(ownership: str, phase: str, service: str) -> tuple[Front, int]:
+def reach(ownership: str, phase: str, service: str) -> tuple[ProxyDriver, int]:
     """A state machine in a state, with one client that stays connected; and the time."""
-    front = Front()
+    driver = ProxyDriver()
     if ownership == "taking":
-        front.told += front.reducer.start(0, front.known, has_predecessor=True)
-    front.told += front.reducer.on_endpoint_list(0, front.known)
-    front.came(CLIENT)
+        driver.commands += driver.state_machine.start(0, driver.known, has_predecessor=True)
+    driver.commands += driver.state_machine.on_endpoint_list(0, driver.known)
+    driver.connect_client(CLIENT)
     if service == "out":
-        front.told += front.reducer.on_admin_call(SECOND, b"POST", admin.OUT)[1]
+        driver.commands += driver.state_machine.on_admin_call(SECOND, b"POST", admin.OUT_OF_SERVICE_PATH)[1]
     if ownership == "handed":
-        front.told += front.reducer.hand_over(SECOND)[1]
+        driver.commands += driver.state_machine.hand_over(SECOND)[1]
     now_us = STOP_US
     if phase != "running":
-        front.told += front.reducer.on_stop_requested(now_us)
+        driver.commands += driver.state_machine.on_stop_requested(now_us)
     # Half of the longest deadline, a second here, from closing to the last answers, and all of it to the end.
     steps = {"closing": STOP_GRACE_MAX_US, "last": SECOND // 2, "ended": SECOND}
     for name, after_us in steps.items():
         if list(PHASES).index(phase) >= list(PHASES).index(name):
             now_us += after_us
-            front.told += front.reducer.on_timer(now_us)
-    assert state_of(front.reducer.lifecycle) == named(ownership, phase, service)
-    return front, now_us
+            driver.commands += driver.state_machine.on_timer(now_us)
+    assert state_of(driver.state_machine.lifecycle) == named(ownership, phase, service)
+    return driver, now_us
 
 
 def answer_cases() -> list[tuple[str, str, str, str, bool]]:
@@ -166,33 +166,35 @@
     ]
 
 
-def is_accepting(front: Front) -> bool:
-    return [command.on for command in front.told if isinstance(command, do.AcceptClients)][-1:] == [True]
+def is_accepting(driver: ProxyDriver) -> bool:
+    return [command.is_accepting for command in driver.commands if isinstance(command, do.AcceptClients)][
+        -1:
+    ] == [True]
 
 
 @pytest.mark.parametrize(("ownership", "phase", "service", "question", "answer"), answer_cases())
 def test_state_answers(ownership: str, phase: str, service: str, question: str, answer: bool) -> None:
-    front, now_us = reach(ownership, phase, service)
+    driver, now_us = reach(ownership, phase, service)
     if question == "healthy":
-        assert front.reducer.is_ready(now_us) is answer
+        assert driver.state_machine.is_ready(now_us) is answer
     elif question == "ready":
-        response, _ = front.reducer.on_admin_call(now_us, b"GET", admin.READY)
+        response, _ = driver.state_machine.on_admin_call(now_us, b"GET", admin.READY_PATH)
         assert response.status == (200 if answer else 503)
     elif question == "accepts clients":
-        assert is_accepting(front) is answer
+        assert is_accepting(driver) is answer
     elif question == "keeps idle clients":
-        assert front.reducer.lifecycle.rules.keeps_idle_clients is answer
+        assert driver.state_machine.lifecycle.rules.keeps_idle_clients is answer
     else:
-        commands = front.reducer.on_response_written(now_us, CLIENT)
+        commands = driver.state_machine.on_response_written(now_us, CLIENT)
         assert (do.CloseClient(CLIENT, only_if_idle=False) in commands) is answer
 
 
 @pytest.mark.parametrize(("ownership", "phase", "service", "event", "after"), event_cases())
 def test_event_leads_to_state(ownership: str, phase: str, service: str, event: str, after: str) -> None:
-    front, now_us = reach(ownership, phase, service)
-    EVENTS[event](front, now_us)
+    driver, now_us = reach(ownership, phase, service)
+    EVENTS[event](driver, now_us)
     ownership_after, phase_after = after.split("-")
-    assert state_of(front.reducer.lifecycle) == named(ownership_after, phase_after, service)
+    assert state_of(driver.state_machine.lifecycle) == named(ownership_after, phase_after, service)
 
 
 @pytest.mark.parametrize("phase", PHASES)
@@ -200,7 +202,7 @@
 def test_service_call_changes_service_unless_handed_over(
     ownership: str, service: str, path: bytes, phase: str
 ) -> None:
-    front, now_us = reach(ownership, phase, service)
-    front.reducer.on_admin_call(now_us, b"POST", path)
+    driver, now_us = reach(ownership, phase, service)
+    driver.state_machine.on_admin_call(now_us, b"POST", path)
     is_out = SERVICE_CALLS[ownership, service, path]
-    assert state_of(front.reducer.lifecycle) == (OWNERSHIPS[ownership], PHASES[phase], is_out)
+    assert state_of(driver.state_machine.lifecycle) == (OWNERSHIPS[ownership], PHASES[phase], is_out)
--- /dev/null
+++ b/tests/proxy/test_timers.py
@@ -0,0 +1,179 @@
+"""A stop in time: who is answered, who is closed, and the end."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome
+from cressrail.proxy import admin
+from cressrail.proxy import commands as do
+from tests.helpers import SECOND
+from tests.proxy.support import ProxyDriver
+
+
+def test_stop_answers_clients_then_closes_idle_ones_and_exits() -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.connect_idle_client(2)
+    driver.send_request(1)
+    command = driver.take_attempt()
+    driver.commands = driver.state_machine.on_stop_requested(0)
+    assert not driver.state_machine.on_stop_requested(1)
+    driver.connect_client(3, now=SECOND // 2)  # still taken in; and the end is put off
+    driver.commands = driver.state_machine.on_timer(600_000)
+    assert not driver.take_commands(do.AcceptClients)
+    driver.connect_client(4, now=SECOND * 6 // 10)  # and another; but not for ever
+    driver.commands = driver.state_machine.on_timer(700_000)
+    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(False, True)]
+    assert not driver.take_commands(do.CloseClient)
+    driver.send_request(2, now=SECOND)  # one that was there may have nobody else to go to
+    late = driver.take_attempt()
+    assert (
+        late.timeout_at_us <= 700_000 + SECOND - 200_000
+    )  # and has its answer before the process may be killed
+    driver.finish_attempt(late, Outcome.SUCCEEDED, now=SECOND + 1000)
+    assert [write.closes_connection for write in driver.take_commands(do.SendResponse)] == [False]
+    driver.commands += driver.state_machine.on_response_written(SECOND, 2)
+    driver.commands = driver.state_machine.on_timer(1_200_000)
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
+    driver.finish_attempt(command, Outcome.SUCCEEDED, now=1_400_000)
+    [write] = driver.take_commands(do.SendResponse)
+    assert write.response.status == 200 and write.closes_connection and not driver.take_commands(do.Exit)
+    driver.commands = driver.state_machine.on_timer(SECOND * 16 // 10)  # those who never sent a request
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(3, True), do.CloseClient(4, True)]
+    driver.commands = [
+        command for client in (2, 3, 4) for command in driver.state_machine.on_client_closed(0, client)
+    ]
+    assert not driver.take_commands(do.Exit)
+    driver.commands = driver.state_machine.on_response_written(
+        SECOND * 16 // 10, 1
+    ) + driver.state_machine.on_client_closed(SECOND * 16 // 10, 1)
+    assert len(driver.take_commands(do.Exit)) == 1
+
+
+@pytest.mark.parametrize(
+    "kind, sent, answer",
+    [
+        ("read", True, 503),
+        ("write", True, 502),
+        ("note", True, 503),
+        ("once", True, 502),
+        ("once", False, 503),
+        ("write", False, 503),
+    ],
+)
+def test_stop_answers_all_requests_just_before_kill(kind: str, sent: bool, answer: int) -> None:
+    """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
+    driver = ProxyDriver(has_list=True)
+    if kind == "once":
+        driver.state_machine.settings.request_classes["once"] = replace(
+            driver.state_machine.settings.request_classes["read"], idempotency=NON_IDEMPOTENT
+        )
+        driver.state_machine.counters.final["once"] = dict(driver.state_machine.counters.final["read"])
+    if not sent:  # nowhere to go: it waits in the queue
+        driver.state_machine.load_balancer.update_endpoints(0, [], full=True)
+    driver.connect_client(1)
+    driver.send_request(1, kind)
+    attempts = driver.take_commands(do.SendAttempt)
+    assert len(attempts) == sent
+    driver.commands = driver.state_machine.on_stop_requested(0)
+    if not sent:
+        [routed_request] = driver.state_machine.requests.pending
+        routed_request.queue_until_us = routed_request.deadline_us  # the queue would let it go sooner
+        driver.state_machine.load_balancer.line_due_us = routed_request.deadline_us
+    for now in (700_000, 1_200_000, 1_499_999):
+        driver.commands += driver.state_machine.on_timer(now)
+    assert not driver.take_commands(do.SendResponse) and driver.state_machine.timer_us == 1_500_000
+    driver.commands = driver.state_machine.on_timer(1_500_000)
+    [write] = driver.take_commands(do.SendResponse)
+    assert (write.client, write.response.status, write.closes_connection) == (1, answer, True)
+    assert driver.take_commands(do.CancelAttempt) == [
+        do.CancelAttempt(command.connection, command.attempt) for command in attempts
+    ]
+    for command in attempts:  # ends of attempts after it change nothing
+        driver.finish_attempt(command, Outcome.SUCCEEDED, now=1_600_000)
+    assert not driver.take_commands(do.SendResponse)
+    driver.commands += driver.state_machine.on_response_written(
+        1_600_000, 1
+    ) + driver.state_machine.on_client_closed(1_600_000, 1)
+    driver.release_buffers()
+    assert (
+        driver.take_commands(do.Exit) and driver.pool.lent == 0 and not driver.state_machine.requests.pending
+    )
+
+
+def ending_events() -> dict[str, Any]:
+    return {
+        "stop": lambda driver, now: driver.state_machine.on_stop_requested(now),
+        "sighup": lambda driver, now: driver.state_machine.on_discovery_address(now, ("127.0.0.1", 7)),
+        "leave service": lambda driver, now: driver.state_machine.on_admin_call(
+            now, b"POST", admin.OUT_OF_SERVICE_PATH
+        )[1],
+        "return to service": lambda driver, now: driver.state_machine.on_admin_call(
+            now, b"POST", admin.IN_SERVICE_PATH
+        )[1],
+        "hand over": lambda driver, now: driver.state_machine.hand_over(now)[1],
+        "successor fails": lambda driver, now: driver.state_machine.on_successor_failed(now),
+    }
+
+
+@pytest.mark.parametrize("second", ending_events())
+@pytest.mark.parametrize("first", ending_events())
+@pytest.mark.parametrize("apart_us", [0, 100_000, 650_000, 900_000])
+def test_any_two_stop_drain_and_handover_events_cross_with_all_answered(
+    first: str, second: str, apart_us: int
+) -> None:
+    driver = ProxyDriver(has_list=True)
+    driver.connect_idle_client(1)  # one at rest, one that waits for an answer, one amid its request
+    driver.connect_client(2)
+    driver.send_request(2)
+    driver.connect_client(3)
+    driver.state_machine.on_request_started(0, 3)
+    command = driver.take_attempt()
+    driver.commands = []
+    open_ = {1, 2, 3}
+
+    def follow(now: int) -> None:
+        """What the tasks on sockets would do."""
+        while driver.commands:
+            command = driver.commands.pop(0)
+            if isinstance(command, do.SendResponse):
+                answered.append((command.client, command.response.status))
+                driver.commands += driver.state_machine.on_response_written(now, command.client)
+            elif isinstance(command, do.CloseClient) and command.client in open_:
+                open_.remove(command.client)
+                driver.commands += driver.state_machine.on_client_closed(now, command.client)
+            elif isinstance(command, do.Exit):
+                left.append(now)
+
+    answered, left = list[tuple[int, int]](), list[int]()
+    for at, name in ((0, first), (apart_us, second)):
+        for now in range(0 if at == 0 else 1, at + 1, 50_000):
+            driver.commands += driver.state_machine.on_timer(now)
+            follow(now)
+        driver.commands += ending_events()[name](driver, at)
+        follow(at)
+    driver.finish_attempt(command, Outcome.SUCCEEDED, now=apart_us + 1000)
+    follow(apart_us + 1000)
+    for now in range(apart_us + 2000, 12 * SECOND, 50_000):
+        driver.commands += driver.state_machine.on_timer(now)
+        follow(now)
+    assert (2, 200) in answered and [client for client, _ in answered].count(2) == 1
+    ends = "stop" in (first, second)
+    assert len(left) == ends and (not ends or not open_)  # once, and only where it was asked for
+
+
+def test_stop_ends_despite_unfinished_request() -> None:
+    driver = ProxyDriver()
+    driver.connect_client(1)
+    driver.state_machine.on_request_started(0, 1)
+    driver.state_machine.on_stop_requested(0)
+    driver.commands = driver.state_machine.on_timer(SECOND)
+    assert not driver.take_commands(do.Exit)
+    driver.commands = driver.state_machine.on_timer(3 * SECOND)
+    assert not driver.take_commands(do.Exit)
+    driver.commands = driver.state_machine.on_timer(4 * SECOND)
+    assert len(driver.take_commands(do.Exit)) == 1
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,8 +24,7 @@
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, ask, member, reply, warm_up
-from tests.proxy.support import Front, news
-from tests.test_ops import call
+from tests.proxy.support import ProxyDriver, admin_status, list_update
 
 
 def test_frames_come_whole_from_any_pieces() -> None:
@@ -55,10 +54,10 @@
         frames.next()
 
 
-def told(front: Front, now: int = SECOND) -> dict[str, Any]:
+def told(front: ProxyDriver, now: int = SECOND) -> dict[str, Any]:
     """The estate, as it comes out of a frame."""
-    found, effects = front.reducer.hand_over(now)
-    front.told += effects
+    found, effects = front.state_machine.hand_over(now)
+    front.commands += effects
     frames = Frames()
     frames.add(wrap("estate", found))
     got = frames.next()
@@ -66,45 +65,49 @@
     return got[1]
 
 
-def beside() -> Front:
+def beside() -> ProxyDriver:
     """A process that waits for the one before it."""
-    front = Front()
-    front.reducer.lifecycle.set_accepting(False)
-    front.reducer.lifecycle.wait_for_predecessor()
+    front = ProxyDriver()
+    front.state_machine.lifecycle.set_accepting(False)
+    front.state_machine.lifecycle.wait_for_predecessor()
     return front
 
 
 def test_the_new_process_goes_on_from_what_the_old_one_knew() -> None:
-    old, new = Front(), beside()
-    warm_up(old.reducer.load_balancer, 50)
-    old.reducer.load_balancer.endpoints[1].limit = 1.25
-    old.reducer.load_balancer.on_connection_lost(SECOND, 0)
-    old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
-    new.reducer.on_endpoint_list(SECOND, read(old.reducer.endpoint_list()))
-    new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
-    side = new.reducer.load_balancer
+    old, new = ProxyDriver(), beside()
+    warm_up(old.state_machine.load_balancer, 50)
+    old.state_machine.load_balancer.endpoints[1].limit = 1.25
+    old.state_machine.load_balancer.on_connection_lost(SECOND, 0)
+    old.commands += old.state_machine.on_endpoint_list(
+        SECOND, list_update(9, False, member("s1", 9001, phase="draining"))
+    )
+    new.state_machine.on_endpoint_list(SECOND, read(old.state_machine.endpoint_list()))
+    new.commands = new.state_machine.take_over(SECOND, told(old), 1, 1)
+    side = new.state_machine.load_balancer
     assert (
-        new.reducer.endpoint_watch.revision == 9
+        new.state_machine.endpoint_watch.revision == 9
         and not side.endpoints[1].accepts_requests
         and side.endpoints[1].limit == 1.25
     )
     assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.taken) == 50
-    assert side.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
-    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]
+    assert side.slow_start.carried == old.state_machine.load_balancer.slow_start.carried > 1
+    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_what_follows_from_what_is_told_goes_over_too() -> None:
     old, new = beside(), beside()
-    rule, side = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
+    rule, side = old.state_machine.load_balancer.slow_start, old.state_machine.load_balancer
     for n in range(200):
         rule.carry(n * SECOND // 40, side.zone_subsets[0])
         side._learn_usual(SECOND, (0.1, 0.3)[n % 2])
-    estate.restore(told(old, 5 * SECOND), new.reducer.load_balancer, new.reducer.registry.names(), 5 * SECOND)
-    assert new.reducer.load_balancer.zone_subsets[0].each == pytest.approx(
+    estate.restore(
+        told(old, 5 * SECOND), new.state_machine.load_balancer, new.state_machine.registry.names(), 5 * SECOND
+    )
+    assert new.state_machine.load_balancer.zone_subsets[0].each == pytest.approx(
         side.zone_subsets[0].each, rel=0.15
     )
     before = side.late
-    for heir in (side, new.reducer.load_balancer):
+    for heir in (side, new.state_machine.load_balancer):
         heir._learn_usual(SECOND, 0.9)
         assert heir.late == pytest.approx(before)
 
@@ -121,98 +124,109 @@
     ],
 )
 def test_half_an_estate_is_none(spoil: Any) -> None:
-    old, new = Front(), beside()
-    warm_up(old.reducer.load_balancer)
-    old.reducer.load_balancer.endpoints[0].limit = 1.25
+    old, new = ProxyDriver(), beside()
+    warm_up(old.state_machine.load_balancer)
+    old.state_machine.load_balancer.endpoints[0].limit = 1.25
     found = told(old)
     spoil(found)
     with pytest.raises(HandoverError):
-        estate.restore(found, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
-    new.told = new.reducer.take_over(SECOND, found, 0, 0)
-    assert not new.reducer.load_balancer.budget.taken and new.reducer.load_balancer.endpoints[0].limit != 1.25
-    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # and yet it serves
+        estate.restore(found, new.state_machine.load_balancer, new.state_machine.registry.names(), SECOND)
+    new.commands = new.state_machine.take_over(SECOND, found, 0, 0)
+    assert (
+        not new.state_machine.load_balancer.budget.taken
+        and new.state_machine.load_balancer.endpoints[0].limit != 1.25
+    )
+    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]  # and yet it serves
 
 
 def test_both_together_retry_no_more_and_fill_the_cold_no_more_than_one() -> None:
-    front = Front()
-    warm_up(front.reducer.load_balancer)
-    side, now = front.reducer.load_balancer, SECOND
+    front = ProxyDriver()
+    warm_up(front.state_machine.load_balancer)
+    side, now = front.state_machine.load_balancer, SECOND
     side.endpoints[0].started_us = side.endpoints[0].cold_us = 1
     e, own = side.endpoints[0], side.zone_subsets[0]
     assert side.slow_start.credit(e, 5 * SECOND, own, True)
     told(front)
     assert not side.budget.spend(now) and not side.slow_start.credit(e, 6 * SECOND, own, True)
-    front.reducer.on_successor_failed(now)
+    front.state_machine.on_successor_failed(now)
     assert side.budget.spend(now) and side.slow_start.credit(e, 7 * SECOND, own, True)
 
 
 def test_an_id_that_is_open_at_the_old_process_is_not_taken_by_the_new_one() -> None:
-    old, new = Front(), beside()
-    old.came(7)
-    old.ask(7)
-    new.told = new.reducer.take_over(SECOND, told(old), 0, 0)
-    new.came(7)
-    new.ask(7, now=SECOND)
-    assert [write.response.status for write in new.all(do.SendResponse)] == [400]
-    new.reducer.on_predecessor_exited(SECOND, 0, 0)
-    new.ask(7, now=SECOND)
-    assert new.hop()
+    old, new = ProxyDriver(), beside()
+    old.connect_client(7)
+    old.send_request(7)
+    new.commands = new.state_machine.take_over(SECOND, told(old), 0, 0)
+    new.connect_client(7)
+    new.send_request(7, now=SECOND)
+    assert [write.response.status for write in new.take_commands(do.SendResponse)] == [400]
+    new.state_machine.on_predecessor_exited(SECOND, 0, 0)
+    new.send_request(7, now=SECOND)
+    assert new.take_attempt()
 
 
 def test_a_drain_goes_over() -> None:
-    old, new = Front(), beside()
-    call(old, control.OUT)
-    new.told = new.reducer.take_over(SECOND, told(old), 0, 0)
-    assert not new.reducer.is_ready(SECOND) and call(new, control.READY, SECOND) == 200
-    assert call(old, control.IN, SECOND) == 503  # it would be lost with the process
-    call(new, control.IN, SECOND)
-    assert new.reducer.is_ready(SECOND)
+    old, new = ProxyDriver(), beside()
+    admin_status(old, control.OUT_OF_SERVICE_PATH)
+    new.commands = new.state_machine.take_over(SECOND, told(old), 0, 0)
+    assert not new.state_machine.is_ready(SECOND) and admin_status(new, control.READY_PATH, SECOND) == 200
+    assert admin_status(old, control.IN_SERVICE_PATH, SECOND) == 503  # it would be lost with the process
+    admin_status(new, control.IN_SERVICE_PATH, SECOND)
+    assert new.state_machine.is_ready(SECOND)
 
 
 def test_the_new_process_asks_only_once_it_can_serve_and_is_ready_only_after() -> None:
     new = beside()
-    new.told = new.reducer.start(0, read({"revision": 1, "complete": True, "members": []}), True)
-    assert not new.all(do.BeginTakeover) and not new.all(do.AcceptClients)
-    assert call(new, control.READY) == 503
-    new.told = new.reducer.on_endpoint_list(1, news(4, True, member("s0", 9000)))
-    assert len(new.all(do.BeginTakeover)) == 1 and call(new, control.READY) == 503
-    new.told = new.reducer.take_over(2, None, 0, 0)
-    assert call(new, control.READY) == 200 and new.all(do.AcceptClients) == [do.AcceptClients(True)]
+    new.commands = new.state_machine.start(0, read({"revision": 1, "complete": True, "members": []}), True)
+    assert not new.take_commands(do.BeginTakeover) and not new.take_commands(do.AcceptClients)
+    assert admin_status(new, control.READY_PATH) == 503
+    new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, member("s0", 9000)))
+    assert len(new.take_commands(do.BeginTakeover)) == 1 and admin_status(new, control.READY_PATH) == 503
+    new.commands = new.state_machine.take_over(2, None, 0, 0)
+    assert admin_status(new, control.READY_PATH) == 200 and new.take_commands(do.AcceptClients) == [
+        do.AcceptClients(True)
+    ]
 
 
 def test_the_old_process_closes_no_idle_client_but_ends_with_each_answer() -> None:
-    front = Front(heard=True)
-    front.rest(1)
-    front.came(2)
-    front.ask(2)
+    front = ProxyDriver(has_list=True)
+    front.connect_idle_client(1)
+    front.connect_client(2)
+    front.send_request(2)
     told(front)
-    assert front.all(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.all(do.CloseClient)
-    front.end(front.hop(), Outcome.SUCCEEDED)
-    front.ask(1, now=SECOND)
-    front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
-    assert [write.closes_connection for write in front.all(do.SendResponse)] == [True, True]
-    front.told += front.reducer.on_stop_requested(2 * SECOND)
-    assert front.reducer.is_ready(2 * SECOND)  # a front that asks here is not to leave a sidecar that serves
+    assert front.take_commands(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.take_commands(
+        do.CloseClient
+    )
+    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED)
+    front.send_request(1, now=SECOND)
+    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED, SECOND)
+    assert [write.closes_connection for write in front.take_commands(do.SendResponse)] == [True, True]
+    front.commands += front.state_machine.on_stop_requested(2 * SECOND)
+    assert front.state_machine.is_ready(
+        2 * SECOND
+    )  # a front that asks here is not to leave a sidecar that serves
     for client in (1, 2):
-        front.told += front.reducer.on_response_written(2 * SECOND, client)
-        front.told += front.reducer.on_client_closed(2 * SECOND, client)
-    front.told += front.reducer.on_timer(2 * SECOND)
-    assert front.all(do.Exit) and not any(listen.closed for listen in front.all(do.AcceptClients))
+        front.commands += front.state_machine.on_response_written(2 * SECOND, client)
+        front.commands += front.state_machine.on_client_closed(2 * SECOND, client)
+    front.commands += front.state_machine.on_timer(2 * SECOND)
+    assert front.take_commands(do.Exit) and not any(
+        listen.closed for listen in front.take_commands(do.AcceptClients)
+    )
 
 
 def test_an_heir_that_dies_leaves_all_as_it_was_unless_told_to_stop() -> None:
-    front = Front()
+    front = ProxyDriver()
     told(front)
-    front.all(do.AcceptClients)
-    front.told = front.reducer.on_successor_failed(SECOND)
+    front.take_commands(do.AcceptClients)
+    front.commands = front.state_machine.on_successor_failed(SECOND)
     assert (
-        front.all(do.AcceptClients) == [do.AcceptClients(True)]
-        and not front.reducer.lifecycle.has_handed_over
+        front.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+        and not front.state_machine.lifecycle.has_handed_over
     )
     told(front)
-    front.told = front.reducer.on_stop_requested(2 * SECOND)
-    front.told += front.reducer.on_successor_failed(2 * SECOND)
-    assert not front.all(do.AcceptClients)
+    front.commands = front.state_machine.on_stop_requested(2 * SECOND)
+    front.commands += front.state_machine.on_successor_failed(2 * SECOND)
+    assert not front.take_commands(do.AcceptClients)
 
 
 @pytest.mark.parametrize("tmp", [None, "", "/x" * MOST_PATH])
