--- a/cressrail/event_loop/scheduler.py
+++ b/cressrail/event_loop/scheduler.py
@@ -95,6 +95,16 @@
         if task.waiting:
             self._wake(task, MAIL)
 
+    def current_task(self) -> Task:
+        """The task that runs now.
+
+        Raises:
+            RuntimeError: called from outside of a task.
+        """
+        if self.current is None:
+            raise RuntimeError("not called from a task")
+        return self.current
+
     @property
     def arrived_us(self) -> int:
         """The earliest that what the current task reads may have come."""
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -1,151 +1,167 @@
-"""The operators' door: a second address, one call to a connection. It needs no buffer of the pool, holds
-descriptors of its own, and its tasks go before others in a round, so that it answers however full the
-sidecar is."""
+"""The admin API: a second address for operators, one call to a connection.
+
+It uses no buffer of the pool and has descriptors of its own, and its tasks run before others in a
+round of the event loop, so that it answers however busy the sidecar is.
+"""
 
 from __future__ import annotations
 
 import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
-from cressrail.event_loop.scheduler import MAIL, READ, WRITE, Task
+from cressrail.event_loop.scheduler import MAIL, READ, TIMED_OUT, WRITE, Task
 from cressrail.http1.answer import REASONS
 from cressrail.http1.head import MalformedMessageError, split_head
 from cressrail.http1.request import parts_of
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.network.listener import SHORT_PAUSE_US
-from cressrail.network.socket_stream import SHORT
+from cressrail.network.listener import NO_DESCRIPTORS_PAUSE_US
+from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
 from cressrail.proxy.admin import AdminResponse
 
-CALLS = 8  # at once; the oldest that is unfinished makes room for one more
-DESCRIPTORS = CALLS + 2  # the listening one, and one amid being taken in
-UNFINISHED_US = 2_000_000  # a call may take so long from its connection to the end of its head,
-READ_ON_US = 500_000  # and so long after its answer what still comes is read off
-PIECE = 4096
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
+MAX_OPEN_CALLS = 8  # the oldest unfinished one makes room for one more
+DESCRIPTORS = MAX_OPEN_CALLS + 2  # with the listening socket and one that is being accepted
+CALL_TIMEOUT_US = 2_000_000  # from the connection to the end of the head, and for writing the response
+DRAIN_TIMEOUT_US = 500_000  # reads and drops what still comes after the response
+READ_BYTES = 4096
 HANG_UP = "hang up"
-PAGE, JSON = b"/membership", b"application/json"  # where membership is on
-ZONES = b"/zones"
+MEMBERSHIP_PATH, ZONES_PATH = b"/membership", b"/zones"  # where membership is configured
+JSON = b"application/json"
 
 
 class AdminServerTask:
-    """The listener, and the calls that are open."""
-
-    def __init__(self, net: CommandDispatcher, sock: socket.socket) -> None:
-        self.net = net
+    """Owns the listening socket of the admin address and keeps the open calls."""
+
+    def __init__(
+        self,
+        dispatcher: CommandDispatcher,
+        sock: socket.socket,
+        membership: MembershipTransport | None,
+    ) -> None:
+        self.dispatcher = dispatcher
         self.sock = sock
+        self.membership = membership
         self.calls: dict[Task, None] = {}  # the oldest first
 
     def run(self) -> None:
+        """Accepts calls until a message ends it."""
         try:
-            while True:
-                if self.net.loop.wait(self.sock.fileno(), READ) == MAIL:
-                    return
+            while self.dispatcher.scheduler.wait(self.sock.fileno(), READ) != MAIL:
                 self._accept()
         finally:
             self.sock.close()
 
     def _accept(self) -> None:
+        scheduler = self.dispatcher.scheduler
         try:
             sock, _ = self.sock.accept()
         except OSError as fault:
-            if fault.errno in SHORT:  # guards against a loop that spins on a caller it can't take in
-                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
+            if fault.errno in DESCRIPTORS_EXHAUSTED:  # else the waiting caller would wake this task at once
+                until_us = self.dispatcher.now() + NO_DESCRIPTORS_PAUSE_US
+                scheduler.wait(until_us=until_us, mail=False)
             return
-        if len(self.calls) >= CALLS:
-            # Guards against callers that finish no call keeping out those who would.
+        if len(self.calls) >= MAX_OPEN_CALLS:
             oldest = next(iter(self.calls))
             del self.calls[oldest]
-            self.net.loop.post(oldest, HANG_UP)
-        call = Call(self, sock)
-        self.calls[self.net.loop.spawn(call.run, first=True)] = None
+            scheduler.post(oldest, HANG_UP)
+        self.calls[scheduler.spawn(AdminCall(self, sock).run, first=True)] = None
 
 
-def _of_zones(status: int, told: Any) -> AdminResponse:
-    if status == 405:
-        return AdminResponse(405, b"not by this method\n", allow=told.encode())
-    if status != 200:
-        return AdminResponse(status, f"{told}\n".encode())
-    return AdminResponse(200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON)
-
+class AdminCall:
+    """One connection to the admin address: reads a request, answers it, closes."""
 
-class Call:
-    def __init__(self, door: AdminServerTask, sock: socket.socket) -> None:
-        self.door = door
-        self.net = door.net
+    def __init__(self, server: AdminServerTask, sock: socket.socket) -> None:
+        self.server = server
+        self.dispatcher = server.dispatcher
         self.sock = sock
         sock.setblocking(False)
 
     def run(self) -> None:
-        task = self.net.loop.current
-        assert task is not None
+        """Handles the call; a caller that is slow or leaves is closed without a response."""
+        task = self.dispatcher.scheduler.current_task()
         try:
-            told = self._asked()
-            if told is not None:
-                self._say(told)
+            response = self._read_call()
+            if response is not None:
+                self._send(response)
         except OSError:
             pass
         finally:
-            self.door.calls.pop(task, None)
+            self.server.calls.pop(task, None)
             self.sock.close()
 
-    def _asked(self) -> AdminResponse | None:
-        """What the call is answered; nothing for one that is not whole in time or leaves."""
-        text, until_us = bytearray(), self.net.now() + UNFINISHED_US
-        while True:
-            data = self._more(until_us)
-            if not data:
-                return None
-            text += data
+    def _read_call(self) -> AdminResponse | None:
+        """Reads the head and carries the call out; None where the caller is slow or leaves."""
+        received, until_us = bytearray(), self.dispatcher.now() + CALL_TIMEOUT_US
+        while data := self._receive(until_us):
+            received += data
             try:
-                found = split_head(memoryview(text), False)
-                if found is None:
-                    continue
-                method, target = parts_of(found[1])
+                found = split_head(memoryview(received), False)
+                if found is not None:
+                    return self._respond(*parts_of(found[1]))
             except MalformedMessageError as fault:
                 return AdminResponse(400, f"{fault}\n".encode())
-            if target == PAGE and self.net.gossip is not None:
-                return (
-                    AdminResponse(200, self.net.gossip.page(), JSON)
-                    if method == b"GET"
-                    else AdminResponse(405, b"not by this method\n", allow=b"GET")
-                )
-            if target.startswith(ZONES) and self.net.gossip is not None:
-                return _of_zones(*self.net.gossip.asked(method, target))
-            told, effects = self.net.state_machine.on_admin_call(
-                self.net.now(), method, target.partition(b"?")[0]
-            )
-            self.net.dispatch(effects)
-            return told
-
-    def _more(self, until_us: int) -> bytes:
+        return None
+
+    def _respond(self, method: bytes, target: bytes) -> AdminResponse:
+        membership = self.server.membership
+        if membership is not None and target == MEMBERSHIP_PATH:
+            if method != b"GET":
+                return AdminResponse(405, b"not by this method\n", allow=b"GET")
+            return AdminResponse(200, membership.view_json(), JSON)
+        if membership is not None and target.startswith(ZONES_PATH):
+            return _zones_response(*membership.on_zones_request(method, target))
+        path = target.partition(b"?")[0]
+        dispatcher = self.dispatcher
+        response, commands = dispatcher.state_machine.on_admin_call(dispatcher.now(), method, path)
+        dispatcher.dispatch(commands)
+        return response
+
+    def _receive(self, until_us: int) -> bytes:
+        """Returns received bytes, or none at the end of the connection, in time-outs and on a hang-up."""
         while True:
             try:
-                return self.sock.recv(PIECE)
+                return self.sock.recv(READ_BYTES)
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), READ, until_us) in (MAIL, 0):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), READ, until_us) in (MAIL, TIMED_OUT):
                     return b""
 
-    def _say(self, told: AdminResponse) -> None:
-        lines = [
-            b"HTTP/1.1 %d %s" % (told.status, REASONS.get(told.status, b"-")),
-            b"content-type: " + told.kind,
-            b"content-length: %d" % len(told.body),
-            b"cache-control: no-store",
-            b"connection: close",
-        ]
-        if told.allow:
-            lines.append(b"allow: " + told.allow)
-        left = memoryview(b"\r\n".join(lines) + b"\r\n\r\n" + told.body)
-        until_us = self.net.now() + UNFINISHED_US
-        while left:
+    def _send(self, response: AdminResponse) -> None:
+        unsent = memoryview(_encode(response))
+        until_us = self.dispatcher.now() + CALL_TIMEOUT_US
+        while unsent:
             try:
-                left = left[self.sock.send(left) :]
+                unsent = unsent[self.sock.send(unsent) :]
             except BlockingIOError:
-                if self.net.loop.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, 0):
+                if self.dispatcher.scheduler.wait(self.sock.fileno(), WRITE, until_us) in (MAIL, TIMED_OUT):
                     return
-        # Guards against a close with bytes unread, which would reset the answer on its way.
+        # A close with bytes unread would reset the connection, and the response with it.
         self.sock.shutdown(socket.SHUT_WR)
-        until_us = self.net.now() + READ_ON_US
-        while self._more(until_us):
+        until_us = self.dispatcher.now() + DRAIN_TIMEOUT_US
+        while self._receive(until_us):
             pass
+
+
+def _encode(response: AdminResponse) -> bytes:
+    lines = [
+        b"HTTP/1.1 %d %s" % (response.status, REASONS.get(response.status, b"-")),
+        b"content-type: " + response.kind,
+        b"content-length: %d" % len(response.body),
+        b"cache-control: no-store",
+        b"connection: close",
+    ]
+    if response.allow:
+        lines.append(b"allow: " + response.allow)
+    return b"\r\n".join(lines) + b"\r\n\r\n" + response.body
+
+
+def _zones_response(status: int, answer: Any) -> AdminResponse:
+    """`answer` is a JSON value for 200, the allowed method for 405, a message otherwise."""
+    if status == 405:
+        return AdminResponse(405, b"not by this method\n", allow=answer.encode())
+    if status != 200:
+        return AdminResponse(status, f"{answer}\n".encode())
+    return AdminResponse(200, orjson.dumps(answer, option=orjson.OPT_APPEND_NEWLINE), JSON)
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -1,20 +1,22 @@
-"""Puts the parts of a running sidecar together and runs it."""
+"""Builds the parts of a running sidecar and runs them until the event loop ends."""
 
 from __future__ import annotations
 
 import gc
 import os
 import resource
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
 
 from cressrail.buffers.pool import SIZE, Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.startup import StartupConfiguration
 from cressrail.event_loop.clock import Clock
 from cressrail.event_loop.scheduler import Scheduler
 from cressrail.logs.log_writer import LogWriter
-from cressrail.network import admin_server as ops
-from cressrail.network import handover_server as heir
-from cressrail.network import listener
+from cressrail.network import admin_server, handover_server, listener
+from cressrail.network.admin_server import AdminServerTask
 from cressrail.network.configuration_reload import ConfigurationReload
 from cressrail.network.discovery_watch import DiscoveryWatchTask
 from cressrail.network.dispatcher import CommandDispatcher
@@ -26,129 +28,202 @@
     rendezvous_path,
 )
 from cressrail.network.handover_server import HandoverServerTask
-from cressrail.network.signals import heed_signals
-from cressrail.network.timer_task import wake_task
+from cressrail.network.listener import ListenerTask
+from cressrail.network.signals import handle_signals
+from cressrail.network.timer_task import timer_task
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.proxy.commands import AcceptClients, BeginTakeover, SetTimer, WatchEndpoints
 from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.settings import ProxySettings
 from cressrail.proxy.state_machine import StateMachine
 
-SPARE = 16  # descriptors for all that is neither client nor endpoint, and for those on their way out
-LINKS_SHARE = 3 / 8  # of the descriptors; a link carries one hop after another, clients come in crowds
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
+SPARE_DESCRIPTORS = 16  # for all but clients and endpoints, and for connections being closed
+MIN_CONNECTIONS = 16  # of both sides together
+# Of the descriptors: endpoint connections are reused, clients come in bursts.
+ENDPOINT_CONNECTIONS_SHARE = 3 / 8
+EXTRA_CLIENTS_DIVISOR = 16  # of the descriptors, for clients that are answered 503
+MIN_EXTRA_CLIENTS = 4
 BUFFERS_SHARE = 0.5  # of the memory limit
-YOUNG = 5_000  # objects between two collections
+BYTES_PER_MB = 1 << 20
+YOUNG_OBJECTS = 5_000  # allocations between two garbage collections: requests leave few reference cycles
+
+
+@dataclass(frozen=True, slots=True)
+class Server:
+    """A sidecar whose parts are connected and whose first tasks wait for the event loop."""
+
+    dispatcher: CommandDispatcher
+    listener: ListenerTask
+    membership: MembershipTransport | None
 
 
-def room(sockets: int, aside: int = 0) -> ConnectionLimits:
-    """Each side gets a part, so that neither can crowd the other out; `aside` go to nobody."""
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    both = max(16, min(sockets, soft if soft > 0 else sockets) - SPARE - aside)
-    surplus = max(4, both // 16)
-    links = int(both * LINKS_SHARE)
-    return ConnectionLimits(clients=both - links - surplus, extra_clients=surplus, endpoint_connections=links)
+def connection_limits(max_descriptors: int, reserved: int = 0) -> ConnectionLimits:
+    """Splits the descriptors so that neither clients nor endpoints can crowd out the other side.
+
+    Args:
+        max_descriptors: what the configuration allows; the limit of the process holds too.
+        reserved: descriptors for other purposes, beside `SPARE_DESCRIPTORS`.
+    """
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    available = min(max_descriptors, soft_limit if soft_limit > 0 else max_descriptors)
+    shared = max(MIN_CONNECTIONS, available - SPARE_DESCRIPTORS - reserved)
+    extra_clients = max(MIN_EXTRA_CLIENTS, shared // EXTRA_CLIENTS_DIVISOR)
+    endpoint_connections = int(shared * ENDPOINT_CONNECTIONS_SHARE)
+    return ConnectionLimits(
+        clients=shared - endpoint_connections - extra_clients,
+        extra_clients=extra_clients,
+        endpoint_connections=endpoint_connections,
+    )
+
 
+def assemble(configuration: StartupConfiguration, log_descriptor: int = 1) -> Server:
+    """Connects the parts and spawns the first tasks; nothing runs before the event loop does.
 
-def assemble(start: StartupConfiguration, log_fd: int = 1) -> tuple[CommandDispatcher, listener.ListenerTask]:
-    """Everything in its place and the first tasks waiting; nothing runs until the loop does."""
+    Raises:
+        ConfigurationError: a setting cannot be used.
+        OSError: an address cannot be listened on.
+    """
     clock = Clock()
-    log = LogWriter(log_fd, clock.now, start.name)
-    loop = Scheduler(clock.now, lambda text: log.write_event("fault", {"trace": text}))
-    loop.after_round = log.flush
-    profiles = parts.request_classes(start.settings)
-    members = parts.tenants(start.settings)
-    roster = EndpointRegistry(start.settings.names("dcs"))
+    log = LogWriter(log_descriptor, clock.now, configuration.name)
+    scheduler = Scheduler(clock.now, lambda trace: log.write_event("fault", {"trace": trace}))
+    scheduler.after_round = log.flush
     now = clock.now()
-    aside = (ops.DESCRIPTORS + heir.DESCRIPTORS if start.admin else 0) + (start.membership is not None)
-    rooms = room(start.sockets, aside)
-    sidecar = parts.load_balancer(
-        start.settings,
-        start.seed,
-        now,
-        list(roster.zones),
-        list(members.values()),
-        rooms.endpoint_connections,
-    )
-    longest_us = max(p.deadline_us for p in profiles.values())
-    reducer = StateMachine(
-        ProxySettings(
-            request_classes=profiles,
-            tenants={member: n for n, member in enumerate(members)},
-            max_deadline_us=longest_us,
-            discovery=start.discovery,
-            drain_notice_us=start.settings.whole("contract.stop_sending_within_us", 0, absent=0),
-        ),
-        sidecar,
-        roster,
-        rooms,
-        RandomGenerator(start.seed ^ 1),
-        now,
+    state_machine = _build_state_machine(configuration, now)
+    dispatcher = _build_dispatcher(configuration, scheduler, state_machine, log)
+    # Without an admin address nothing is written under $TMPDIR and no socket is shared.
+    path = rendezvous_path(configuration.listen, os.environ.get("TMPDIR")) if configuration.admin else None
+    predecessor = find_predecessor(path, configuration.listen) if path else None
+    listener_task = _build_listener(configuration, dispatcher, predecessor, now)
+    admin_socket = listener.bind(*configuration.admin) if configuration.admin else None
+    membership = _start_membership(configuration, dispatcher, waits=predecessor is not None)
+    if admin_socket is not None:
+        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, first=True)
+    dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
+    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, first=True, vital=True)
+    dispatcher.send_to_task(WatchEndpoints, watch)
+    dispatcher.send_to_task(AcceptClients, scheduler.spawn(listener_task.run, vital=True))
+    dispatcher.send_to_task(SetTimer, scheduler.spawn(partial(timer_task, dispatcher), vital=True))
+    _log_start(configuration, log, state_machine)
+    if path:
+        successor = HandoverServerTask(dispatcher, path, listener_task.sock, configuration.listen, membership)
+        handover = partial(_take_over_then_serve_successor, dispatcher, predecessor, successor)
+        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, first=True))
+    known = predecessor.endpoint_list if predecessor else configuration.known_endpoints
+    dispatcher.dispatch(state_machine.start(now, known, predecessor is not None))
+    return Server(dispatcher, listener_task, membership)
+
+
+def run(server: Server, configuration_reload: ConfigurationReload) -> int:
+    """Runs the event loop to its end; returns the exit status of the process."""
+    dispatcher = server.dispatcher
+    with handle_signals(dispatcher, configuration_reload, server.membership):
+        gc.collect()
+        gc.freeze()  # what exists now stays; later collections look at new objects only
+        gc.set_threshold(YOUNG_OBJECTS, 10, 50)
+        dispatcher.scheduler.run()
+    for callback in dispatcher.at_end:
+        callback()
+    has_failed = dispatcher.scheduler.failed
+    dispatcher.log.write_event("end", {"failed": True} if has_failed else {})
+    dispatcher.log.flush()
+    return int(has_failed)
+
+
+def _build_state_machine(configuration: StartupConfiguration, now_us: int) -> StateMachine:
+    settings = configuration.settings
+    request_classes = policy_factory.read_request_classes(settings)
+    quotas = policy_factory.read_tenant_quotas(settings)
+    registry = EndpointRegistry(settings.names(setting_names.ZONES))
+    reserved = admin_server.DESCRIPTORS + handover_server.DESCRIPTORS if configuration.admin else 0
+    limits = connection_limits(configuration.max_sockets, reserved + (configuration.membership is not None))
+    load_balancer = policy_factory.build_load_balancer(
+        settings,
+        configuration.seed,
+        now_us,
+        list(registry.zones),
+        list(quotas.values()),
+        limits.endpoint_connections,
     )
-    pool = Pool(int(start.memory_mb * BUFFERS_SHARE * (1 << 20)) // SIZE)
-    connect_us, idle_us = parts.waits(start.settings)
-    net = CommandDispatcher(
-        loop, pool, reducer, log, connect_us=connect_us, idle_us=idle_us, patience_us=longest_us
+    proxy_settings = ProxySettings(
+        request_classes=request_classes,
+        tenants={tenant: index for index, tenant in enumerate(quotas)},
+        max_deadline_us=max(request_class.deadline_us for request_class in request_classes.values()),
+        discovery=configuration.discovery,
+        drain_notice_us=settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
-    # Only with a door for operators: without it nothing is written under $TMPDIR, and nothing shared.
-    path = rendezvous_path(start.listen, os.environ.get("TMPDIR")) if start.admin else None
-    elder = find_predecessor(path, start.listen) if path else None
-    door = listener.ListenerTask(
-        net,
-        elder.listening if elder else listener.bind(*start.listen, shared=start.admin is not None),
-        None if elder else now,
+    rng = RandomGenerator(configuration.seed ^ 1)  # not the policy's own sequence
+    return StateMachine(proxy_settings, load_balancer, registry, limits, rng, now_us)
+
+
+def _build_dispatcher(
+    configuration: StartupConfiguration,
+    scheduler: Scheduler,
+    state_machine: StateMachine,
+    log: LogWriter,
+) -> CommandDispatcher:
+    pool_bytes = int(configuration.memory_limit_mb * BUFFERS_SHARE * BYTES_PER_MB)
+    connect_timeout_us, idle_timeout_us = policy_factory.read_connection_timeouts(configuration.settings)
+    return CommandDispatcher(
+        scheduler,
+        Pool(pool_bytes // SIZE),
+        state_machine,
+        log,
+        connect_timeout_us=connect_timeout_us,
+        endpoint_idle_timeout_us=idle_timeout_us,
+        peer_timeout_us=state_machine.settings.max_deadline_us,
     )
-    if start.admin:
-        loop.spawn(ops.AdminServerTask(net, listener.bind(*start.admin)).run, first=True)
-    if start.membership is not None:
-        from cressrail.network.membership_transport import (
-            MembershipTransport,  # nothing of it is loaded where it is off
-        )
-
-        net.gossip = MembershipTransport(net, start.membership, waits=elder is not None)
-    net.start_link = lambda number: EndpointConnectionTask(net, number).run
-    net.watch = loop.spawn(DiscoveryWatchTask(net).run, first=True, vital=True)
-    net.listener = loop.spawn(door.run, vital=True)
-    net.waker = loop.spawn(lambda: wake_task(net), vital=True)
+
+
+def _build_listener(
+    configuration: StartupConfiguration,
+    dispatcher: CommandDispatcher,
+    predecessor: Predecessor | None,
+    now_us: int,
+) -> ListenerTask:
+    if predecessor is not None:
+        return ListenerTask(dispatcher, predecessor.listening_socket)
+    sock = listener.bind(*configuration.listen, shared=configuration.admin is not None)
+    return ListenerTask(dispatcher, sock, now_us)
+
+
+def _start_membership(
+    configuration: StartupConfiguration, dispatcher: CommandDispatcher, waits: bool
+) -> MembershipTransport | None:
+    if configuration.membership is None:
+        return None
+    # Imported here: a sidecar without membership loads nothing of it.
+    from cressrail.network.membership_transport import MembershipTransport
+
+    return MembershipTransport(dispatcher, configuration.membership, waits=waits)
+
+
+def _log_start(configuration: StartupConfiguration, log: LogWriter, state_machine: StateMachine) -> None:
     log.write_event(
         "start",
         {
-            "listen": ":".join(map(str, start.listen)),
-            "ops": ":".join(map(str, start.admin)) if start.admin else None,
-            "discovery": ":".join(map(str, start.discovery)),
-            "shape": start.deployment_type,
-            "stage": start.settings.whole("stage", 0),
-            "known": len(start.known.entries),
-            "clients": reducer.limits.clients,
-            "links": reducer.limits.endpoint_connections,
+            "listen": ":".join(map(str, configuration.listen)),
+            "ops": ":".join(map(str, configuration.admin)) if configuration.admin else None,
+            "discovery": ":".join(map(str, configuration.discovery)),
+            "shape": configuration.deployment_type,
+            "stage": configuration.settings.whole_number(setting_names.TIER_INDEX, 0),
+            "known": len(configuration.known_endpoints.entries),
+            "clients": state_machine.limits.clients,
+            "links": state_machine.limits.endpoint_connections,
         },
     )
-    if path:
-        successor = HandoverServerTask(net, path, door.sock, start.listen)
-        net.relay = loop.spawn(lambda: _relay(net, elder, successor), first=True)
-    net.dispatch(reducer.start(now, elder.known if elder else start.known, elder is not None))
-    return net, door
-
-
-def _relay(net: CommandDispatcher, elder: Predecessor | None, successor: HandoverServerTask) -> None:
-    """First what this process takes over, then whoever takes over from it."""
-    if elder is not None:
-        before = HandoverClientTask(net, elder)
-        before.take()
-        net.at_end.append(before.farewell)
-        net.loop.spawn(before.outlive, first=True)
-    successor.run()
 
 
-def run(net: CommandDispatcher, reread: ConfigurationReload) -> int:
-    with heed_signals(net, reread):
-        gc.collect()
-        gc.freeze()  # what is here stays; later collections look at what is new
-        # Transactions leave few circles behind: a look at the young each 700 objects was a look every few of
-        # them.
-        gc.set_threshold(YOUNG, 10, 50)
-        net.loop.run()
-    for last in net.at_end:
-        last()
-    net.log.write_event("end", {"failed": True} if net.loop.failed else {})
-    net.log.flush()
-    return int(net.loop.failed)
+def _take_over_then_serve_successor(
+    dispatcher: CommandDispatcher, predecessor: Predecessor | None, successor: HandoverServerTask
+) -> None:
+    """Takes over from the predecessor, if there is one, then waits for a successor."""
+    if predecessor is not None:
+        client = HandoverClientTask(dispatcher, predecessor)
+        client.take_over()
+        dispatcher.at_end.append(client.announce_exit)
+        dispatcher.scheduler.spawn(client.wait_for_exit, first=True)
+    successor.run()
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -1,23 +1,21 @@
-"""Wakes the reducer when it asked to be."""
+"""Calls the state machine when its timer is due."""
 
 from __future__ import annotations
 
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.proxy.commands import SetTimer
 
-LATEST_US = 1_000_000  # unless the reducer says otherwise
+MAX_WAIT_US = 1_000_000  # between two calls, unless the state machine sets its timer earlier
 
 
-def wake_task(net: CommandDispatcher) -> None:
-    task = net.loop.current
-    assert task is not None
-    due_us = net.state_machine.timer_us
+def timer_task(dispatcher: CommandDispatcher) -> None:
+    """Runs for the life of the process; `SetTimer` commands in its mailbox move the time."""
+    scheduler = dispatcher.scheduler
+    task = scheduler.current_task()
+    due_us = dispatcher.state_machine.timer_us
     while True:
-        net.loop.wait(until_us=due_us)
+        scheduler.wait(until_us=due_us)
         while task.mail:
-            message = task.mail.popleft()
-            assert isinstance(message, SetTimer)
-            due_us = message.at_us
-        if net.now() >= due_us:
-            due_us = net.now() + LATEST_US
-            net.dispatch(net.state_machine.on_timer(net.now()))
+            due_us = task.mail.popleft().at_us
+        if dispatcher.now() >= due_us:
+            due_us = dispatcher.now() + MAX_WAIT_US
+            dispatcher.dispatch(dispatcher.state_machine.on_timer(dispatcher.now()))
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -9,7 +9,7 @@
 import sys
 
 from cressrail.cli.launch import launch
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.discovery.endpoint_list import EndpointListUpdate
 from cressrail.http1.answer import Response
 from cressrail.network.client_connection import ClientConnectionTask
@@ -77,28 +77,28 @@
 
 def answers_twice() -> None:
     """Rule 1: something is sent after the final answer."""
-    write = ClientConnectionTask._write
+    write = ClientConnectionTask._send_response
 
     def twice(self: ClientConnectionTask, message: SendResponse) -> None:
         write(self, message)
         if self.number % 3 == 0:
-            self.stream.send([memoryview(Response(503).head(True))], self.net.now() + 100_000)
+            self.stream.send([memoryview(Response(503).head(True))], self.dispatcher.now() + 100_000)
 
-    ClientConnectionTask._write = twice  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = twice  # type: ignore[method-assign]
 
 
 def swallows() -> None:
     """Rule 1: some that were taken get no answer."""
-    write = ClientConnectionTask._write
+    write = ClientConnectionTask._send_response
 
     def eats(self: ClientConnectionTask, message: SendResponse) -> None:
-        if message.response.body is None or self.net.state_machine.ids.last % 7:
+        if message.response.body is None or self.dispatcher.state_machine.ids.last % 7:
             write(self, message)
             return
         message.response.body.give_back()
         raise OSError("swallowed on purpose")
 
-    ClientConnectionTask._write = eats  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = eats  # type: ignore[method-assign]
 
 
 def repeats() -> None:
@@ -148,7 +148,7 @@
     if broken:
         BREAKS[broken]()
     if policy in POLICIES:
-        vars(parts)["LoadBalancer"] = POLICIES[policy]
+        vars(policy_factory)["LoadBalancer"] = POLICIES[policy]
     return launch(config)
 
 
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -108,7 +108,7 @@
         leaving = socket.create_connection(play.at)
         leaving.sendall(b"".join(ask() for _ in range(many)))
         leaving.close()
-        peer.until(lambda: play.door.numbers == 2 and len(play.net.clients) == 1)
+        peer.until(lambda: play.door.accepted_clients == 2 and len(play.net.clients) == 1)
         peer.sleep(20_000)
 
     play.client(client)
@@ -580,7 +580,7 @@
         waiting = [socket.create_connection(play.at) for _ in range(2)]
         for sock in waiting:
             sock.sendall(ask())
-        play.loop.post(play.net.listener, do.AcceptClients(False, is_final=True))  # type: ignore[arg-type]
+        play.loop.post(play.net.command_tasks[do.AcceptClients], do.AcceptClients(False, is_final=True))
         heard.extend(status(Peer(play.loop, sock)) for sock in waiting)
         for sock in waiting:
             sock.close()
@@ -836,7 +836,11 @@
     play = Play([Seen()])
     told: dict[str, set[type]] = {}
     post = play.loop.post
-    names = {id(play.net.watch): "watch", id(play.net.listener): "listener", id(play.net.waker): "waker"}
+    names = {
+        id(play.net.command_tasks[do.WatchEndpoints]): "watch",
+        id(play.net.command_tasks[do.AcceptClients]): "listener",
+        id(play.net.command_tasks[do.SetTimer]): "waker",
+    }
 
     def posting(task: Any, message: Any) -> None:
         told.setdefault(names.get(id(task), "other"), set()).add(type(message))
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -7,7 +7,7 @@
 
 from cressrail.buffers.pool import Chain, Pool
 from cressrail.configuration import policy_factory
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import EndpointListUpdate, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
@@ -37,27 +37,27 @@
         """`has_list`: discovery has sent the list that the configuration holds."""
         config = copy.deepcopy(CONFIG)
         config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
-        start = read_config(config, {})
-        registry, members = EndpointRegistry(["a", "b"]), policy_factory.tenants(start.settings)
+        start = parse_configuration(config, {})
+        registry, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.state_machine = StateMachine(
             ProxySettings(
-                policy_factory.request_classes(start.settings),
+                policy_factory.read_request_classes(start.settings),
                 dict.fromkeys(members, 0),
                 SECOND,
                 start.discovery,
                 drain_notice_us,
             ),
-            policy_factory.load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
             registry,
             ConnectionLimits(max_clients, 2, max_endpoint_connections),
             RandomGenerator(5),
             0,
         )
-        self.known = start.known
+        self.known = start.known_endpoints
         self.pool = Pool(100)
-        self.commands: list[Command] = self.state_machine.start(0, start.known)
+        self.commands: list[Command] = self.state_machine.start(0, start.known_endpoints)
         if has_list:
-            self.commands += self.state_machine.on_endpoint_list(0, start.known)
+            self.commands += self.state_machine.on_endpoint_list(0, start.known_endpoints)
 
     def take_commands(self, kind: type) -> list[Any]:
         found = [command for command in self.commands if isinstance(command, kind)]
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -9,9 +9,9 @@
 import pytest
 
 from cressrail.buffers.pool import Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import read, read_line
 from cressrail.handover import state as handover_state
 from cressrail.handover.frame import Frames, wrap
@@ -140,13 +140,13 @@
     config = copy.deepcopy(CONFIG)
     config["known"] = listed(0, 1024)
     config["settings"]["n_instances"] = instances
-    start = read_config(config, {})
+    start = parse_configuration(config, {})
     if wrong:
         with pytest.raises(ConfigurationError, match=wrong):
-            parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
-    load_balancer = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert load_balancer.instances == instances and len(start.known.entries) == 1024
+    load_balancer = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    assert load_balancer.instances == instances and len(start.known_endpoints.entries) == 1024
 
 
 def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
