--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -38,8 +38,8 @@
     Attributes:
         open: All connections, by the client's number.
         idle: Clients between two requests, the longest idle first.
-        receiving: Clients that are new or amid sending a request, and since when (in us) no byte of it has
-            come. Those that wait longest come first.
+        receiving: Clients that are new or in the middle of a request, and since when (in us) no byte of it
+            has come. Those that wait longest come first.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
@@ -131,7 +131,7 @@
         return [self.close_if_idle(client) for client in silent]
 
     def silent_since_us(self) -> int:
-        """Since when the client that waits longest, new or amid its request, has sent nothing."""
+        """Since when the client that waits longest, new or in the middle of its request, has sent nothing."""
         return next(iter(self.receiving.values()))
 
     def is_full(self) -> bool:
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -58,8 +58,8 @@
     def accept(self, update: EndpointListUpdate) -> bool:
         """Returns whether an update is to be applied: its revision is not older than the one held.
 
-        An older revision means that discovery counts anew. The complete list is asked for then: else drains
-        would be missed until discovery's revision has passed the one held.
+        An older revision means that discovery counts from the start again. The complete list is asked for
+        then: else drains would be missed until discovery's revision has passed the one held.
         """
         self.consecutive_failures = 0
         self.has_list = True
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -194,7 +194,7 @@
     def abort(self, now_us: int, client: int, status: int) -> list[Command]:
         """A request was forwarded before all of it had come, and the rest never will come.
 
-        An endpoint begins nothing that has not come whole, so nothing of it has run.
+        An endpoint begins nothing that is incomplete, so nothing of it has run.
         """
         routed_request = self.clients.open[client].routed_request
         if routed_request is None or routed_request.is_finished:  # it has its answer already
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -60,7 +60,7 @@
         return self.lifecycle.rules.is_healthy and self.endpoint_watch.can_serve(now_us)
 
     def take(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """Takes a request that came whole at `arrived_us`, or one that is forwarded as it comes."""
+        """Takes a request complete at `arrived_us`, or one that is forwarded as it comes."""
         # If it is answered before all of it has come, it is the last: what is left of it may never come.
         self.clients.set_keep_alive(client, request.keep and not request.streams)
         self.clients.finish_receiving(client)  # also if it was asked to close just now
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -199,11 +199,11 @@
         return self._complete(now_us, [])
 
     def has_client_stalled(self, now_us: int, last_progress_us: int) -> bool:
-        """Whether a client amid its request may be closed, the last byte having come at that time."""
+        """Whether a client may be closed, the last byte of whose incomplete request came at that time."""
         return now_us - last_progress_us >= clients.CLIENT_STALL_US
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """A request has come whole at `arrived_us`, or the head of one that is forwarded as it comes."""
+        """A complete request has come at `arrived_us`, or the head of one that is forwarded as it comes."""
         return self._complete(now_us, self.intake.take(now_us, client, request, arrived_us))
 
     def on_request_complete(self, now_us: int, client: int, arrived_us: int) -> list[Command]:
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -79,3 +79,11 @@
     driver.state_machine.on_request_started(CLIENT_SILENCE_LIMIT_US, 1)
     driver.commands = driver.state_machine.on_timer(2 * CLIENT_SILENCE_LIMIT_US)
     assert driver.take_commands(do.CloseClient) == [do.CloseClient(1, True)]
+
+
+@pytest.mark.parametrize(
+    ("silent_us", "has_stalled"), [(0, False), (CLIENT_STALL_US - 1, False), (CLIENT_STALL_US, True)]
+)
+def test_client_has_stalled_after_a_second_without_a_byte(silent_us: int, has_stalled: bool) -> None:
+    state_machine = ProxyDriver().state_machine
+    assert state_machine.has_client_stalled(SECOND + silent_us, last_progress_us=SECOND) is has_stalled
