--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -74,7 +74,7 @@
         end = self._send_request(stream, now_us)
         if end is not None:
             return end
-        until_us = self.command.until_us
+        until_us = self.command.timeout_at_us
         if self.request.is_streaming:
             end = self._upload(stream)
             if end is not None:
@@ -102,13 +102,15 @@
         command, request = self.command, self.request
         peer_timeout_us = self.dispatcher.peer_timeout_us
         host = f"[{command.host}]" if ":" in command.host else command.host
-        remaining_us = min(command.until_us - now_us, peer_timeout_us)  # an upload has no limit yet
+        remaining_us = min(command.timeout_at_us - now_us, peer_timeout_us)  # an upload has no limit yet
         head = memoryview(request.encode_head(f"{host}:{command.port}", remaining_us))
         body = request.body.views()
         if request.is_chunked:
             body = encode_chunk(body, request.body.size)
         try:
-            stream.send([head, *body], min(command.until_us, now_us + peer_timeout_us), wakes_on_message=True)
+            stream.send(
+                [head, *body], min(command.timeout_at_us, now_us + peer_timeout_us), wakes_on_message=True
+            )
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
         except (StreamTimeoutError, OSError) as fault:  # endpoints begin a request with its last byte
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -121,7 +121,7 @@
             raise StreamInterruptedError
         self._close_unless_usable()
         if self.stream is None:
-            until_us = min(command.until_us, dispatcher.now() + dispatcher.connect_timeout_us)
+            until_us = min(command.timeout_at_us, dispatcher.now() + dispatcher.connect_timeout_us)
             self.stream = SocketStream.connect(
                 dispatcher.scheduler, dispatcher.pool, command.host, command.port, until_us, True
             )
@@ -151,7 +151,7 @@
         if unsent is not None:
             outcome, reason = unsent
             return AttemptEnd(outcome, reason, outcome is not Outcome.REJECTED_BY_ENDPOINT)
-        if now_us >= command.until_us:  # the endpoint is not to blame for the time that was left
+        if now_us >= command.timeout_at_us:  # the endpoint is not to blame for the time that was left
             return AttemptEnd(Outcome.NOT_SENT, "no time left", is_connection_reusable=True)
         return None
 
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -70,8 +70,8 @@
             event = scheduler.wait(self.sock.fileno() if self.is_accepting else -1, READABLE)
             while task.messages:
                 command = task.messages.popleft()
-                self.is_accepting = command.on
-                if command.closed:
+                self.is_accepting = command.is_accepting
+                if command.is_final:
                     self._close()
                     return
             if event == MESSAGE or not self.is_accepting:
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -22,8 +22,6 @@
 from cressrail.proxy.lifecycle import Lifecycle
 from cressrail.proxy.request_counters import RequestCounters
 from cressrail.proxy.requests import (
-    REQUEST_CLASS_FIELD,
-    REQUEST_ID_FIELD,
     TENANT_FIELD,
     PendingRequest,
     PendingRequests,
@@ -57,7 +55,7 @@
 
     # Decisions
 
-    def _decided(self, now_us: int, decisions: list[Decision]) -> list[Command]:
+    def _apply_decisions(self, now_us: int, decisions: list[Decision]) -> list[Command]:
         """Turns decisions into commands. What follows from one at once is decided after those at hand."""
         commands: list[Command] = []
         remaining = deque(decisions)
@@ -105,8 +103,8 @@
             LogEvent(
                 events.REQUEST_REJECTED if is_rejected else events.REQUEST_FAILED,
                 {
-                    "request_id": pending.request.header_text(REQUEST_ID_FIELD),
-                    "request_class": pending.request.header_text(REQUEST_CLASS_FIELD),
+                    "request_id": pending.request_id,
+                    "request_class": pending.class_name,
                     "tenant": pending.request.header_text(TENANT_FIELD),
                     "attempts": pending.attempt_count,
                     "remaining_us": routed_request.deadline_us - now_us,
@@ -119,7 +117,7 @@
         """Asks the load balancer for what is decided by time alone."""
         if now_us < self.load_balancer.wake_us:
             return []
-        return self._decided(now_us, self.load_balancer.on_timer(now_us))
+        return self._apply_decisions(now_us, self.load_balancer.on_timer(now_us))
 
     def has_unanswered(self) -> bool:
         """Whether a client waits for an answer that has not begun."""
@@ -139,7 +137,7 @@
         commands: list[Command] = []
         for routed_request in waiting:
             if not self.requests.pending[routed_request].streaming_attempt:
-                commands += self._decided(now_us, routed_request.finish_now())
+                commands += self._apply_decisions(now_us, routed_request.finish_now())
         return commands
 
     # Answers
@@ -167,7 +165,7 @@
         """Its answer is final; the one place where a forwarded request is counted."""
         pending = self.requests.pending[routed_request]
         self.clients.clear_request(pending.client)
-        self.counters.on_final_answer(pending.request.header_text(REQUEST_CLASS_FIELD) or "", status)
+        self.counters.on_final_answer(pending.class_name, status)
         self.requests.release_id(routed_request)
 
     # Requests
@@ -176,7 +174,7 @@
         """Routes a new request."""
         self.clients.set_request(pending.client, routed_request)
         self.requests.add(routed_request, pending)
-        return self._decided(now_us, routed_request.route(now_us))
+        return self._apply_decisions(now_us, routed_request.route(now_us))
 
     def complete(self, now_us: int, client: int, arrived_us: int) -> bool:
         """The last byte of a request has come that was forwarded before: its time runs from here.
@@ -196,24 +194,24 @@
     def abort(self, now_us: int, client: int, status: int) -> list[Command]:
         """A request was forwarded before all of it had come, and the rest never will come.
 
-        An endpoint begins nothing that has not come whole, so nothing of it has run.
+        An endpoint begins nothing that is incomplete, so nothing of it has run.
         """
         routed_request = self.clients.open[client].routed_request
         if routed_request is None or routed_request.is_finished:  # it has its answer already
             return []
-        request_class = self.requests.pending[routed_request].request.header_text(REQUEST_CLASS_FIELD)
+        request_class = self.requests.pending[routed_request].class_name
         self.requests.release_id(routed_request)
         self.clients.clear_request(client)
-        commands = self._decided(now_us, routed_request.on_client_disconnected())
+        commands = self._apply_decisions(now_us, routed_request.on_client_disconnected())
         commands += self.requests.release(routed_request)
         return commands + self.reply(client, status, None, request_class)
 
-    def drop(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
+    def drop_request(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
         """A client has left: the attempts of its request, if any, are cancelled where that is allowed."""
         if routed_request is None:
             return []
         self.requests.release_id(routed_request)
-        commands = self._decided(now_us, routed_request.on_client_disconnected())
+        commands = self._apply_decisions(now_us, routed_request.on_client_disconnected())
         streaming = self.requests.pending[routed_request].streaming_attempt
         if streaming and self.load_balancer.may_cancel:
             commands += self.attempts.cancel(streaming)
@@ -254,7 +252,7 @@
         decisions = routed_request.on_attempt_finished(
             started.number, now_us, Outcome.SUCCEEDED, now_us - started.sent_us, True
         )
-        commands = self._decided(now_us, decisions)
+        commands = self._apply_decisions(now_us, decisions)
         closes = self.closes_after_response(client)
         commands.append(SendResponse(pending.client, response, closes, request.is_http11))
         return commands
@@ -288,7 +286,7 @@
         decisions = routed_request.on_attempt_finished(
             ended.number, now_us, result.outcome, now_us - ended.sent_us, is_answer
         )
-        commands += self._decided(now_us, decisions)
+        commands += self._apply_decisions(now_us, decisions)
         self.attempts.forget_if_removed(ended.endpoint)
         return commands + self.requests.release(routed_request)
 
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -60,7 +60,7 @@
         return self.lifecycle.rules.is_healthy and self.endpoint_watch.can_serve(now_us)
 
     def take(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """Takes a request that came whole at `arrived_us`, or one that is forwarded as it comes."""
+        """Takes a request complete at `arrived_us`, or one that is forwarded as it comes."""
         # If it is answered before all of it has come, it is the last: what is left of it may never come.
         self.clients.set_keep_alive(client, request.keep_alive and not request.is_streaming)
         self.clients.finish_receiving(client)  # also if it was asked to close just now
@@ -71,8 +71,11 @@
         if class_name is None and request.path != REQUEST_PATH:
             return self.forwarder.reply(client, UNKNOWN_PATH_STATUS, request.body)
         request_class = self.settings.request_classes.get(class_name or "")
-        limit_us = self._time_limit_us(now_us, request, request_class)
-        if request_class is None or limit_us is None:
+        request_id = request.header_text(REQUEST_ID_FIELD)
+        limit_us = None
+        if request_class is not None and request_id:
+            limit_us = self._time_limit_us(now_us, request, request_id, request_class)
+        if class_name is None or request_class is None or not request_id or limit_us is None:
             counted = class_name if request_class is not None else None
             return self.forwarder.reply(client, INVALID_REQUEST_STATUS, request.body, counted)
         if self.clients.open[client].is_over_limit:
@@ -80,14 +83,13 @@
             reply = self.forwarder.reply(client, OVER_LIMIT_STATUS, request.body, class_name)
             return [LogEvent(events.CONNECTION_LIMIT_REACHED, counts), *reply]
         remaining_us = STILL_COMING if request.is_streaming else max(0, limit_us - (now_us - arrived_us))
-        pending = PendingRequest(client, request, arrived_us, limit_us)
+        pending = PendingRequest(client, request, request_id, class_name, arrived_us, limit_us)
         return self._forward(now_us, request_class, remaining_us, pending)
 
-    def _time_limit_us(self, now_us: int, request: Request, request_class: RequestClass | None) -> int | None:
-        """Returns the time that a request has; None if its class, its id or its deadline is invalid."""
-        request_id = request.header_text(REQUEST_ID_FIELD)
-        if request_class is None or not request_id:
-            return None
+    def _time_limit_us(
+        self, now_us: int, request: Request, request_id: str, request_class: RequestClass
+    ) -> int | None:
+        """Returns the time that a request has; None if its deadline is invalid or its id is in use."""
         deadline = request.header_text(DEADLINE_FIELD)
         limit_us = parse_duration_us(deadline) if deadline is not None else request_class.deadline_us
         if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
@@ -98,9 +100,8 @@
         self, now_us: int, request_class: RequestClass, remaining_us: int, pending: PendingRequest
     ) -> list[Command]:
         request = pending.request
-        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not request.header_text(
-            IDEMPOTENCY_KEY_FIELD
-        ):
+        has_key = bool(request.header_text(IDEMPOTENCY_KEY_FIELD))
+        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not has_key:
             # Without a key the endpoint could not tell a retry from another request.
             request_class = replace(request_class, idempotency=NON_IDEMPOTENT)
         tenant = self.settings.tenants.get(request.header_text(TENANT_FIELD) or "", NO_TENANT)
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -200,11 +200,11 @@
         return self._complete(now_us, [])
 
     def has_client_stalled(self, now_us: int, last_progress_us: int) -> bool:
-        """Whether a client amid its request may be closed, the last byte having come at that time."""
+        """Whether a client may be closed, the last byte of whose incomplete request came at that time."""
         return now_us - last_progress_us >= clients.CLIENT_STALL_US
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """A request has come whole at `arrived_us`, or the head of one that is forwarded as it comes."""
+        """A complete request has come at `arrived_us`, or the head of one that is forwarded as it comes."""
         return self._complete(now_us, self.intake.take(now_us, client, request, arrived_us))
 
     def on_request_complete(self, now_us: int, client: int, arrived_us: int) -> list[Command]:
@@ -235,12 +235,12 @@
     def on_client_closed(self, now_us: int, client: int) -> list[Command]:
         """The connection of a client has ended, by whichever side."""
         routed_request = self.clients.remove(client).routed_request
-        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
+        return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def on_client_disconnected(self, now_us: int, client: int) -> list[Command]:
         """A client has closed its connection, which its task has not noticed yet."""
         routed_request = self.clients.clear_request(client)
-        return self._complete(now_us, self.forwarder.drop(now_us, routed_request))
+        return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def is_full(self) -> bool:
         """Whether new clients may have to wait until another one closes."""
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -39,7 +39,7 @@
         if lifecycle.close_listener(now_us):
             out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
             if not lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
-                out.append(AcceptClients(False, closed=True))
+                out.append(AcceptClients(False, is_final=True))
         if lifecycle.begin_last_answers(now_us):
             out += self.clients.close_all_idle()
         if lifecycle.close_idle_out_of_service(now_us):
@@ -52,8 +52,9 @@
         lifecycle = self.lifecycle
         next_us = self.load_balancer.wake_us
         has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
-        if has_to_ask or not self.endpoint_watch.is_settled(now_us):
-            next_us = min(next_us, self.endpoint_watch.settles_us)
+        watch = self.endpoint_watch
+        if has_to_ask or not (watch.has_list or watch.is_settled(now_us)):
+            next_us = min(next_us, watch.settles_us)
         if lifecycle.is_stopping:
             next_us = min(next_us, lifecycle.next_stop_phase_us)
             if self.forwarder.has_unanswered():
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -23,14 +23,13 @@
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from tests.helpers import SECOND, member, warm_up
-from tests.proxy.support import Front, news
-from tests.test_ops import call
+from tests.proxy.support import ProxyDriver, admin_status, list_update
 
 
-def captured(front: Front, now: int = SECOND) -> dict[str, Any]:
+def captured(front: ProxyDriver, now: int = SECOND) -> dict[str, Any]:
     """Hands over, and returns the state as the successor reads it from a frame."""
-    state, commands = front.reducer.hand_over(now)
-    front.told += commands
+    state, commands = front.state_machine.hand_over(now)
+    front.commands += commands
     reader = FrameReader()
     reader.feed(encode_frame(FrameKind.STATE, state))
     frame = reader.next_frame()
@@ -38,47 +37,52 @@
     return frame.fields
 
 
-def successor() -> Front:
+def successor() -> ProxyDriver:
     """Returns a process that waits for its predecessor."""
-    front = Front()
-    front.reducer.lifecycle.set_accepting(False)
-    front.reducer.lifecycle.wait_for_predecessor()
+    front = ProxyDriver()
+    front.state_machine.lifecycle.set_accepting(False)
+    front.state_machine.lifecycle.wait_for_predecessor()
     return front
 
 
 def test_restore_gives_the_successor_what_the_predecessor_had_learned() -> None:
-    old, new = Front(), successor()
-    warm_up(old.reducer.load_balancer, 50)
-    old.reducer.load_balancer.endpoints[1].limit = 1.25
-    old.reducer.load_balancer.on_connection_lost(SECOND, 0)
-    old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
-    new.reducer.on_endpoint_list(SECOND, parse_update(old.reducer.endpoint_list()))
-    new.told = new.reducer.take_over(SECOND, captured(old), 1, 1)
-    balancer = new.reducer.load_balancer
+    old, new = ProxyDriver(), successor()
+    warm_up(old.state_machine.load_balancer, 50)
+    old.state_machine.load_balancer.endpoints[1].limit = 1.25
+    old.state_machine.load_balancer.on_connection_lost(SECOND, 0)
+    old.commands += old.state_machine.on_endpoint_list(
+        SECOND, list_update(9, False, member("s1", 9001, phase="draining"))
+    )
+    new.state_machine.on_endpoint_list(SECOND, parse_update(old.state_machine.endpoint_list()))
+    new.commands = new.state_machine.take_over(SECOND, captured(old), 1, 1)
+    balancer = new.state_machine.load_balancer
     assert (
-        new.reducer.endpoint_watch.revision == 9
+        new.state_machine.endpoint_watch.revision == 9
         and not balancer.endpoints[1].accepts_requests
         and balancer.endpoints[1].limit == 1.25
     )
     assert balancer.unavailable_endpoints(SECOND) == [0, 1] and len(balancer.budget.taken) == 50
-    assert balancer.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
-    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]
+    assert balancer.slow_start.carried == old.state_machine.load_balancer.slow_start.carried > 1
+    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_restore_recomputes_the_figures_that_are_derived() -> None:
     old, new = successor(), successor()
-    slow_start, balancer = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
+    slow_start, balancer = old.state_machine.load_balancer.slow_start, old.state_machine.load_balancer
     for number in range(200):
         slow_start.carry(number * SECOND // 40, balancer.zone_subsets[0])
         balancer._learn_usual(SECOND, (0.1, 0.3)[number % 2])
     handover_state.restore(
-        captured(old, 5 * SECOND), new.reducer.load_balancer, new.reducer.registry.names(), 5 * SECOND
+        captured(old, 5 * SECOND),
+        new.state_machine.load_balancer,
+        new.state_machine.registry.names(),
+        5 * SECOND,
     )
-    assert new.reducer.load_balancer.zone_subsets[0].each == pytest.approx(
+    assert new.state_machine.load_balancer.zone_subsets[0].each == pytest.approx(
         balancer.zone_subsets[0].each, rel=0.15
     )
     before = balancer.late
-    for each in (balancer, new.reducer.load_balancer):
+    for each in (balancer, new.state_machine.load_balancer):
         each._learn_usual(SECOND, 0.9)
         assert each.late == pytest.approx(before)
 
@@ -95,22 +99,27 @@
     ],
 )
 def test_restore_refuses_a_damaged_state_and_changes_nothing(damage: Any) -> None:
-    old, new = Front(), successor()
-    warm_up(old.reducer.load_balancer)
-    old.reducer.load_balancer.endpoints[0].limit = 1.25
+    old, new = ProxyDriver(), successor()
+    warm_up(old.state_machine.load_balancer)
+    old.state_machine.load_balancer.endpoints[0].limit = 1.25
     state = captured(old)
     damage(state)
     with pytest.raises(HandoverError):
-        handover_state.restore(state, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
-    new.told = new.reducer.take_over(SECOND, state, 0, 0)
-    assert not new.reducer.load_balancer.budget.taken and new.reducer.load_balancer.endpoints[0].limit != 1.25
-    assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
+        handover_state.restore(
+            state, new.state_machine.load_balancer, new.state_machine.registry.names(), SECOND
+        )
+    new.commands = new.state_machine.take_over(SECOND, state, 0, 0)
+    assert (
+        not new.state_machine.load_balancer.budget.taken
+        and new.state_machine.load_balancer.endpoints[0].limit != 1.25
+    )
+    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
 
 
 def test_two_processes_share_one_retry_budget_and_slow_start_credit() -> None:
-    front = Front()
-    warm_up(front.reducer.load_balancer)
-    balancer, now = front.reducer.load_balancer, SECOND
+    front = ProxyDriver()
+    warm_up(front.state_machine.load_balancer)
+    balancer, now = front.state_machine.load_balancer, SECOND
     balancer.endpoints[0].started_us = balancer.endpoints[0].cold_us = 1
     endpoint, own_subset = balancer.endpoints[0], balancer.zone_subsets[0]
     assert balancer.slow_start.credit(endpoint, 5 * SECOND, own_subset, True)
@@ -118,79 +127,87 @@
     assert not balancer.budget.spend(now) and not balancer.slow_start.credit(
         endpoint, 6 * SECOND, own_subset, True
     )
-    front.reducer.on_successor_failed(now)
+    front.state_machine.on_successor_failed(now)
     assert balancer.budget.spend(now) and balancer.slow_start.credit(endpoint, 7 * SECOND, own_subset, True)
 
 
 def test_request_id_in_flight_at_the_predecessor_is_refused_by_the_successor() -> None:
-    old, new = Front(), successor()
-    old.came(7)
-    old.ask(7)
-    new.told = new.reducer.take_over(SECOND, captured(old), 0, 0)
-    new.came(7)
-    new.ask(7, now=SECOND)
-    assert [write.response.status for write in new.all(do.SendResponse)] == [400]
-    new.reducer.on_predecessor_exited(SECOND, 0, 0)
-    new.ask(7, now=SECOND)
-    assert new.hop()
+    old, new = ProxyDriver(), successor()
+    old.connect_client(7)
+    old.send_request(7)
+    new.commands = new.state_machine.take_over(SECOND, captured(old), 0, 0)
+    new.connect_client(7)
+    new.send_request(7, now=SECOND)
+    assert [write.response.status for write in new.take_commands(do.SendResponse)] == [400]
+    new.state_machine.on_predecessor_exited(SECOND, 0, 0)
+    new.send_request(7, now=SECOND)
+    assert new.take_attempt()
 
 
 def test_drain_is_handed_over() -> None:
-    old, new = Front(), successor()
-    call(old, control.OUT)
-    new.told = new.reducer.take_over(SECOND, captured(old), 0, 0)
-    assert not new.reducer.is_ready(SECOND) and call(new, control.READY, SECOND) == 200
-    assert call(old, control.IN, SECOND) == 503  # it would be lost with the process
-    call(new, control.IN, SECOND)
-    assert new.reducer.is_ready(SECOND)
+    old, new = ProxyDriver(), successor()
+    admin_status(old, control.OUT_OF_SERVICE_PATH)
+    new.commands = new.state_machine.take_over(SECOND, captured(old), 0, 0)
+    assert not new.state_machine.is_ready(SECOND) and admin_status(new, control.READY_PATH, SECOND) == 200
+    assert admin_status(old, control.IN_SERVICE_PATH, SECOND) == 503  # it would be lost with the process
+    admin_status(new, control.IN_SERVICE_PATH, SECOND)
+    assert new.state_machine.is_ready(SECOND)
 
 
 def test_successor_takes_over_when_it_can_serve_and_is_ready_afterwards() -> None:
     new = successor()
-    new.told = new.reducer.start(0, parse_update({"revision": 1, "complete": True, "members": []}), True)
-    assert not new.all(do.BeginTakeover) and not new.all(do.AcceptClients)
-    assert call(new, control.READY) == 503
-    new.told = new.reducer.on_endpoint_list(1, news(4, True, member("s0", 9000)))
-    assert len(new.all(do.BeginTakeover)) == 1 and call(new, control.READY) == 503
-    new.told = new.reducer.take_over(2, None, 0, 0)
-    assert call(new, control.READY) == 200 and new.all(do.AcceptClients) == [do.AcceptClients(True)]
+    new.commands = new.state_machine.start(
+        0, parse_update({"revision": 1, "complete": True, "members": []}), True
+    )
+    assert not new.take_commands(do.BeginTakeover) and not new.take_commands(do.AcceptClients)
+    assert admin_status(new, control.READY_PATH) == 503
+    new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, member("s0", 9000)))
+    assert len(new.take_commands(do.BeginTakeover)) == 1 and admin_status(new, control.READY_PATH) == 503
+    new.commands = new.state_machine.take_over(2, None, 0, 0)
+    assert admin_status(new, control.READY_PATH) == 200 and new.take_commands(do.AcceptClients) == [
+        do.AcceptClients(True)
+    ]
 
 
 def test_predecessor_keeps_idle_clients_and_closes_each_after_its_response() -> None:
-    front = Front(heard=True)
-    front.rest(1)
-    front.came(2)
-    front.ask(2)
+    front = ProxyDriver(has_list=True)
+    front.connect_idle_client(1)
+    front.connect_client(2)
+    front.send_request(2)
     captured(front)
-    assert front.all(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.all(do.CloseClient)
-    front.end(front.hop(), Outcome.SUCCEEDED)
-    front.ask(1, now=SECOND)
-    front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
-    assert [write.closes_connection for write in front.all(do.SendResponse)] == [True, True]
-    front.told += front.reducer.on_stop_requested(2 * SECOND)
-    assert front.reducer.is_ready(
+    assert front.take_commands(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.take_commands(
+        do.CloseClient
+    )
+    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED)
+    front.send_request(1, now=SECOND)
+    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED, SECOND)
+    assert [write.closes_connection for write in front.take_commands(do.SendResponse)] == [True, True]
+    front.commands += front.state_machine.on_stop_requested(2 * SECOND)
+    assert front.state_machine.is_ready(
         2 * SECOND
     )  # a health check that reaches this process must not see the sidecar as gone
     for client in (1, 2):
-        front.told += front.reducer.on_response_written(2 * SECOND, client)
-        front.told += front.reducer.on_client_closed(2 * SECOND, client)
-    front.told += front.reducer.on_timer(2 * SECOND)
-    assert front.all(do.Exit) and not any(listen.closed for listen in front.all(do.AcceptClients))
+        front.commands += front.state_machine.on_response_written(2 * SECOND, client)
+        front.commands += front.state_machine.on_client_closed(2 * SECOND, client)
+    front.commands += front.state_machine.on_timer(2 * SECOND)
+    assert front.take_commands(do.Exit) and not any(
+        listen.closed for listen in front.take_commands(do.AcceptClients)
+    )
 
 
 def test_predecessor_serves_again_when_the_successor_dies_unless_it_is_stopping() -> None:
-    front = Front()
+    front = ProxyDriver()
     captured(front)
-    front.all(do.AcceptClients)
-    front.told = front.reducer.on_successor_failed(SECOND)
+    front.take_commands(do.AcceptClients)
+    front.commands = front.state_machine.on_successor_failed(SECOND)
     assert (
-        front.all(do.AcceptClients) == [do.AcceptClients(True)]
-        and not front.reducer.lifecycle.has_handed_over
+        front.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+        and not front.state_machine.lifecycle.has_handed_over
     )
     captured(front)
-    front.told = front.reducer.on_stop_requested(2 * SECOND)
-    front.told += front.reducer.on_successor_failed(2 * SECOND)
-    assert not front.all(do.AcceptClients)
+    front.commands = front.state_machine.on_stop_requested(2 * SECOND)
+    front.commands += front.state_machine.on_successor_failed(2 * SECOND)
+    assert not front.take_commands(do.AcceptClients)
 
 
 @pytest.mark.parametrize("directory", [None, "", "/x" * MAX_PATH_BYTES])
--- a/tests/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -590,7 +590,7 @@
         waiting = [socket.create_connection(play.at) for _ in range(2)]
         for sock in waiting:
             sock.sendall(ask())
-        play.loop.post(play.net.command_tasks[do.AcceptClients], do.AcceptClients(False, closed=True))
+        play.loop.post(play.net.command_tasks[do.AcceptClients], do.AcceptClients(False, is_final=True))
         heard.extend(status(Peer(play.loop, sock)) for sock in waiting)
         for sock in waiting:
             sock.close()
