--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -17,8 +17,8 @@
     MIN_DATAGRAM_BYTES,
     USES,
     Address,
-    MembershipSettings,
 )
+from cressrail.membership.settings import MembershipSettings
 
 MOST_KEYS = 2
 KNOWN = ("listen", "advertise", "seeds", "keys", "zone", "bear_pause_ms", "most_bytes", "use")
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -56,7 +56,8 @@
 _DIGEST_ROW = struct.Struct("!QQIB")
 ROWS_PER_FIELD = 255 // _DIGEST_ROW.size  # of a digest in one field
 IPV6_FLAG = 0x80
-FIELD_HEADER_BYTES = 2  # bytes before each field's own
+FIELD_HEADER_BYTES = 2  # tag and length
+MAX_FIELD_BYTES = 255  # after them
 
 STATUS_BYTES, REACHABILITY_BYTES = FIELD_HEADER_BYTES + _STATUS.size, FIELD_HEADER_BYTES + _REACHABILITY.size
 PING_REFERENCE_BYTES, ID_RANGE_BYTES, DIGEST_ROW_BYTES = (
--- /dev/null
+++ b/cressrail/membership/datagram_receiver.py
@@ -0,0 +1,186 @@
+"""Takes in datagrams: verification, replay window, merge of their contents, and what answers them."""
+
+from __future__ import annotations
+
+from cressrail.membership import codec
+from cressrail.membership.authentication import advance_replay_window, verified_payload
+from cressrail.membership.codec import (
+    ACK,
+    GOSSIP,
+    NACK,
+    PING,
+    PING_REQ,
+    PUSH_PULL_REQUEST,
+    Datagram,
+    MalformedDatagramError,
+)
+from cressrail.membership.datagram_sender import DatagramSender
+from cressrail.membership.failure_detector import FailureDetector
+from cressrail.membership.gossip import Gossip
+from cressrail.membership.isolation import Isolation
+from cressrail.membership.member_updates import MemberUpdates
+from cressrail.membership.messages import ALIVE, InstanceRecord, InstanceStatus, UserMessage
+from cressrail.membership.push_pull import PushPull
+from cressrail.membership.refutation import Refutation
+from cressrail.membership.relayed_pings import RelayedPings
+from cressrail.membership.self_record import SelfRecord
+from cressrail.membership.shared_state import SharedState
+
+MAX_USER_MESSAGES = 4  # in one datagram
+ANY_SENDER = 0  # of a user message that came by way of others
+_Window = tuple[int, int]
+
+
+class DatagramReceiver:
+    """Processes one datagram at a time."""
+
+    def __init__(
+        self,
+        shared: SharedState,
+        self_record: SelfRecord,
+        isolation: Isolation,
+        sender: DatagramSender,
+        gossip: Gossip,
+        refutation: Refutation,
+        updates: MemberUpdates,
+        failure_detector: FailureDetector,
+        relayed_pings: RelayedPings,
+        push_pull: PushPull,
+    ) -> None:
+        self._shared, self._self_record, self._isolation = shared, self_record, isolation
+        self._sender, self._gossip, self._refutation = sender, gossip, refutation
+        self._updates, self._failure_detector = updates, failure_detector
+        self._relayed_pings, self._push_pull = relayed_pings, push_pull
+
+    def receive(self, now_us: int, payload: bytes) -> None:
+        """Processes a datagram as it came.
+
+        Raises:
+            MalformedDatagramError: It is none of the fleet's, or not for this instance; nothing was changed.
+        """
+        if not codec.MIN_DATAGRAM_BYTES <= len(payload) <= self._shared.settings.max_datagram_bytes:
+            raise MalformedDatagramError("size")
+        verified = verified_payload(self._sender.keys, payload)
+        if verified is None:
+            raise MalformedDatagramError("stranger")
+        self._process(now_us, codec.decode_datagram(verified), len(payload))
+
+    def _process(self, now_us: int, told: Datagram, size: int) -> None:
+        sender = told.sender
+        if sender.id == self._self_record.id:
+            if sender.process_id == self._self_record.process_id:
+                raise MalformedDatagramError("own")
+            self._refutation.on_own_status(now_us, sender)
+            return
+        if self._is_outdated(sender):
+            self._send_what_is_known(sender, size)
+            return
+        window = self._replay_window(told)
+        self._merge_sender(now_us, sender)
+        row = self._shared.table.row_of(sender.id)
+        if row >= 0:
+            self._note_sender(now_us, row, told, window)
+        elif isinstance(sender, InstanceRecord):
+            return  # it has left, or there are too many
+        self._pass_on_user_messages(told)
+        self._merge_contents(now_us, told)
+        if isinstance(sender, InstanceRecord):
+            self._answer(now_us, told, sender, size)
+        else:
+            self._push_pull.on_response(now_us, told)
+
+    # The sender
+
+    def _is_outdated(self, sender: InstanceRecord | InstanceStatus) -> bool:
+        """Whether another process of the sender's name takes precedence."""
+        table = self._shared.table
+        row = table.row_of(sender.id)
+        if row < 0 or table.process_ids[row] == sender.process_id:
+            return False
+        known = (table.incarnations[row], table.process_ids[row])
+        if isinstance(sender, InstanceRecord):
+            return (sender.incarnation, sender.process_id) < known
+        # Process id and state are compared, where incarnation and process id seem meant: whether a
+        # response of a process that was just started is taken depends on chance. A change would be one of
+        # behaviour, so it is left to an issue of its own.
+        return (sender.process_id, sender.state) < known
+
+    def _send_what_is_known(self, sender: InstanceRecord | InstanceStatus, size: int) -> None:
+        """Lets a process that counts from below what is known of its name raise its incarnation."""
+        if isinstance(sender, InstanceRecord):
+            table = self._shared.table
+            fields = codec.encode_status(table.status_of(table.row_of(sender.id)))
+            self._sender.send(sender.address, GOSSIP, fields, max_bytes=size)
+
+    def _replay_window(self, told: Datagram) -> _Window:
+        """The sender's window of datagram numbers, advanced by this one.
+
+        Raises:
+            MalformedDatagramError: The number was used before, or is too old to tell.
+        """
+        table, sender = self._shared.table, told.sender
+        row = table.row_of(sender.id)
+        if row < 0 or table.process_ids[row] != sender.process_id:
+            return told.number, 1
+        window = advance_replay_window(table.highest_numbers[row], table.replay_windows[row], told.number)
+        if window is None:
+            raise MalformedDatagramError("replayed")
+        return window
+
+    def _merge_sender(self, now_us: int, sender: InstanceRecord | InstanceStatus) -> None:
+        if sender.state == ALIVE:
+            self._isolation.on_alive(now_us, sender.id)
+        if isinstance(sender, InstanceRecord):
+            self._updates.merge_record(now_us, sender)
+        else:
+            self._updates.merge_status(now_us, sender)
+
+    def _note_sender(self, now_us: int, row: int, told: Datagram, window: _Window) -> None:
+        table, sender = self._shared.table, told.sender
+        self._isolation.note_datagram(now_us)
+        table.note_datagram(row, now_us)
+        if table.process_ids[row] == sender.process_id:
+            table.set_replay_window(row, *window)
+        if self._shared.exchanges_load_reports:
+            for report in told.load_reports:
+                self._shared.load_reports.apply_peer_report(
+                    now_us, sender.id, sender.incarnation, sender.process_id, report
+                )
+
+    # The contents
+
+    def _pass_on_user_messages(self, told: Datagram) -> None:
+        if not self._shared.settings.carries_user_messages:
+            return
+        commands = self._shared.commands
+        for message in told.user_messages[:MAX_USER_MESSAGES]:
+            commands.append(UserMessage(told.sender.id, message))
+        for _, message in told.user_broadcasts:
+            commands.append(UserMessage(ANY_SENDER, message))
+
+    def _merge_contents(self, now_us: int, told: Datagram) -> None:
+        for record in told.records:
+            self._updates.merge_record(now_us, record)
+        for status in (*told.statuses, *told.digest):
+            self._updates.merge_status(now_us, status)
+        table, own_id = self._shared.table, self._self_record.id
+        for report in told.reachability:
+            is_known = report.reporter in table and (report.target in table or report.target == own_id)
+            if is_known and self._shared.reachability.merge(report, now_us):
+                self._gossip.broadcast_reachability(now_us, report)
+
+    def _answer(self, now_us: int, told: Datagram, sender: InstanceRecord, size: int) -> None:
+        if told.kind == PUSH_PULL_REQUEST and told.id_ranges:
+            self._push_pull.on_request(told, sender, size)
+        if not told.ping_references:
+            return
+        reference = told.ping_references[0]
+        if told.kind == PING:
+            self._failure_detector.on_ping(reference, sender, size)
+        elif told.kind == PING_REQ:
+            self._relayed_pings.on_ping_req(now_us, reference, sender, size)
+        elif told.kind == ACK:
+            if not self._failure_detector.on_ack(now_us, reference, sender):
+                self._relayed_pings.on_ack(reference.sequence, sender)
+        elif told.kind == NACK:
+            self._failure_detector.on_nack(reference)
--- /dev/null
+++ b/cressrail/membership/join.py
@@ -0,0 +1,53 @@
+"""Joins the fleet by way of its seeds, and looks now and then for seeds that are on their own."""
+
+from __future__ import annotations
+
+from cressrail.membership.messages import Address
+from cressrail.membership.push_pull import PushPull
+from cressrail.membership.shared_state import SharedState
+from cressrail.membership.timers import TimerKind
+
+SEED_PERIODS = 40  # between two requests to seeds that are not known to live
+MAX_BACKOFF_DOUBLINGS = 4
+
+
+class Join:
+    """Requests to seeds."""
+
+    def __init__(self, shared: SharedState, push_pull: PushPull) -> None:
+        self._shared, self._push_pull = shared, push_pull
+        self._seeds: list[Address] = []  # still to be asked, last first
+        self._tries = 0
+
+    def set_first_timer(self, now_us: int) -> None:
+        """Schedules the first request, at random so that a fleet that starts does not ask at once."""
+        settings = self._shared.settings
+        delay_us = self._shared.random.below(2 * settings.ping_period_us) if settings.seeds else 0
+        self._shared.timers.set(now_us + delay_us, TimerKind.JOIN)
+
+    def run(self, now_us: int, _argument: int) -> None:
+        """Asks a seed for all it knows until one answers; later, seldom, one that is not among the live."""
+        table, period_us = self._shared.table, self._shared.settings.ping_period_us
+        live = {table.address_of(table.row_of(member_id)) for member_id in table.live_ids()}
+        if not self._seeds:
+            self._refill()
+        while self._seeds:
+            seed = self._seeds.pop()
+            if seed not in live:
+                self._ask(seed, is_alone=not live)
+                break
+        self._tries = 0 if live else min(self._tries + 1, MAX_BACKOFF_DOUBLINGS)
+        span_us = SEED_PERIODS * period_us if live else period_us << self._tries
+        due_us = now_us + span_us // 2 + self._shared.random.below(span_us)
+        self._shared.timers.set(due_us, TimerKind.JOIN)
+
+    def _ask(self, seed: Address, *, is_alone: bool) -> None:
+        if is_alone:
+            self._push_pull.request_all(seed)
+        else:
+            self._push_pull.request_next(seed)
+
+    def _refill(self) -> None:
+        settings = self._shared.settings
+        self._seeds = [seed for seed in settings.seeds if seed != settings.advertise]
+        self._shared.shuffle(self._seeds)
--- /dev/null
+++ b/cressrail/membership/malformed_log.py
@@ -0,0 +1,30 @@
+"""Counts datagrams that are not accepted, and logs them seldom."""
+
+from __future__ import annotations
+
+from cressrail.membership import log_events
+from cressrail.membership.shared_state import SharedState
+
+LOG_PERIODS = 20  # at least, between two log lines
+MAX_REASONS = 16  # counted each
+_LONG_AGO_US = -(1 << 60)
+
+
+class MalformedLog:
+    """Count since the last line, in all and by reason."""
+
+    def __init__(self, shared: SharedState) -> None:
+        self._shared = shared
+        self._count = 0
+        self._reasons: dict[str, int] = {}
+        self._logged_us = _LONG_AGO_US
+
+    def add(self, now_us: int, reason: str) -> None:
+        """Counts one datagram."""
+        self._count += 1
+        if len(self._reasons) < MAX_REASONS or reason in self._reasons:
+            self._reasons[reason] = self._reasons.get(reason, 0) + 1
+        if now_us - self._logged_us >= LOG_PERIODS * self._shared.settings.ping_period_us:
+            self._logged_us = now_us
+            self._shared.log(log_events.MALFORMED_DATAGRAMS, count=self._count, why=self._reasons)
+            self._count, self._reasons = 0, {}
--- a/cressrail/membership/member_table.py
+++ b/cressrail/membership/member_table.py
@@ -1,7 +1,7 @@
-"""All copies that are known, in columns: rows of numbers ordered by id, so that a thousand take little room.
+"""Table of all other instances that are known, in columns ordered by id, so that a thousand take little room.
 
-What is kept of one is its record, since when its state holds, when a datagram of its own came, when anything
-showed that it lives, and the window of its datagrams' numbers."""
+A row number is good until the next instance is added or removed.
+"""
 
 from __future__ import annotations
 
@@ -11,161 +11,222 @@
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterator
 
-from cressrail.membership.messages import DEAD, LEFT, Address, InstanceRecord, InstanceStatus, precedence
+from cressrail.membership.messages import (
+    DEAD,
+    LEFT,
+    Address,
+    InstanceRecord,
+    InstanceStatus,
+    Precedence,
+    precedence,
+)
 
 IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # before an address of IPv4 among those of IPv6
+MAX_ZONES = 1 << 16
+NEVER_HEARD_US = -1
 
 
 def _address_halves(host: str) -> tuple[int, int]:
-    """Of an address as IPv6 has it."""
+    """The halves of an address, as IPv6 has it."""
     packed = socket.inet_pton(socket.AF_INET6, host if ":" in host else f"::ffff:{host}")
     return int.from_bytes(packed[:8], "big"), int.from_bytes(packed[8:], "big")
 
 
 class MemberTable:
-    def __init__(self) -> None:
+    """Columns of one entry for each instance; times are in microseconds.
+
+    Attributes:
+        changed_us: When an instance was added, or changed its state in this instance's view.
+        ids: Ids, in ascending order.
+        incarnations: Highest known.
+        process_ids: Of the process that it belongs to.
+        states: `ALIVE`, `SUSPECTED`, `DEAD` or `LEFT`.
+        state_since_us: Since when the state holds.
+        last_datagram_us: When a datagram of its own came, -1 for never.
+        last_alive_us: When anything showed that it lives.
+        highest_numbers: Highest number of its datagrams.
+        replay_windows: Bits of the numbers below that were used.
+        refused: 1 if its machine said that nobody listens at its address.
+        names: Names.
+    """
+
+    def __init__(self, now_us: int = 0) -> None:
+        self.changed_us = now_us
         self.ids = array("Q")
         self.incarnations = array("Q")
         self.process_ids = array("I")
         self.states = array("B")
-        self.zones = array("H")
-        self.ports = array("H")
-        self.state_since_us = array("q")  # microseconds, as all times here
+        self._zones = array("H")  # positions in _zone_names
+        self._ports = array("H")
+        self.state_since_us = array("q")
         self.last_datagram_us = array("q")
         self.last_alive_us = array("q")
         self.highest_numbers = array("Q")
         self.replay_windows = array("Q")
-        self.refused = array("B")  # nobody listens at its address any more
+        self.refused = array("B")
+        self._address_highs = array("Q")
+        self._address_lows = array("Q")
         self.names: list[str] = []
-        self.address_highs, self.address_lows = (
-            array("Q"),
-            array("Q"),
-        )  # the halves of an address, as IPv6 has it
-        self.zone_names: list[str] = []
-        self.columns = (
+        self._zone_names: list[str] = []
+        self._columns = (
             self.ids,
             self.incarnations,
             self.process_ids,
             self.states,
-            self.zones,
-            self.ports,
+            self._zones,
+            self._ports,
             self.state_since_us,
             self.last_datagram_us,
             self.last_alive_us,
             self.highest_numbers,
             self.replay_windows,
             self.refused,
-            self.address_highs,
-            self.address_lows,
+            self._address_highs,
+            self._address_lows,
         )
 
     def __len__(self) -> int:
         return len(self.ids)
 
-    def __contains__(self, ident: int) -> bool:
-        return self.row_of(ident) >= 0
-
-    def row_of(self, ident: int) -> int:
-        """-1 for one that is not known. Good until the next is added or forgotten."""
-        at = bisect_left(self.ids, ident)
-        return at if at < len(self.ids) and self.ids[at] == ident else -1
-
-    def add(self, told: InstanceRecord, now: int) -> int:
-        ident = told.id
-        at = bisect_left(self.ids, ident)
-        for column, value in zip(
-            self.columns,
-            (ident, told.incarnation, told.process_id, told.state, 0, 0, now, -1, now, 0, 0, 0, 0, 0),
-            strict=True,
-        ):
-            column.insert(at, value)
-        self.names.insert(at, told.name)
-        self._set_location(at, told)
-        return at
-
-    def _set_location(self, at: int, told: InstanceRecord) -> None:
-        if told.zone not in self.zone_names:
-            if len(self.zone_names) >= 1 << 16:
-                return  # nobody has so many; who makes them up is not believed further
-            self.zone_names.append(told.zone)
-        self.zones[at] = self.zone_names.index(told.zone)
-        self.ports[at] = told.address[1]
-        self.address_highs[at], self.address_lows[at] = _address_halves(told.address[0])
-
-    def set_status(self, at: int, incarnation: int, birth: int, state: int, now: int) -> None:
-        if (incarnation, birth) != (self.incarnations[at], self.process_ids[at]):
-            self.refused[at] = 0
-        if self.process_ids[at] != birth:  # another process: its numbers begin anew
-            self.process_ids[at], self.highest_numbers[at], self.replay_windows[at] = birth, 0, 0
-        self.incarnations[at] = incarnation
-        if self.states[at] != state:
-            self.states[at], self.state_since_us[at] = state, now
-
-    def set_record(self, at: int, told: InstanceRecord, now: int) -> None:
-        self.set_status(at, told.incarnation, told.process_id, told.state, now)
-        self._set_location(at, told)
-
-    def remove(self, ident: int) -> None:
-        at = self.row_of(ident)
-        for column in self.columns:
-            del column[at]
-        del self.names[at]
-
-    def precedence_of(self, at: int) -> tuple[int, int, int]:
-        return precedence(self.incarnations[at], self.process_ids[at], self.states[at])
-
-    def address_of(self, at: int) -> Address:
-        packed = self.address_highs[at].to_bytes(8, "big") + self.address_lows[at].to_bytes(8, "big")
+    def __contains__(self, member_id: int) -> bool:
+        return self.row_of(member_id) >= 0
+
+    # Changes
+
+    def mark_changed(self, now_us: int) -> None:
+        """Notes that the view changed."""
+        self.changed_us = now_us
+
+    def add(self, record: InstanceRecord, now_us: int) -> int:
+        """Adds an instance that is not known and returns its row."""
+        member_id = record.id
+        row = bisect_left(self.ids, member_id)
+        head = (member_id, record.incarnation, record.process_id, record.state, 0, 0)
+        times = (now_us, NEVER_HEARD_US, now_us)
+        for column, value in zip(self._columns, (*head, *times, 0, 0, 0, 0, 0), strict=True):
+            column.insert(row, value)
+        self.names.insert(row, record.name)
+        self._set_location(row, record)
+        return row
+
+    def remove(self, member_id: int) -> None:
+        """Removes a known instance."""
+        row = self.row_of(member_id)
+        for column in self._columns:
+            del column[row]
+        del self.names[row]
+
+    def set_status(self, row: int, incarnation: int, process_id: int, state: int, now_us: int) -> None:
+        """Replaces the status; datagrams of another process are numbered anew."""
+        if (incarnation, process_id) != (self.incarnations[row], self.process_ids[row]):
+            self.refused[row] = 0
+        if self.process_ids[row] != process_id:
+            self.process_ids[row] = process_id
+            self.set_replay_window(row, 0, 0)
+        self.incarnations[row] = incarnation
+        if self.states[row] != state:
+            self.states[row], self.state_since_us[row] = state, now_us
+
+    def set_record(self, row: int, record: InstanceRecord, now_us: int) -> None:
+        """Replaces the whole record."""
+        self.set_status(row, record.incarnation, record.process_id, record.state, now_us)
+        self._set_location(row, record)
+
+    def set_replay_window(self, row: int, highest_number: int, window: int) -> None:
+        """Replaces what is known of its datagrams' numbers."""
+        self.highest_numbers[row], self.replay_windows[row] = highest_number, window
+
+    def note_datagram(self, row: int, now_us: int) -> None:
+        """A datagram of the instance's own came."""
+        self.last_datagram_us[row] = self.last_alive_us[row] = now_us
+        self.refused[row] = 0
+
+    def note_alive(self, row: int, now_us: int) -> None:
+        """Something showed that the instance lives."""
+        self.last_alive_us[row] = now_us
+
+    def note_refused(self, row: int) -> None:
+        """Nobody listens at the instance's address."""
+        self.refused[row] = 1
+
+    def _set_location(self, row: int, record: InstanceRecord) -> None:
+        if record.zone not in self._zone_names:
+            if len(self._zone_names) >= MAX_ZONES:
+                return  # no fleet has so many: a sender makes them up
+            self._zone_names.append(record.zone)
+        self._zones[row] = self._zone_names.index(record.zone)
+        self._ports[row] = record.address[1]
+        self._address_highs[row], self._address_lows[row] = _address_halves(record.address[0])
+
+    # Questions
+
+    def row_of(self, member_id: int) -> int:
+        """The row of an instance, -1 if it is not known."""
+        row = bisect_left(self.ids, member_id)
+        return row if row < len(self.ids) and self.ids[row] == member_id else -1
+
+    def precedence_of(self, row: int) -> Precedence:
+        """What a status must exceed to replace the one that is known."""
+        return precedence(self.incarnations[row], self.process_ids[row], self.states[row])
+
+    def address_of(self, row: int) -> Address:
+        """Where the others reach the instance."""
+        packed = self._address_highs[row].to_bytes(8, "big") + self._address_lows[row].to_bytes(8, "big")
         if packed.startswith(IPV4_MAPPED_PREFIX):
-            return socket.inet_ntop(socket.AF_INET, packed[12:]), self.ports[at]
-        return socket.inet_ntop(socket.AF_INET6, packed), self.ports[at]
+            return socket.inet_ntop(socket.AF_INET, packed[12:]), self._ports[row]
+        return socket.inet_ntop(socket.AF_INET6, packed), self._ports[row]
 
-    def zone_of(self, at: int) -> str:
-        return self.zone_names[self.zones[at]]
+    def zone_of(self, row: int) -> str:
+        """The zone of the instance."""
+        return self._zone_names[self._zones[row]]
 
-    def record_of(self, at: int) -> InstanceRecord:
+    def record_of(self, row: int) -> InstanceRecord:
+        """The whole record."""
         return InstanceRecord(
-            self.names[at],
-            self.zone_of(at),
-            self.address_of(at),
-            self.incarnations[at],
-            self.process_ids[at],
-            self.states[at],
+            self.names[row],
+            self.zone_of(row),
+            self.address_of(row),
+            self.incarnations[row],
+            self.process_ids[row],
+            self.states[row],
         )
 
-    def status_of(self, at: int, by: int = 0) -> InstanceStatus:
-        return InstanceStatus(self.ids[at], self.incarnations[at], self.process_ids[at], self.states[at], by)
+    def status_of(self, row: int, suspected_by: int = 0) -> InstanceStatus:
+        """The status, with who suspects the instance."""
+        return InstanceStatus(
+            self.ids[row], self.incarnations[row], self.process_ids[row], self.states[row], suspected_by
+        )
 
     def live_ids(self) -> list[int]:
-        """Ids of those that take part: alive or suspected."""
-        return [ident for ident, state in zip(self.ids, self.states, strict=True) if state < DEAD]
+        """Ids of those that are alive or suspected."""
+        return [member_id for member_id, state in zip(self.ids, self.states, strict=True) if state < DEAD]
 
     def rows_at(self, address: Address) -> list[int]:
-        """Rows of those that others reach there."""
+        """Rows of those that are reached at an address."""
         port, (high, low) = address[1], _address_halves(address[0])
         return [
-            n
-            for n, other in enumerate(self.ports)
-            if other == port and self.address_lows[n] == low and self.address_highs[n] == high
+            row
+            for row, other_port in enumerate(self._ports)
+            if other_port == port and self._address_lows[row] == low and self._address_highs[row] == high
         ]
 
     def rows_in_range(self, low: int, high: int) -> Iterator[int]:
         """Rows of the ids above `low`, up to `high`."""
         return iter(range(bisect_right(self.ids, low), bisect_right(self.ids, high)))
 
-    def expired_ids(self, now: int, lost_us: int, left_us: int) -> list[int]:
-        """Ids of those that nobody needs to remember any more."""
+    def expired_ids(self, now_us: int, keep_dead_us: int, keep_left_us: int) -> list[int]:
+        """Ids of those that have been dead, or gone, for longer than they are kept."""
         return [
-            self.ids[at]
-            for at, state in enumerate(self.states)
-            if (state == DEAD and now - self.state_since_us[at] > lost_us)
-            or (state == LEFT and now - self.state_since_us[at] > left_us)
+            self.ids[row]
+            for row, state in enumerate(self.states)
+            if (state == DEAD and now_us - self.state_since_us[row] > keep_dead_us)
+            or (state == LEFT and now_us - self.state_since_us[row] > keep_left_us)
         ]
 
     def memory_bytes(self) -> int:
-        """Bytes that it takes, names included."""
+        """Bytes that the table takes, names included."""
         return (
-            sum(sys.getsizeof(column) for column in self.columns)
+            sum(sys.getsizeof(column) for column in self._columns)
             + sys.getsizeof(self.names)
             + sum(map(sys.getsizeof, self.names))
         )
--- a/cressrail/membership/messages.py
+++ b/cressrail/membership/messages.py
@@ -1,62 +1,98 @@
-"""What the parts of membership share: the states of a copy, records, rumours, effects and settings."""
+"""What the parts of membership share: states of an instance, its record and status, reports and commands."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
 from cressrail.membership.load_reports import PeerLoadSummary
 
-ALIVE, SUSPECTED, DEAD, LEFT = range(4)  # in the order in which one stands above another at one incarnation
-VIEW_STATE_NAMES = ("alive", "suspected", "lost", "left")
-PARTIALLY_REACHABLE = "partly"  # alive, but some can't reach it: of the view, not of a record
+ALIVE, SUSPECTED, DEAD, LEFT = range(4)  # by precedence at one incarnation; also the numbers in datagrams
+VIEW_STATE_NAMES = ("alive", "suspected", "lost", "left")  # as the operators' interface has them
+PARTIALLY_REACHABLE = "partly"  # there: alive, but some can't reach it; never in a record
 
-MAX_NAME_BYTES, MAX_ZONE_BYTES = 64, 24  # bytes; with them a ping and two rumours fit into 256
-MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES = 256, 1400  # of a datagram
+MAX_NAME_BYTES, MAX_ZONE_BYTES = 64, 24  # with them a ping and two broadcasts fit into 256 bytes
+MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES = 256, 1400  # to which the largest datagram may be set
 MAX_USER_MESSAGE_BYTES = 240
 MAX_INCARNATION = 1 << 62
 
-USE_INSTANCE_COUNT, USE_WARMUP_LOAD, USE_PEER_EJECTIONS = USES = (
-    "copies",
-    "cold",
-    "failing",
-)  # what a sidecar may go by
-Address = tuple[str, int]
+# What the policy may go by, in the words of the settings.
+USE_INSTANCE_COUNT, USE_WARMUP_LOAD, USE_PEER_EJECTIONS = USES = ("copies", "cold", "failing")
+
+Address = tuple[str, int]  # host as an IP address, port
+Precedence = tuple[int, int, int]
 
 
 def instance_id(name: str) -> int:
-    """A copy's number in rumours: eight bytes that follow from its name, never 0, which means anybody."""
+    """The id of an instance in datagrams: eight bytes of a hash of its name, never 0, which means anybody."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big") or 1
 
 
+def precedence(incarnation: int, process_id: int, state: int) -> Precedence:
+    """What decides between two statuses of an instance: the greater holds.
+
+    A merge that takes the greater is associative, commutative and idempotent.
+    """
+    return incarnation, process_id, state
+
+
+class InstanceStatus(NamedTuple):
+    """State of an instance whose record is known.
+
+    Attributes:
+        id: Of the instance.
+        incarnation: Raised by the instance itself to refute a suspicion.
+        process_id: Drawn at random by each process, to tell it from an earlier or second one of the name.
+        state: One of `ALIVE`, `SUSPECTED`, `DEAD` and `LEFT`.
+        suspected_by: Id of the instance whose own ping failed, 0 if there is none.
+    """
+
+    id: int
+    incarnation: int
+    process_id: int
+    state: int
+    suspected_by: int = 0
+
+    @property
+    def precedence(self) -> Precedence:
+        """What decides between this and another status."""
+        return precedence(self.incarnation, self.process_id, self.state)
+
+
 class InstanceRecord(NamedTuple):
-    """All that a copy says of itself, with the state that is told of it. Of two the higher `order` holds."""
+    """All that an instance says of itself, with its state; see `InstanceStatus`."""
 
     name: str
     zone: str
     address: Address
     incarnation: int
-    process_id: int  # drawn by each process, so that a restart or a second one of the name can be told apart
+    process_id: int
     state: int
 
     @property
     def id(self) -> int:
+        """Id of the instance."""
         return instance_id(self.name)
 
+    @property
+    def precedence(self) -> Precedence:
+        """What decides between this and another record."""
+        return precedence(self.incarnation, self.process_id, self.state)
 
-class InstanceStatus(NamedTuple):
-    """The same of a copy that is known already; `by` says whose own probe it was that failed."""
-
-    id: int
-    incarnation: int
-    process_id: int
-    state: int
-    suspected_by: int = 0
+    def status(self) -> InstanceStatus:
+        """The status without the rest."""
+        return InstanceStatus(self.id, self.incarnation, self.process_id, self.state)
 
 
 class ReachabilityReport(NamedTuple):
-    """Whether one copy's calls to another go unanswered though it lives; of two the higher `nth` holds."""
+    """Whether the pings of one instance to another go unanswered though that lives.
+
+    Attributes:
+        reporter: Id of the instance that pings.
+        target: Id of the one that is pinged.
+        sequence: Of two reports on the pair the one with the higher number holds.
+        is_unreachable: Whether the pings go unanswered.
+    """
 
     reporter: int
     target: int
@@ -65,86 +101,49 @@
 
 
 class IdRange(NamedTuple):
-    """The part of the ring of ids that a page of an exchange speaks of: above `low`, up to `high`."""
+    """The part of the ring of instance ids that a push-pull sync covers: above `low`, up to `high`.
+
+    `is_reply` marks a request that itself answers one, so that no further one follows.
+    """
 
     low: int
     high: int
-    is_reply: bool  # it is asked back by the one who was asked, and asks for no more
-
-
-def precedence(incarnation: int, process_id: int, state: int) -> tuple[int, int, int]:
-    """What decides between two words on one copy: the laws of a merge follow from taking the greater."""
-    return incarnation, process_id, state
-
-
-# Effects
+    is_reply: bool
 
 
 class SendDatagram(NamedTuple):
+    """Command: send a datagram."""
+
     destination: Address
     payload: bytes
 
 
 class LogEvent(NamedTuple):
-    """A line for the log."""
+    """Command: write a log event."""
 
     event: str
     fields: dict[str, Any]
 
 
 class InstanceCount(NamedTuple):
-    """How many copies this one goes by, and how many of them in its own zone."""
+    """Command: go by so many instances in all, and so many in the own zone."""
 
     total: float
     in_zone: float
 
 
 class RequestLoadReports(NamedTuple):
-    """The sidecar is asked what there is to say of its work: `Membership.say`."""
+    """Command: call `set_own_load_reports` with what there is to report."""
 
 
 class UserMessage(NamedTuple):
-    """For another part of the sidecar; `by` is the copy that said it, 0 where it came by way of others."""
+    """Command: pass a message to another part of the sidecar.
+
+    `sender` is the id of the instance that sent it, 0 if it came by way of others.
+    """
 
     sender: int
     payload: bytes
 
 
 Command = SendDatagram | LogEvent | InstanceCount | RequestLoadReports | PeerLoadSummary | UserMessage
-
-
-@dataclass(frozen=True, slots=True)
-class MembershipSettings:
-    """What a copy is told. Spans follow from the pause that is to be borne, so that there is one figure to
-    set."""
-
-    name: str
-    zone: str
-    advertise: Address
-    seeds: tuple[Address, ...] = ()
-    keys: tuple[bytes, ...] = (b"\0" * 32,)  # the first signs, each is good
-    tolerated_pause_us: int = 3_000_000
-    max_datagram_bytes: int = MAX_DATAGRAM_BYTES
-    configured_instance_count: int = 1  # copies, by the settings
-    uses: tuple[str, ...] = ()  # of USES
-    carries_user_messages: bool = False  # other parts of the sidecar talk by way of this one
-    # What an ablation takes out; all on in service.
-    has_local_health: bool = True
-    has_indirect_ping: bool = True
-    has_dynamic_suspicion: bool = True
-
-    @property
-    def ping_period_us(self) -> int:
-        """Between two probes of one copy: six to the pause that is borne."""
-        return self.tolerated_pause_us // 6
-
-    @property
-    def min_suspicion_us(self) -> int:
-        """A suspicion that many share runs for so long. A paused copy is suspected a period after its pause
-        began at the earliest, so more than a period is left for its answer to get round."""
-        return self.tolerated_pause_us * 11 // 10
-
-    @property
-    def max_suspicion_us(self) -> int:
-        """One that nobody else shares."""
-        return 2 * self.min_suspicion_us
--- a/cressrail/membership/reachability.py
+++ b/cressrail/membership/reachability.py
@@ -28,6 +28,10 @@
             int, dict[int, tuple[ReachabilityReport, int]]
         ] = {}  # by whom they are about, then by the caller
 
+    def set_own_id(self, own_id: int) -> None:
+        """This instance took another name."""
+        self.own_id = own_id
+
     def on_ping_unanswered(self, ident: int, now: int) -> ReachabilityReport | None:
         """A call went unanswered by one that lives; the mark, if that makes one."""
         self.answered_pings.pop(ident, None)
--- /dev/null
+++ b/cressrail/membership/refutation.py
@@ -0,0 +1,80 @@
+"""Refutes what others hold of this instance's name, by a higher incarnation."""
+
+from __future__ import annotations
+
+from cressrail.membership import codec, log_events
+from cressrail.membership.datagram_sender import DatagramSender
+from cressrail.membership.gossip import GOSSIP_FANOUT, Gossip
+from cressrail.membership.messages import (
+    ALIVE,
+    DEAD,
+    MAX_INCARNATION,
+    SUSPECTED,
+    InstanceRecord,
+    InstanceStatus,
+)
+from cressrail.membership.peer_selection import PeerSelection
+from cressrail.membership.self_record import SelfRecord
+from cressrail.membership.shared_state import SharedState
+
+
+class Refutation:
+    """Raises the own incarnation."""
+
+    def __init__(
+        self,
+        shared: SharedState,
+        self_record: SelfRecord,
+        sender: DatagramSender,
+        selection: PeerSelection,
+        gossip: Gossip,
+    ) -> None:
+        self._shared, self._self_record = shared, self_record
+        self._sender, self._selection, self._gossip = sender, selection, gossip
+
+    def prove_alive(self, now_us: int) -> None:
+        """Raises the incarnation, once a ping period at most, so that others see that this instance lives."""
+        own = self._self_record
+        since_us = now_us - own.incremented_us
+        if since_us >= self._shared.settings.ping_period_us or since_us < 0:
+            own.raise_incarnation(now_us, own.incarnation + 1)
+            self._gossip.broadcast_status(now_us, own.status())
+
+    def on_own_status(self, now_us: int, told: InstanceRecord | InstanceStatus) -> None:
+        """Answers what another instance holds of this one's name."""
+        own = self._self_record
+        if not self._concerns_this_process(now_us, told):
+            return
+        is_other_process = told.process_id != own.process_id
+        if is_other_process and own.must_yield_name(told.process_id, told.incarnation):
+            self._take_other_name(now_us)
+            return
+        if told.incarnation >= MAX_INCARNATION:
+            self._take_other_name(now_us)
+            return
+        own.raise_incarnation(now_us, told.incarnation + 1)
+        self._gossip.broadcast_status(now_us, own.status())
+        for row in self._selection.random_rows(GOSSIP_FANOUT):
+            self._sender.send(self._shared.table.address_of(row), codec.GOSSIP, b"")
+
+    def _concerns_this_process(self, now_us: int, told: InstanceRecord | InstanceStatus) -> bool:
+        """Whether it takes precedence over the own record; a suspicion is counted against local health."""
+        own = self._self_record
+        if told.process_id != own.process_id:
+            return (told.incarnation, told.process_id) >= (own.incarnation, own.process_id)
+        if told.incarnation < own.incarnation:
+            return False
+        if told.incarnation == own.incarnation and told.state == ALIVE:
+            return False
+        if told.state in (SUSPECTED, DEAD):
+            self._shared.local_health.degrade()
+            own.note_suspected(now_us)
+        return True
+
+    def _take_other_name(self, now_us: int) -> None:
+        own = self._self_record
+        previous_name = own.name
+        own.take_other_name()
+        self._shared.reachability.set_own_id(own.id)
+        self._shared.log(log_events.INSTANCE_RENAMED, copy=previous_name, now=own.name)
+        self._gossip.broadcast_record(now_us, own.record())
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -6,7 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from cressrail.membership.messages import DEAD, MembershipSettings
+from cressrail.membership.messages import DEAD
+from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.simulation import SECOND, MembershipSimulation
 
 JOIN_LIMIT_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 30, 30, 40
@@ -110,7 +111,7 @@
                 knowing += (
                     at < 0
                     or process.instance.table.states[at] >= DEAD
-                    or of[name] in process.instance.dead_in_own_view
+                    or of[name] in process.instance.isolation.dead_in_own_view
                 )
         return knowing / max(1, pairs)
 
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -14,9 +14,9 @@
     Address,
     Command,
     LogEvent,
-    MembershipSettings,
     SendDatagram,
 )
+from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.simulation.lossy_network import LossyNetwork
@@ -232,5 +232,5 @@
     return {
         table.names[row]
         for row, state in enumerate(table.states)
-        if state < DEAD and table.ids[row] not in instance.dead_in_own_view
+        if state < DEAD and table.ids[row] not in instance.isolation.dead_in_own_view
     }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,6 @@
     verified_payload,
 )
 from cressrail.membership.load_reports import MAX_AGE_MS, MAX_VALUE, LoadReport
-from cressrail.membership.local_health import Suspicion
 from cressrail.membership.member_table import MemberTable
 from cressrail.membership.messages import (
     ALIVE,
@@ -39,7 +38,6 @@
     InstanceRecord,
     InstanceStatus,
     LogEvent,
-    MembershipSettings,
     ReachabilityReport,
     SendDatagram,
     precedence,
@@ -50,8 +48,10 @@
     ReachabilityReports,
 )
 from cressrail.membership.scenarios import simulate
+from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.simulation import SECOND, MembershipSimulation
 from cressrail.membership.state_machine import MembershipStateMachine
+from cressrail.membership.suspicion import Suspicion
 from cressrail.policy.load_balancer import RandomGenerator
 
 KEY = b"k" * 32
@@ -288,8 +288,8 @@
         lambda: len({first.instance.name, second.instance.name}) == 2, 10 * SECOND
     )
     world.clock.run_until(world.clock.now_us + 10 * SECOND)
-    low = first if first.instance.process_id < second.instance.process_id else second
-    assert low.instance.name == f"copy2~{low.instance.process_id:08x}"
+    low = first if first.instance.self_record.process_id < second.instance.self_record.process_id else second
+    assert low.instance.name == f"copy2~{low.instance.self_record.process_id:08x}"
     assert {p.instance.live_instance_count() for p in world.processes.values()} == {6} and events(world, 0)[
         "copy_twin"
     ] == 1
@@ -372,7 +372,7 @@
         began, sent, counted = (
             world.clock.now_us,
             [0],
-            {n: p.instance.incarnation for n, p in world.names.items()},
+            {n: p.instance.self_record.incarnation for n, p in world.names.items()},
         )
 
         def fate(
@@ -384,14 +384,14 @@
 
         world.network.delay_us = fate
         at = world.names["copy0"].instance.table.row_of(world.names["copy2"].instance.id)
-        world.names["copy0"].instance._suspect(world.clock.now_us, at)
+        world.names["copy0"].instance.updates.suspect(world.clock.now_us, at)
         if pause:
             world.pause(["copy2"], pause)
         for _ in range(12):
             world.clock.run_until(world.clock.now_us + SECOND // 2)
             for name, process in world.names.items():
-                assert process.instance.incarnation >= counted[name]
-                counted[name] = process.instance.incarnation
+                assert process.instance.self_record.incarnation >= counted[name]
+                counted[name] = process.instance.self_record.incarnation
         assert world.all_views_agree() and world.death_reports(began) == []
 
 
@@ -559,7 +559,7 @@
     for n in range(10):
         copy.on_datagram(late, ping(n + 1))
     copy.on_timer(late)
-    assert copy.local_health.score == 1
+    assert copy.shared.local_health.score == 1
 
 
 def test_a_mark_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
@@ -574,7 +574,7 @@
         assert all(states(world, n, 0) == "partly" for n in range(5))
         # Told anew well before it fades, and not by chance.
         assert (
-            world.clock.now_us - one.reachability.reports[other.id][one.id][1]
+            world.clock.now_us - one.shared.reachability.reports[other.id][one.id][1]
             <= 25 * one.settings.ping_period_us
         )
 
