--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -47,7 +47,7 @@
     from cressrail.membership.scenarios import ABLATIONS
     from cressrail.membership.scenarios import simulate as play
 
-    for word in without or []:
+    for word in without or ():
         if word not in ABLATIONS:
             fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {word[:40]}")
     told = play(size, seed, loss, bear_pause_ms, most_bytes, tuple(without or ()))
--- a/cressrail/membership/live_count.py
+++ b/cressrail/membership/live_count.py
@@ -1,10 +1,11 @@
-"""How many copies this one goes by, in place of the settings' figure.
+"""Estimate of the number of live instances, in place of the configured one.
 
-Too many makes limits and shares tight, too few lets all together crowd what they share, so the two are not
-alike: more are believed at once, fewer slowly and only on evidence. Evidence is a copy that said it leaves,
-or at whose address nobody listens (`died` of the module goes by the same); one that is merely silent may be
-behind a cut and still at work, and stays in the count unless more than half of the fleet is heard. Where
-that half is not heard, what is believed drifts back to the settings' figure with age."""
+Too high a count makes limits and quotas tight, too low a one lets all instances together overload what they
+share, so an increase is believed at once and a decrease slowly, and only on evidence. Evidence is an
+instance that said it leaves, or at whose address nobody listens. One that is merely silent may be
+partitioned and still at work, and stays in the count unless more than half of the fleet is heard. Where that
+half is not heard, the estimate drifts back to the configured count.
+"""
 
 from __future__ import annotations
 
@@ -12,62 +13,79 @@
 
 from cressrail.membership.messages import InstanceCount
 
-MAX_DEVIATION_FACTOR = 4.0  # times the settings' figure, up and down: what is believed whatever is told
-STARTUP_PAUSES = 4  # pauses that are borne: so long a copy that has just begun believes in no fewer
-DECREASE_HALF_LIFE_PAUSES = 2  # pauses: half of the way down
-FALLBACK_HALF_LIFE_PAUSES = 20  # pauses: half of the way back to the settings' figure
+MAX_DEVIATION_FACTOR = 4.0  # of the estimate from the configured count, up and down, whatever is observed
+# In tolerated pauses:
+STARTUP_PAUSES = 4  # for which an instance that has just started believes in no decrease
+DECREASE_HALF_LIFE_PAUSES = 2
+FALLBACK_HALF_LIFE_PAUSES = 20  # back to the configured count
 
 
 class ObservedInstances(NamedTuple):
-    """What membership holds of the copies, this one included; `near` of those in the own zone."""
+    """What the member table holds, this instance included.
+
+    Attributes:
+        alive: Alive or suspected.
+        silent: Dead, without a sign that the process is gone.
+        zone_alive: Those alive in the own zone.
+        zone_silent: Those silent in the own zone.
+        has_quorum_view: Whether the whole table was received once, and anybody is heard.
+    """
 
     alive: int
-    silent: int  # lost, without a sign that they are dead
+    silent: int
     zone_alive: int
     zone_silent: int
-    has_quorum_view: bool  # it has heard of all there are, and hears somebody
+    has_quorum_view: bool
 
 
 class LiveInstanceCount:
-    """`figure`: of the settings. All counts are of copies, times in microseconds."""
-
-    def __init__(self, figure: int, bear_us: int, now: int) -> None:
-        self.configured_count, self.tolerated_pause_us = float(figure), bear_us
-        self.started_us = self.updated_us = now
-        self.estimate, self.zone_estimate = self.configured_count, 0.0
-
-    def update(self, now: int, seen: ObservedInstances) -> InstanceCount:
-        span_us, self.updated_us = max(0, now - self.updated_us), max(now, self.updated_us)
-        majority = seen.has_quorum_view and seen.alive > seen.silent
-        if majority:
-            aim, half_us = float(seen.alive), DECREASE_HALF_LIFE_PAUSES * self.tolerated_pause_us
-            young = now - self.started_us < STARTUP_PAUSES * self.tolerated_pause_us
-        else:
-            aim, half_us, young = (
-                self.configured_count,
-                FALLBACK_HALF_LIFE_PAUSES * self.tolerated_pause_us,
-                False,
-            )
-        if not (young and aim < self.estimate):
-            self.estimate += (aim - self.estimate) * (1 - 0.5 ** (span_us / half_us))
-        # At once, and also by the smaller part of a fleet that is cut: those who are heard are there.
-        most = max(self.estimate, float(seen.alive))
-        self.estimate = min(
-            self.configured_count * MAX_DEVIATION_FACTOR,
-            max(1.0, self.configured_count / MAX_DEVIATION_FACTOR, most),
-        )
-        near = self.estimate * self._zone_share(seen, majority)
-        # Guards against a zone whose deaths happen to be told before the others'.
-        self.zone_estimate = max(
-            near,
-            self.zone_estimate
-            + (near - self.zone_estimate)
-            * (1 - 0.5 ** (span_us / (DECREASE_HALF_LIFE_PAUSES * self.tolerated_pause_us))),
-        )
-        self.zone_estimate = min(self.zone_estimate, self.estimate)
+    """The estimate; times are in microseconds.
+
+    Attributes:
+        estimate: Of all instances.
+        zone_estimate: Of those in the own zone.
+    """
+
+    def __init__(self, configured_count: int, tolerated_pause_us: int, now_us: int) -> None:
+        self._configured_count = float(configured_count)
+        self._tolerated_pause_us = tolerated_pause_us
+        self._started_us = self._updated_us = now_us
+        self.estimate, self.zone_estimate = self._configured_count, 0.0
+
+    def update(self, now_us: int, observed: ObservedInstances) -> InstanceCount:
+        """Moves the estimate on to `now_us` and returns it."""
+        span_us, self._updated_us = max(0, now_us - self._updated_us), max(now_us, self._updated_us)
+        has_majority = observed.has_quorum_view and observed.alive > observed.silent
+        self._update_estimate(now_us, span_us, observed, has_majority)
+        self._update_zone_estimate(span_us, self.estimate * self._zone_share(observed, has_majority))
         return InstanceCount(self.estimate, self.zone_estimate)
 
-    def _zone_share(self, seen: ObservedInstances, majority: bool) -> float:
-        if majority:
-            return seen.zone_alive / seen.alive
-        return (seen.zone_alive + seen.zone_silent) / (seen.alive + seen.silent)
+    def _update_estimate(
+        self, now_us: int, span_us: int, observed: ObservedInstances, has_majority: bool
+    ) -> None:
+        pause_us = self._tolerated_pause_us
+        if has_majority:
+            target, half_life_us = float(observed.alive), DECREASE_HALF_LIFE_PAUSES * pause_us
+        else:
+            target, half_life_us = self._configured_count, FALLBACK_HALF_LIFE_PAUSES * pause_us
+        is_starting = has_majority and now_us - self._started_us < STARTUP_PAUSES * pause_us
+        if not (is_starting and target < self.estimate):
+            self.estimate += (target - self.estimate) * (1 - 0.5 ** (span_us / half_life_us))
+        # An increase holds at once, and also in a minority: those that are heard are there.
+        increased = max(self.estimate, float(observed.alive))
+        lowest = max(1.0, self._configured_count / MAX_DEVIATION_FACTOR)
+        self.estimate = min(self._configured_count * MAX_DEVIATION_FACTOR, max(lowest, increased))
+
+    def _update_zone_estimate(self, span_us: int, target: float) -> None:
+        """Decreases slowly too, as deaths in one zone may happen to be learned before those in others."""
+        half_life_us = DECREASE_HALF_LIFE_PAUSES * self._tolerated_pause_us
+        decreased = self.zone_estimate + (target - self.zone_estimate) * (1 - 0.5 ** (span_us / half_life_us))
+        self.zone_estimate = min(max(target, decreased), self.estimate)
+
+    @staticmethod
+    def _zone_share(observed: ObservedInstances, has_majority: bool) -> float:
+        """Share of the instances that are in the own zone; without a majority the silent ones count."""
+        if has_majority:
+            return observed.zone_alive / observed.alive
+        known_in_zone = observed.zone_alive + observed.zone_silent
+        return known_in_zone / (observed.alive + observed.silent)
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -1,10 +1,11 @@
-"""What a copy says of its own work, in what room its datagrams have left: the weight of its traffic,
-endpoints that it calls failing, work that it gave to each cold endpoint.
+"""Load reports: what an instance says of its own work, in what room its datagrams have left.
 
-Each copy speaks for itself only and nobody passes it on, so a copy's words cost the same in any fleet; who
-hears few of them takes the mean of those for the others'. Of two words on the same the later said holds, by
-the sayer's own count, with what it says of its age as it came: the merge takes the greater of two, so it is
-associative, commutative and idempotent."""
+It reports its traffic, endpoints that fail, and the load that it puts on each endpoint that warms up. Each
+instance reports for itself only and nobody passes reports on, so they cost the same in any fleet; who has
+few of them takes their mean for the others'. Of two reports on the same the later one holds, by the
+reporter's own sequence and the age that the report gives: the merge takes the greater, so it is associative,
+commutative and idempotent.
+"""
 
 from __future__ import annotations
 
@@ -14,20 +15,32 @@
 
 TRAFFIC, FAILING, WARMUP_LOAD = 1, 2, 3
 REPORT_KINDS = (TRAFFIC, FAILING, WARMUP_LOAD)
-REPORT_STRUCT = struct.Struct("!BQIIH")  # kind, about, value, count, age in milliseconds
+REPORT_STRUCT = struct.Struct("!BQIIH")  # kind, subject, value, sequence, age in milliseconds
+FIELD_HEADER_BYTES = 2  # before each report in a datagram
 MAX_VALUE = 1 << 31
 MAX_AGE_MS = 60_000
-LIFETIME_PERIODS = {TRAFFIC: 60, FAILING: 8, WARMUP_LOAD: 20}  # periods for which one is good
-MAX_PER_DATAGRAM = 6  # hints in a datagram
-MAX_PER_INSTANCE = 128  # that are kept of one copy
-MAX_STORED = 16_384  # that are kept
-MIN_REPORTERS = 3  # copies whose words stand for the others', where there are more
+LIFETIME_PERIODS = {TRAFFIC: 60, FAILING: 8, WARMUP_LOAD: 20}  # ping periods for which a report holds
+MAX_PER_DATAGRAM = 6
+MAX_PER_INSTANCE = 128  # that are stored
+MAX_STORED = 16_384  # of all instances
+MIN_REPORTERS = 3  # whose reports stand for the others', where there are more
+MIN_FAILING_REPORTERS = 2  # and one of three that report anything
+FAILING_REPORTER_SHARE = 3
+PER_SECOND_THOUSANDTHS = 1e9  # from requests a microsecond to thousandths of a request a second
 ReportPrecedence = tuple[int, int, int, int]
+ReportKey = tuple[int, int]  # kind, subject
 
 
 class LoadReport(NamedTuple):
-    """`about`: an endpoint's number, 0 of the copy itself. `value`: of WEIGHT and COLD thousandths of a
-    transaction a second, of FAILING 1 or 0."""
+    """One report.
+
+    Attributes:
+        kind: One of `REPORT_KINDS`.
+        subject: Number of an endpoint; 0 of the instance itself.
+        value: Of traffic and warm-up load thousandths of a request a second; of failing 1 or 0.
+        sequence: Counted by the reporter.
+        age_ms: When it is sent.
+    """
 
     kind: int
     subject: int
@@ -36,133 +49,200 @@
     age_ms: int
 
 
+class OwnReport(NamedTuple):
+    """A report of this instance."""
+
+    value: int
+    sequence: int
+    made_us: int
+
+
 class StoredReport(NamedTuple):
-    precedence: ReportPrecedence  # incarnation, birth, count, and minus when it was made: the greater holds
+    """A report of another instance.
+
+    Attributes:
+        precedence: Incarnation, process id, sequence, and minus when it was made: the greater holds.
+        value: As in `LoadReport`.
+        made_us: When it was made, by this instance's clock.
+    """
+
+    precedence: ReportPrecedence
     value: int
     made_us: int
 
 
 class PeerLoadSummary(NamedTuple):
-    """What the others' words come to. Rates are of transactions a microsecond."""
+    """Command: go by what the others' reports come to.
 
-    failing_endpoints: tuple[int, ...]  # endpoints
-    warmup_loads: Mapping[int, float]  # work that all others give to each of these
-    total_traffic: float  # traffic of all, this copy's included
+    Attributes:
+        failing_endpoints: Numbers of endpoints that several report as failing.
+        warmup_loads: Requests a microsecond that all others send to each endpoint that warms up, by number.
+        total_traffic: Requests a microsecond of all, this instance included.
+    """
 
+    failing_endpoints: tuple[int, ...]
+    warmup_loads: Mapping[int, float]
+    total_traffic: float
 
-def pack_load_report(told: LoadReport) -> bytes:
-    return REPORT_STRUCT.pack(*told)
+
+def pack_load_report(report: LoadReport) -> bytes:
+    """A report as bytes of a datagram."""
+    return REPORT_STRUCT.pack(*report)
 
 
 def unpack_load_report(body: bytes) -> LoadReport:
-    """Raises `ValueError` and `struct.error`."""
-    told = LoadReport(*REPORT_STRUCT.unpack_from(body))
-    if told.value > MAX_VALUE or told.age_ms > MAX_AGE_MS:
+    """Reads a report.
+
+    Raises:
+        ValueError: A value is out of range.
+        struct.error: There are too few bytes.
+    """
+    report = LoadReport(*REPORT_STRUCT.unpack_from(body))
+    if report.value > MAX_VALUE or report.age_ms > MAX_AGE_MS:
         raise ValueError
-    return told
+    return report
 
 
 class PeerLoadReports:
+    """Own reports and those of the others.
+
+    Attributes:
+        own_reports: By kind and subject.
+        peer_reports: By reporter, then by kind and subject.
+        stored_count: Reports of others, in all.
+        times_sent: How often each own report was sent, so that each gets its turn.
+    """
+
     def __init__(self, period_us: int) -> None:
-        self.period_us = period_us
-        self.own_reports: dict[tuple[int, int], tuple[int, int, int]] = {}  # value, count, when made
-        self.times_sent: dict[tuple[int, int], int] = {}  # how often, so that each gets its turn
-        self.sequence = 0
-        self.peer_reports: dict[int, dict[tuple[int, int], StoredReport]] = {}  # by who said it
+        self.own_reports: dict[ReportKey, OwnReport] = {}
+        self.peer_reports: dict[int, dict[ReportKey, StoredReport]] = {}
         self.stored_count = 0
+        self._period_us = period_us
+        self.times_sent: dict[ReportKey, int] = {}
+        self._sequence = 0
 
-    # Own words
+    # Own reports
 
-    def set_own_reports(self, now: int, words: Iterable[tuple[int, int, int]]) -> None:
-        """(kind, about, value): all that there is to say now. What was said before and is no more is said to
-        be 0 until it would be forgotten by itself."""
-        new = {(kind, about): value for kind, about, value in words}
+    def set_own_reports(self, now_us: int, reports: Iterable[tuple[int, int, int]]) -> None:
+        """Replaces all own reports, given as kind, subject and value.
+
+        A report that is no longer among them is sent with the value 0 until it would expire.
+        """
+        values = {(kind, subject): value for kind, subject, value in reports}
         for key, (value, _, made_us) in list(self.own_reports.items()):
-            if key not in new:
-                if value == 0 and now - made_us > LIFETIME_PERIODS[key[0]] * self.period_us:
-                    del self.own_reports[key]
-                    self.times_sent.pop(key, None)
-                elif value:
-                    new[key] = 0
-        least = min(self.times_sent.values(), default=0)
-        for key, value in new.items():
-            self.sequence += 1
-            self.times_sent.setdefault(key, least)
-            self.own_reports[key] = (min(value, MAX_VALUE), self.sequence, now)
-
-    def next_reports(self, now: int, room: int) -> list[LoadReport]:
-        """Those said least often, as many as go into a datagram."""
-        most = min(MAX_PER_DATAGRAM, room // (REPORT_STRUCT.size + 2))
-        if most <= 0 or not self.own_reports:
+            if key in values:
+                continue
+            if value:
+                values[key] = 0
+            elif self._is_expired(now_us, key, made_us):
+                del self.own_reports[key]
+                self.times_sent.pop(key, None)
+        times_sent = min(self.times_sent.values(), default=0)
+        for key, value in values.items():
+            self._sequence += 1
+            self.times_sent.setdefault(key, times_sent)
+            self.own_reports[key] = OwnReport(min(value, MAX_VALUE), self._sequence, now_us)
+
+    def next_reports(self, now_us: int, room: int) -> list[LoadReport]:
+        """Own reports that were sent least often, as many as fit into `room` bytes."""
+        count = min(MAX_PER_DATAGRAM, room // (REPORT_STRUCT.size + FIELD_HEADER_BYTES))
+        if count <= 0 or not self.own_reports:
             return []
-        keys = sorted(self.own_reports, key=self.times_sent.__getitem__)[:most]
-        out = []
-        for key in keys:
-            value, count, made_us = self.own_reports[key]
+        reports = []
+        for key in sorted(self.own_reports, key=self.times_sent.__getitem__)[:count]:
+            value, sequence, made_us = self.own_reports[key]
             self.times_sent[key] += 1
-            out.append(LoadReport(*key, value, count, min(MAX_AGE_MS, (now - made_us) // 1000)))
-        return out
-
-    # Others' words
-
-    def apply_peer_report(self, now: int, by: int, incarnation: int, birth: int, told: LoadReport) -> None:
-        if told.kind not in REPORT_KINDS or told.age_ms * 1000 > LIFETIME_PERIODS[told.kind] * self.period_us:
+            age_ms = min(MAX_AGE_MS, (now_us - made_us) // 1000)
+            reports.append(LoadReport(*key, value, sequence, age_ms))
+        return reports
+
+    # Reports of others
+
+    def apply_peer_report(
+        self, now_us: int, reporter: int, incarnation: int, process_id: int, report: LoadReport
+    ) -> None:
+        """Stores a report unless it is expired, a later one is known or there are too many."""
+        made_us = now_us - report.age_ms * 1000
+        key = (report.kind, report.subject)
+        if report.kind not in REPORT_KINDS or self._is_expired(now_us, key, made_us):
             return
-        made_us = now - told.age_ms * 1000
-        of, key = self.peer_reports.setdefault(by, {}), (told.kind, told.subject)
-        new = StoredReport((incarnation, birth, told.sequence, -made_us), told.value, made_us)
-        before = of.get(key)
-        if before is None:
-            if len(of) >= MAX_PER_INSTANCE or self.stored_count >= MAX_STORED:
+        stored = self.peer_reports.setdefault(reporter, {})
+        precedence = (incarnation, process_id, report.sequence, -made_us)
+        previous = stored.get(key)
+        if previous is None:
+            if len(stored) >= MAX_PER_INSTANCE or self.stored_count >= MAX_STORED:
                 return
             self.stored_count += 1
-        elif before.precedence >= new.precedence:
+        elif previous.precedence >= precedence:
             return
-        of[key] = new
-
-    def forget_instance(self, by: int) -> None:
-        """One that is lost or has left: its words end with it."""
-        self.stored_count -= len(self.peer_reports.pop(by, {}))
-
-    def drop_expired(self, now: int) -> None:
-        for by, of in list(self.peer_reports.items()):
-            for key in [
-                k for k, kept in of.items() if now - kept.made_us > LIFETIME_PERIODS[k[0]] * self.period_us
-            ]:
-                del of[key]
-                self.stored_count -= 1
-            if not of:
-                del self.peer_reports[by]
-
-    def summarize(self, now: int, copies: float, near: Iterable[int]) -> PeerLoadSummary:
-        """`copies`: that are up, this one included; `near`: those of the own zone, which see endpoints as
-        this one does."""
-        self.drop_expired(now)
-        others = max(0.0, copies - 1)
-        weights: list[int] = []
-        cold: dict[int, list[int]] = {}
-        for of in self.peer_reports.values():
-            for (kind, about), kept in of.items():
+        stored[key] = StoredReport(precedence, report.value, made_us)
+
+    def forget_instance(self, reporter: int) -> None:
+        """An instance is dead or has left."""
+        self.stored_count -= len(self.peer_reports.pop(reporter, {}))
+
+    def drop_expired(self, now_us: int) -> None:
+        """Drops reports of others that no longer hold."""
+        for reporter, stored in list(self.peer_reports.items()):
+            expired = [key for key, report in stored.items() if self._is_expired(now_us, key, report.made_us)]
+            for key in expired:
+                del stored[key]
+            self.stored_count -= len(expired)
+            if not stored:
+                del self.peer_reports[reporter]
+
+    def summarize(self, now_us: int, instances: float, zone_ids: Iterable[int]) -> PeerLoadSummary:
+        """What the reports come to.
+
+        Args:
+            now_us: The current time.
+            instances: How many are live, this one included.
+            zone_ids: Those of the own zone, which see endpoints as this instance does.
+        """
+        self.drop_expired(now_us)
+        others = max(0.0, instances - 1)
+        traffic: list[int] = []
+        loads: dict[int, list[int]] = {}
+        for stored in self.peer_reports.values():
+            for (kind, subject), report in stored.items():
                 if kind == TRAFFIC:
-                    weights.append(kept.value)
+                    traffic.append(report.value)
                 elif kind == WARMUP_LOAD:
-                    cold.setdefault(about, []).append(kept.value)
-        enough = min(float(MIN_REPORTERS), others)
-        own = self.own_reports.get((TRAFFIC, 0), (0, 0, 0))[0]
-        weight = sum(weights) / len(weights) * others if weights and len(weights) >= enough else 0.0
+                    loads.setdefault(subject, []).append(report.value)
+        min_reporters = min(float(MIN_REPORTERS), others)
+        own = self.own_reports.get((TRAFFIC, 0))
+        own_traffic = own.value if own is not None else 0
+        others_traffic = 0.0
+        if traffic and len(traffic) >= min_reporters:
+            others_traffic = sum(traffic) / len(traffic) * others
         return PeerLoadSummary(
-            self._failing_endpoints(near),
-            {about: sum(of) / len(of) * others / 1e9 for about, of in cold.items() if len(of) >= enough},
-            (weight + own) / 1e9,
+            self._failing_endpoints(zone_ids),
+            {
+                subject: sum(values) / len(values) * others / PER_SECOND_THOUSANDTHS
+                for subject, values in loads.items()
+                if len(values) >= min_reporters
+            },
+            (others_traffic + own_traffic) / PER_SECOND_THOUSANDTHS,
         )
 
-    def _failing_endpoints(self, near: Iterable[int]) -> tuple[int, ...]:
-        """Endpoints of which two say so at least, and a third of those near that say anything: guards against
-        a copy that is wrong or lies, and against a way of a few that is cut."""
-        heard = [self.peer_reports[by] for by in near if by in self.peer_reports]
+    def _failing_endpoints(self, zone_ids: Iterable[int]) -> tuple[int, ...]:
+        """Endpoints that at least two report, and a third of those in the zone that report anything.
+
+        So neither a single faulty instance nor a partition that concerns few of them has an endpoint ejected.
+        """
+        reporters = [self.peer_reports[reporter] for reporter in zone_ids if reporter in self.peer_reports]
         votes: dict[int, int] = {}
-        for of in heard:
-            for (kind, about), kept in of.items():
-                if kind == FAILING and kept.value:
-                    votes[about] = votes.get(about, 0) + 1
-        return tuple(sorted(about for about, n in votes.items() if n >= 2 and 3 * n >= len(heard)))
+        for stored in reporters:
+            for (kind, subject), report in stored.items():
+                if kind == FAILING and report.value:
+                    votes[subject] = votes.get(subject, 0) + 1
+        return tuple(
+            sorted(
+                subject
+                for subject, count in votes.items()
+                if count >= MIN_FAILING_REPORTERS and FAILING_REPORTER_SHARE * count >= len(reporters)
+            )
+        )
+
+    def _is_expired(self, now_us: int, key: ReportKey, made_us: int) -> bool:
+        return now_us - made_us > LIFETIME_PERIODS[key[0]] * self._period_us
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -1,83 +1,119 @@
-"""Between a sidecar's endpoints and the words of copies on them, which go by numbers that follow from
-names."""
+"""Translates load reports: between a sidecar's endpoint indices and the numbers by which instances name them.
+
+A number follows from the endpoint's name, so all instances have the same for it.
+"""
 
 from __future__ import annotations
 
-from cressrail.membership.load_reports import FAILING, TRAFFIC, WARMUP_LOAD, PeerLoadSummary
+from collections.abc import Iterator
+
+from cressrail.membership.load_reports import (
+    FAILING,
+    PER_SECOND_THOUSANDTHS,
+    TRAFFIC,
+    WARMUP_LOAD,
+    PeerLoadSummary,
+)
 from cressrail.membership.messages import instance_id
 from cressrail.policy.load_balancer import LoadBalancer
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
-MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32  # endpoints that are spoken of at once
-RATE_WINDOW_US = 2_000_000  # that a rate of work looks back on
+MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32  # endpoints
+RATE_WINDOW_US = 2_000_000  # over which the load on an endpoint is averaged
+MIN_STALE_NUMBERS = 64  # numbers of removed endpoints that are kept, and as many again as there are
+_SMALLEST = 1e-9  # keeps a division from one by zero
 
 
 class PeerReportTranslator:
-    def __init__(self) -> None:
-        self.endpoint_numbers: dict[str, int] = {}
-        self.warmup_rates: dict[int, tuple[int, float]] = {}  # hops by the last look, and their rate
-        self.sampled_us = -1
+    """Makes the own reports and reads the others'."""
 
-    def endpoint_number(self, name: str) -> int:
-        if name not in self.endpoint_numbers:
-            self.endpoint_numbers[name] = instance_id(name)
-        return self.endpoint_numbers[name]
+    def __init__(self) -> None:
+        self._numbers: dict[str, int] = {}  # by endpoint name
+        self._warmup_loads: dict[int, tuple[int, float]] = {}  # attempts and attempts a microsecond, by index
+        self._sampled_us: int | None = None
 
     def own_reports(
-        self, now: int, sidecar: LoadBalancer, roster: EndpointRegistry
+        self, now_us: int, load_balancer: LoadBalancer, registry: EndpointRegistry
     ) -> list[tuple[int, int, int]]:
-        """All that is to be said now: kind, number, value."""
-        budget = sidecar.budget
-        taken = sum(1 for at in budget.taken if at > now - budget.window_us)
-        span_us = max(1, min(budget.window_us, now - sidecar.slow_start.born_us))
-        words = [(TRAFFIC, 0, int(taken / span_us * 1e9))]
-        names = roster.names()
-        # By own outcomes: what was left out on others' word is not said on.
-        fails = [
-            e.index
-            for e in sidecar.endpoints.values()
-            if e.accepts_requests and not e.is_available(now) and e.last_outcome_us != e.peer_ejected_us
+        """All that there is to report: kind, subject and value of each."""
+        names = registry.names()
+        reports = [(TRAFFIC, 0, self._traffic(now_us, load_balancer))]
+        failing = self._failing(now_us, load_balancer)
+        reports += [(FAILING, self.endpoint_number(names[index]), 1) for index in failing]
+        reports += [
+            (WARMUP_LOAD, self.endpoint_number(names[index]), int(load * PER_SECOND_THOUSANDTHS))
+            for index, load in self._sample_warmup_loads(now_us, load_balancer)
         ]
-        words += [(FAILING, self.endpoint_number(names[ix]), 1) for ix in fails[:MAX_FAILING_REPORTED]]
-        before, self.warmup_rates = self.warmup_rates, {}
-        passed_us = now - self.sampled_us if self.sampled_us >= 0 else 0
-        self.sampled_us = now
-        for e in sidecar.endpoints.values():
-            if (
-                not e.accepts_requests
-                or not sidecar.slow_start.is_warming_up(e, now)
-                or len(self.warmup_rates) >= MAX_WARMING_REPORTED
-            ):
-                continue
-            hops, rate = before.get(e.index, (e.slow_start_attempts, 0.0))
-            if passed_us:
-                part = min(1.0, passed_us / RATE_WINDOW_US)
-                rate += ((e.slow_start_attempts - hops) / passed_us - rate) * part
-            self.warmup_rates[e.index] = (e.slow_start_attempts, rate)
-            words.append((WARMUP_LOAD, self.endpoint_number(names[e.index]), int(rate * 1e9)))
-        if len(self.endpoint_numbers) > 2 * len(names) + 64:  # endpoints that have left
-            self.endpoint_numbers = {}
-        return words
+        if len(self._numbers) > 2 * len(names) + MIN_STALE_NUMBERS:
+            self._numbers = {}
+        return reports
 
     def to_endpoint_indices(
-        self, told: PeerLoadSummary, sidecar: LoadBalancer, roster: EndpointRegistry
+        self, summary: PeerLoadSummary, load_balancer: LoadBalancer, registry: EndpointRegistry
     ) -> tuple[list[int], dict[int, tuple[float, float]]]:
-        """The same by this sidecar's indices, what it has no endpoint for passed over; cold ones with the
-        work that others give them, and with what a warm one would get from all. Guards against a hot zone
-        held to an even spread: its own copies go by their own traffic."""
-        if not told.failing_endpoints and not told.warmup_loads:
+        """Translates what others report; endpoints that this sidecar does not have are passed over.
+
+        Returns:
+            Indices of endpoints that others report as failing; and, by index of each endpoint that warms up,
+            the load that others put on it and the load that a warmed-up one would get from all. The latter is
+            no less than what this zone's own traffic makes of it, so that a busy zone is not held to an even
+            spread.
+        """
+        if not summary.failing_endpoints and not summary.warmup_loads:
             return [], {}
-        at = {self.endpoint_number(name): ix for ix, name in roster.names().items()}
-        whole = sum(group.whole for group in sidecar.zone_subsets)
-        own = len(sidecar.budget.taken) / sidecar.budget.window_us
-        cold = {}
-        for about, others in told.warmup_loads.items():
-            e = sidecar.endpoints.get(at.get(about, -1))
-            if e is not None and e.accepts_requests:
-                group = sidecar.zone_subsets[e.zone]
-                even, mine = (
-                    told.total_traffic / max(1e-9, whole),
-                    own * group.sharers / max(1e-9, group.size),
-                )
-                cold[e.index] = (others, max(even, mine) * e.scale)
-        return [at[about] for about in told.failing_endpoints if about in at], cold
+        indices = {self.endpoint_number(name): index for index, name in registry.names().items()}
+        capacity = sum(subset.whole for subset in load_balancer.zone_subsets)
+        own_traffic = len(load_balancer.budget.taken) / load_balancer.budget.window_us
+        loads = {}
+        for number, others_load in summary.warmup_loads.items():
+            endpoint = load_balancer.endpoints.get(indices.get(number, -1))
+            if endpoint is not None and endpoint.accepts_requests:
+                subset = load_balancer.zone_subsets[endpoint.zone]
+                even_load = summary.total_traffic / max(_SMALLEST, capacity)
+                own_load = own_traffic * subset.sharers / max(_SMALLEST, subset.size)
+                loads[endpoint.index] = (others_load, max(even_load, own_load) * endpoint.scale)
+        return [indices[number] for number in summary.failing_endpoints if number in indices], loads
+
+    def endpoint_number(self, name: str) -> int:
+        """The number by which all instances name the endpoint."""
+        if name not in self._numbers:
+            self._numbers[name] = instance_id(name)
+        return self._numbers[name]
+
+    @staticmethod
+    def _traffic(now_us: int, load_balancer: LoadBalancer) -> int:
+        budget = load_balancer.budget
+        requests = sum(1 for taken_us in budget.taken if taken_us > now_us - budget.window_us)
+        span_us = max(1, min(budget.window_us, now_us - load_balancer.slow_start.born_us))
+        return int(requests / span_us * PER_SECOND_THOUSANDTHS)
+
+    @staticmethod
+    def _failing(now_us: int, load_balancer: LoadBalancer) -> list[int]:
+        """Indices of endpoints ejected by own outcomes; ejections by peers' reports are not reported on."""
+        failing = [
+            endpoint.index
+            for endpoint in load_balancer.endpoints.values()
+            if endpoint.accepts_requests
+            and not endpoint.is_available(now_us)
+            and endpoint.last_outcome_us != endpoint.peer_ejected_us
+        ]
+        return failing[:MAX_FAILING_REPORTED]
+
+    def _sample_warmup_loads(self, now_us: int, load_balancer: LoadBalancer) -> Iterator[tuple[int, float]]:
+        """Index of each endpoint that warms up, and attempts a microsecond that this sidecar sends to it."""
+        previous, self._warmup_loads = self._warmup_loads, {}
+        elapsed_us = now_us - self._sampled_us if self._sampled_us is not None else 0
+        self._sampled_us = now_us
+        for endpoint in load_balancer.endpoints.values():
+            is_warming_up = endpoint.accepts_requests and load_balancer.slow_start.is_warming_up(
+                endpoint, now_us
+            )
+            if not is_warming_up or len(self._warmup_loads) >= MAX_WARMING_REPORTED:
+                continue
+            attempts = endpoint.slow_start_attempts
+            previous_attempts, load = previous.get(endpoint.index, (attempts, 0.0))
+            if elapsed_us:
+                weight = min(1.0, elapsed_us / RATE_WINDOW_US)
+                load += ((attempts - previous_attempts) / elapsed_us - load) * weight
+            self._warmup_loads[endpoint.index] = (attempts, load)
+            yield endpoint.index, load
--- a/cressrail/membership/reachability.py
+++ b/cressrail/membership/reachability.py
@@ -1,111 +1,126 @@
-"""Pairs of which one can't call the other though that one lives: a copy of which there are some is `partly`.
+"""Reachability reports: pairs of which one instance can't reach the other though that lives.
 
-A pair is marked after several calls in a row without an answer and cleared after a few with one, so that
-lost messages mark nothing. What others say of their pairs is merged by the one who calls' own count, and
-fades unless told anew."""
+A pair is reported after several pings in a row without an ack, and cleared after a few with one, so that
+lost datagrams alone report nothing. Reports of others are merged by their reporter's own numbers and dropped
+unless refreshed. An instance of which there are reports is partially reachable.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from cressrail.membership.messages import ReachabilityReport
 
-REPORT_AFTER_UNANSWERED = (
-    5  # calls in a row: at 30% loss both ways three tries of each fail one time in eight
-)
+# Pings in a row: at 30% loss in each direction the three tries of a ping fail one time in eight.
+REPORT_AFTER_UNANSWERED = 5
 CLEAR_AFTER_ANSWERED = 2
-MAX_REPORTERS = 16  # callers that are kept of one copy
-# callers at most whose marks go on from here, so that a fleet that is cut to pieces is not all talk
-MAX_FORWARDED = 3
+MAX_REPORTERS = 16  # that are kept of one target
+MAX_FORWARDED = 3  # reports on one target that are passed on: limits traffic in a fleet that is cut to pieces
+
+
+class StoredReachability(NamedTuple):
+    """A report and when it came."""
+
+    report: ReachabilityReport
+    received_us: int
 
 
 class ReachabilityReports:
-    def __init__(self, own: int, faded_us: int) -> None:
-        self.own_id = own
-        self.lifetime_us = faded_us
-        self.unanswered_pings: dict[int, int] = {}
-        self.answered_pings: dict[int, int] = {}
-        self.sequence = 0
-        self.reports: dict[
-            int, dict[int, tuple[ReachabilityReport, int]]
-        ] = {}  # by whom they are about, then by the caller
+    """Own reports and those of others.
+
+    Attributes:
+        reports: By target, then by reporter.
+    """
+
+    def __init__(self, own_id: int, lifetime_us: int) -> None:
+        self.reports: dict[int, dict[int, StoredReachability]] = {}
+        self._own_id = own_id
+        self._lifetime_us = lifetime_us
+        self._unanswered_pings: dict[int, int] = {}  # in a row, by target
+        self._answered_pings: dict[int, int] = {}  # in a row since it was reported, by target
+        self._sequence = 0
 
     def set_own_id(self, own_id: int) -> None:
         """This instance took another name."""
-        self.own_id = own_id
+        self._own_id = own_id
+
+    # Own reports
 
-    def on_ping_unanswered(self, ident: int, now: int) -> ReachabilityReport | None:
-        """A call went unanswered by one that lives; the mark, if that makes one."""
-        self.answered_pings.pop(ident, None)
-        self.unanswered_pings[ident] = self.unanswered_pings.get(ident, 0) + 1
-        if self.unanswered_pings[ident] < REPORT_AFTER_UNANSWERED or self.is_unreachable(ident):
+    def on_ping_unanswered(self, target: int, now_us: int) -> ReachabilityReport | None:
+        """A live instance sent no ack; returns the report, if that makes one."""
+        self._answered_pings.pop(target, None)
+        self._unanswered_pings[target] = self._unanswered_pings.get(target, 0) + 1
+        if self._unanswered_pings[target] < REPORT_AFTER_UNANSWERED or self.is_unreachable(target):
             return None
-        return self._report(ident, True, now)
+        return self._report(target, now_us, is_unreachable=True)
 
-    def on_ping_answered(self, ident: int, now: int) -> ReachabilityReport | None:
-        self.unanswered_pings.pop(ident, None)
-        if not self.is_unreachable(ident):
+    def on_ping_answered(self, target: int, now_us: int) -> ReachabilityReport | None:
+        """An instance sent an ack; returns the report, if that clears one."""
+        self._unanswered_pings.pop(target, None)
+        if not self.is_unreachable(target):
             return None
-        self.answered_pings[ident] = self.answered_pings.get(ident, 0) + 1
-        if self.answered_pings[ident] < CLEAR_AFTER_ANSWERED:
+        self._answered_pings[target] = self._answered_pings.get(target, 0) + 1
+        if self._answered_pings[target] < CLEAR_AFTER_ANSWERED:
             return None
-        del self.answered_pings[ident]
-        return self._report(ident, False, now)
-
-    def needs_another_ping(self, ident: int) -> bool:
-        """Whether another call soon would settle it."""
-        return (
-            0 < self.unanswered_pings.get(ident, 0) < REPORT_AFTER_UNANSWERED or ident in self.answered_pings
-        )
-
-    def is_unreachable(self, ident: int) -> bool:
-        """By this copy itself."""
-        entry = self.reports.get(ident, {}).get(self.own_id)
-        return entry is not None and entry[0].is_unreachable
-
-    def _report(self, ident: int, on: bool, now: int) -> ReachabilityReport:
-        self.sequence += 1
-        edge = ReachabilityReport(self.own_id, ident, self.sequence, on)
-        self.reports.setdefault(ident, {})[self.own_id] = (edge, now)
-        return edge
-
-    def merge(self, edge: ReachabilityReport, now: int) -> bool:
-        """Whether it is news."""
-        if edge.reporter == self.own_id or edge.reporter == edge.target:
+        del self._answered_pings[target]
+        return self._report(target, now_us, is_unreachable=False)
+
+    def needs_another_ping(self, target: int) -> bool:
+        """Whether it is open if the target is to be reported, or cleared."""
+        is_in_doubt = 0 < self._unanswered_pings.get(target, 0) < REPORT_AFTER_UNANSWERED
+        return is_in_doubt or target in self._answered_pings
+
+    def is_unreachable(self, target: int) -> bool:
+        """Whether this instance itself reports that it can't reach the target."""
+        stored = self.reports.get(target, {}).get(self._own_id)
+        return stored is not None and stored.report.is_unreachable
+
+    def _report(self, target: int, now_us: int, *, is_unreachable: bool) -> ReachabilityReport:
+        self._sequence += 1
+        report = ReachabilityReport(self._own_id, target, self._sequence, is_unreachable)
+        self.reports.setdefault(target, {})[self._own_id] = StoredReachability(report, now_us)
+        return report
+
+    # All reports
+
+    def merge(self, report: ReachabilityReport, now_us: int) -> bool:
+        """Merges a report of another instance; returns whether it is to be passed on."""
+        if report.reporter in (self._own_id, report.target):
             return False
-        of = self.reports.setdefault(edge.target, {})
-        before = of.get(edge.reporter)
-        if before is not None and before[0].sequence >= edge.sequence:
+        stored = self.reports.setdefault(report.target, {})
+        previous = stored.get(report.reporter)
+        if previous is not None and previous.report.sequence >= report.sequence:
             return False
-        if before is None and len(of) >= MAX_REPORTERS:
+        if previous is None and len(stored) >= MAX_REPORTERS:
             return False
-        of[edge.reporter] = (edge, now)
-        return (
-            before is not None
-            or sum(1 for e, _ in of.values() if e.is_unreachable) <= MAX_FORWARDED
-            or edge.target == self.own_id
-        )
-
-    def refresh(self, now: int) -> list[ReachabilityReport]:
-        """Own marks, to be told anew before they fade; and what has faded goes."""
-        out = []
-        for ident in list(self.reports):
-            of = self.reports[ident]
-            for by, (edge, at) in list(of.items()):
-                if by == self.own_id and edge.is_unreachable:
-                    out.append(self._report(ident, True, now))
-                elif now - at > self.lifetime_us:
-                    del of[by]
-            if not of:
-                del self.reports[ident]
-        return out
-
-    def unreachable_from(self, ident: int) -> list[int]:
-        """Who can't reach it."""
-        return [by for by, (edge, _) in self.reports.get(ident, {}).items() if edge.is_unreachable]
-
-    def forget_instance(self, ident: int) -> None:
-        """One that is lost or has left: what was said of it, and what it said."""
-        self.reports.pop(ident, None)
-        self.unanswered_pings.pop(ident, None)
-        self.answered_pings.pop(ident, None)
-        for of in self.reports.values():
-            of.pop(ident, None)
+        stored[report.reporter] = StoredReachability(report, now_us)
+        if previous is not None or report.target == self._own_id:
+            return True
+        return sum(1 for other in stored.values() if other.report.is_unreachable) <= MAX_FORWARDED
+
+    def refresh(self, now_us: int) -> list[ReachabilityReport]:
+        """Drops expired reports of others; returns own ones, numbered anew, to be sent before they expire."""
+        refreshed = []
+        for target in list(self.reports):
+            stored = self.reports[target]
+            for reporter, (report, received_us) in list(stored.items()):
+                if reporter == self._own_id and report.is_unreachable:
+                    refreshed.append(self._report(target, now_us, is_unreachable=True))
+                elif now_us - received_us > self._lifetime_us:
+                    del stored[reporter]
+            if not stored:
+                del self.reports[target]
+        return refreshed
+
+    def unreachable_from(self, target: int) -> list[int]:
+        """Ids of those that report that they can't reach the target."""
+        stored = self.reports.get(target, {})
+        return [reporter for reporter, (report, _) in stored.items() if report.is_unreachable]
+
+    def forget_instance(self, member_id: int) -> None:
+        """An instance is dead or has left: drops reports on it and by it."""
+        self.reports.pop(member_id, None)
+        self._unanswered_pings.pop(member_id, None)
+        self._answered_pings.pop(member_id, None)
+        for stored in self.reports.values():
+            stored.pop(member_id, None)
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -1,4 +1,4 @@
-"""One play of a fleet of copies in virtual time, and what it came to."""
+"""The scenario of `cressrail membership simulate`: a fleet joins, then loses one and then most instances."""
 
 from __future__ import annotations
 
@@ -8,111 +8,124 @@
 
 from cressrail.membership.messages import DEAD
 from cressrail.membership.settings import MembershipSettings
-from cressrail.membership.simulation import SECOND, MembershipSimulation
+from cressrail.membership.simulation import MembershipSimulation
+from cressrail.simulation.virtual_clock import SECOND_US
 
-JOIN_LIMIT_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 30, 30, 40
-ABLATIONS = ("aware", "indirect", "shrinks")  # by an ablation
+JOIN_LIMIT_S, REST_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
+MANY_DEATHS_STEP_US = SECOND_US // 10
+SURVIVORS_OF_TEN = 3
+# What an ablation takes out, in words of the command line: local health, indirect ping, dynamic suspicion.
+ABLATIONS = ("aware", "indirect", "shrinks")
 
 
 def simulate(
     size: int,
     seed: int,
     loss: float = 0.0,
-    bear_ms: int = 3000,
-    most_bytes: int = 1400,
+    tolerated_pause_ms: int = 3000,
+    max_datagram_bytes: int = 1400,
     without: tuple[str, ...] = (),
 ) -> dict[str, Any]:
-    """Start, calm, one death, seven deaths in ten. Seconds, bytes a second of one copy with headers;
-    `live_error` is the mean error of the live count, as a share, from the death of seven in ten until all
-    agree again."""
-
-    def change(told: MembershipSettings) -> MembershipSettings:
-        out = dict.fromkeys(ABLATIONS, True) | dict.fromkeys(without, False)
+    """Plays the scenario.
+
+    Args:
+        size: Number of instances.
+        seed: Of all random values.
+        loss: Share of datagrams lost in each direction.
+        tolerated_pause_ms: As in the settings.
+        max_datagram_bytes: As in the settings.
+        without: Ablations, out of `ABLATIONS`.
+
+    Returns:
+        Figures by the names under which they are printed: times in seconds, `bytes_per_s` of one instance
+        with headers; `live_error` is the mean error of the live instance count, as a share, from the death of
+        most until all agree again.
+    """
+
+    def change(settings: MembershipSettings) -> MembershipSettings:
         return replace(
-            told,
-            tolerated_pause_us=bear_ms * 1000,
-            max_datagram_bytes=most_bytes,
-            has_local_health=out["aware"],
-            has_indirect_ping=out["indirect"],
-            has_dynamic_suspicion=out["shrinks"],
+            settings,
+            tolerated_pause_us=tolerated_pause_ms * 1000,
+            max_datagram_bytes=max_datagram_bytes,
+            has_local_health="aware" not in without,
+            has_indirect_ping="indirect" not in without,
+            has_dynamic_suspicion="shrinks" not in without,
         )
 
-    world = MembershipSimulation(size, seed, loss=loss, change=change)
-    world.start_all()
-    joined = world.clock.run_until_met(world.all_views_agree, JOIN_LIMIT_S * SECOND)
-    joined_s = world.clock.now_us / SECOND
-    world.clock.run_until(world.clock.now_us + 10 * SECOND)
-    began, bytes_before = world.clock.now_us, world.network.sent_bytes
-    world.clock.run_until(world.clock.now_us + CALM_S * SECOND)
-    told: dict[str, Any] = {
+    fleet = MembershipSimulation(size, seed, loss=loss, change=change)
+    clock, network = fleet.clock, fleet.network
+    fleet.start_all()
+    has_joined = clock.run_until_met(fleet.all_views_agree, JOIN_LIMIT_S * SECOND_US)
+    joined_s = clock.now_us / SECOND_US
+    clock.run_until(clock.now_us + REST_S * SECOND_US)
+    calm_from_us, bytes_before = clock.now_us, network.sent_bytes
+    clock.run_until(clock.now_us + CALM_S * SECOND_US)
+    figures: dict[str, Any] = {
         "size": size,
         "seed": seed,
         "loss": loss,
-        "joined_s": joined_s if joined else None,
-        "bytes_per_s": round((world.network.sent_bytes - bytes_before) / CALM_S / size),
-        "suspicions": sum(1 for line in world.log if line.event == "copy_suspected" and line.at_us >= began),
+        "joined_s": joined_s if has_joined else None,
+        "bytes_per_s": round((network.sent_bytes - bytes_before) / CALM_S / size),
+        "suspicions": fleet.suspicion_count(calm_from_us),
     }
-    told["detect_s"] = _play_one_death(world, size)
-    many = [f"copy{n}" for n in range(size) if n % 10 >= 3 and world.names[f"copy{n}"].is_running]
-    told["many_s"], told["live_error"] = _play_many_deaths(world, many)
-    dead = {name for name, process in world.names.items() if not process.is_running}
-    told["false_losses"] = sum(1 for line in world.death_reports() if line.subject not in dead)
-    told["largest_bytes"] = world.network.largest_datagram_bytes
-    told["table_bytes_a_copy"] = round(
-        world.running_processes()[0].instance.table.memory_bytes() / max(1, size - 1)
-    )
-    return told
-
-
-def _play_one_death(world: MembershipSimulation, size: int) -> dict[str, float | None]:
-    """When one death is known to the first, to half and to all of the others."""
-    name, began = f"copy{size - 1}", world.clock.now_us
-    world.kill(name)
-    known = _share_knowing(world, [name])
-    world.clock.run_until_met(lambda: known() >= 1.0, ONE_DEATH_LIMIT_S * SECOND)
-    when = sorted(
-        {line.reporter: line.at_us for line in world.death_reports(began) if line.subject == name}.values()
-    )
-    others = size - 1
-
-    def part(share: float) -> float | None:
-        nth = max(1, -int(-share * others // 1))
-        return round((when[nth - 1] - began) / SECOND, 3) if len(when) >= nth else None
-
-    return {"first": part(0.0), "half": part(0.5), "all": part(1.0)}
-
-
-def _play_many_deaths(world: MembershipSimulation, names: list[str]) -> tuple[float | None, float]:
-    began, errors = world.clock.now_us, []
+    figures["detect_s"] = _play_one_death(fleet, size)
+    figures["many_s"], figures["live_error"] = _play_many_deaths(fleet, size)
+    dead = {name for name, process in fleet.names.items() if not process.is_running}
+    figures["false_losses"] = sum(1 for told in fleet.death_reports() if told.subject not in dead)
+    figures["largest_bytes"] = network.largest_datagram_bytes
+    table_bytes = fleet.running_processes()[0].instance.table.memory_bytes()
+    figures["table_bytes_a_copy"] = round(table_bytes / max(1, size - 1))
+    return figures
+
+
+def _play_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
+    """Seconds until one death is known to the first, to half and to all of the others."""
+    name, started_us, others = f"copy{size - 1}", fleet.clock.now_us, size - 1
+    fleet.kill(name)
+    share = _share_knowing(fleet, [name])
+    fleet.clock.run_until_met(lambda: share() >= 1.0, ONE_DEATH_LIMIT_S * SECOND_US)
+    reports = [told for told in fleet.death_reports(started_us) if told.subject == name]
+    known_us = sorted({told.reporter: told.at_us for told in reports}.values())
+
+    def seconds_until(known_share: float) -> float | None:
+        needed = max(1, -int(-known_share * others // 1))
+        return round((known_us[needed - 1] - started_us) / SECOND_US, 3) if len(known_us) >= needed else None
+
+    return {"first": seconds_until(0.0), "half": seconds_until(0.5), "all": seconds_until(1.0)}
+
+
+def _play_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
+    """Seconds until the deaths of seven in ten are known to all, and the mean error of the live count."""
+    clock, started_us = fleet.clock, fleet.clock.now_us
+    names = [
+        f"copy{number}"
+        for number in range(size)
+        if number % 10 >= SURVIVORS_OF_TEN and fleet.names[f"copy{number}"].is_running
+    ]
     for name in names:
-        world.kill(name)
-    known = _share_knowing(world, names)
-    while known() < 1.0 and world.clock.now_us - began < MANY_DEATHS_LIMIT_S * SECOND:
-        world.clock.run_until(world.clock.now_us + SECOND // 10)
-        up = world.running_processes()
-        errors.append(
-            sum(abs(process.instance.live_instance_count() - len(up)) for process in up) / len(up) / len(up)
-        )
-    took_s = (world.clock.now_us - began) / SECOND
-    return (took_s if known() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
+        fleet.kill(name)
+    share, errors = _share_knowing(fleet, names), []
+    while share() < 1.0 and clock.now_us - started_us < MANY_DEATHS_LIMIT_S * SECOND_US:
+        clock.run_until(clock.now_us + MANY_DEATHS_STEP_US)
+        running = fleet.running_processes()
+        total = sum(abs(process.instance.live_instance_count() - len(running)) for process in running)
+        errors.append(total / len(running) / len(running))
+    took_s = (clock.now_us - started_us) / SECOND_US
+    return (took_s if share() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
 
 
-def _share_knowing(world: MembershipSimulation, names: list[str]) -> Callable[[], float]:
-    """The share of pairs of one that is up and one of these in which the first knows that the other is
-    gone."""
+def _share_knowing(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
+    """Share of pairs of a running instance and one of `names` in which the first knows that it is gone."""
 
     def share() -> float:
         knowing = pairs = 0
-        for process in world.running_processes():
-            of = dict(zip(process.instance.table.names, process.instance.table.ids, strict=True))
+        for process in fleet.running_processes():
+            table, dead_in_own_view = process.instance.table, process.instance.isolation.dead_in_own_view
+            ids = dict(zip(table.names, table.ids, strict=True))
             for name in names:
                 pairs += 1
-                at = process.instance.table.row_of(of[name]) if name in of else -1
-                knowing += (
-                    at < 0
-                    or process.instance.table.states[at] >= DEAD
-                    or of[name] in process.instance.isolation.dead_in_own_view
-                )
+                row = table.row_of(ids[name]) if name in ids else -1
+                knowing += row < 0 or table.states[row] >= DEAD or ids[name] in dead_in_own_view
         return knowing / max(1, pairs)
 
     return share
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from cressrail.membership import log_events
 from cressrail.membership.messages import (
     DEAD,
     Address,
@@ -221,9 +222,17 @@
             for process in running
         )
 
+    def suspicion_count(self, since_us: int) -> int:
+        """Log events by which instances suspected others."""
+        return sum(
+            1 for told in self.log if told.event == log_events.INSTANCE_SUSPECTED and told.at_us >= since_us
+        )
+
     def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
         """Log events by which an instance declared another dead."""
-        return [told for told in self.log if told.event == "copy_lost" and told.at_us >= since_us]
+        return [
+            told for told in self.log if told.event == log_events.INSTANCE_DEAD and told.at_us >= since_us
+        ]
 
 
 def live_names(instance: MembershipStateMachine) -> set[str]:
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -1,8 +1,8 @@
-"""The socket on which copies talk: reads datagrams, sends what the reducer of membership asks for, wakes it
-in time.
+"""The socket of membership: reads datagrams, executes the state machine's commands, runs its timers.
 
-It decides nothing. A process that hands over closes it and one that takes over opens it, at the same
-address."""
+It decides nothing. At a hand-over the process that yields closes the socket, and its successor opens one at
+the same address.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 from cressrail.configuration.membership import MembershipConfiguration
 from cressrail.event_loop.scheduler import MAIL, READ
+from cressrail.membership import log_events
 from cressrail.membership.load_reports import PeerLoadSummary
 from cressrail.membership.messages import (
     Command,
@@ -33,95 +34,102 @@
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import FailoverDriver
 
-MAX_DATAGRAMS_PER_TURN = (
-    32  # datagrams read before others get their turn: guards against a flood that holds up transactions
-)
-RECEIVE_BYTES = 2048  # more than any datagram of a copy: a longer one shows as such
-BIND_RETRY_US = 50_000  # until the address is tried again that another process of this sidecar still holds
-RECEIVE_BUFFER_BYTES = 1 << 18  # bytes that wait while this process is at other work
-ANCILLARY_BYTES = 256  # bytes of what the kernel says beside a datagram that was refused
-# ip(7) and ipv6(7): that refusals are kept, with where the datagram went
+MAX_DATAGRAMS_PER_TURN = 32  # before other tasks get their turn, so that a flood does not hold up requests
+RECEIVE_BYTES = 2048  # more than any datagram of the fleet: a longer one is rejected by its size
+BIND_RETRY_US = 50_000  # until the address is tried again, which the predecessor may still hold
+RECEIVE_BUFFER_BYTES = 1 << 18  # for what waits while this process is at other work
+ANCILLARY_BYTES = 256  # for what the kernel says beside a datagram that was refused
+MIN_ERROR_BYTES = 4  # of an error number
+# IP_RECVERR, IPV6_RECVERR (ip(7), ipv6(7)): the kernel keeps refusals, with where the datagram went.
 RECEIVE_ERROR_OPTIONS = {socket.AF_INET: (socket.IPPROTO_IP, 11), socket.AF_INET6: (socket.IPPROTO_IPV6, 25)}
+# What other tasks tell this one.
 YIELD, RESUME, LEAVE = "cede", "resume", "leave"
 
 
-def bind_datagram_socket(part: MembershipConfiguration) -> socket.socket:
-    family = socket.AF_INET6 if ":" in part.listen[0] else socket.AF_INET
+def bind_datagram_socket(configuration: MembershipConfiguration) -> socket.socket:
+    """Opens the socket of membership.
+
+    Raises:
+        OSError: The address can't be bound; the text says so.
+    """
+    host, port = configuration.listen
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         if sys.platform == "linux":
             sock.setsockopt(*RECEIVE_ERROR_OPTIONS[family], 1)
-        sock.bind(part.listen)
-    except OSError as fault:
+        sock.bind(configuration.listen)
+    except OSError as error:
         sock.close()
-        raise OSError(
-            f"cannot listen on {part.listen[0]}:{part.listen[1]} for membership: {fault.strerror}"
-        ) from None
+        raise OSError(f"cannot listen on {host}:{port} for membership: {error.strerror}") from None
     return sock
 
 
 class MembershipTransport:
-    """Owns the socket. `waits`: another process of this sidecar may hold the address still."""
+    """Owns the socket, and the task that serves it."""
 
-    def __init__(self, net: CommandDispatcher, part: MembershipConfiguration, waits: bool) -> None:
-        self.net, self.configuration = net, part
-        self.sock = None if waits else bind_datagram_socket(part)
+    def __init__(self, net: CommandDispatcher, configuration: MembershipConfiguration, waits: bool) -> None:
+        """Starts the task; `waits` if a predecessor may still hold the address."""
+        self.net, self.configuration = net, configuration
+        self.sock = None if waits else bind_datagram_socket(configuration)
         self.instance = self._new_instance()
         self.report_translator = PeerReportTranslator()
         self.failover: FailoverDriver | None = None
         self.task = net.loop.spawn(self.run, first=True)
 
     def _new_instance(self) -> MembershipStateMachine:
-        now = self.net.now()
-        chance = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
-        return MembershipStateMachine(
-            self.configuration.settings, chance, now, chance.below(1 << 32), now // 1000
-        )
+        now_us = self.net.now()
+        random = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
+        process_id = random.below(1 << 32)
+        return MembershipStateMachine(self.configuration.settings, random, now_us, process_id, now_us // 1000)
 
     def _new_failover_driver(self) -> FailoverDriver | None:
         if self.configuration.failover is None:
             return None
-        from cressrail.network.failover_driver import (
-            FailoverDriver,
-        )  # nothing of it is loaded where it is off
+        # Imported here, so that nothing of it is loaded where it is off.
+        from cressrail.network.failover_driver import FailoverDriver
 
         return FailoverDriver(self.net, self.configuration.failover, self.instance)
 
     def run(self) -> None:
+        """The task: takes part until it is told to leave, with breaks while a successor runs."""
         task = self.net.loop.current
         assert task is not None
         try:
-            while True:
-                if self.sock is None and not self._open(task.mail):
-                    return
-                assert self.sock is not None
-                self.failover = self._new_failover_driver()
-                self._execute(self.instance.start(self.net.now()))
-                goes_on = self._serve(self.sock, task.mail)
-                if self.failover is not None:
-                    self.failover.close()
-                    self.failover = None
-                if not goes_on:
-                    return
+            while self._take_part(task.mail):
                 self._close()
                 while not task.mail:
                     self.net.loop.wait()
                 if task.mail.popleft() != RESUME:
                     return
-                self.instance = (
-                    self._new_instance()
-                )  # the other process was this copy meanwhile: this one begins anew
+                # The successor took part under this name meanwhile, so this process begins anew.
+                self.instance = self._new_instance()
         finally:
             self._close()
 
+    def _take_part(self, mail: Any) -> bool:
+        """Takes part until told to yield; false once it has left for good."""
+        if self.sock is None and not self._open(mail):
+            return False
+        assert self.sock is not None
+        self.failover = self._new_failover_driver()
+        self._execute(self.instance.start(self.net.now()))
+        has_yielded = self._serve(self.sock, mail)
+        if self.failover is not None:
+            self.failover.close()
+            self.failover = None
+        return has_yielded
+
     def _open(self, mail: Any) -> bool:
+        """Tries to bind until it succeeds; false if a message came first."""
         while not mail:
             try:
                 self.sock = bind_datagram_socket(self.configuration)
-                return True
             except OSError:
                 self.net.loop.wait(until_us=self.net.now() + BIND_RETRY_US)
+            else:
+                return True
         return False
 
     def _close(self) -> None:
@@ -130,19 +138,14 @@
             self.sock = None
 
     def _serve(self, sock: socket.socket, mail: Any) -> bool:
-        """Until told to cede; false once it has left for good."""
+        """Serves the socket and the timers until told to yield; false once it has left for good."""
         while True:
-            wake_us = (
-                self.instance.next_timer_us
-                if self.failover is None
-                else min(self.instance.next_timer_us, self.failover.wake_us)
-            )
-            why = self.net.loop.wait(sock.fileno(), READ, wake_us)
+            reason = self.net.loop.wait(sock.fileno(), READ, self._next_timer_us())
             if mail:
-                told = mail.popleft()
-                self._execute(self.instance.leave(self.net.now(), announces=told == LEAVE))
-                return bool(told == YIELD)
-            if why != MAIL:
+                message = mail.popleft()
+                self._execute(self.instance.leave(self.net.now(), announces=message == LEAVE))
+                return bool(message == YIELD)
+            if reason != MAIL:
                 self._read(sock)
                 self._read_refusals(sock)
             if self.net.now() >= self.instance.next_timer_us:
@@ -150,77 +153,93 @@
             if self.failover is not None and self.net.now() >= self.failover.wake_us:
                 self._execute(self.failover.woke(self.instance))
 
+    def _next_timer_us(self) -> int:
+        if self.failover is None:
+            return self.instance.next_timer_us
+        return min(self.instance.next_timer_us, self.failover.wake_us)
+
     def _read(self, sock: socket.socket) -> None:
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data = sock.recv(RECEIVE_BYTES)
+                payload = sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # told of an earlier datagram that did not arrive
+            except OSError:  # about an earlier datagram that did not arrive
                 continue
-            self._execute(self.instance.on_datagram(self.net.now(), data))
-
-    def _execute(self, effects: list[Command]) -> None:
-        for effect in effects:
-            if isinstance(effect, SendDatagram):
-                self._send(effect)
-            elif isinstance(effect, InstanceCount):
-                told = {"all": round(effect.total, 2), "near": round(effect.in_zone, 2)}
-                self.net.log.write_event("copies_counted", told)
-                self.net.dispatch(
-                    self.net.state_machine.on_instance_count(self.net.now(), effect.total, effect.in_zone)
-                )
-            elif isinstance(effect, PeerLoadSummary):
-                reducer = self.net.state_machine
-                heard = self.report_translator.to_endpoint_indices(
-                    effect, reducer.load_balancer, reducer.registry
-                )
-                self.net.dispatch(reducer.on_peer_reports(self.net.now(), *heard))
-            elif isinstance(effect, UserMessage):
+            self._execute(self.instance.on_datagram(self.net.now(), payload))
+
+    def _execute(self, commands: list[Command]) -> None:
+        for command in commands:
+            if isinstance(command, SendDatagram):
+                self._send(command)
+            elif isinstance(command, InstanceCount):
+                self._update_instance_count(command)
+            elif isinstance(command, PeerLoadSummary):
+                self._apply_peer_reports(command)
+            elif isinstance(command, UserMessage):
                 if self.failover is not None:
-                    self._execute(self.failover.heard(self.instance, effect))
-            elif isinstance(effect, RequestLoadReports):
-                now, reducer = self.net.now(), self.net.state_machine
-                self.instance.set_own_load_reports(
-                    now, self.report_translator.own_reports(now, reducer.load_balancer, reducer.registry)
-                )
+                    self._execute(self.failover.heard(self.instance, command))
+            elif isinstance(command, RequestLoadReports):
+                self._report_load()
             else:
-                self.net.log.write_event(effect.event, effect.fields)
+                self.net.log.write_event(command.event, command.fields)
+
+    def _update_instance_count(self, count: InstanceCount) -> None:
+        fields = {"all": round(count.total, 2), "near": round(count.in_zone, 2)}
+        self.net.log.write_event(log_events.INSTANCES_COUNTED, fields)
+        proxy = self.net.state_machine
+        self.net.dispatch(proxy.on_instance_count(self.net.now(), count.total, count.in_zone))
+
+    def _apply_peer_reports(self, summary: PeerLoadSummary) -> None:
+        proxy = self.net.state_machine
+        failing, loads = self.report_translator.to_endpoint_indices(
+            summary, proxy.load_balancer, proxy.registry
+        )
+        self.net.dispatch(proxy.on_peer_reports(self.net.now(), failing, loads))
+
+    def _report_load(self) -> None:
+        now_us, proxy = self.net.now(), self.net.state_machine
+        reports = self.report_translator.own_reports(now_us, proxy.load_balancer, proxy.registry)
+        self.instance.set_own_load_reports(now_us, reports)
 
-    def _send(self, effect: SendDatagram) -> None:
-        for _ in range(2):  # the first may be told, in place of sending, that an earlier one was refused
-            with suppress(OSError):  # as good as lost on its way
+    def _send(self, command: SendDatagram) -> None:
+        for _ in range(2):  # the first call may fail for an earlier datagram that was refused
+            with suppress(OSError):  # the datagram counts as lost
                 if self.sock is not None:
-                    self.sock.sendto(effect.payload, effect.destination)
+                    self.sock.sendto(command.payload, command.destination)
                 return
 
     def _read_refusals(self, sock: socket.socket) -> None:
-        """Whose addresses refused: the kernel keeps each with where the datagram went."""
+        """Reads from the error queue to which addresses datagrams were refused."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                _, about, _, address = sock.recvmsg(0, ANCILLARY_BYTES, socket.MSG_ERRQUEUE)
+                _, ancillary, _, address = sock.recvmsg(0, ANCILLARY_BYTES, socket.MSG_ERRQUEUE)
             except OSError:
                 return
-            for _, _, told in about:
-                if len(told) >= 4 and int.from_bytes(told[:4], sys.byteorder) == errno.ECONNREFUSED:
+            for _, _, data in ancillary:
+                error = int.from_bytes(data[:MIN_ERROR_BYTES], sys.byteorder)
+                if len(data) >= MIN_ERROR_BYTES and error == errno.ECONNREFUSED:
                     self._execute(self.instance.on_connection_refused(self.net.now(), address[:2]))
 
-    # What other tasks ask of it
+    # Called by other tasks
 
-    def notify(self, what: str) -> None:
-        self.net.loop.post(self.task, what)
+    def notify(self, message: str) -> None:
+        """Has the task yield, resume or leave."""
+        self.net.loop.post(self.task, message)
 
-    def set_keys(self, part: MembershipConfiguration) -> None:
-        self.instance.set_keys(part.settings.keys)
-        self.net.log.write_event("membership_keys", {"keys": len(part.settings.keys)})
+    def set_keys(self, configuration: MembershipConfiguration) -> None:
+        """Takes over the keys of a configuration that was read again."""
+        self.instance.set_keys(configuration.settings.keys)
+        self.net.log.write_event("membership_keys", {"keys": len(configuration.settings.keys)})
 
     def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
-        """What an operator asks of zones."""
+        """Answers an operator's request on zones with a status and what is told."""
         if self.failover is None:
             return 404, "no part failover in the configuration"
-        status, told, effects = self.failover.asked(self.instance, method, target)
-        self._execute(effects)
+        status, told, commands = self.failover.asked(self.instance, method, target)
+        self._execute(commands)
         return status, told
 
     def view_json(self) -> bytes:
+        """The body of `/membership`."""
         return orjson.dumps(self.instance.view(self.net.now()), option=orjson.OPT_APPEND_NEWLINE)
