--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -1,4 +1,4 @@
-"""`cressrail failover`: plays in virtual time of how zones' traffic is decided on in common."""
+"""`cressrail failover`: simulations of how the sidecars of a tier decide jointly on zones."""
 
 from __future__ import annotations
 
@@ -7,14 +7,10 @@
 
 import typer
 
+from cressrail.cli.command_group import command_group
 from cressrail.cli.output import fail, tell
 
-app = typer.Typer(
-    help="Which part of each zone's traffic goes where.",
-    no_args_is_help=True,
-    rich_markup_mode=None,
-    pretty_exceptions_enable=False,
-)
+app = command_group("Which part of each zone's traffic goes where.")
 
 
 @app.callback()
@@ -26,15 +22,15 @@
 def simulate(
     scenario: Annotated[Path, typer.Argument(help="TOML; examples stand in example/failover/.")],
     seed: int = 1,
-    json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
 ) -> None:
-    """Play a scenario in virtual time, by the same reducer as in service."""
-    from cressrail.failover.simulation import Scenario
-    from cressrail.failover.simulation import simulate as play
+    """Simulate a scenario on a virtual clock, by the same state machine as in service."""
+    from cressrail.failover.simulation.scenario import Scenario
+    from cressrail.failover.simulation.simulator import simulate as run_simulation
     from cressrail.testbed.scenario_file import Unusable, read
 
     try:
-        told = play(read(scenario, Scenario), seed)
-    except Unusable as fault:
-        fail(str(fault))
-    tell(told, json)
+        figures = run_simulation(read(scenario, Scenario), seed)
+    except Unusable as error:
+        fail(str(error))
+    tell(figures, json)
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -1,4 +1,4 @@
-"""The part `membership` of a configuration: names, addresses, seeds and keys of membership."""
+"""The section `membership` of a configuration: address, seeds and keys of an instance among its peers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrail.configuration.files import part_of_file
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, under
+from cressrail.configuration.addresses import read_ip_port
+from cressrail.configuration.files import read_section_file
+from cressrail.configuration.settings_reader import (
+    ConfigurationError,
+    SettingsReader,
+    error_prefix,
+    shown,
+)
 from cressrail.membership.messages import (
     MAX_DATAGRAM_BYTES,
     MAX_NAME_BYTES,
@@ -19,120 +25,158 @@
 )
 from cressrail.membership.settings import MembershipSettings
 
-MAX_KEYS = 2
+LISTEN, ADVERTISE, SEEDS, KEYS = "listen", "advertise", "seeds", "keys"
+ZONE, TOLERATED_PAUSE_MS, DATAGRAM_BYTES_LIMIT, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
+KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, TOLERATED_PAUSE_MS, DATAGRAM_BYTES_LIMIT, USED_FOR)
+
+MAX_KEYS = 2  # the first signs, both are accepted: one can replace the other without a gap
 KEY_BYTES = 32
-KEY_FILE_BYTES = 4096  # that are read
-MAX_PORT = 65535
+MAX_KEY_FILE_BYTES = 4096
 MIN_TOLERATED_PAUSE_MS, DEFAULT_TOLERATED_PAUSE_MS, MAX_TOLERATED_PAUSE_MS = 300, 3000, 600_000
-KNOWN_SETTINGS = ("listen", "advertise", "seeds", "keys", "zone", "bear_pause_ms", "most_bytes", "use")
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfiguration:
-    """What `network.membership_transport` is made with; `failover`: its settings, if it is on."""
+    """What the membership protocol of one instance is started with.
+
+    Attributes:
+        listen: Where datagrams are read and sent from.
+        settings: Of the protocol's state machine.
+        failover: Settings of the failover between zones, where that is configured.
+    """
 
     listen: Address
     settings: MembershipSettings
     failover: Any = None
 
 
-def read_part(told: Any, config: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
-    """Reads the part.
+def read_membership_section(
+    value: Any, config_path: str, instance_name: str, zone: str, instance_count: int
+) -> MembershipConfiguration:
+    """Returns the section of a configuration.
 
     Args:
-        told: The part itself, or the path of a file that holds it, from the folder of `config`.
-        config: Path of the configuration.
-        name: Name of the instance.
-        zone: Zone of the instance, unless the part says another.
-        copies: Configured number of instances.
+        value: The section itself, or the path of its file, counted from the folder of `config_path`.
+        config_path: Path of the configuration.
+        instance_name: Name of this instance among its peers.
+        zone: Zone of the tier's settings; the section may name another.
+        instance_count: Instances of the tier by its settings.
 
     Raises:
-        ConfigurationError: The part can't be used; the text says where and why, in one line.
+        ConfigurationError: A setting is missing or impossible.
     """
-    if isinstance(told, str):
-        path = os.path.join(os.path.dirname(config), told)
-        part = part_of_file(path)
-        with under(f"{path}: "):
-            return _part(part, os.path.dirname(path), name, zone, copies)
-    if not isinstance(told, dict):
-        raise ConfigurationError(f"{config}: membership is neither a part nor the path of one")
-    with under(f"{config}: membership."):
-        return _part(told, os.path.dirname(config), name, zone, copies)
-
-
-def _part(part: dict[str, Any], folder: str, name: str, zone: str, copies: int) -> MembershipConfiguration:
-    told = SettingsReader.nested(part)
-    for key in part:
-        if key not in KNOWN_SETTINGS:
-            raise ConfigurationError(f"{key[:40]} is none of {', '.join(KNOWN_SETTINGS)}")
-    listen = _address("listen", told.word("listen"))
-    advertise = _address("advertise", told.pairs["advertise"]) if "advertise" in told.pairs else listen
-    if ipaddress.ip_address(advertise[0]).is_unspecified:
-        raise ConfigurationError(
-            f"{'advertise' if 'advertise' in told.pairs else 'listen'} is no address to send to: "
-            f"{advertise[0]}"
-        )
-    zone = told.pairs.get("zone", zone)
-    for path, text, longest in (("zone", zone, MAX_ZONE_BYTES), ("name", name, MAX_NAME_BYTES)):
-        if not text or len(text.encode()) > longest:
-            raise ConfigurationError(f"{path} is not within 1 and {longest} bytes: {text[:80]}")
-    max_bytes = told.whole("most_bytes", MIN_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES)
-    if max_bytes > MAX_DATAGRAM_BYTES:
-        raise ConfigurationError(f"most_bytes is above {MAX_DATAGRAM_BYTES}: {max_bytes}")
-    tolerated_pause_ms = told.whole(
-        "bear_pause_ms", MIN_TOLERATED_PAUSE_MS, absent=DEFAULT_TOLERATED_PAUSE_MS
+    if isinstance(value, str):
+        path = os.path.join(os.path.dirname(config_path), value)
+        section = read_section_file(path)
+        with error_prefix(f"{path}: "):
+            return _parse(section, os.path.dirname(path), instance_name, zone, instance_count)
+    if not isinstance(value, dict):
+        raise ConfigurationError(f"{config_path}: membership", "is neither a part nor the path of one")
+    with error_prefix(f"{config_path}: membership."):
+        return _parse(value, os.path.dirname(config_path), instance_name, zone, instance_count)
+
+
+def _parse(
+    section: dict[str, Any], folder: str, instance_name: str, zone: str, instance_count: int
+) -> MembershipConfiguration:
+    reader = SettingsReader.from_nested(section)
+    for name in section:
+        if name not in KNOWN_SETTINGS:
+            raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
+    listen = read_ip_port(LISTEN, reader.text(LISTEN))
+    advertise = _read_advertised_address(reader, listen)
+    zone = reader.values.get(ZONE, zone)
+    _check_length(ZONE, zone, MAX_ZONE_BYTES)
+    _check_length("name", instance_name, MAX_NAME_BYTES)
+    max_bytes = _read_bounded(
+        reader, DATAGRAM_BYTES_LIMIT, MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES
+    )
+    tolerated_pause_ms = _read_bounded(
+        reader,
+        TOLERATED_PAUSE_MS,
+        MIN_TOLERATED_PAUSE_MS,
+        MAX_TOLERATED_PAUSE_MS,
+        absent=DEFAULT_TOLERATED_PAUSE_MS,
+    )
+    seeds = tuple(
+        read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section, SEEDS))
     )
-    if tolerated_pause_ms > MAX_TOLERATED_PAUSE_MS:
-        raise ConfigurationError(f"bear_pause_ms is above {MAX_TOLERATED_PAUSE_MS}: {tolerated_pause_ms}")
-    seeds = tuple(_address(f"seeds.{n}", seed) for n, seed in enumerate(_list(part, "seeds")))
-    use = _list(part, "use")
-    for n, word in enumerate(use):
-        if word not in USES:
-            raise ConfigurationError(f"use.{n} is none of {', '.join(USES)}: {word[:40]}")
-    keys = _keys(os.path.join(folder, told.word("keys")))
+    uses = _read_list(section, USED_FOR)
+    for index, use in enumerate(uses):
+        if use not in USES:
+            raise ConfigurationError(f"{USED_FOR}.{index}", f"is none of {', '.join(USES)}: {shown(use)}")
+    keys = _read_keys(os.path.join(folder, reader.text(KEYS)))
     return MembershipConfiguration(
         listen,
         MembershipSettings(
-            name, zone, advertise, seeds, keys, tolerated_pause_ms * 1000, max_bytes, copies, tuple(use)
+            instance_name,
+            zone,
+            advertise,
+            seeds,
+            keys,
+            tolerated_pause_ms * 1000,
+            max_bytes,
+            instance_count,
+            tuple(uses),
         ),
     )
 
 
-def _list(part: dict[str, Any], path: str) -> list[str]:
-    value = part.get(path, [])
+def _read_advertised_address(reader: SettingsReader, listen: Address) -> Address:
+    """Returns where peers reach this instance; an unspecified address can't be sent to."""
+    is_named = ADVERTISE in reader.values
+    advertise = read_ip_port(ADVERTISE, reader.values[ADVERTISE]) if is_named else listen
+    if ipaddress.ip_address(advertise[0]).is_unspecified:
+        path = ADVERTISE if is_named else LISTEN
+        raise ConfigurationError(path, f"is no address to send to: {advertise[0]}")
+    return advertise
+
+
+def _check_length(path: str, text: str, max_bytes: int) -> None:
+    if not text or len(text.encode()) > max_bytes:
+        raise ConfigurationError(path, f"is not within 1 and {max_bytes} bytes: {text[:80]}")
+
+
+def _read_bounded(reader: SettingsReader, path: str, least: int, most: int, absent: int) -> int:
+    value = reader.whole_number(path, least, absent=absent)
+    if value > most:
+        raise ConfigurationError(path, f"is above {most}: {value}")
+    return value
+
+
+def _read_list(section: dict[str, Any], path: str) -> list[str]:
+    value = section.get(path, [])
     if not isinstance(value, list):
-        raise ConfigurationError(f"{path} is no list: {str(value)[:40]}")
+        raise ConfigurationError(path, f"is no list: {shown(value)}")
     return [str(item) for item in value]
 
 
-def _keys(path: str) -> tuple[bytes, ...]:
+def _read_keys(path: str) -> tuple[bytes, ...]:
+    """Reads the keys that authenticate datagrams, one a line in hexadecimal digits."""
+    path_in_message = f"{KEYS}: {path}"
     try:
         with open(path, "rb") as file:
-            lines = [line for line in file.read(KEY_FILE_BYTES).split(b"\n") if line.strip()]
-    except OSError as fault:
-        raise ConfigurationError(f"keys: {path}: {fault.strerror}") from None
+            lines = [line for line in file.read(MAX_KEY_FILE_BYTES).split(b"\n") if line.strip()]
+    except OSError as error:
+        raise ConfigurationError(path_in_message, str(error.strerror), ": ") from None
     if not 1 <= len(lines) <= MAX_KEYS:
-        raise ConfigurationError(f"keys: {path}: holds {len(lines)} keys, one or {MAX_KEYS} are wanted")
+        raise ConfigurationError(
+            path_in_message, f"holds {len(lines)} keys, one or {MAX_KEYS} are wanted", ": "
+        )
     keys = []
-    for n, line in enumerate(lines, 1):
-        try:
-            key = bytes.fromhex(line.decode("ascii").strip())
-        except ValueError:
-            key = b""
-        if len(key) != KEY_BYTES:
-            raise ConfigurationError(f"keys: {path}: line {n} is no key of 64 hexadecimal digits")
+    for number, line in enumerate(lines, 1):
+        key = _parse_key(line)
+        if key is None:
+            raise ConfigurationError(
+                path_in_message, f"line {number} is no key of {2 * KEY_BYTES} hexadecimal digits", ": "
+            )
         keys.append(key)
     return tuple(keys)
 
 
-def _address(path: str, text: str) -> Address:
-    """Names would have to be looked up, and what answers could change under way: addresses only."""
-    host, _, port = text.rpartition(":")
-    host = host.strip("[]")
+def _parse_key(line: bytes) -> bytes | None:
     try:
-        ipaddress.ip_address(host)
-        if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT) or "%" in host:
-            raise ValueError
+        key = bytes.fromhex(line.decode("ascii").strip())
     except ValueError:
-        raise ConfigurationError(f"{path} is no address:port: {text[:60]}") from None
-    return host, int(port)
+        return None
+    return key if len(key) == KEY_BYTES else None
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -1,4 +1,4 @@
-"""The address that clients connect to."""
+"""Accepts client connections on the address that the sidecar listens on."""
 
 from __future__ import annotations
 
@@ -8,17 +8,27 @@
 from cressrail.event_loop.scheduler import MAIL, READ
 from cressrail.network.client_connection import ClientConnectionTask
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.network.socket_stream import SHORT
-from cressrail.proxy.commands import AcceptClients
+from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
 
 BACKLOG = 1024
-AT_ONCE = 64  # connections taken in before other work gets its turn
-SHORT_PAUSE_US = 20_000
-CLOSE_US = 500_000  # for descriptors to come free, for those who wait as it closes
+MAX_ACCEPTS_PER_ROUND = 64  # before other tasks get their turn
+NO_DESCRIPTORS_PAUSE_US = 20_000
+MAX_CLOSE_US = 500_000  # waits for free descriptors while clients are left in the queue at the close
+# Errors of a connection that ended while it waited: they say nothing of those behind it.
+CONNECTION_ABORTED = (errno.ECONNABORTED, errno.EPROTO, errno.EINTR)
 
 
 def bind(host: str, port: int, shared: bool = False) -> socket.socket:
-    """`shared`: a later process of the same user may listen there too."""
+    """Returns a listening, non-blocking socket.
+
+    Args:
+        host: an IPv4 or IPv6 address.
+        port: the port, or 0 for any.
+        shared: a later process of the same user may listen on the address too.
+
+    Raises:
+        OSError: the address cannot be listened on; the message names it.
+    """
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restart binds at once
     if shared:
@@ -34,71 +44,86 @@
 
 
 class ListenerTask:
-    def __init__(self, net: CommandDispatcher, sock: socket.socket, since_us: int | None = None) -> None:
-        """`since_us`: the system has taken connections in since then, and nobody has looked."""
-        self.net = net
+    """Owns the listening socket; accepts while the state machine allows it.
+
+    Attributes:
+        sock: the listening socket.
+        accepted_clients: connections accepted so far; the last one's number.
+    """
+
+    def __init__(
+        self, dispatcher: CommandDispatcher, sock: socket.socket, unseen_since_us: int | None = None
+    ) -> None:
+        """`unseen_since_us`: the kernel has queued connections since then that nobody has looked at."""
+        self.dispatcher = dispatcher
         self.sock = sock
-        self.since_us = since_us
-        self.numbers = 0
-        self.on = False
-        self.short = False  # of descriptors, at the last try
+        self.unseen_since_us = unseen_since_us
+        self.accepted_clients = 0
+        self.is_accepting = False
+        self.is_out_of_descriptors = False  # at the last attempt
 
     def run(self) -> None:
-        task = self.net.loop.current
-        assert task is not None
+        """Accepts connections until `AcceptClients` says that the listener is closed."""
+        scheduler = self.dispatcher.scheduler
+        task = scheduler.current_task()
         while True:
-            why = self.net.loop.wait(self.sock.fileno() if self.on else -1, READ)
+            event = scheduler.wait(self.sock.fileno() if self.is_accepting else -1, READ)
             while task.mail:
-                message = task.mail.popleft()
-                assert isinstance(message, AcceptClients)  # nothing else is posted here, see Net
-                self.on = message.on
-                if message.closed:
+                command = task.mail.popleft()
+                self.is_accepting = command.on
+                if command.closed:
                     self._close()
                     return
-            if why != MAIL and self.on:
-                for _ in range(AT_ONCE):
-                    if task.mail or not self._accept():
-                        break  # nobody more, or told to stop
+            if event == MAIL or not self.is_accepting:
+                continue
+            for _ in range(MAX_ACCEPTS_PER_ROUND):
+                if task.mail or not self._accept():
+                    break
 
     def _close(self) -> None:
-        """What the system took in is ours to answer. As little as can be is between the last look and the
-        close, which resets whoever comes there."""
-        until_us = self.net.now() + CLOSE_US
+        """Accepts what the kernel has queued, then closes at once: whoever comes in between is reset."""
+        until_us = self.dispatcher.now() + MAX_CLOSE_US
         try:
-            while self._accept() or (self.short and self.net.now() < until_us):
+            while self._accept() or (self.is_out_of_descriptors and self.dispatcher.now() < until_us):
                 pass
         finally:
             self.sock.close()
 
     def _accept(self) -> bool:
-        """Whether to go on at once."""
-        self.short = False
+        """Accepts one connection; returns whether there may be another one to accept now."""
+        self.is_out_of_descriptors = False
         try:
             sock, _ = self.sock.accept()
         except BlockingIOError:
-            self.since_us = None
+            self.unseen_since_us = None
             return False
         except OSError as fault:
-            self.short = fault.errno in SHORT
-            if self.short:
-                # Guards against a listener that spins, or dies, when descriptors run out.
-                self.net.dispatch(self.net.state_machine.on_descriptors_exhausted(self.net.now()))
-                self.net.loop.wait(until_us=self.net.now() + SHORT_PAUSE_US, mail=False)
-            # One that was reset while it waited says nothing of those behind it.
-            return fault.errno in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR)
-        self.numbers += 1
-        number = self.numbers
+            self.is_out_of_descriptors = fault.errno in DESCRIPTORS_EXHAUSTED
+            if self.is_out_of_descriptors:
+                self._wait_for_descriptors()
+            return fault.errno in CONNECTION_ABORTED
+        self._start_client(sock)
+        return True
+
+    def _wait_for_descriptors(self) -> None:
+        """Lets idle connections be closed, and pauses: the waiting client would wake the listener at once."""
+        dispatcher = self.dispatcher
+        dispatcher.dispatch(dispatcher.state_machine.on_descriptors_exhausted(dispatcher.now()))
+        dispatcher.scheduler.wait(until_us=dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, mail=False)
+
+    def _start_client(self, sock: socket.socket) -> None:
+        dispatcher = self.dispatcher
+        self.accepted_clients += 1
+        number = self.accepted_clients
         try:
-            client = ClientConnectionTask(self.net, number, sock)
-        except OSError:  # it has left already
+            client = ClientConnectionTask(dispatcher, number, sock)
+        except OSError:  # the client has disconnected already
             sock.close()
-            return True
-        if self.since_us is not None:  # guards against a request's time that begins when it is seen
-            client.stream.arrived_us = min(client.stream.arrived_us, self.since_us)
-        told = self.net.state_machine.on_client_connected(
-            self.net.now(), number
-        )  # first: a task ends what was counted
-        self.net.clients[number] = self.net.loop.spawn(client.run)
-        self.net.client_fds[number] = sock.fileno()
-        self.net.dispatch(told)
-        return True
+            return
+        if self.unseen_since_us is not None:  # the first request may have waited since then
+            client.stream.arrived_us = min(client.stream.arrived_us, self.unseen_since_us)
+        # Counted before its task is spawned, as the task's end stops the counting.
+        commands = dispatcher.state_machine.on_client_connected(dispatcher.now(), number)
+        dispatcher.clients[number] = dispatcher.scheduler.spawn(client.run)
+        dispatcher.client_descriptors[number] = sock.fileno()
+        dispatcher.dispatch(commands)
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -69,17 +69,19 @@
 class MembershipTransport:
     """Owns the socket, and the task that serves it."""
 
-    def __init__(self, net: CommandDispatcher, configuration: MembershipConfiguration, waits: bool) -> None:
+    def __init__(
+        self, dispatcher: CommandDispatcher, configuration: MembershipConfiguration, waits: bool
+    ) -> None:
         """Starts the task; `waits` if a predecessor may still hold the address."""
-        self.net, self.configuration = net, configuration
+        self.dispatcher, self.configuration = dispatcher, configuration
         self.sock = None if waits else bind_datagram_socket(configuration)
         self.instance = self._new_instance()
         self.report_translator = PeerReportTranslator()
         self.failover: FailoverDriver | None = None
-        self.task = net.loop.spawn(self.run, first=True)
+        self.task = dispatcher.scheduler.spawn(self.run, first=True)
 
     def _new_instance(self) -> MembershipStateMachine:
-        now_us = self.net.now()
+        now_us = self.dispatcher.now()
         random = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
         process_id = random.below(1 << 32)
         return MembershipStateMachine(self.configuration.settings, random, now_us, process_id, now_us // 1000)
@@ -90,17 +92,17 @@
         # Imported here, so that nothing of it is loaded where it is off.
         from cressrail.network.failover_driver import FailoverDriver
 
-        return FailoverDriver(self.net, self.configuration.failover, self.instance)
+        return FailoverDriver(self.dispatcher, self.configuration.failover, self.instance)
 
     def run(self) -> None:
         """The task: takes part until it is told to leave, with breaks while a successor runs."""
-        task = self.net.loop.current
+        task = self.dispatcher.scheduler.current
         assert task is not None
         try:
             while self._take_part(task.mail):
                 self._close()
                 while not task.mail:
-                    self.net.loop.wait()
+                    self.dispatcher.scheduler.wait()
                 if task.mail.popleft() != RESUME:
                     return
                 # The successor took part under this name meanwhile, so this process begins anew.
@@ -114,7 +116,7 @@
             return False
         assert self.sock is not None
         self.failover = self._new_failover_driver()
-        self._execute(self.instance.start(self.net.now()))
+        self._execute(self.instance.start(self.dispatcher.now()))
         has_yielded = self._serve(self.sock, mail)
         if self.failover is not None:
             self.failover.close()
@@ -127,7 +129,7 @@
             try:
                 self.sock = bind_datagram_socket(self.configuration)
             except OSError:
-                self.net.loop.wait(until_us=self.net.now() + BIND_RETRY_US)
+                self.dispatcher.scheduler.wait(until_us=self.dispatcher.now() + BIND_RETRY_US)
             else:
                 return True
         return False
@@ -140,23 +142,23 @@
     def _serve(self, sock: socket.socket, mail: Any) -> bool:
         """Serves the socket and the timers until told to yield; false once it has left for good."""
         while True:
-            reason = self.net.loop.wait(sock.fileno(), READ, self._next_timer_us())
+            reason = self.dispatcher.scheduler.wait(sock.fileno(), READ, self._next_timer_us())
             if mail:
                 message = mail.popleft()
-                self._execute(self.instance.leave(self.net.now(), announces=message == LEAVE))
+                self._execute(self.instance.leave(self.dispatcher.now(), announces=message == LEAVE))
                 return bool(message == YIELD)
             if reason != MAIL:
                 self._read(sock)
                 self._read_refusals(sock)
-            if self.net.now() >= self.instance.next_timer_us:
-                self._execute(self.instance.on_timer(self.net.now()))
-            if self.failover is not None and self.net.now() >= self.failover.wake_us:
-                self._execute(self.failover.woke(self.instance))
+            if self.dispatcher.now() >= self.instance.next_timer_us:
+                self._execute(self.instance.on_timer(self.dispatcher.now()))
+            if self.failover is not None and self.dispatcher.now() >= self.failover.next_timer_us:
+                self._execute(self.failover.on_timer(self.instance))
 
     def _next_timer_us(self) -> int:
         if self.failover is None:
             return self.instance.next_timer_us
-        return min(self.instance.next_timer_us, self.failover.wake_us)
+        return min(self.instance.next_timer_us, self.failover.next_timer_us)
 
     def _read(self, sock: socket.socket) -> None:
         for _ in range(MAX_DATAGRAMS_PER_TURN):
@@ -166,7 +168,7 @@
                 return
             except OSError:  # about an earlier datagram that did not arrive
                 continue
-            self._execute(self.instance.on_datagram(self.net.now(), payload))
+            self._execute(self.instance.on_datagram(self.dispatcher.now(), payload))
 
     def _execute(self, commands: list[Command]) -> None:
         for command in commands:
@@ -178,27 +180,27 @@
                 self._apply_peer_reports(command)
             elif isinstance(command, UserMessage):
                 if self.failover is not None:
-                    self._execute(self.failover.heard(self.instance, command))
+                    self._execute(self.failover.on_message(self.instance, command))
             elif isinstance(command, RequestLoadReports):
                 self._report_load()
             else:
-                self.net.log.write_event(command.event, command.fields)
+                self.dispatcher.log.write_event(command.event, command.fields)
 
     def _update_instance_count(self, count: InstanceCount) -> None:
         fields = {"all": round(count.total, 2), "near": round(count.in_zone, 2)}
-        self.net.log.write_event(log_events.INSTANCES_COUNTED, fields)
-        proxy = self.net.state_machine
-        self.net.dispatch(proxy.on_instance_count(self.net.now(), count.total, count.in_zone))
+        self.dispatcher.log.write_event(log_events.INSTANCES_COUNTED, fields)
+        proxy = self.dispatcher.state_machine
+        self.dispatcher.dispatch(proxy.on_instance_count(self.dispatcher.now(), count.total, count.in_zone))
 
     def _apply_peer_reports(self, summary: PeerLoadSummary) -> None:
-        proxy = self.net.state_machine
+        proxy = self.dispatcher.state_machine
         failing, loads = self.report_translator.to_endpoint_indices(
             summary, proxy.load_balancer, proxy.registry
         )
-        self.net.dispatch(proxy.on_peer_reports(self.net.now(), failing, loads))
+        self.dispatcher.dispatch(proxy.on_peer_reports(self.dispatcher.now(), failing, loads))
 
     def _report_load(self) -> None:
-        now_us, proxy = self.net.now(), self.net.state_machine
+        now_us, proxy = self.dispatcher.now(), self.dispatcher.state_machine
         reports = self.report_translator.own_reports(now_us, proxy.load_balancer, proxy.registry)
         self.instance.set_own_load_reports(now_us, reports)
 
@@ -219,27 +221,27 @@
             for _, _, data in ancillary:
                 error = int.from_bytes(data[:MIN_ERROR_BYTES], sys.byteorder)
                 if len(data) >= MIN_ERROR_BYTES and error == errno.ECONNREFUSED:
-                    self._execute(self.instance.on_connection_refused(self.net.now(), address[:2]))
+                    self._execute(self.instance.on_connection_refused(self.dispatcher.now(), address[:2]))
 
     # Called by other tasks
 
     def notify(self, message: str) -> None:
         """Has the task yield, resume or leave."""
-        self.net.loop.post(self.task, message)
+        self.dispatcher.scheduler.post(self.task, message)
 
     def set_keys(self, configuration: MembershipConfiguration) -> None:
         """Takes over the keys of a configuration that was read again."""
         self.instance.set_keys(configuration.settings.keys)
-        self.net.log.write_event("membership_keys", {"keys": len(configuration.settings.keys)})
+        self.dispatcher.log.write_event("membership_keys", {"keys": len(configuration.settings.keys)})
 
     def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
         """Answers an operator's request on zones with a status and what is told."""
         if self.failover is None:
             return 404, "no part failover in the configuration"
-        status, told, commands = self.failover.asked(self.instance, method, target)
-        self._execute(commands)
-        return status, told
+        answer = self.failover.on_admin_request(self.instance, method, target)
+        self._execute(answer.commands)
+        return answer.status, answer.body
 
     def view_json(self) -> bytes:
         """The body of `/membership`."""
-        return orjson.dumps(self.instance.view(self.net.now()), option=orjson.OPT_APPEND_NEWLINE)
+        return orjson.dumps(self.instance.view(self.dispatcher.now()), option=orjson.OPT_APPEND_NEWLINE)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,9 +10,9 @@
 import pytest
 
 from cressrail.buffers.pool import Pool
-from cressrail.configuration import policy_factory as parts
+from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.discovery.endpoint_list import read, read_line
 from cressrail.handover import state as estate
 from cressrail.handover.frame import Frames, wrap
@@ -21,7 +21,7 @@
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
-from tests.test_traffic import Front
+from tests.proxy.support import Front
 from tests.test_wire import BORN, HEARD, TX
 from tests.test_wire import play as on_the_wire
 
@@ -65,7 +65,7 @@
     side = front.reducer.load_balancer
     assert len(side.endpoints) == n == len(front.reducer.registry.endpoints)
     assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
-    assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
+    assert f"app_cluster_size {n}\n" in front.reducer.admin_calls.counters_text(SECOND).decode()
     side.endpoints[n].limit = 1.25
     frames, heir = Frames(), Front(0)
     frames.add(wrap("estate", front.reducer.hand_over(SECOND)[0]))
@@ -114,9 +114,9 @@
             opened += carry.is_new_connection
             front.end(carry, Outcome.SUCCEEDED, now + 1000)
         front.told += front.reducer.on_client_closed(now + 2000, k)
-    assert not [note for note in front.all(do.LogEvent) if note.event == "no_room"]
+    assert not [note for note in front.all(do.LogEvent) if note.event == "connection_limit_reached"]
     assert not front.all(do.CloseEndpointConnection) and opened <= dearest
-    assert len(front.reducer.connections) <= links
+    assert len(front.reducer.connections.open) <= links
 
 
 @pytest.mark.parametrize(
@@ -133,13 +133,13 @@
     config = copy.deepcopy(CONFIG)
     config["known"] = listed(0, 1024)
     config["settings"]["n_instances"] = copies
-    start = read_config(config, {})
+    start = parse_configuration(config, {})
     if wrong:
         with pytest.raises(ConfigurationError, match=wrong):
-            parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
-    side = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert side.instances == copies and len(start.known.entries) == 1024
+    side = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
+    assert side.instances == copies and len(start.known_endpoints.entries) == 1024
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,18 +15,19 @@
 import pytest
 
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.network import admin_server as ops
 from cressrail.network import listener
 from cressrail.policy.load_balancer import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
+from cressrail.proxy.clients import CLIENT_STALL_US
+from cressrail.proxy.lifecycle import OUT_OF_SERVICE_IDLE_US
 from cressrail.proxy.request_counters import RequestCounters
-from cressrail.proxy.state_machine import DRAIN_IDLE_US, FRESH_US
 from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
 from tests.helpers import entry as listed
+from tests.proxy.support import Front
 from tests.test_sockets import serving
-from tests.test_traffic import Front
 
 
 def figures(front: Front, now: int = 0) -> dict[str, int]:
@@ -133,14 +134,14 @@
     front.end(front.hop(), Outcome.SUCCEEDED, SECOND)
     [answer] = front.all(do.SendResponse)
     assert answer.closes_connection and answer.response.status == 200
-    front.told += front.reducer.on_timer(SECOND + DRAIN_IDLE_US)
+    front.told += front.reducer.on_timer(SECOND + OUT_OF_SERVICE_IDLE_US)
     assert [(shut.client, shut.only_if_idle) for shut in front.all(do.CloseClient)] == [(1, True)]
     front.came(3, 2 * SECOND)  # one that comes meanwhile is served,
     front.ask(3, now=2 * SECOND)
     front.end(front.hop(), Outcome.SUCCEEDED, 2 * SECOND)
     assert front.all(do.SendResponse)[0].closes_connection
     front.came(4, 2 * SECOND)  # one that says nothing is not held
-    front.told += front.reducer.on_timer(2 * SECOND + FRESH_US)
+    front.told += front.reducer.on_timer(2 * SECOND + CLIENT_STALL_US)
     assert [shut.client for shut in front.all(do.CloseClient)] == [4]
     assert call(front, control.IN, 2 * SECOND) == 200 and front.reducer.is_ready(2 * SECOND)
     front.came(5, 3 * SECOND)
@@ -170,8 +171,8 @@
     else:
         env["BALANCER_OPS"] = value
     with pytest.raises(ConfigurationError, match=f"^{re.escape(says)}$"):
-        read_config(config, env)
-    assert read_config(copy.deepcopy(CONFIG), {}).admin is None
+        parse_configuration(config, env)
+    assert parse_configuration(copy.deepcopy(CONFIG), {}).admin is None
 
 
 def test_an_address_for_operators_that_is_taken_ends_the_start(tmp_path: Path) -> None:
@@ -195,7 +196,7 @@
 
 def opened() -> tuple[Play, ops.AdminServerTask, tuple[str, int]]:
     made = Play([serving(reply(b"hello"))])
-    door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0))
+    door = ops.AdminServerTask(made.net, listener.bind("127.0.0.1", 0), None)
     made.loop.spawn(door.run, first=True)
     return made, door, door.sock.getsockname()
 
@@ -251,7 +252,7 @@
     seen: list[Any] = []
 
     def script(peer: Peer) -> None:
-        socks = [Peer(peer.loop, socket.create_connection(at)) for _ in range(ops.CALLS - 1)]
+        socks = [Peer(peer.loop, socket.create_connection(at)) for _ in range(ops.MAX_OPEN_CALLS - 1)]
         for n in range(3):
             last = Peer(peer.loop, socket.create_connection(at))
             last.say(get("/control/counters"))
@@ -259,7 +260,7 @@
             last.sock.close()
             if n == 0:  # the script's own connection and those above fill all places
                 socks += [Peer(peer.loop, socket.create_connection(at)) for _ in range(2)]
-        assert len(door.calls) <= ops.CALLS
+        assert len(door.calls) <= ops.MAX_OPEN_CALLS
         seen.append(peer.hear(b"never"))  # the oldest: closed to make room
         for other in socks:
             other.sock.close()
