--- /dev/null
+++ b/tests/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of cressrail.membership, one file a module."""
--- /dev/null
+++ b/tests/membership/test_live_count.py
@@ -0,0 +1,87 @@
+"""LiveInstanceCount."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as some
+
+from cressrail.membership.live_count import (
+    DECREASE_HALF_LIFE_PAUSES,
+    FALLBACK_HALF_LIFE_PAUSES,
+    MAX_DEVIATION_FACTOR,
+    STARTUP_PAUSES,
+    LiveInstanceCount,
+    ObservedInstances,
+)
+from tests.fleets import SECOND
+from tests.membership.support import (
+    LONG_AFTER_START_US,
+    TOLERATED_PAUSE_US,
+    observed,
+)
+
+OBSERVED = some.builds(
+    observed, some.integers(1, 300), some.integers(0, 300), some.just(1), some.just(0), some.booleans()
+)
+
+
+@given(some.integers(1, 200), some.lists(some.tuples(some.integers(0, 30 * SECOND), OBSERVED), max_size=30))
+def test_estimate_stays_within_bounds_and_not_below_those_alive(
+    figure: int, told: list[tuple[int, ObservedInstances]]
+) -> None:
+    live, now = LiveInstanceCount(figure, TOLERATED_PAUSE_US, 0), 0
+    for span_us, one in told:
+        now += span_us
+        before = live.estimate
+        copies = live.update(now, one)
+        assert (
+            max(1.0, figure / MAX_DEVIATION_FACTOR) <= copies.total <= figure * MAX_DEVIATION_FACTOR
+            and 0 < copies.in_zone <= copies.total
+        )
+        assert copies.total >= min(one.alive, figure * MAX_DEVIATION_FACTOR)
+        if (
+            now < STARTUP_PAUSES * TOLERATED_PAUSE_US or not one.has_quorum_view or one.alive <= one.silent
+        ):  # no evidence of fewer
+            assert copies.total >= min(before, figure)
+
+
+@pytest.mark.parametrize(
+    "told, after_us, all_",
+    [
+        (observed(20), 0, 20),  # more at once
+        (observed(4), DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 7),  # fewer, half of the way
+        (observed(4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 4),
+        (
+            observed(6, 4),
+            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
+            6,
+        ),  # with a majority those that are silent go too
+        (
+            observed(4, 4),
+            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
+            10,
+        ),  # without one nothing goes
+        (observed(3, sure=False), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
+        (observed(1), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 2.5),  # not below the bound
+        (observed(200), 0, 40),
+    ],
+)
+def test_estimate_rises_at_once_and_falls_slowly_on_evidence(
+    told: ObservedInstances, after_us: int, all_: float
+) -> None:
+    live = LiveInstanceCount(10, TOLERATED_PAUSE_US, 0)
+    live.update(LONG_AFTER_START_US, observed(10))
+    assert live.update(LONG_AFTER_START_US + after_us, told).total == pytest.approx(all_, abs=0.01)
+
+
+def test_estimate_without_quorum_view_drifts_to_the_configured_count() -> None:
+    live = LiveInstanceCount(10, TOLERATED_PAUSE_US, 0)
+    live.update(LONG_AFTER_START_US, observed(30))
+    live.update(LONG_AFTER_START_US + FALLBACK_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, observed(1, sure=False))
+    assert live.estimate == pytest.approx(20)
+    live.update(LONG_AFTER_START_US + 1000 * TOLERATED_PAUSE_US, observed(1, sure=False))
+    assert live.estimate == pytest.approx(10)
+    live.update(LONG_AFTER_START_US + 2000 * TOLERATED_PAUSE_US, observed(4))
+    live.update(LONG_AFTER_START_US + 3000 * TOLERATED_PAUSE_US, observed(1, sure=False))
+    assert live.estimate == pytest.approx(10)
--- /dev/null
+++ b/tests/membership/test_reachability.py
@@ -0,0 +1,78 @@
+"""ReachabilityReports."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from hypothesis import given
+from hypothesis import strategies as some
+
+from cressrail.membership.messages import (
+    ReachabilityReport,
+)
+from cressrail.membership.reachability import (
+    CLEAR_AFTER_ANSWERED,
+    REPORT_AFTER_UNANSWERED,
+    ReachabilityReports,
+)
+from cressrail.membership.simulation import SECOND
+from tests.membership.support import (
+    REACHABILITY_REPORTS,
+    joined_fleet,
+    state_seen_by,
+)
+
+
+def test_report_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
+    fleet = joined_fleet(5)
+    fleet.network.is_cut = lambda one, other: (one, other) == ("copy0", "copy1")
+    assert fleet.clock.run_until_met(
+        lambda: all(state_seen_by(fleet, n, 0) == "partly" for n in range(5)), 20 * SECOND
+    )
+    one, other = (fleet.names[f"copy{n}"].instance for n in range(2))
+    for _ in range(300):
+        fleet.clock.run_until(fleet.clock.now_us + SECOND // 2)
+        assert all(state_seen_by(fleet, n, 0) == "partly" for n in range(5))
+        # Told anew well before it fades, and not by chance.
+        assert (
+            fleet.clock.now_us - one.shared.reachability.reports[other.id][one.id][1]
+            <= 25 * one.settings.ping_period_us
+        )
+
+
+@given(
+    some.lists(
+        REACHABILITY_REPORTS.map(
+            lambda e: e._replace(
+                reporter=1 + e.reporter % 3,
+                target=9,
+                sequence=e.sequence % 4,
+                is_unreachable=e.sequence % 2 == 0,
+            )
+        ),
+        max_size=6,
+    ),
+    some.randoms(),
+)
+def test_merge_of_reports_is_the_same_in_any_order(marks: list[ReachabilityReport], chance: Any) -> None:
+    def merged(told: list[ReachabilityReport]) -> list[int]:
+        edges = ReachabilityReports(100, SECOND)
+        for mark in told:
+            edges.merge(mark, 0)
+        return sorted(edges.unreachable_from(9))
+
+    assert merged(marks) == merged(chance.sample(marks, len(marks))) == merged(marks + marks)
+
+
+def test_pair_is_reported_and_cleared_only_by_pings_in_a_row() -> None:
+    edges = ReachabilityReports(1, SECOND)
+    for _ in range(REPORT_AFTER_UNANSWERED - 1):
+        assert edges.on_ping_unanswered(2, 0) is None
+    edges.on_ping_answered(2, 0)
+    assert [edges.on_ping_unanswered(2, 0) is None for _ in range(REPORT_AFTER_UNANSWERED)] == [True] * (
+        REPORT_AFTER_UNANSWERED - 1
+    ) + [False]
+    assert [edges.on_ping_answered(2, 0) is None for _ in range(CLEAR_AFTER_ANSWERED)] == [True] * (
+        CLEAR_AFTER_ANSWERED - 1
+    ) + [False]
+    assert edges.unreachable_from(2) == []
