--- a/cressrail/membership/failure_detector.py
+++ b/cressrail/membership/failure_detector.py
@@ -180,7 +180,7 @@
             self._gossip.broadcast_reachability(now_us, report)
             shared.log(
                 log_events.INSTANCE_PARTIALLY_REACHABLE,
-                copy=shared.table.names[row],
+                instance=shared.table.names[row],
                 cannot_reach=names_that_cannot_reach(shared, self._self_record, target),
             )
         if shared.reachability.needs_another_ping(target):
@@ -196,7 +196,9 @@
             and target not in self._isolation.dead_in_own_view
         ):
             self._isolation.declare_dead(now_us, target)
-            self._shared.log(log_events.INSTANCE_DEAD, copy=table.names[row], why=log_events.REASON_ISOLATED)
+            self._shared.log(
+                log_events.INSTANCE_DEAD, instance=table.names[row], reason=log_events.REASON_ISOLATED
+            )
 
     def cancel_all(self) -> None:
         """Forgets the pings in progress, after a pause of this process."""
--- a/cressrail/membership/log_events.py
+++ b/cressrail/membership/log_events.py
@@ -1,16 +1,35 @@
-"""Names of the log events of membership."""
+"""Names of the log events of membership, and those under which earlier versions wrote them."""
 
 from __future__ import annotations
 
-INSTANCE_JOINED = "copy_joined"
-INSTANCE_SUSPECTED = "copy_suspected"
-INSTANCE_DEAD = "copy_lost"
-INSTANCE_LEFT = "copy_left"
-INSTANCE_PARTIALLY_REACHABLE = "copy_partly"
-INSTANCE_PAUSED = "copy_paused"
-INSTANCE_RENAMED = "copy_twin"
-MALFORMED_DATAGRAMS = "membership_junk"
-INSTANCES_COUNTED = "copies_counted"
+INSTANCE_JOINED = "instance_joined"
+INSTANCE_SUSPECTED = "instance_suspected"
+INSTANCE_DEAD = "instance_dead"
+INSTANCE_LEFT = "instance_left"
+INSTANCE_PARTIALLY_REACHABLE = "instance_partially_reachable"
+INSTANCE_PAUSED = "instance_paused"
+INSTANCE_RENAMED = "instance_renamed"
+INSTANCES_COUNTED = "instances_counted"
+MALFORMED_DATAGRAMS = "malformed_datagrams"
 
 REASON_NO_ANSWER = "no answer"
 REASON_ISOLATED = "nobody is heard"
+
+# Logs and event records of earlier versions are still read.
+EARLIER_NAMES = {
+    INSTANCE_JOINED: "copy_joined",
+    INSTANCE_SUSPECTED: "copy_suspected",
+    INSTANCE_DEAD: "copy_lost",
+    INSTANCE_LEFT: "copy_left",
+    INSTANCE_PARTIALLY_REACHABLE: "copy_partly",
+    INSTANCE_PAUSED: "copy_paused",
+    INSTANCE_RENAMED: "copy_twin",
+    INSTANCES_COUNTED: "copies_counted",
+    MALFORMED_DATAGRAMS: "membership_junk",
+}
+EARLIER_INSTANCE_FIELD, EARLIER_PAUSE_FIELD = "copy", "for_ms"
+
+
+def is_event(logged: str, event: str) -> bool:
+    """Whether a logged event is one of these, under its present or its earlier name."""
+    return logged in (event, EARLIER_NAMES[event])
--- a/cressrail/membership/malformed_log.py
+++ b/cressrail/membership/malformed_log.py
@@ -26,5 +26,5 @@
             self._reasons[reason] = self._reasons.get(reason, 0) + 1
         if now_us - self._logged_us >= LOG_PERIODS * self._shared.settings.ping_period_us:
             self._logged_us = now_us
-            self._shared.log(log_events.MALFORMED_DATAGRAMS, count=self._count, why=self._reasons)
+            self._shared.log(log_events.MALFORMED_DATAGRAMS, count=self._count, reasons=self._reasons)
             self._count, self._reasons = 0, {}
--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -91,7 +91,7 @@
         if told.state == DEAD:
             self._dead_retries.add_learned(now_us, told.id)
             return
-        self._shared.log(log_events.INSTANCE_JOINED, copy=told.name, zone=told.zone)
+        self._shared.log(log_events.INSTANCE_JOINED, instance=told.name, zone=told.zone)
         self._schedule.add_to_round(told.id)
         if told.state == SUSPECTED:
             table.set_status(row, told.incarnation, told.process_id, ALIVE, now_us)
@@ -228,7 +228,9 @@
             suspicion = self._suspicions.start(now_us, update.id)
         if previous_state != SUSPECTED:
             suspected_by = self._name_of(update.suspected_by)
-            shared.log(log_events.INSTANCE_SUSPECTED, copy=shared.table.names[row], by=suspected_by)
+            shared.log(
+                log_events.INSTANCE_SUSPECTED, instance=shared.table.names[row], suspected_by=suspected_by
+            )
         suspicion.confirm(update.suspected_by)
         self._gossip.broadcast_suspicion(now_us, shared.table.status_of(row, update.suspected_by))
         self.set_suspicion_timer(now_us, update.id, suspicion)
@@ -248,7 +250,7 @@
         self._dead_retries.remove(member_id)
         self._schedule.add_to_round(member_id)
         self._shared.log(
-            log_events.INSTANCE_JOINED, copy=table.names[row], zone=table.zone_of(row), back=True
+            log_events.INSTANCE_JOINED, instance=table.names[row], zone=table.zone_of(row), has_returned=True
         )
         self._dead_retries.retry_all_sooner(now_us)
 
@@ -260,11 +262,11 @@
         self._isolation.on_gone(member_id)
         if state == DEAD:
             if previous_state < DEAD:
-                self._shared.log(log_events.INSTANCE_DEAD, copy=name, why=log_events.REASON_NO_ANSWER)
+                self._shared.log(log_events.INSTANCE_DEAD, instance=name, reason=log_events.REASON_NO_ANSWER)
             self._dead_retries.add(now_us, member_id)
         elif previous_state != LEFT:
             self._dead_retries.remove(member_id)
-            self._shared.log(log_events.INSTANCE_LEFT, copy=name)
+            self._shared.log(log_events.INSTANCE_LEFT, instance=name)
 
     def _name_of(self, member_id: int) -> str:
         if member_id == self._self_record.id:
--- a/cressrail/membership/refutation.py
+++ b/cressrail/membership/refutation.py
@@ -76,5 +76,5 @@
         previous_name = own.name
         own.take_other_name()
         self._shared.reachability.set_own_id(own.id)
-        self._shared.log(log_events.INSTANCE_RENAMED, copy=previous_name, now=own.name)
+        self._shared.log(log_events.INSTANCE_RENAMED, instance=previous_name, new_name=own.name)
         self._gossip.broadcast_record(now_us, own.record())
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -175,7 +175,7 @@
             self.clock.schedule(max(due_us, now_us), lambda: self._on_timer(process, due_us))
 
     def _record(self, process: SimulatedProcess, command: LogEvent) -> None:
-        subject, reason = (str(command.fields.get(key, "")) for key in ("copy", "why"))
+        subject, reason = (str(command.fields.get(key, "")) for key in ("instance", "reason"))
         self.log.append(LoggedEvent(self.clock.now_us, process.instance.name, command.event, subject, reason))
 
     def _on_timer(self, process: SimulatedProcess, due_us: int) -> None:
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -243,7 +243,7 @@
         late_us = now_us - shared.timers.next_us
         if self._is_leaving or late_us <= period_us // PAUSE_SHARE:
             return
-        shared.log(log_events.INSTANCE_PAUSED, for_ms=late_us // 1000)
+        shared.log(log_events.INSTANCE_PAUSED, paused_ms=late_us // 1000)
         shared.local_health.degrade(min(MAX_PAUSE_PENALTY, late_us // period_us))
         self._failure_detector.cancel_all()
         self._relayed_pings.cancel_all()
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -187,7 +187,7 @@
                 self.dispatcher.log.write_event(command.event, command.fields)
 
     def _update_instance_count(self, count: InstanceCount) -> None:
-        fields = {"all": round(count.total, 2), "near": round(count.in_zone, 2)}
+        fields = {"total": round(count.total, 2), "in_zone": round(count.in_zone, 2)}
         self.dispatcher.log.write_event(log_events.INSTANCES_COUNTED, fields)
         proxy = self.dispatcher.state_machine
         self.dispatcher.dispatch(proxy.on_instance_count(self.dispatcher.now(), count.total, count.in_zone))
--- a/cressrail/testbed/membership_verdicts.py
+++ b/cressrail/testbed/membership_verdicts.py
@@ -13,6 +13,8 @@
 from itertools import pairwise
 from typing import Any
 
+from cressrail.membership.log_events import INSTANCE_DEAD, INSTANCE_PAUSED, is_event
+
 NEVER = 1 << 62
 LAG_VOID_S = 0.05  # a run whose relay lagged more says nothing,
 PAUSE_VOID_US = 1_000_000  # nor does one in which a sidecar that nobody stalled had no turn for so long
@@ -67,7 +69,7 @@
         if self.lag_s > LAG_VOID_S:
             return f"the relay lagged by {self.lag_s * 1000:.0f} ms"
         for row in self.said:
-            long = row["event"] == "copy_paused" and row["for_ms"] * 1000 > PAUSE_VOID_US
+            long = is_event(row["event"], INSTANCE_PAUSED) and row["for_ms"] * 1000 > PAUSE_VOID_US
             if long and not self._stalled(row):
                 return f"{row['said']} had no turn for {row['for_ms']} ms"
         return ""
@@ -142,7 +144,9 @@
     once a spell."""
     told = [(row["at_us"], row["view"], of, how) for row in seen.rows for of, how in row["states"].items()]
     told += [
-        (row["at_us"], row["said"], row["copy"], "lost") for row in seen.said if row["event"] == "copy_lost"
+        (row["at_us"], row["said"], row["copy"], "lost")
+        for row in seen.said
+        if is_event(row["event"], INSTANCE_DEAD)
     ]
     found: list[FalseLoss] = []
     wrong: set[tuple[str, str]] = set()
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -11,11 +11,19 @@
 import orjson
 
 from cressrail.http_testing.client import Answer, Caller, now_us
+from cressrail.membership import log_events
 from cressrail.testbed.event_record import Ledger
 from cressrail.testbed.sidecars import Sidecar
 
 ASK = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
 SPAN_US = 1_000_000
+# In a sidecar's log, of the present and of earlier versions.
+MEMBERSHIP_EVENTS = tuple(
+    b'"event":"%b"' % name.encode()
+    for present, earlier in log_events.EARLIER_NAMES.items()
+    if present != log_events.INSTANCES_COUNTED
+    for name in (present, earlier)
+)
 
 
 class Watchers:
@@ -42,14 +50,14 @@
         apart_us = time.time_ns() // 1000 - now_us()
         for name in names:
             for line in (self.folder / f"{name}.log").read_bytes().splitlines():
-                if b'"event":"copy_' in line or b'"event":"membership_junk"' in line:
+                if any(event in line for event in MEMBERSHIP_EVENTS):
                     with suppress(orjson.JSONDecodeError):  # one that was cut off by a kill
                         told = orjson.loads(line)
                         self.ledger.note(
                             said=name,
                             event=told["event"],
-                            copy=told.get("copy", ""),
-                            for_ms=told.get("for_ms", 0),
+                            copy=told.get("instance", told.get(log_events.EARLIER_INSTANCE_FIELD, "")),
+                            for_ms=told.get("paused_ms", told.get(log_events.EARLIER_PAUSE_FIELD, 0)),
                             at_us=told["at_us"] - apart_us,
                         )
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -77,7 +77,7 @@
         ]
 
     def losses(self) -> set[str]:
-        return {told["copy"] for n in range(len(self.doors)) for told in self.said(n, "copy_lost")}
+        return {told["instance"] for n in range(len(self.doors)) for told in self.said(n, "instance_dead")}
 
     def note(self, n: int, how: str) -> None:
         self.fleet.harm.told(self.doors[n], how)
--- a/tests/membership/test_datagram_receiver.py
+++ b/tests/membership/test_datagram_receiver.py
@@ -30,7 +30,7 @@
     )
     told += copy.on_datagram(5003, signed_ping(3) + bytes(1400))
     notes = [effect for effect in told if isinstance(effect, LogEvent)]
-    assert [note.event for note in notes] == ["membership_junk", "copy_joined"]
+    assert [note.event for note in notes] == ["malformed_datagrams", "instance_joined"]
     assert (
         len([effect for effect in told if isinstance(effect, SendDatagram)]) == 1
     )  # to the one sound datagram
@@ -39,7 +39,7 @@
         for n in copy.on_datagram(60 * SECOND, signed_ping(2)[:-1])
         if isinstance(n, LogEvent) and n.event == notes[0].event
     )
-    assert later.fields["count"] == 5003 and later.fields["why"]["replayed"] == 1
+    assert later.fields["count"] == 5003 and later.fields["reasons"]["replayed"] == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -63,7 +63,7 @@
     began = fleet.clock.now_us
     fleet.clock.run_until(began + 60 * SECOND)
     assert fleet.death_reports() == [] and fleet.all_views_agree()
-    assert event_counts(fleet, began)["copy_partly"] <= 1
+    assert event_counts(fleet, began)["instance_partially_reachable"] <= 1
 
 
 PAIRS = [(a, b) for a in range(5) for b in range(5) if a != b]
@@ -83,7 +83,9 @@
     }
     assert view == {f"copy{a}": [f"copy{b}"], f"copy{b}": [f"copy{a}"]}
     seen = event_counts(fleet, began)
-    assert set(seen) == {"copy_partly"} and seen["copy_partly"] == 2  # said once by each: no flapping
+    assert (
+        set(seen) == {"instance_partially_reachable"} and seen["instance_partially_reachable"] == 2
+    )  # said once by each: no flapping
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(
         lambda: state_seen_by(fleet, other, a) == state_seen_by(fleet, other, b) == "alive", 20 * SECOND
@@ -116,7 +118,9 @@
         fleet.clock.run_until(began + 50 * SECOND)
         assert fleet.death_reports(began) == []
         settled = event_counts(fleet, began + 30 * SECOND)
-        assert settled["copy_lost"] == 0 and settled["copy_suspected"] <= 2  # and none of them flaps for long
+        assert (
+            settled["instance_dead"] == 0 and settled["instance_suspected"] <= 2
+        )  # and none of them flaps for long
         fleet.network.is_cut = lambda *_: False
         assert fleet.clock.run_until_met(fleet.all_views_agree, 20 * SECOND)
 
@@ -197,7 +201,7 @@
     began = fleet.clock.now_us
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
     fleet.clock.run_until(began + 15 * SECOND)
-    assert fleet.death_reports(began) == [] and not event_counts(fleet, 0)["copy_twin"]
+    assert fleet.death_reports(began) == [] and not event_counts(fleet, 0)["instance_renamed"]
 
 
 def test_restart_every_second_leaves_one_instance() -> None:
@@ -210,7 +214,7 @@
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
     assert (
         not [told for told in fleet.death_reports(began) if told.subject != "copy2"]
-        and not event_counts(fleet, 0)["copy_twin"]
+        and not event_counts(fleet, 0)["instance_renamed"]
     )
 
 
@@ -227,7 +231,7 @@
     assert low.instance.name == f"copy2~{low.instance.self_record.process_id:08x}"
     assert {p.instance.live_instance_count() for p in fleet.processes.values()} == {6} and event_counts(
         fleet, 0
-    )["copy_twin"] == 1
+    )["instance_renamed"] == 1
 
 
 def test_leaving_instance_is_not_suspected_and_hand_over_announces_nothing() -> None:
@@ -235,7 +239,7 @@
     began = fleet.clock.now_us
     fleet.leave("copy4")
     assert fleet.clock.run_until_met(fleet.all_views_agree, SECOND)
-    assert event_counts(fleet, began) == {"copy_left": 11} and state_seen_by(fleet, 0, 4) == "left"
+    assert event_counts(fleet, began) == {"instance_left": 11} and state_seen_by(fleet, 0, 4) == "left"
     process = fleet.names["copy5"]
     assert process.instance.leave(fleet.clock.now_us, announces=False) == []
 
@@ -279,7 +283,7 @@
     fleet.resume(["copy1"])
     fleet.clock.run_until(fleet.clock.now_us + 4 * SECOND)
     mine = [told for told in fleet.log if told.reporter == "copy1" and told.at_us > began]
-    assert [told.event for told in mine] == ["copy_paused"]
+    assert [told.event for told in mine] == ["instance_paused"]
 
 
 def test_no_order_of_datagrams_makes_live_instance_dead_or_lowers_incarnation() -> None:
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -67,13 +67,13 @@
             await play.until(lambda: b'"took_over"' in (fleet.folder / "beside.log").read_bytes())
             await asyncio.sleep(4 * BEAR_MS / 1000)
             await play.all_know(5, but=(4,))
-            assert not any(play.said(n, "copy_left") for n in range(4))
+            assert not any(play.said(n, "instance_left") for n in range(4))
             beside.terminate()
             await play.until(lambda: all(play.view(n)["states"].get("door4") == "left" for n in range(4)))
             await play.until(lambda: beside.poll() is not None)
         finally:
             beside.kill()
-    assert play.losses() == {"door4"} and all(len(play.said(n, "copy_lost")) == 1 for n in range(4))
+    assert play.losses() == {"door4"} and all(len(play.said(n, "instance_dead")) == 1 for n in range(4))
 
 
 def test_a_cut_one_way_is_told_by_all_and_makes_no_loss(tmp_path: Path) -> None:
@@ -87,7 +87,7 @@
             assert play.view(3)["states"][f"door{a}"] == "partly"
             play.cut()
             await play.until(lambda: all(not play.view(n)["cannot_reach"] for n in range(5)))
-        assert play.losses() == set() and not any(play.said(n, "copy_suspected") for n in range(5))
+        assert play.losses() == set() and not any(play.said(n, "instance_suspected") for n in range(5))
 
     played(tmp_path, 5, script)
 
@@ -95,7 +95,7 @@
 def test_pauses_of_a_third_and_of_all_but_one_make_nobody_look_dead(tmp_path: Path) -> None:
     async def script(play: Play) -> None:
         def woke(chosen: tuple[int, ...]) -> bool:
-            return all(play.said(n, "copy_paused") for n in chosen)
+            return all(play.said(n, "instance_paused") for n in chosen)
 
         for chosen in ((1, 2), (1, 2, 3, 4, 5)):
             for n in chosen:
@@ -158,8 +158,8 @@
                 sock.sendto(pieces[n % 4], at)
                 if n % 400 == 0:
                     await asyncio.sleep(0.02)
-        await play.until(lambda: bool(play.said(0, "membership_junk")))
-        assert len(play.said(0, "membership_junk")) <= 2
+        await play.until(lambda: bool(play.said(0, "malformed_datagrams")))
+        assert len(play.said(0, "malformed_datagrams")) <= 2
         keys = play.fleet.folder / "keys"
 
         def reread(n: int, before: int) -> bool:
@@ -175,7 +175,7 @@
         await asyncio.sleep(2 * BEAR_MS / 1000)
         await play.all_know(4)
         assert play.losses() == set()
-        assert not [told for n in range(1, 4) for told in play.said(n, "membership_junk")]
+        assert not [told for n in range(1, 4) for told in play.said(n, "malformed_datagrams")]
 
     played(tmp_path, 4, script)
 
@@ -354,7 +354,11 @@
         ([view(20, "a", 2, b="lost")], ["b"]),
         ([view(20, "a", 2, b="lost"), view(21, "a", 2, b="lost")], ["b"]),  # one spell
         ([view(20, "a", 2, b="lost"), view(21, "a", 3, b="alive"), view(22, "a", 2, b="lost")], ["b", "b"]),
-        ([{"said": "a", "event": "copy_lost", "copy": "b", "at_us": 20 * SECOND}], ["b"]),
+        ([{"said": "a", "event": "instance_dead", "copy": "b", "at_us": 20 * SECOND}], ["b"]),
+        (
+            [{"said": "a", "event": "copy_lost", "copy": "b", "at_us": 20 * SECOND}],
+            ["b"],
+        ),  # of an earlier version
         ([view(20, "a", 2, b="suspected")], []),
         ([process(10, "b", "killed"), view(20, "a", 2, b="lost")], []),
         (
@@ -403,6 +407,10 @@
     [
         ([{"relay_lag_s": 0.06}], "the relay lagged by 60 ms"),
         ([{"relay_lag_s": 0.04}], ""),
+        (
+            [{"said": "a", "event": "instance_paused", "for_ms": 2000, "at_us": 9 * SECOND}],
+            "a had no turn for 2000 ms",
+        ),
         (
             [{"said": "a", "event": "copy_paused", "for_ms": 2000, "at_us": 9 * SECOND}],
             "a had no turn for 2000 ms",
