--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -34,7 +34,7 @@
         statistics: ZoneStatistics,
     ) -> list[Command]:
         """Brings fleet and evidence up to date; starts the state machine, or wakes it."""
-        self._update_fleet(now_us, membership)
+        self._update_fleet(membership)
         evidence = self._collector.collect(now_us, load_balancer, statistics)
         self.state_machine.update_evidence(evidence)
         if not self._has_started:
@@ -42,9 +42,9 @@
             return self.state_machine.start(now_us)
         return self.state_machine.on_timer(now_us)
 
-    def _update_fleet(self, now_us: int, membership: MembershipStateMachine) -> None:
+    def _update_fleet(self, membership: MembershipStateMachine) -> None:
         indices = {name: index for index, name in enumerate(self.settings.topology.zones)}
-        seen = membership.observed_instances(now_us)
+        seen = membership.observed_instances()
         living = {
             instance: indices[zone]
             for instance, zone in membership.instance_zones().items()
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -300,9 +300,8 @@
             and now_us - self.shared.table.changed_us >= span_us
         )
 
-    def observed_instances(self, now_us: int) -> ObservedInstances:
+    def observed_instances(self) -> ObservedInstances:
         """What the count of live instances goes by."""
-        del now_us  # what is observed rests on no clock
         return self._counter.observed()
 
     def instance_zones(self) -> dict[int, str]:
