--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -22,17 +22,17 @@
     MIN_DATAGRAM_BYTES,
     USES,
     Address,
-    MembershipSettings,
 )
+from cressrail.membership.settings import MembershipSettings
 
 LISTEN, ADVERTISE, SEEDS, KEYS = "listen", "advertise", "seeds", "keys"
-ZONE, SUSPICION_FLOOR_MS, DATAGRAM_BYTES_LIMIT, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
-KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, SUSPICION_FLOOR_MS, DATAGRAM_BYTES_LIMIT, USED_FOR)
+ZONE, TOLERATED_PAUSE_MS, DATAGRAM_BYTES_LIMIT, USED_FOR = "zone", "bear_pause_ms", "most_bytes", "use"
+KNOWN_SETTINGS = (LISTEN, ADVERTISE, SEEDS, KEYS, ZONE, TOLERATED_PAUSE_MS, DATAGRAM_BYTES_LIMIT, USED_FOR)
 
 MAX_KEYS = 2  # the first signs, both are accepted: one can replace the other without a gap
 KEY_BYTES = 32
 MAX_KEY_FILE_BYTES = 4096
-LEAST_SUSPICION_FLOOR_MS, DEFAULT_SUSPICION_FLOOR_MS, MAX_SUSPICION_FLOOR_MS = 300, 3000, 600_000
+MIN_TOLERATED_PAUSE_MS, DEFAULT_TOLERATED_PAUSE_MS, MAX_TOLERATED_PAUSE_MS = 300, 3000, 600_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,12 +91,12 @@
     max_bytes = _read_bounded(
         reader, DATAGRAM_BYTES_LIMIT, MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES
     )
-    suspicion_floor_ms = _read_bounded(
+    tolerated_pause_ms = _read_bounded(
         reader,
-        SUSPICION_FLOOR_MS,
-        LEAST_SUSPICION_FLOOR_MS,
-        MAX_SUSPICION_FLOOR_MS,
-        absent=DEFAULT_SUSPICION_FLOOR_MS,
+        TOLERATED_PAUSE_MS,
+        MIN_TOLERATED_PAUSE_MS,
+        MAX_TOLERATED_PAUSE_MS,
+        absent=DEFAULT_TOLERATED_PAUSE_MS,
     )
     seeds = tuple(
         read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section, SEEDS))
@@ -114,7 +114,7 @@
             advertise,
             seeds,
             keys,
-            suspicion_floor_ms * 1000,
+            tolerated_pause_ms * 1000,
             max_bytes,
             instance_count,
             tuple(uses),
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -9,14 +9,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from cressrail.membership import log_events
 from cressrail.membership.messages import (
     DEAD,
     Address,
     Command,
     LogEvent,
-    MembershipSettings,
     SendDatagram,
 )
+from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.load_balancer import RandomGenerator
 from cressrail.simulation.lossy_network import LossyNetwork
@@ -174,7 +175,7 @@
             self.clock.schedule(max(due_us, now_us), lambda: self._on_timer(process, due_us))
 
     def _record(self, process: SimulatedProcess, command: LogEvent) -> None:
-        subject, reason = (str(command.fields.get(key, "")) for key in ("copy", "why"))
+        subject, reason = (str(command.fields.get(key, "")) for key in ("instance", "reason"))
         self.log.append(LoggedEvent(self.clock.now_us, process.instance.name, command.event, subject, reason))
 
     def _on_timer(self, process: SimulatedProcess, due_us: int) -> None:
@@ -221,9 +222,17 @@
             for process in running
         )
 
+    def suspicion_count(self, since_us: int) -> int:
+        """Log events by which instances suspected others."""
+        return sum(
+            1 for told in self.log if told.event == log_events.INSTANCE_SUSPECTED and told.at_us >= since_us
+        )
+
     def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
         """Log events by which an instance declared another dead."""
-        return [told for told in self.log if told.event == "copy_lost" and told.at_us >= since_us]
+        return [
+            told for told in self.log if told.event == log_events.INSTANCE_DEAD and told.at_us >= since_us
+        ]
 
 
 def live_names(instance: MembershipStateMachine) -> set[str]:
@@ -232,5 +241,5 @@
     return {
         table.names[row]
         for row, state in enumerate(table.states)
-        if state < DEAD and table.ids[row] not in instance.dead_in_own_view
+        if state < DEAD and table.ids[row] not in instance.isolation.dead_in_own_view
     }
