--- a/cressrail/failover/simulation/__init__.py
+++ b/cressrail/failover/simulation/__init__.py
@@ -3,5 +3,8 @@
 The instances run the same state machine as in service. Traffic is a flow, not single requests. What each zone
 can take, which zones are cut off from each other and which instances are stopped is known here alone.
 
+The virtual clock is the one of `cressrail.simulation`. Its lossy network is not used: here the delay of a
+datagram is drawn before its loss, and the order of random values must not change.
+
 `cressrail failover simulate` and the tests call it. It needs pydantic, which `run` must not load.
 """
--- a/cressrail/failover/simulation/faults.py
+++ b/cressrail/failover/simulation/faults.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 
-from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
 from cressrail.failover.simulation.fleet import SimulatedFleet
 from cressrail.failover.simulation.instance import SimulatedInstance
 from cressrail.failover.simulation.scenario import (
@@ -15,6 +14,7 @@
 )
 from cressrail.failover.simulation.trace import Trace
 from cressrail.failover.simulation.zones import SimulatedZones
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 _InstanceFault = Callable[[SimulatedInstance, bool], None]
 
--- a/cressrail/failover/simulation/figures.py
+++ b/cressrail/failover/simulation/figures.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrail.failover.simulation.clock import SECOND_US
 from cressrail.failover.simulation.decisions import DecisionRecord
 from cressrail.failover.simulation.scenario import Scenario
+from cressrail.simulation.virtual_clock import SECOND_US
 
 RECOVERED_RATIO = 0.9  # of what can be served at best
 RECOVERED_TICKS = 10  # in a row
--- a/cressrail/failover/simulation/fleet.py
+++ b/cressrail/failover/simulation/fleet.py
@@ -7,7 +7,6 @@
 from cressrail.failover.commands import Broadcast, Command, DecisionAdopted, LogEvent, SendToInstance
 from cressrail.failover.local_view import Fleet
 from cressrail.failover.settings import FailoverSettings
-from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
 from cressrail.failover.simulation.decisions import DecisionRecord
 from cressrail.failover.simulation.instance import SimulatedInstance
 from cressrail.failover.simulation.scenario import Scenario
@@ -15,6 +14,8 @@
 from cressrail.failover.state_machine import RELAYED, FailoverStateMachine
 from cressrail.failover.topology import ZoneTopology
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.simulation.lossy_network import random_delay_us
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 TICK_US = 100_000
 MEMBERSHIP_DELAY_US = 5 * SECOND_US  # until a death, or a partition, is known to those that live
@@ -100,7 +101,7 @@
         """Carries out the commands of an instance."""
         for command in commands:
             if isinstance(command, SendToInstance):
-                delay_us = self._random_delay_us(DATAGRAM_DELAY)
+                delay_us = random_delay_us(self._rng, *DATAGRAM_DELAY)
                 self._send(instance, command, delay_us)
             elif isinstance(command, Broadcast):
                 self._broadcast(instance, command)
@@ -170,9 +171,6 @@
         """Whether an instance is up, and was not started anew."""
         return instance.is_up and self.instances.get(instance.number) is instance
 
-    def _random_delay_us(self, delay: DelayRange) -> int:
-        return delay.minimum_us + self._rng.below(delay.maximum_us - delay.minimum_us)
-
     def _send(self, sender: SimulatedInstance, command: SendToInstance, delay_us: int) -> None:
         recipient = self.instances.get(command.recipient)
         if recipient is None or not self._hears(recipient, sender):
@@ -191,7 +189,7 @@
     def _broadcast(self, sender: SimulatedInstance, command: Broadcast) -> None:
         for recipient in self.instances.values():
             if recipient is not sender and self._is_visible(sender, recipient):
-                delay_us = self._random_delay_us(GOSSIP_DELAY)
+                delay_us = random_delay_us(self._rng, *GOSSIP_DELAY)
                 self._deliver(recipient, RELAYED, command.payload, delay_us)
 
     def _deliver(self, recipient: SimulatedInstance, sender: int, payload: bytes, delay_us: int) -> None:
--- a/cressrail/failover/simulation/simulator.py
+++ b/cressrail/failover/simulation/simulator.py
@@ -4,7 +4,6 @@
 
 from typing import Any
 
-from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
 from cressrail.failover.simulation.faults import FaultInjector
 from cressrail.failover.simulation.figures import summarize
 from cressrail.failover.simulation.fleet import SimulatedFleet
@@ -13,6 +12,7 @@
 from cressrail.failover.simulation.traffic import Traffic
 from cressrail.failover.simulation.zones import SimulatedZones
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 
 class FailoverSimulation:
@@ -34,7 +34,7 @@
 
     def run(self) -> None:
         """Runs the scenario to its end."""
-        self._clock.run(int(self.scenario.seconds * SECOND_US))
+        self._clock.run_until(int(self.scenario.seconds * SECOND_US))
 
     def figures(self) -> dict[str, Any]:
         """Returns the figures of what has run, with the keys that the JSON has."""
--- a/cressrail/failover/simulation/traffic.py
+++ b/cressrail/failover/simulation/traffic.py
@@ -6,7 +6,6 @@
 from typing import NamedTuple
 
 from cressrail.failover.messages import Evidence, ZoneObservation
-from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
 from cressrail.failover.simulation.figures import TickFigures
 from cressrail.failover.simulation.fleet import TICK_US, SimulatedFleet
 from cressrail.failover.simulation.instance import SimulatedInstance, ZoneTraffic
@@ -14,6 +13,7 @@
 from cressrail.failover.simulation.zones import SimulatedZones, on_time_share
 from cressrail.failover.topology import Proximity
 from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 AVOIDANCE_FAILURE_RATIO = 0.5  # of attempts: from there on an instance avoids a zone by its own judgement
 MIN_AVOIDANCE_US = 2 * SECOND_US
--- a/cressrail/failover/simulation/zones.py
+++ b/cressrail/failover/simulation/zones.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from cressrail.failover.simulation.clock import SECOND_US, VirtualClock
 from cressrail.failover.simulation.scenario import Scenario, ZoneScenario
 from cressrail.failover.topology import ZoneTopology
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 ALWAYS_WARM_US = -(1 << 50)
 SLOW_FROM_UTILIZATION = 0.85  # of the capacity in use: some attempts are slow from there on,
