--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -4,27 +4,22 @@
 
 from cressrail.configuration.deployment_type import is_per_client
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
-from cressrail.policy.load_balancer import (
-    ALL,
-    CELL,
-    IDEMPOTENT,
-    IDEMPOTENT_WITH_KEY,
-    NEVER_US,
-    NON_IDEMPOTENT,
-    ZONE,
-    EndpointListPoller,
-    LoadBalancer,
-    RandomGenerator,
-    RequestClass,
-    RetryPolicy,
-    SlowStart,
-    TenantQuotas,
-    priority_weights,
-)
+from cressrail.policy.endpoint_table import NO_CONNECTION_LIMIT
+from cressrail.policy.list_polling import EndpointListPoller
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.random_generator import RandomGenerator
+from cressrail.policy.request_class import Idempotency, KeyScope, RequestClass, priority_weights
+from cressrail.policy.retry_policy import RetryPolicy
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.tenant_quota import TenantQuotas
 
 SECOND_US = 1_000_000
-KINDS = {"safe": IDEMPOTENT, "keyed": IDEMPOTENT_WITH_KEY, "unsafe": NON_IDEMPOTENT}
-GROUPS = {"all": ALL, "zone": ZONE, "cell": CELL}
+IDEMPOTENCY_BY_SETTING = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+KEY_SCOPE_BY_SETTING = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 
 
 def request_classes(told: SettingsReader) -> dict[str, RequestClass]:
@@ -39,10 +34,10 @@
     )
     for n in range(count):
         at = f"profiles.{n}."
-        kind = told.one_of(at + "repeat", KINDS)
-        group, window_us = ALL, 0
-        if kind == IDEMPOTENT_WITH_KEY:
-            group = told.one_of(at + "key_scope", GROUPS)
+        kind = told.one_of(at + "repeat", IDEMPOTENCY_BY_SETTING)
+        group, window_us = KeyScope.ALL, 0
+        if kind is Idempotency.WITH_KEY:
+            group = told.one_of(at + "key_scope", KEY_SCOPE_BY_SETTING)
             window_us = told.whole(at + "window_us", 1)
         found[told.word(at + "name")] = RequestClass(
             kind,
@@ -82,7 +77,7 @@
     now: int,
     zones: list[str],
     allowances: list[float],
-    links: int = NEVER_US,
+    links: int = NO_CONNECTION_LIMIT,
 ) -> LoadBalancer:
     if told.word("zone") not in zones:
         raise ConfigurationError(f"zone is not one of dcs: {told.word('zone')[:40]}")
@@ -94,14 +89,16 @@
     copies = told.whole("n_instances", 1)
     shares = TenantQuotas(allowances, copies, told.real("surplus_revenue", 0, 1) if allowances else 1.0)
     return LoadBalancer(
-        rng=chance,
+        random_generator=chance,
         zone=zones.index(told.word("zone")),
-        zones=len(zones),
-        tiers_to_go=(len(tiers) - stage) / len(tiers),
-        last_tier=stage == len(tiers) - 1,
+        zone_count=len(zones),
+        remaining_tiers_fraction=(len(tiers) - stage) / len(tiers),
+        is_last_tier=stage == len(tiers) - 1,
         is_ingress=stage == 0,
         round_us=told.whole("round_us", 1),
-        come_back_us=told.whole("limits.max_retry_after_us", 0) if told.yes("limits.retry_after") else 0,
+        max_retry_after_us=told.whole("limits.max_retry_after_us", 0)
+        if told.yes("limits.retry_after")
+        else 0,
         may_cancel=told.yes("limits.may_cancel"),
         list_poller=EndpointListPoller(
             subscribes, told.whole("contract.ask_every_us", 1) if subscribes else 0, chance
@@ -111,14 +108,14 @@
             told.real("contract.cold_from", 0, 1),
             told.whole("contract.warm_within_us", 1),
             now,
-            shares.total,
+            shares.total_per_us,
             told.real("contract.fall_multiple", 0.1, 1e6, absent=1.0),
             told.whole("contract.fall_us", 1, absent=SECOND_US),
         ),
         quotas=shares,
-        instances=copies,
-        number=told.whole("slot_no", 0, absent=0),
-        now=now,
+        instance_count=copies,
+        instance_number=told.whole("slot_no", 0, absent=0),
+        now_us=now,
         is_per_client=is_per_client(told),
         max_connections=links,
     )
--- a/cressrail/configuration/settings_reader.py
+++ b/cressrail/configuration/settings_reader.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
+from typing import TypeVar
+
+Choice = TypeVar("Choice")
 
 
 class ConfigurationError(Exception):
@@ -54,7 +57,7 @@
             raise ConfigurationError(f"{path} is missing")
         return self.pairs[path]
 
-    def one_of(self, path: str, words: dict[str, str]) -> str:
+    def one_of(self, path: str, words: Mapping[str, Choice]) -> Choice:
         word = self.word(path)
         if word not in words:
             raise ConfigurationError(f"{path} is none of {', '.join(words)}: {word[:40]}")
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -10,7 +10,8 @@
 from cressrail.failover.messages import Command, Evidence, Settings, Toward
 from cressrail.failover.state_machine import WINDOW, FailoverStateMachine, Fleet
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import LoadBalancer, RandomGenerator
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.zone_statistics import AttemptCounts, ZoneStatistics
 
 SECOND = 1_000_000
@@ -48,7 +49,7 @@
         self.seen.append((now, dict(towards.zones)))
         since_us, before = self.seen[0]
         span_us = max(1, now - since_us)
-        taken = sum(1 for at in sidecar.budget.taken if at > since_us)
+        taken = sum(1 for at in sidecar.budget.request_times_us if at > since_us)
         told = []
         for zone in range(len(self.settings.map.zones)):
             lately = towards.zones.get(zone, AttemptCounts()).since(before.get(zone, AttemptCounts()))
--- a/cressrail/failover/simulation.py
+++ b/cressrail/failover/simulation.py
@@ -28,7 +28,7 @@
     ZoneTopology,
 )
 from cressrail.failover.state_machine import FailoverStateMachine, Fleet
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 SECOND = 1_000_000
 TICK_US = 100_000
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -30,7 +30,7 @@
     Spread,
 )
 from cressrail.failover.planner import Planner
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 NEVER = 1 << 62
 WINDOW = 3  # periods over which evidence is summed
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -15,11 +15,17 @@
 from cressrail.handover.frame import HandoverError
 from cressrail.policy.load_balancer import LoadBalancer
 
-# Of an endpoint and of the whole, by the module's own names.
+# Fields of `Endpoint` and of `LatencyBaseline`, in the order of the frame.
 NUMBERS = ("limit", "latency", "success_rate", "slow_start_credit")
-TIMES = ("cut_us", "prompt_us", "last_outcome_us", "unavailable_until_us", "cold_us")
-WHOLE_NUMBERS = ("mean", "swing", "usual", "late")
-WHOLE_TIMES = ("usual_us", "heard")
+TIMES = (
+    "limit_cut_us",
+    "last_prompt_sent_us",
+    "last_outcome_us",
+    "unavailable_until_us",
+    "slow_start_credit_us",
+)
+WHOLE_NUMBERS = ("mean", "mean_deviation", "baseline", "threshold")
+WHOLE_TIMES = ("updated_us", "sample_count")
 WORDS = {phase: word for word, phase in PHASES.items()}
 
 
@@ -52,18 +58,25 @@
     cold, shares = sidecar.slow_start, sidecar.quotas
     return {
         "endpoints": endpoints,
-        "whole": [getattr(sidecar, name) for name in (*WHOLE_NUMBERS, *WHOLE_TIMES)],
-        "budget": [list(sidecar.budget.taken), list(sidecar.budget.retried)],
-        "cold": [cold.born_us, cold.carried, cold.carried_us],
+        "whole": [getattr(sidecar.latency_baseline, name) for name in (*WHOLE_NUMBERS, *WHOLE_TIMES)],
+        "budget": [list(sidecar.budget.request_times_us), list(sidecar.budget.retry_times_us)],
+        "cold": [cold.born_us, cold.recent_successes, cold.recent_successes_us],
         "shares": [
-            shares.credit,
+            shares.tokens,
             shares.filled_us,
             shares.clock_us,
-            shares.seen_us,
-            shares.short_us,
-            shares.sends,
+            shares.last_request_us,
+            shares.short_until_us,
+            shares.sent_since_request,
+        ],
+        "groups": [
+            [
+                subset.admission.admitted_fraction,
+                subset.admission.attempts_this_second,
+                subset.admission.attempts_per_s,
+            ]
+            for subset in sidecar.zone_subsets
         ],
-        "groups": [[group.admits, group.hops, group.hops_per_s] for group in sidecar.zone_subsets],
     }
 
 
@@ -96,22 +109,25 @@
             for name, value in zip((*NUMBERS, *TIMES), (*values, *moments), strict=True):
                 setattr(e, name, value)
     for name, value in zip((*WHOLE_NUMBERS, *WHOLE_TIMES), (*numbers, *times), strict=True):
-        setattr(sidecar, name, value)
+        setattr(sidecar.latency_baseline, name, value)
     # What follows from these is not told, so that processes of two versions can meet.
-    sidecar.margin = max(0.0, sidecar.late / sidecar.usual - 1) if sidecar.usual else 0.0
-    sidecar.budget.taken, sidecar.budget.retried = deque(taken), deque(retried)
+    sidecar.latency_baseline.restore_tolerance()
+    sidecar.budget.request_times_us, sidecar.budget.retry_times_us = deque(taken), deque(retried)
     rule = sidecar.slow_start
-    rule.born_us, rule.carried, rule.carried_us = cold
-    own = sidecar.zone_subsets[sidecar.order[0]]
-    own.each, own.each_us = rule.carried / max(1e-9, own.size), rule.carried_us
+    rule.born_us, rule.recent_successes, rule.recent_successes_us = cold
+    own = sidecar.zone_subsets[sidecar.spillover.own_zone]
+    own.successes_per_scale = rule.recent_successes / max(1e-9, own.scale_in_use)
+    own.successes_us = rule.recent_successes_us
     of = sidecar.quotas
-    if len(shares[0]) == len(of.credit):
-        of.credit, of.filled_us = shares[0], shares[1]
-        of.clock_us, of.seen_us, of.short_us, of.sends = shares[2]
-    for group, (admits, hops, rate) in zip(sidecar.zone_subsets, groups, strict=False):
-        group.admits, group.hops, group.hops_per_s = admits or group.admits, hops, rate
-    for group in sidecar.zone_subsets:
-        group.choose(now)
+    if len(shares[0]) == len(of.tokens):
+        of.tokens, of.filled_us = shares[0], shares[1]
+        of.clock_us, of.last_request_us, of.short_until_us, of.sent_since_request = shares[2]
+    for subset, (admitted, attempts, rate) in zip(sidecar.zone_subsets, groups, strict=False):
+        admission = subset.admission
+        admission.admitted_fraction = admitted or admission.admitted_fraction
+        admission.attempts_this_second, admission.attempts_per_s = attempts, rate
+    for subset in sidecar.zone_subsets:
+        subset.choose(now)
 
 
 def _number(value: Any) -> float:
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -26,7 +26,7 @@
     def words(self, now: int, sidecar: LoadBalancer, roster: EndpointRegistry) -> list[tuple[int, int, int]]:
         """All that is to be said now: kind, number, value."""
         budget = sidecar.budget
-        taken = sum(1 for at in budget.taken if at > now - budget.window_us)
+        taken = sum(1 for at in budget.request_times_us if at > now - budget.window_us)
         span_us = max(1, min(budget.window_us, now - sidecar.slow_start.born_us))
         words = [(WEIGHT, 0, int(taken / span_us * 1e9))]
         names = roster.names()
@@ -66,13 +66,16 @@
         if not told.failing and not told.cold:
             return [], {}
         at = {self.number(name): ix for ix, name in roster.names().items()}
-        whole = sum(group.whole for group in sidecar.zone_subsets)
-        own = len(sidecar.budget.taken) / sidecar.budget.window_us
+        whole = sum(group.total_scale for group in sidecar.zone_subsets)
+        own = len(sidecar.budget.request_times_us) / sidecar.budget.window_us
         cold = {}
         for about, others in told.cold.items():
             e = sidecar.endpoints.get(at.get(about, -1))
             if e is not None and e.accepts_requests:
                 group = sidecar.zone_subsets[e.zone]
-                even, mine = told.weight / max(1e-9, whole), own * group.sharers / max(1e-9, group.size)
+                even, mine = (
+                    told.weight / max(1e-9, whole),
+                    own * group.sharing_instances / max(1e-9, group.scale_in_use),
+                )
                 cold[e.index] = (others, max(even, mine) * e.scale)
         return [at[about] for about in told.failing if about in at], cold
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -11,7 +11,7 @@
 
 from cressrail.membership.messages import LOST, Address, Command, LogEvent, Send, Settings
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 SECOND = 1_000_000
 QUEUE = 250  # datagrams that a socket holds for a process that does not read
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -57,7 +57,7 @@
     order,
 )
 from cressrail.membership.reachability import Edges
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 THROUGH = 3  # copies that are asked to call in one's place, as published
 FAN = 3  # copies that hear news at once
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -20,7 +20,7 @@
     StreamInterruptedError,
     StreamTimeoutError,
 )
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy.commands import CancelAttempt, SendAttempt, SendResponse
 
 REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -11,7 +11,7 @@
 from cressrail.membership import messages as membership
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.zone_statistics import ZoneStatistics
 
 SECOND = 1_000_000
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -22,7 +22,7 @@
 from cressrail.membership.peer_reports import Hearing
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import FailoverDriver
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -28,7 +28,7 @@
 from cressrail.network.handover_server import HandoverServerTask
 from cressrail.network.signals import heed_signals
 from cressrail.network.timer_task import wake_task
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.state_machine import ConnectionLimits, StateMachine
 
--- /dev/null
+++ b/cressrail/policy/attempt_feedback.py
@@ -0,0 +1,152 @@
+"""What the end of an attempt says of its endpoint and of the zone."""
+
+from __future__ import annotations
+
+from cressrail.policy.concurrency_limit import ConcurrencyLimiter, LatencyBaseline
+from cressrail.policy.endpoint import EJECTION_US, Endpoint
+from cressrail.policy.outcome import UNINFORMATIVE_OUTCOMES, Outcome
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.zone_subset import ZoneSubset
+
+AVERAGE_MEMORY = 8
+"""Outcomes that an endpoint's averages look back on."""
+
+PER_CLIENT_AVERAGE_MEMORY = 4
+"""The same for success rates in the mesh, where each instance sees few outcomes."""
+
+MAX_CONNECT_FAILURES = 4
+"""Successes that an endpoint is to show at most, two for each failed connection."""
+
+_SUCCESSES_FOR_CONNECT_FAILURE = 2
+_OVERDUE_LATENCY = 1.0  # in latency objectives: what an attempt without an outcome counts as at the least
+
+
+class AttemptFeedback:
+    """Records outcomes: success rates, latencies, and limits or the admitted fraction of the zone."""
+
+    def __init__(
+        self,
+        latency_baseline: LatencyBaseline,
+        limiter: ConcurrencyLimiter,
+        slow_start: SlowStart,
+        is_last_tier: bool,
+        is_per_client: bool,
+    ) -> None:
+        self.latency_baseline = latency_baseline
+        self.limiter = limiter
+        self.slow_start = slow_start
+        self.is_last_tier = is_last_tier
+        self.is_per_client = is_per_client
+        self.success_memory = PER_CLIENT_AVERAGE_MEMORY if is_per_client else AVERAGE_MEMORY
+
+    def record_overdue(self, subset: ZoneSubset, endpoint: Endpoint, now_us: int) -> None:
+        """An attempt has become overdue: a silent or overloaded endpoint shows before its attempts end."""
+        if not endpoint.accepts_requests:
+            return
+        was_available = endpoint.is_available(now_us)
+        endpoint.last_outcome_us = now_us
+        endpoint.success_rate -= endpoint.success_rate / PER_CLIENT_AVERAGE_MEMORY
+        subset.admission.record_latency(_OVERDUE_LATENCY)
+        if was_available is not endpoint.is_available(now_us):
+            subset.choose(now_us)
+
+    def record(
+        self,
+        subset: ZoneSubset,
+        endpoint: Endpoint,
+        now_us: int,
+        outcome: Outcome,
+        latency_us: int,
+        latency_objective_us: int,
+        was_overdue: bool,
+    ) -> None:
+        """Records how an attempt ended.
+
+        Args:
+            subset: The endpoint's zone.
+            endpoint: The endpoint.
+            now_us: The present time.
+            outcome: How the attempt ended.
+            latency_us: How long it took.
+            latency_objective_us: That of its request's class.
+            was_overdue: Whether it was recorded as overdue before: it then counts as a failure only once.
+        """
+        if outcome in UNINFORMATIVE_OUTCOMES:
+            return
+        was_available = endpoint.is_available(now_us)
+        latency = latency_us / latency_objective_us
+        self._record_success_rate(endpoint, now_us, outcome, was_overdue)
+        is_overloaded = self._signals_overload(endpoint, now_us, outcome, latency, latency_us)
+        if outcome is Outcome.SUCCEEDED:
+            self._record_success(subset, endpoint, now_us, latency)
+            if not is_overloaded:
+                endpoint.last_prompt_sent_us = max(endpoint.last_prompt_sent_us, now_us - latency_us)
+        if not endpoint.accepts_requests:
+            return  # the endpoint, or its whole zone, has left the list since
+        if was_available is not endpoint.is_available(now_us):
+            subset.choose(now_us)
+        if self.is_per_client:
+            if outcome is Outcome.SUCCEEDED:
+                if not was_overdue:
+                    subset.admission.record_latency(latency)
+            elif is_overloaded and not was_overdue:
+                subset.admission.record_latency(max(_OVERDUE_LATENCY, latency))
+        elif is_overloaded:
+            self._cut_limit(subset, endpoint, now_us, outcome, latency_us)
+        elif outcome is Outcome.SUCCEEDED:
+            self.limiter.grow(subset, endpoint)
+
+    def _record_success_rate(
+        self, endpoint: Endpoint, now_us: int, outcome: Outcome, was_overdue: bool
+    ) -> None:
+        has_connect_failed = outcome is Outcome.CONNECT_FAILED
+        has_succeeded = outcome is Outcome.SUCCEEDED
+        connect_failures = (
+            endpoint.connect_failures + _SUCCESSES_FOR_CONNECT_FAILURE * has_connect_failed - has_succeeded
+        )
+        endpoint.connect_failures = max(0, min(MAX_CONNECT_FAILURES, connect_failures))
+        endpoint.last_outcome_us = now_us
+        # In the mesh a rejection counts as a failure: an endpoint that hangs with all places taken rejects at
+        # once and has few attempts in flight, so it would be preferred.
+        has_failed = not has_succeeded and (self.is_per_client or outcome is not Outcome.REJECTED_BY_ENDPOINT)
+        if not (has_failed and was_overdue):
+            target = 0.0 if has_failed else 1.0
+            endpoint.success_rate += (target - endpoint.success_rate) / self.success_memory
+        if self.is_per_client and has_connect_failed:  # it is down, or its table of connections is full
+            endpoint.unavailable_until_us = now_us + EJECTION_US
+
+    def _record_success(self, subset: ZoneSubset, endpoint: Endpoint, now_us: int, latency: float) -> None:
+        self.slow_start.record_success(now_us, subset)
+        self.latency_baseline.record(now_us, latency)
+        if endpoint.latency:
+            endpoint.latency += (latency - endpoint.latency) / AVERAGE_MEMORY
+        else:
+            endpoint.latency += latency
+
+    def _signals_overload(
+        self, endpoint: Endpoint, now_us: int, outcome: Outcome, latency: float, latency_us: int
+    ) -> bool:
+        """Whether the outcome says that the endpoint, or a tier behind it, has too much to do."""
+        if outcome is Outcome.REJECTED_BY_ENDPOINT or self._is_error_below(outcome):
+            return True
+        if latency <= self.latency_baseline.threshold:
+            return False
+        # A lost answer is no overload: attempts that were sent later were answered in time. Otherwise limits
+        # would shrink to nothing where answers are lost now and then.
+        is_lost = outcome is Outcome.TIMED_OUT and endpoint.last_prompt_sent_us > now_us - latency_us
+        return not is_lost
+
+    def _is_error_below(self, outcome: Outcome) -> bool:
+        """An error of a tier that calls another one: first attempts must not go on to an overloaded tier."""
+        return outcome is Outcome.ERROR and not self.is_last_tier
+
+    def _cut_limit(
+        self, subset: ZoneSubset, endpoint: Endpoint, now_us: int, outcome: Outcome, latency_us: int
+    ) -> None:
+        # Attempts that were in flight together cut once, but each that timed out cuts.
+        if outcome is not Outcome.TIMED_OUT and now_us - latency_us < endpoint.limit_cut_us:
+            return
+        endpoint.limit_cut_us = now_us
+        # An error among successes cuts less, or a few invalid answers would cut limits.
+        exponent = min(1.0, 2 - 2 * endpoint.success_rate) if self._is_error_below(outcome) else 1.0
+        self.limiter.cut(subset, endpoint, exponent)
--- /dev/null
+++ b/cressrail/policy/endpoint_selection.py
@@ -0,0 +1,133 @@
+"""Which endpoint an attempt goes to: in the first zone with room, the better of two random choices."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from cressrail.policy.endpoint import Endpoint
+from cressrail.policy.retry_policy import RetryPolicy
+from cressrail.policy.routed_request import RoutedRequest
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.zone_spillover import ZoneSpillover
+from cressrail.policy.zone_subset import ZoneSubset
+
+RANDOM_PICKS = 8
+"""Endpoints looked at at random, before those that follow on the ring are gone through."""
+
+MAX_STEPS = RANDOM_PICKS**2
+"""Endpoints that are gone through at most for a first attempt; a retry may be bound to a few of many."""
+
+
+def _is_failing(subset: ZoneSubset) -> bool:
+    return subset.is_failing
+
+
+class EndpointSelector:
+    """Two random choices among the endpoints that are open to a request."""
+
+    def __init__(
+        self,
+        zone_subsets: Sequence[ZoneSubset],
+        spillover: ZoneSpillover,
+        retry_policy: RetryPolicy,
+        slow_start: SlowStart,
+        is_per_client: bool,
+    ) -> None:
+        """`zone_subsets` is shared with the table that adds zones to it."""
+        self.zone_subsets = zone_subsets
+        self.spillover = spillover
+        self.random_generator = spillover.random_generator
+        self.retry_policy = retry_policy
+        self.slow_start = slow_start
+        self.is_per_client = is_per_client
+        self.surge = 1.0  # recent request rate over the usual one, in the mesh only
+
+    def select(self, request: RoutedRequest, now_us: int) -> Endpoint | None:
+        """Returns an endpoint for the request's next attempt, None if no zone has room.
+
+        Zones are tried in the order of the spillover, those that fail last.
+        """
+        random_value = request.random_value
+        for subset in self._ordered_subsets(request):
+            if self.is_per_client:
+                # A surge counts at once: latencies show it only after many requests have got through.
+                admitted = request.open_fraction * subset.admission.admitted_fraction / self.surge
+                if random_value >= admitted:
+                    random_value = (random_value - admitted) / (1 - admitted)  # uniform again
+                    continue
+            elif not self._has_room(subset, request):
+                continue
+            endpoint = self._select_in_zone(subset, request, now_us)
+            if endpoint is not None:
+                return endpoint
+        return None
+
+    def _ordered_subsets(self, request: RoutedRequest) -> list[ZoneSubset]:
+        spillover = self.spillover
+        zones = spillover.zone_order
+        is_probing = False
+        if not request.attempts and spillover.goes_by_weight():
+            zones = spillover.weighted_order()
+            is_probing = spillover.is_probing(zones[0])
+        elif spillover.spills():
+            zones = spillover.spilled_order()
+        elif self.is_per_client:
+            zones = spillover.shuffled_order(self.zone_subsets)
+        subsets = [self.zone_subsets[zone] for zone in zones]
+        if not is_probing:
+            subsets.sort(key=_is_failing)
+        return subsets
+
+    def _select_in_zone(self, subset: ZoneSubset, request: RoutedRequest, now_us: int) -> Endpoint | None:
+        if not subset.in_use:
+            return None
+        first = self._pick(subset, request, now_us, None)
+        if first is None:
+            return None
+        second = self._pick(subset, request, now_us, first)
+        if second is None:
+            return first
+        first_load, second_load = first.in_flight * second.scale, second.in_flight * first.scale
+        if first_load == second_load:
+            return first if first.latency <= second.latency else second
+        return first if first_load < second_load else second
+
+    def _has_room(self, subset: ZoneSubset, request: RoutedRequest) -> bool:
+        """Whether the sum of limits allows one more attempt.
+
+        An instance with nothing in flight anywhere may send one; one for each zone would overload endpoints.
+        Of a limit between whole attempts the fraction is open to that part of the requests; otherwise
+        requests over quota would get as much of a limit below one as others.
+        """
+        is_busy = any(other.in_flight for other in self.zone_subsets)
+        limit = subset.limit if is_busy else max(1.0, subset.limit)
+        return subset.in_flight + 1 <= request.open_fraction * limit + request.random_value
+
+    def _pick(
+        self, subset: ZoneSubset, request: RoutedRequest, now_us: int, excluded: Endpoint | None
+    ) -> Endpoint | None:
+        """Returns one of those open to the request: at random, or else the next one on the ring."""
+        is_repeat = request.fixed_endpoint is not None
+        candidates = subset.endpoints if is_repeat else subset.in_use
+        count = len(candidates)
+        position = 0
+        for step in range(RANDOM_PICKS + (count if is_repeat else min(count, MAX_STEPS))):
+            position = self.random_generator.below(count) if step < RANDOM_PICKS else (position + 1) % count
+            endpoint = candidates[position]
+            if endpoint is not excluded and self._is_open(endpoint, subset, request, now_us):
+                return endpoint
+        return None
+
+    def _is_open(self, endpoint: Endpoint, subset: ZoneSubset, request: RoutedRequest, now_us: int) -> bool:
+        if endpoint in request.attempts or now_us < endpoint.unavailable_until_us:
+            return False
+        if not self.is_per_client and endpoint.in_flight >= max(1.0, endpoint.limit * request.open_fraction):
+            return False
+        if request.fixed_endpoint is not None and not self.retry_policy.may_use_endpoint(request, endpoint):
+            return False
+        if not self.slow_start.is_warming_up(endpoint, now_us):
+            return True
+        # Only in the subset: its part of the warm-up work is computed for the instances that use it.
+        return endpoint.is_in_subset and self.slow_start.accrue_credit(
+            endpoint, now_us, subset, endpoint.zone == self.spillover.own_zone
+        )
--- /dev/null
+++ b/cressrail/policy/endpoint_table.py
@@ -0,0 +1,199 @@
+"""All endpoints, by zone, and how many of each zone this instance uses."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from cressrail.policy.attempt_feedback import AVERAGE_MEMORY
+from cressrail.policy.concurrency_limit import FIRST_LIMIT
+from cressrail.policy.endpoint import EJECTION_US, MIN_SUCCESS_RATE, Endpoint, EndpointUpdate
+from cressrail.policy.random_generator import RandomGenerator
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.zone_subset import RING_BITS, ZoneSubset
+
+NO_CONNECTION_LIMIT = 1 << 50
+
+MIN_SUBSET_SIZE = 4
+"""Endpoints of a zone that an instance uses at least, while there are so many."""
+
+CONNECTIONS_PER_ENDPOINT = 4
+"""Connections for which there must be room, to each endpoint in use."""
+
+ENDPOINTS_PER_ATTEMPT_RATE = 0.5
+"""Endpoints of a zone in use for each attempt a second, in the mesh."""
+
+MIN_OWN_ZONE_SUBSET_SIZE = 2
+MIN_OTHER_ZONE_SUBSET_SIZE = 1
+"""In the mesh; each is a connection, of which an endpoint accepts few."""
+
+MIN_SCALE = 1e-9
+
+PEER_EJECTED_SUCCESS_RATE = MIN_SUCCESS_RATE - 1 / AVERAGE_MEMORY
+"""What an endpoint ejected on peers' reports counts as at the most."""
+
+_GOLDEN_RATIO = 2654435769  # times 2 to the power of 32: spreads any run of numbers evenly on the ring
+_RING_MASK = (1 << RING_BITS) - 1
+
+
+class EndpointTable:
+    """The endpoints by index and the zone subsets by zone, kept up to date with the list."""
+
+    def __init__(
+        self,
+        *,
+        zone_order: list[int],
+        random_generator: RandomGenerator,
+        slow_start: SlowStart,
+        instance_count: int,
+        instance_number: int,
+        max_connections: int,
+        is_per_client: bool,
+    ) -> None:
+        """Makes an empty table; see `LoadBalancer`. New zones are appended to `zone_order`."""
+        self.zone_order = zone_order
+        self.random_generator = random_generator
+        self.slow_start = slow_start
+        self.instance_count: float = instance_count
+        self.instance_count_in_zone = 0.0  # in the own zone; 0: unknown
+        self.ring_position = instance_number * _GOLDEN_RATIO & _RING_MASK
+        self.max_connections = max_connections
+        self.is_per_client = is_per_client
+        self.endpoints: dict[int, Endpoint] = {}
+        self.zone_subsets = [ZoneSubset() for _ in zone_order]
+
+    def update(self, now_us: int, entries: Iterable[EndpointUpdate], is_complete: bool) -> None:
+        """Takes in the list, or changes to it."""
+        named: list[Endpoint] = []
+        zones: dict[int, None] = dict.fromkeys(self.zone_order if is_complete else ())
+        for entry in entries:
+            endpoint = self._apply_entry(entry, now_us, zones)
+            if entry.zone not in self.zone_order:
+                self.zone_order.append(entry.zone)
+            named.append(endpoint)
+        self.zone_subsets += [ZoneSubset() for _ in self.zone_order[len(self.zone_subsets) :]]
+        if is_complete:
+            kept = dict.fromkeys(named)
+            for endpoint in self.endpoints.values():
+                endpoint.accepts_requests = endpoint.accepts_requests and endpoint in kept
+        for zone in zones:
+            self._fill_zone(zone, named, is_complete)
+        self._begin_zones(now_us)
+        self._estimate_sharing()
+        for endpoint in named:
+            if endpoint.accepts_requests:
+                subset = self.zone_subsets[endpoint.zone]
+                endpoint.limit = endpoint.limit or FIRST_LIMIT / subset.sharing_instances
+        for subset in self.zone_subsets:
+            subset.choose(now_us)
+
+    def _apply_entry(self, entry: EndpointUpdate, now_us: int, zones: dict[int, None]) -> Endpoint:
+        """Updates one endpoint and adds the zones that it leaves and enters to `zones`."""
+        endpoint = self.endpoints.get(entry.endpoint_index)
+        if endpoint is None or endpoint.started_us != entry.started_us:
+            if endpoint is None:
+                endpoint = self.endpoints[entry.endpoint_index] = Endpoint(entry.endpoint_index)
+            # Randomized so that instances do not all send their first attempt when a start is announced.
+            endpoint.restart(entry.started_us, now_us, self.random_generator.fraction())
+        zones[endpoint.zone] = zones[entry.zone] = None
+        endpoint.zone = entry.zone
+        endpoint.cell = entry.cell
+        endpoint.scale = max(entry.scale, MIN_SCALE)
+        endpoint.accepts_requests = entry.accepts_requests
+        endpoint.ring_position = entry.ring_position
+        return endpoint
+
+    def _fill_zone(self, zone: int, named: list[Endpoint], is_complete: bool) -> None:
+        subset = self.zone_subsets[zone]
+        candidates: Iterable[Endpoint] = (
+            self.endpoints.values() if is_complete else dict.fromkeys([*subset.endpoints, *named])
+        )
+        subset.set_endpoints(
+            [endpoint for endpoint in candidates if endpoint.accepts_requests and endpoint.zone == zone],
+            self.ring_position,
+        )
+
+    def _begin_zones(self, now_us: int) -> None:
+        total_scale = sum(subset.total_scale for subset in self.zone_subsets)
+        self.slow_start.record_total_scale(now_us, total_scale)
+        for subset in self.zone_subsets:
+            even_load = subset.total_scale * len(self.zone_subsets) / max(MIN_SCALE, total_scale)
+            subset.admission.begin(even_load)
+        self.set_sizes_by_rate()
+
+    def set_sizes_by_rate(self) -> None:
+        """Sets the subsets' sizes for the mesh, by the rate of attempts in each zone."""
+        for zone, subset in enumerate(self.zone_subsets):
+            is_own_zone = zone == self.zone_order[0]
+            least = MIN_OWN_ZONE_SUBSET_SIZE if is_own_zone else MIN_OTHER_ZONE_SUBSET_SIZE
+            by_rate = int(subset.admission.attempts_per_s * ENDPOINTS_PER_ATTEMPT_RATE)
+            subset.target_size = min(len(subset.endpoints), max(least, by_rate))
+
+    def set_instance_count(self, now_us: int, instance_count: float, instance_count_in_zone: float) -> None:
+        """Sets how many instances share the endpoints; what all may have in flight together stays."""
+        self.instance_count = instance_count
+        self.instance_count_in_zone = instance_count_in_zone
+        sharing_before = [subset.sharing_instances for subset in self.zone_subsets]
+        self._estimate_sharing()
+        for subset, before in zip(self.zone_subsets, sharing_before, strict=True):
+            for endpoint in subset.endpoints:
+                endpoint.limit *= before / subset.sharing_instances
+            subset.choose(now_us)
+
+    def _estimate_sharing(self) -> None:
+        """Sets the subsets' sizes and how many instances use an endpoint of each zone.
+
+        The size makes this instance's part of a first limit one attempt, if all instances keep to their own
+        zone. Endpoints of the own zone count as used by its own instances only, so that traffic that comes
+        mostly in one zone is not held to the limits of an even spread.
+        """
+        total = sum(len(subset.endpoints) for subset in self.zone_subsets)
+        by_connections = self.max_connections // CONNECTIONS_PER_ENDPOINT
+        by_limit = -int(-FIRST_LIMIT * total // self.instance_count)
+        size = max(MIN_SUBSET_SIZE, min(by_connections, by_limit))
+        for zone, subset in enumerate(self.zone_subsets):
+            if not self.is_per_client:
+                subset.target_size = min(size, len(subset.endpoints))
+            is_own_zone = zone == self.zone_order[0]
+            users = self.instance_count
+            candidates = total if is_own_zone else len(subset.endpoints)
+            if is_own_zone and self.instance_count_in_zone:
+                users = self.instance_count_in_zone
+                candidates = len(subset.endpoints)
+            subset.sharing_instances = users * subset.target_size / max(1, candidates)
+
+    def apply_peer_warmup_load(self, work_by_index: Mapping[int, tuple[float, float]]) -> None:
+        """See `LoadBalancer.apply_peer_warmup_load`."""
+        for endpoint in self.endpoints.values():
+            work = work_by_index.get(endpoint.index) if endpoint.accepts_requests else None
+            endpoint.peer_work_per_us, endpoint.warmed_up_work_per_us = work or (-1.0, 0.0)
+
+    def apply_peer_ejections(self, now_us: int, endpoint_indices: Iterable[int]) -> None:
+        """See `LoadBalancer.apply_peer_ejections`."""
+        for index in endpoint_indices:
+            endpoint = self.endpoints[index]
+            has_recent_outcome = now_us - endpoint.last_outcome_us <= EJECTION_US
+            if (
+                endpoint.accepts_requests
+                and endpoint.is_available(now_us)
+                and not has_recent_outcome
+                and endpoint.last_outcome_us > endpoint.peer_ejected_us
+            ):
+                endpoint.success_rate = min(endpoint.success_rate, PEER_EJECTED_SUCCESS_RATE)
+                endpoint.last_outcome_us = now_us
+                endpoint.peer_ejected_us = now_us
+                self.zone_subsets[endpoint.zone].choose(now_us)
+
+    def mark_gone(self, now_us: int, index: int) -> None:
+        """Leaves an endpoint out for a while whose process is gone."""
+        endpoint = self.endpoints[index]
+        endpoint.unavailable_until_us = now_us + EJECTION_US
+        if endpoint.accepts_requests:
+            self.zone_subsets[endpoint.zone].choose(now_us)
+
+    def unavailable_indices(self, now_us: int) -> list[int]:
+        """Returns the endpoints that get nothing now, or only where nothing else is left."""
+        return [
+            endpoint.index
+            for endpoint in self.endpoints.values()
+            if not endpoint.accepts_requests or not endpoint.is_available(now_us)
+        ]
--- /dev/null
+++ b/cressrail/policy/request_queue.py
@@ -0,0 +1,51 @@
+"""The queue of requests for which no endpoint has room."""
+
+from __future__ import annotations
+
+from bisect import bisect_right, insort
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from cressrail.policy.routed_request import RoutedRequest
+
+QUEUE_WAIT_PARTS = 4
+"""A request waits for at most one such part of its latency objective."""
+
+
+def _rank(request: RoutedRequest) -> float:
+    return -request.open_fraction
+
+
+class RequestQueue:
+    """Requests by weight, the greatest first, so that none to which little is open holds up the others."""
+
+    __slots__ = ("next_expiry_us", "requests")
+
+    def __init__(self, now_us: int) -> None:
+        self.requests: list[RoutedRequest] = []
+        self.next_expiry_us = now_us  # the first request leaves then, if not before
+
+    def is_behind(self, request: RoutedRequest) -> bool:
+        """Whether a request of at least the same weight waits already."""
+        return bool(self.requests) and self.requests[0].open_fraction >= request.open_fraction
+
+    def count_ahead(self, request: RoutedRequest) -> int:
+        """Returns how many waiting requests would be served before this one."""
+        return bisect_right(self.requests, _rank(request), key=_rank)
+
+    def add(self, request: RoutedRequest) -> None:
+        """Adds a request behind those of the same weight."""
+        insort(self.requests, request, key=_rank)
+        if len(self.requests) > 1:
+            self.next_expiry_us = min(self.next_expiry_us, request.queue_until_us)
+        else:
+            self.next_expiry_us = request.queue_until_us
+
+    def take_expired(self, now_us: int) -> list[RoutedRequest]:
+        """Removes and returns all whose time in the queue is up, wherever they stand in it."""
+        if not self.requests or now_us < self.next_expiry_us:
+            return []
+        expired = [request for request in self.requests if request.queue_until_us <= now_us]
+        self.requests = [request for request in self.requests if request.queue_until_us > now_us]
+        self.next_expiry_us = min((request.queue_until_us for request in self.requests), default=now_us)
+        return expired
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from cressrail.discovery.endpoint_list import EndpointEntry, EndpointListUpdate
-from cressrail.policy.load_balancer import EndpointUpdate
+from cressrail.policy.endpoint import EndpointUpdate
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
             at.entry = row
             zone = self.zones.setdefault(row.zone, len(self.zones))
             entries.append(
-                (
+                EndpointUpdate(
                     ix,
                     zone,
                     row.cell,
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -17,16 +17,13 @@
 from cressrail.http1.answer import Response
 from cressrail.http1.figures import span_us
 from cressrail.http1.request import Request
-from cressrail.policy import load_balancer as brain
-from cressrail.policy.load_balancer import (
-    NON_IDEMPOTENT,
-    Decision,
-    LoadBalancer,
-    Outcome,
-    RandomGenerator,
-    RequestClass,
-    RoutedRequest,
-)
+from cressrail.policy.concurrency_limit import MAX_THRESHOLD
+from cressrail.policy.decision import CancelAttempt, Decision, RejectRequest, StartAttempt
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.random_generator import RandomGenerator
+from cressrail.policy.request_class import Idempotency, RequestClass
+from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from cressrail.proxy.commands import Command
@@ -166,7 +163,7 @@
     def start(self, now: int, known: EndpointListUpdate, elder: bool = False) -> list[Command]:
         self.revision, self.has_predecessor = known.revision, elder
         entries, _, _ = self.registry.apply(known)
-        self.load_balancer.update_endpoints(now, entries, full=True, answer=False)
+        self.load_balancer.update_endpoints(now, entries, is_complete=True, is_poll_answer=False)
         return self._out(now, [self._watch(now)])
 
     def on_endpoint_list(self, now: int, news: EndpointListUpdate) -> list[Command]:
@@ -187,7 +184,7 @@
         self.revision = news.revision
         entries, stale, gone = self.registry.apply(news)
         if entries or news.is_complete or first:
-            self.load_balancer.update_endpoints(now, entries, full=news.is_complete)
+            self.load_balancer.update_endpoints(now, entries, is_complete=news.is_complete)
             out.append(
                 do.LogEvent(
                     "list", {"revision": news.revision, "full": news.is_complete, "entries": len(entries)}
@@ -300,9 +297,9 @@
                 do.LogEvent("no_room", {"side": "clients", "open": len(self.clients)}),
                 *self._reply(now, client, 503, request.body, counted),
             ]
-        if profile.idempotency == brain.IDEMPOTENT_WITH_KEY and not request.get(b"idempotency-key"):
+        if profile.idempotency is Idempotency.WITH_KEY and not request.get(b"idempotency-key"):
             # Guards against a repeat that nothing marks as one.
-            profile = replace(profile, idempotency=NON_IDEMPOTENT)
+            profile = replace(profile, idempotency=Idempotency.NON_IDEMPOTENT)
         member = self.tenants.get(request.get(b"req-owner") or "", -1)
         left_us = -1 if request.streams else max(0, limit_us - (now - arrived_us))
         tx = self.load_balancer.start_request(now, profile, member, left_us)
@@ -483,7 +480,7 @@
         if self.zone_statistics is not None:
             took_us = now - ended.sent_us
             # Not what the module's limits go by, which swings about the usual: what endangers the goal.
-            late = body is not None and took_us > brain.LATE_MOST * tx.request_class.latency_objective_us
+            late = body is not None and took_us > MAX_THRESHOLD * tx.request_class.latency_objective_us
             self.zone_statistics.on_attempt_finished(tx.attempts[ended.number].zone, how, took_us, late)
         out += self._decided(
             now, tx.on_attempt_finished(ended.number, now, how, now - ended.sent_us, complete)
@@ -760,20 +757,21 @@
         out: list[Command] = []
         left = deque(decisions)
         while left:
-            tx, what, which, us = left.popleft()
+            decision = left.popleft()
+            tx = decision.request
             held = self.pending_requests[tx]
-            if what == brain.ATTEMPT:
+            if isinstance(decision, StartAttempt):
                 self.numbers += 1
                 hop, number = self.numbers, held.attempt_count
                 held.attempt_count += 1
-                link, fresh = self._link(now, which, out)
+                link, fresh = self._link(now, decision.endpoint_index, out)
                 if link < 0:  # no descriptor to be had: nothing was sent, and the endpoint is not to blame
                     left += tx.on_attempt_finished(number, now, Outcome.NOT_SENT, 0, False)
                     out.append(do.LogEvent("no_room", {"side": "endpoints", "open": len(self.connections)}))
                     continue
-                at = self.registry.endpoints[which]
+                at = self.registry.endpoints[decision.endpoint_index]
                 held.attempts[number] = hop
-                self.attempts[hop] = Attempt(tx, number, which, link, now)
+                self.attempts[hop] = Attempt(tx, number, decision.endpoint_index, link, now)
                 out.append(
                     do.SendAttempt(
                         link,
@@ -782,20 +780,22 @@
                         at.host,
                         at.port,
                         held.request,
-                        now + us,
+                        now + decision.timeout_us,
                         self.connections[link].settled_us,
                     )
                 )
-            elif what == brain.CANCEL:
-                hop = held.attempts[which]
+            elif isinstance(decision, CancelAttempt):
+                hop = held.attempts[decision.attempt_number]
                 if hop in self.attempts:
                     out.append(do.CancelAttempt(self.attempts[hop].connection, hop))
             else:
-                status = 400 if held.is_invalid else 503 if what == brain.REJECT else 502
-                out += self._answer(tx, Response(status, retry_after_us=us))
+                is_rejected = isinstance(decision, RejectRequest)
+                retry_after_us = decision.retry_after_us if isinstance(decision, RejectRequest) else 0
+                status = 400 if held.is_invalid else 503 if is_rejected else 502
+                out += self._answer(tx, Response(status, retry_after_us=retry_after_us))
                 out.append(
                     do.LogEvent(
-                        what.replace(" ", "_"),
+                        "rolled_back" if is_rejected else "abandoned",
                         {
                             "tx": held.request.get(b"req-id"),
                             "profile": held.request.get(b"req-kind"),
--- a/cressrail/proxy/zone_statistics.py
+++ b/cressrail/proxy/zone_statistics.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from cressrail.policy.load_balancer import UNINFORMATIVE_OUTCOMES, Outcome
+from cressrail.policy.outcome import UNINFORMATIVE_OUTCOMES, Outcome
 
 
 class AttemptCounts(NamedTuple):
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -14,58 +14,84 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate
 from cressrail.http1.answer import Response
 from cressrail.network.client_connection import ClientConnectionTask
-from cressrail.policy import load_balancer as brain
-from cressrail.policy.load_balancer import Decision, Endpoint, Outcome, RoutedRequest
+from cressrail.policy.decision import Decision
+from cressrail.policy.endpoint import Endpoint
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.retry_budget import RetryBudget
+from cressrail.policy.retry_policy import RetryPolicy
+from cressrail.policy.routed_request import RoutedRequest
+from cressrail.policy.slow_start import SlowStart
 from cressrail.proxy.commands import SendResponse
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
 
-class Baseline(brain.LoadBalancer):
-    """No limits, no line, no zones first, no cold part. What it keeps are the four rules' hard bounds on
-    repeats."""
+class Baseline(LoadBalancer):
+    """A uniformly random choice, without limits, queue, zone preference or slow start.
 
-    again = False  # retries whatever may be, with no budget and whoever owns the error
+    What it keeps are the hard bounds on repeats.
+    """
 
-    def route(self, tx: RoutedRequest, now: int) -> list[Decision]:
-        e = self.choose(tx)
-        if tx.deadline_us <= now or e is None:
-            return self._give_up(tx)
-        return [self._hop(tx, e, now)]
+    retries_always = False  # retries whatever may be retried, with no budget and whoever owns the error
 
-    def _after(self, tx: RoutedRequest, e: Endpoint, now: int, how: Outcome) -> list[Decision]:
-        if self.again and now < tx.deadline_us and self.retry_policy.may_retry(tx, now):
-            other = self.choose(tx)
+    def route(self, request: RoutedRequest, now_us: int) -> list[Decision]:
+        """Sends a request to any endpoint."""
+        endpoint = self.choose(request)
+        if request.deadline_us <= now_us or endpoint is None:
+            return [self.give_up(request)]
+        return [self._start_attempt(request, endpoint, now_us)]
+
+    def _retry_or_give_up(
+        self, request: RoutedRequest, endpoint: Endpoint, now_us: int, outcome: Outcome
+    ) -> Decision:
+        may_retry = now_us < request.deadline_us and self.retry_policy.may_retry(request, now_us)
+        if self.retries_always and may_retry:
+            other = self.choose(request)
             if other is not None:
-                return [self._hop(tx, other, now)]
-        return self._give_up(tx)
-
-    def choose(self, tx: RoutedRequest) -> Endpoint | None:
-        among = [
-            e
-            for e in self.endpoints.values()
-            if e.accepts_requests and (not tx.fixed_endpoint or self.retry_policy.may_use_endpoint(tx, e))
+                return self._start_attempt(request, other, now_us)
+        return self.give_up(request)
+
+    def choose(self, request: RoutedRequest) -> Endpoint | None:
+        """Returns the endpoint for the next attempt, None if there is none."""
+        candidates = [
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.accepts_requests
+            and (not request.fixed_endpoint or self.retry_policy.may_use_endpoint(request, endpoint))
         ]
-        return self.among(among) if among else None
+        return self.choose_among(candidates) if candidates else None
 
-    def among(self, open_: list[Endpoint]) -> Endpoint:
-        return open_[self.rng.below(len(open_))]
+    def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
+        """Returns one of the endpoints, of which there is at least one."""
+        return candidates[self.random_generator.below(len(candidates))]
 
 
 class RoundRobin(Baseline):
+    """One endpoint after the other."""
+
     turn = 0
 
-    def among(self, open_: list[Endpoint]) -> Endpoint:
+    def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
+        """Returns the next one."""
         self.turn += 1
-        return open_[self.turn % len(open_)]
+        return candidates[self.turn % len(candidates)]
 
 
 class LeastInFlight(Baseline):
-    def among(self, open_: list[Endpoint]) -> Endpoint:
-        return min(open_, key=lambda e: (e.in_flight, self.rng.below(1 << 16)))
+    """The endpoint with the fewest own attempts in flight."""
+
+    def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
+        """Returns it, one of them at random if there are several."""
+        return min(
+            candidates,
+            key=lambda endpoint: (endpoint.in_flight, self.random_generator.below(1 << 16)),
+        )
 
 
 class RetryAlways(Baseline):
-    again = True
+    """Retries whatever may be retried."""
+
+    retries_always = True
 
 
 POLICIES = {
@@ -104,11 +130,11 @@
 
 def repeats() -> None:
     """Rule 2: what may have run goes out again, whatever its profile."""
-    brain.RetryPolicy.may_retry = lambda self, tx, now: len(tx.attempts) < self.max_attempts  # type: ignore[method-assign]
-    brain.RetryPolicy.may_run_again = lambda self, tx, now: True  # type: ignore[method-assign]
-    brain.RetryPolicy.may_use_endpoint = lambda self, tx, e: True  # type: ignore[method-assign]
-    brain.RetryBudget.spend = lambda self, now: True  # type: ignore[method-assign]
-    brain.LoadBalancer._claimed = lambda self, e, now, how: True  # type: ignore[method-assign]
+    RetryPolicy.may_retry = lambda self, request, now_us: len(request.attempts) < self.max_attempts  # type: ignore[method-assign]
+    RetryPolicy.may_run_again = lambda self, request, now_us: True  # type: ignore[method-assign]
+    RetryPolicy.may_use_endpoint = lambda self, request, endpoint: True  # type: ignore[method-assign]
+    RetryBudget.spend = lambda self, now_us: True  # type: ignore[method-assign]
+    LoadBalancer._is_owned_error = lambda self, endpoint, now_us, outcome: True  # type: ignore[method-assign]
 
 
 def deaf() -> None:
@@ -126,11 +152,11 @@
 
 def rushes() -> None:
     """Rule 4: a cold endpoint is the one that everything goes to."""
-    brain.SlowStart.is_warming_up = lambda self, e, now: False  # type: ignore[method-assign]
+    SlowStart.is_warming_up = lambda self, endpoint, now_us: False  # type: ignore[method-assign]
 
     class Rush(LeastInFlight):
-        def among(self, open_: list[Endpoint]) -> Endpoint:
-            return max(open_, key=lambda e: e.started_us)
+        def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
+            return max(candidates, key=lambda endpoint: endpoint.started_us)
 
     POLICIES["own"] = Rush
 
--- a/cressrail/wirehost/__main__.py
+++ b/cressrail/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cressrail.wirehost: batches on standard input, replies on standard output."""
+"""The adapter's process: batches on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 from cressrail.wirehost.codec import MalformedLineError
 from cressrail.wirehost.host import serve
 
+EXIT_MALFORMED_INPUT = 2
+
 
 def main() -> int:
+    """Serves until the input ends and returns the exit status."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n")
     try:
         serve(source, sink)
-    except MalformedLineError as wrong:
-        print(f"cressrail.wirehost: {wrong}", file=sys.stderr)
-        return 2
+    except MalformedLineError as error:
+        print(f"cressrail.wirehost: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
         return 0
     return 0
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -18,7 +18,10 @@
 from cressrail.handover.frame import BYE, ESTATE, HELLO, HERE, TAKE, Frames, wrap
 from cressrail.handover.state import capture, listed, restore
 from cressrail.network.handover_client import find_predecessor
-from cressrail.policy.load_balancer import ATTEMPT, EndpointUpdate, LoadBalancer, Outcome
+from cressrail.policy.decision import StartAttempt
+from cressrail.policy.endpoint import EndpointUpdate
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
 from tests.golden.neutral import stored
 from tests.helpers import CONFIG, SECOND, member, mesh
 
@@ -31,7 +34,10 @@
 
 def fleet() -> list[EndpointUpdate]:
     starts = (0, 0, 3 * SECOND, 0, 0, 9 * SECOND)
-    return [(ix, ix % 2, ix // 3, (1.0, 1.5)[ix == 1], ix != 3, starts[ix], 1000 - 7 * ix) for ix in range(6)]
+    return [
+        EndpointUpdate(ix, ix % 2, ix // 3, (1.0, 1.5)[ix == 1], ix != 3, starts[ix], 1000 - 7 * ix)
+        for ix in range(6)
+    ]
 
 
 def sidecar(shape: str, now: int) -> LoadBalancer:
@@ -48,14 +54,14 @@
     endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
         tx = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
-        hops = sum(what == ATTEMPT for _, what, *_ in tx.route(now))
+        hops = sum(isinstance(decision, StartAttempt) for decision in tx.route(now))
         done, at = 0, now
         while done < hops:
             how, took = random.choice(endings), random.randrange(20_000, 500_000)
             at += took // 8
             hops += sum(
-                of is tx and what == ATTEMPT
-                for of, what, *_ in tx.on_attempt_finished(done, at, how, took, how is Outcome.SUCCEEDED)
+                decision.request is tx and isinstance(decision, StartAttempt)
+                for decision in tx.on_attempt_finished(done, at, how, took, how is Outcome.SUCCEEDED)
             )
             done += 1
         if side.wake_us <= now:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A sidecar with a small fleet, for tables of cases; and one on loopback, amid peers that follow scripts."""
+"""A sidecar on loopback, amid peers that follow scripts."""
 
 from __future__ import annotations
 
@@ -15,72 +15,10 @@
 from cressrail.event_loop.scheduler import READ, WRITE, Scheduler
 from cressrail.network import listener
 from cressrail.network.server import assemble
-from cressrail.policy.load_balancer import (
-    ALL,
-    EndpointListPoller,
-    EndpointUpdate,
-    LoadBalancer,
-    Outcome,
-    RandomGenerator,
-    RequestClass,
-    RetryPolicy,
-    SlowStart,
-    TenantQuotas,
-)
 
 SECOND = 1_000_000
 
 
-def profile(kind: str = "idempotent", group: str = ALL, earns: float = 1.0) -> RequestClass:
-    return RequestClass(kind, group, 5 * SECOND, SECOND, 4 * SECOND, earns)
-
-
-def entry(ix: int, zone: int = 0, cell: int = 0, on: bool = True, started_us: int = 0) -> EndpointUpdate:
-    return (ix, zone, cell, 1.0, on, started_us, ix)
-
-
-def cold_rule(even: float = 0.0, now: int = 0) -> SlowStart:
-    """A fifth of capacity at first, warm within 10 s, falls at four times what it can do for 2 s."""
-    return SlowStart(0.2, 10 * SECOND, now, even, 4.0, 2 * SECOND)
-
-
-def sidecar(fleet: list[EndpointUpdate], **parts: Any) -> LoadBalancer:
-    rng = RandomGenerator(7)
-    told: dict[str, Any] = dict(
-        rng=rng,
-        zone=0,
-        zones=2,
-        tiers_to_go=1.0,
-        last_tier=True,
-        is_ingress=True,
-        round_us=5000,
-        come_back_us=0,
-        may_cancel=True,
-        list_poller=EndpointListPoller(False, 0, rng),
-        retry_policy=RetryPolicy(3, False),
-        slow_start=cold_rule(),
-        quotas=TenantQuotas([], 1, 0.1),
-        instances=1,
-        number=0,
-        now=0,
-    )
-    side = LoadBalancer(**{**told, **parts})
-    side.update_endpoints(0, fleet, True)
-    return side
-
-
-def warm_up(side: LoadBalancer, n: int = 100, now: int = 0) -> None:
-    """So many transactions taken and answered at once, for the budget and the averages to go by."""
-    for _ in range(n):
-        tx = side.start_request(now, profile(), -1, 4 * SECOND)
-        for _, what, *_ in tx.route(now):
-            if what == "hop":
-                tx.on_attempt_finished(0, now, Outcome.SUCCEEDED, SECOND // 10, True)
-
-
-# For the real sidecar
-
-
 def member(name: str, port: int, **change: Any) -> dict[str, Any]:
     return {
         "id": name,
--- /dev/null
+++ b/tests/policy/fleet_model.py
@@ -0,0 +1,222 @@
+"""Many load balancers in virtual time beside a model of endpoints, to see what starting endpoints get.
+
+A zone is lost for some seconds and comes back; each instance learns of starts at a moment of its own.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from itertools import count
+from typing import Any
+
+from cressrail.policy.decision import Decision
+from cressrail.policy.endpoint import EndpointUpdate
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.routed_request import RoutedRequest
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.tenant_quota import TenantQuotas
+from tests.policy.support import SECOND, make_load_balancer, start_request, starts_in
+
+INITIAL_FRACTION = 0.15
+WARMUP_US = 24 * SECOND
+OVERLOAD_MULTIPLE = 2.5
+OVERLOAD_SPAN_US = SECOND
+ENDPOINT_RATE_PER_S = 20.0  # requests that a warmed-up endpoint can take
+END_US = 14 * SECOND
+LOST_US = 4 * SECOND
+LOST_ZONE = 1
+
+
+@dataclass
+class Scenario:
+    """What the fleet goes through."""
+
+    instances: int
+    zones: int = 4
+    endpoints: int = 48
+    skew: float = 1.0  # the busiest instance's traffic over that of the least busy
+    load: float = 0.7
+    lost_s: float = 5.0
+    return_span_s: float = 0.0  # over which the zone comes back
+    is_removed: bool = False  # its endpoints leave the list while they are away
+    restarts_instances: bool = False  # all of them, a second before the return
+    wave: float = 1.0  # times the load, for a second from the return on
+    heavy: float = 0.0  # part of requests that are three times the work; the others are lighter
+    has_quotas: bool = True
+    list_delay_s: float = 0.0  # from a start to the list that says so
+
+
+@dataclass
+class FleetModel:
+    """The instances, and endpoints that answer so many requests a second each."""
+
+    scenario: Scenario
+    seed: int = 1
+    load_balancers: list[LoadBalancer] = field(default_factory=list)
+    events: list[Any] = field(default_factory=list)
+    order: count[int] = field(default_factory=count)
+    starts_us: dict[int, int] = field(default_factory=dict)  # of the lost zone's endpoints
+    traffic_weights: list[float] = field(default_factory=list)  # by instance
+    recent_us: dict[int, deque[int]] = field(default_factory=dict)  # attempts of the last second
+    warmup_work: dict[int, list[tuple[int, float]]] = field(default_factory=dict)
+    overloads: list[str] = field(default_factory=list)
+    given: float = 0.0  # work that starting endpoints got
+    capacity: float = 0.0  # work that they could have done
+
+    def random_value(self) -> float:
+        """From 0 up to 1."""
+        self.seed = self.seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1
+        return (self.seed >> 32) / (1 << 32)
+
+    def make_entry(self, index: int, started_us: int = 0, accepts_requests: bool = True) -> EndpointUpdate:
+        """The list's entry of an endpoint."""
+        return EndpointUpdate(
+            index,
+            index % self.scenario.zones,
+            index // 12,
+            1.0,
+            accepts_requests,
+            started_us,
+            index * 2654435769 & (1 << 32) - 1,
+        )
+
+    def make_instance(self, number: int, now_us: int) -> LoadBalancer:
+        """An instance that has just started, with the list of before the loss."""
+        scenario = self.scenario
+        total_per_s = 0.85 * ENDPOINT_RATE_PER_S * scenario.endpoints
+        quotas = TenantQuotas([total_per_s] if scenario.has_quotas else [], scenario.instances, 0.1)
+        slow_start = SlowStart(
+            INITIAL_FRACTION, WARMUP_US, now_us, quotas.total_per_us, OVERLOAD_MULTIPLE, OVERLOAD_SPAN_US
+        )
+        load_balancer = make_load_balancer(
+            [],
+            zone_count=scenario.zones,
+            zone=number % scenario.zones,
+            instance_count=scenario.instances,
+            instance_number=number,
+            now_us=now_us,
+            quotas=quotas,
+            slow_start=slow_start,
+        )
+        load_balancer.random_generator.state += number * 7919 + now_us
+        entries = [self.make_entry(index) for index in range(scenario.endpoints)]
+        load_balancer.update_endpoints(now_us, entries, True)
+        return load_balancer
+
+    def schedule(self, at_us: int, event: str, *details: object) -> None:
+        """Adds an event; the first detail is the instance's number."""
+        heapq.heappush(self.events, (at_us, next(self.order), event, details))
+
+    def run(self) -> None:
+        """Plays the scenario and adds up what starting endpoints got."""
+        scenario = self.scenario
+        back_us = LOST_US + int(scenario.lost_s * SECOND)
+        self.starts_us = {
+            index: back_us + int(scenario.return_span_s * SECOND * self.random_value())
+            for index in range(scenario.endpoints)
+            if index % scenario.zones == LOST_ZONE
+        }
+        self.load_balancers = [self.make_instance(number, 0) for number in range(scenario.instances)]
+        self.traffic_weights = [
+            1 + (scenario.skew - 1) * self.random_value() for _ in range(scenario.instances)
+        ]
+        self.recent_us = {index: deque() for index in range(scenario.endpoints)}
+        for number in range(scenario.instances):
+            self.schedule_events_of(number, back_us)
+        while self.events and self.events[0][0] < END_US:
+            now_us, _, event, details = heapq.heappop(self.events)
+            self.send(now_us, details[0], self.handle(now_us, event, back_us, details))
+        for index, started_us in self.starts_us.items():
+            self.given += sum(work for _, work in self.warmup_work.get(index, []))
+            for at_us in range(started_us, min(END_US, started_us + WARMUP_US), SECOND // 10):
+                self.capacity += ENDPOINT_RATE_PER_S / 10 * _capacity_fraction(at_us - started_us)
+
+    def schedule_events_of(self, number: int, back_us: int) -> None:
+        """Schedules an instance's first request and timer, and what it learns of the lost zone."""
+        scenario = self.scenario
+        self.schedule(int(self.random_value() * SECOND * scenario.instances / 100), "request", number)
+        self.schedule(int(self.random_value() * SECOND), "timer", number)
+        if scenario.is_removed:
+            removed = [self.make_entry(index, accepts_requests=False) for index in self.starts_us]
+            self.schedule(LOST_US + SECOND + int(self.random_value() * SECOND // 10), "list", number, removed)
+        if scenario.restarts_instances:
+            self.schedule(back_us - SECOND + int(self.random_value() * SECOND // 10), "restart", number)
+        for index, started_us in self.starts_us.items():
+            list_us = started_us - 1 + int((scenario.list_delay_s - self.random_value() / 20) * SECOND)
+            self.schedule(list_us, "list", number, [self.make_entry(index, started_us)])
+
+    def handle(self, now_us: int, event: str, back_us: int, details: tuple[Any, ...]) -> list[Decision]:
+        """Passes an event to its instance."""
+        number: int = details[0]
+        load_balancer = self.load_balancers[number]
+        if event == "request":
+            self.schedule(now_us + 1 + self.time_to_next_request(number, now_us, back_us), "request", number)
+            return start_request(load_balancer, now_us, remaining_us=SECOND).route(now_us)
+        if event == "end":
+            return _finish_attempt(now_us, *details[1:])
+        if event == "list":
+            load_balancer.update_endpoints(now_us, details[1], False)
+            return []
+        if event == "restart":
+            self.load_balancers[number] = self.make_instance(number, now_us)
+            return []
+        self.schedule(now_us + SECOND // 4, "timer", number)
+        return load_balancer.on_timer(now_us)
+
+    def time_to_next_request(self, number: int, now_us: int, back_us: int) -> int:
+        """Random, by the instance's part of the traffic."""
+        scenario = self.scenario
+        rate = scenario.load * ENDPOINT_RATE_PER_S * scenario.endpoints / SECOND
+        wave = scenario.wave if back_us <= now_us < back_us + SECOND else 1.0
+        weights = self.traffic_weights
+        mean_us = scenario.instances * sum(weights) / len(weights) / weights[number] / (rate * wave)
+        return int(2 * mean_us * self.random_value())
+
+    def send(self, now_us: int, number: int, decisions: Iterable[Decision]) -> None:
+        """Lets the endpoints answer the attempts that the decisions start."""
+        for start in starts_in(decisions):
+            index = start.endpoint_index
+            attempt = (start.request, len(start.request.attempts) - 1)
+            started_us = self.starts_us.get(index, 0)
+            if started_us and LOST_US <= now_us < started_us:
+                outcome = Outcome.CONNECT_FAILED
+                self.schedule(now_us + SECOND // 4, "end", number, *attempt, outcome, now_us)
+                continue
+            if started_us and now_us >= started_us:
+                self.count_warmup_work(index, started_us, now_us)
+            recent_us = self.recent_us[index]
+            while recent_us and recent_us[0] <= now_us - SECOND:
+                recent_us.popleft()
+            has_room = len(recent_us) < ENDPOINT_RATE_PER_S
+            outcome = Outcome.SUCCEEDED if has_room else Outcome.REJECTED_BY_ENDPOINT
+            recent_us.append(now_us)
+            self.schedule(now_us + SECOND // 10, "end", number, *attempt, outcome, now_us)
+
+    def count_warmup_work(self, index: int, started_us: int, now_us: int) -> None:
+        """Counts an attempt at a starting endpoint, and whether that is too much for it."""
+        heavy = self.scenario.heavy
+        work = 3.0 if self.random_value() < heavy else (1 - 3 * heavy) / (1 - heavy)
+        done = self.warmup_work.setdefault(index, [])
+        done.append((now_us, work))
+        recent = sum(work for at_us, work in done if at_us > now_us - OVERLOAD_SPAN_US)
+        capacity = ENDPOINT_RATE_PER_S * _capacity_fraction(now_us - started_us)
+        allowed = OVERLOAD_MULTIPLE * capacity * OVERLOAD_SPAN_US / SECOND
+        if recent > allowed + 3 * allowed**0.5 + 3:
+            age_s = (now_us - started_us) / SECOND
+            self.overloads.append(f"{index} at the age of {age_s:.2f} s: {recent:.1f} of {allowed:.1f}")
+
+
+def _capacity_fraction(age_us: int) -> float:
+    return INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age_us / WARMUP_US
+
+
+def _finish_attempt(
+    now_us: int, request: RoutedRequest, attempt_number: int, outcome: Outcome, sent_us: int
+) -> list[Decision]:
+    return request.on_attempt_finished(
+        attempt_number, now_us, outcome, now_us - sent_us, outcome is Outcome.SUCCEEDED
+    )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -224,7 +224,7 @@
     def client(peer: Peer) -> None:
         side = play.reducer.load_balancer
         for _ in range(20):
-            side.budget.take(play.loop.now())
+            side.budget.count_request(play.loop.now())
         peer.say(ask(kind))
         peer.until(lambda: play.reducer.attempts)
         agent.rows.append(member("s1", play.ports[1]))
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -40,7 +40,7 @@
 from cressrail.failover.planner import SPARE, STEP, Planner
 from cressrail.failover.simulation import Scenario, World
 from cressrail.failover.state_machine import FailoverStateMachine, Fleet
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.testbed.scenario_file import read
 
 SECOND = 1_000_000
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,10 +20,11 @@
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HEAD, MARK, VERSION, Frames, HandoverError, wrap
 from cressrail.network.handover_client import MOST_PATH, find_predecessor, rendezvous_path
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
-from tests.helpers import CONFIG, SECOND, ask, member, reply, warm_up
+from tests.helpers import CONFIG, SECOND, ask, member, reply
+from tests.policy.support import send_successes
 from tests.test_ops import call
 from tests.test_traffic import Front, news
 
@@ -75,7 +76,7 @@
 
 def test_the_new_process_goes_on_from_what_the_old_one_knew() -> None:
     old, new = Front(), beside()
-    warm_up(old.reducer.load_balancer, 50)
+    send_successes(old.reducer.load_balancer, 50)
     old.reducer.load_balancer.endpoints[1].limit = 1.25
     old.reducer.load_balancer.on_connection_lost(SECOND, 0)
     old.told += old.reducer.on_endpoint_list(SECOND, news(9, False, member("s1", 9001, phase="draining")))
@@ -87,8 +88,8 @@
         and not side.endpoints[1].accepts_requests
         and side.endpoints[1].limit == 1.25
     )
-    assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.taken) == 50
-    assert side.slow_start.carried == old.reducer.load_balancer.slow_start.carried > 1
+    assert side.unavailable_endpoints(SECOND) == [0, 1] and len(side.budget.request_times_us) == 50
+    assert side.slow_start.recent_successes == old.reducer.load_balancer.slow_start.recent_successes > 1
     assert new.all(do.AcceptClients) == [do.AcceptClients(True)]
 
 
@@ -96,16 +97,16 @@
     old, new = beside(), beside()
     rule, side = old.reducer.load_balancer.slow_start, old.reducer.load_balancer
     for n in range(200):
-        rule.carry(n * SECOND // 40, side.zone_subsets[0])
-        side._learn_usual(SECOND, (0.1, 0.3)[n % 2])
+        rule.record_success(n * SECOND // 40, side.zone_subsets[0])
+        side.latency_baseline.record(SECOND, (0.1, 0.3)[n % 2])
     estate.restore(told(old, 5 * SECOND), new.reducer.load_balancer, new.reducer.registry.names(), 5 * SECOND)
-    assert new.reducer.load_balancer.zone_subsets[0].each == pytest.approx(
-        side.zone_subsets[0].each, rel=0.15
+    assert new.reducer.load_balancer.zone_subsets[0].successes_per_scale == pytest.approx(
+        side.zone_subsets[0].successes_per_scale, rel=0.15
     )
-    before = side.late
+    before = side.latency_baseline.threshold
     for heir in (side, new.reducer.load_balancer):
-        heir._learn_usual(SECOND, 0.9)
-        assert heir.late == pytest.approx(before)
+        heir.latency_baseline.record(SECOND, 0.9)
+        assert heir.latency_baseline.threshold == pytest.approx(before)
 
 
 @pytest.mark.parametrize(
@@ -121,28 +122,31 @@
 )
 def test_half_an_estate_is_none(spoil: Any) -> None:
     old, new = Front(), beside()
-    warm_up(old.reducer.load_balancer)
+    send_successes(old.reducer.load_balancer)
     old.reducer.load_balancer.endpoints[0].limit = 1.25
     found = told(old)
     spoil(found)
     with pytest.raises(HandoverError):
         estate.restore(found, new.reducer.load_balancer, new.reducer.registry.names(), SECOND)
     new.told = new.reducer.take_over(SECOND, found, 0, 0)
-    assert not new.reducer.load_balancer.budget.taken and new.reducer.load_balancer.endpoints[0].limit != 1.25
+    assert (
+        not new.reducer.load_balancer.budget.request_times_us
+        and new.reducer.load_balancer.endpoints[0].limit != 1.25
+    )
     assert new.all(do.AcceptClients) == [do.AcceptClients(True)]  # and yet it serves
 
 
 def test_both_together_retry_no_more_and_fill_the_cold_no_more_than_one() -> None:
     front = Front()
-    warm_up(front.reducer.load_balancer)
+    send_successes(front.reducer.load_balancer)
     side, now = front.reducer.load_balancer, SECOND
-    side.endpoints[0].started_us = side.endpoints[0].cold_us = 1
+    side.endpoints[0].started_us = side.endpoints[0].slow_start_credit_us = 1
     e, own = side.endpoints[0], side.zone_subsets[0]
-    assert side.slow_start.credit(e, 5 * SECOND, own, True)
+    assert side.slow_start.accrue_credit(e, 5 * SECOND, own, True)
     told(front)
-    assert not side.budget.spend(now) and not side.slow_start.credit(e, 6 * SECOND, own, True)
+    assert not side.budget.spend(now) and not side.slow_start.accrue_credit(e, 6 * SECOND, own, True)
     front.reducer.on_successor_failed(now)
-    assert side.budget.spend(now) and side.slow_start.credit(e, 7 * SECOND, own, True)
+    assert side.budget.spend(now) and side.slow_start.accrue_credit(e, 7 * SECOND, own, True)
 
 
 def test_an_id_that_is_open_at_the_old_process_is_not_taken_by_the_new_one() -> None:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -18,12 +18,11 @@
 from cressrail.handover.frame import Frames, wrap
 from cressrail.http1.head import MalformedMessageError
 from cressrail.network.discovery_watch import MOST_LINE, LinesSink
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
 from tests.test_traffic import Front
-from tests.test_wire import BORN, HEARD, TX
-from tests.test_wire import play as on_the_wire
+from tests.wirehost.support import BORN, LIST_UPDATE, REQUEST, replies_to
 
 SIZES = (1023, 1024, 1025, 3000)
 
@@ -40,7 +39,7 @@
 
 
 def at_work(front: Front) -> list[int]:
-    return [len(group.all) for group in front.reducer.load_balancer.zone_subsets]
+    return [len(group.endpoints) for group in front.reducer.load_balancer.zone_subsets]
 
 
 @pytest.mark.parametrize("n", SIZES)
@@ -64,7 +63,9 @@
         assert sum(at_work(front)) == (n - half, n, n)[k]
     side = front.reducer.load_balancer
     assert len(side.endpoints) == n == len(front.reducer.registry.endpoints)
-    assert all(sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in side.zone_subsets)
+    assert all(
+        sum(e.is_in_subset for e in g.endpoints) == len(g.in_use) == g.target_size for g in side.zone_subsets
+    )
     assert f"app_cluster_size {n}\n" in front.reducer._figures(SECOND).decode()
     side.endpoints[n].limit = 1.25
     frames, heir = Frames(), Front(0)
@@ -92,9 +93,11 @@
     for a, b in zip(
         one.reducer.load_balancer.zone_subsets, other.reducer.load_balancer.zone_subsets, strict=True
     ):
-        assert [e.index for e in a.all] == [e.index for e in b.all]
-        assert [e.index for e in a.use] == [e.index for e in b.use]
-        assert (a.whole, a.size, a.sharers, a.limit) == pytest.approx((b.whole, b.size, b.sharers, b.limit))
+        assert [e.index for e in a.endpoints] == [e.index for e in b.endpoints]
+        assert [e.index for e in a.in_use] == [e.index for e in b.in_use]
+        assert (a.total_scale, a.scale_in_use, a.sharing_instances, a.limit) == pytest.approx(
+            (b.total_scale, b.scale_in_use, b.sharing_instances, b.limit)
+        )
 
 
 @pytest.mark.parametrize("endpoints, links, dearest", [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)])
@@ -103,7 +106,7 @@
 ) -> None:
     front = Front(0, clients=40, links=links)
     side = front.reducer.load_balancer
-    side.max_connections, side.instances, front.pool = links, 33.0, Pool(10_000)
+    side.table.max_connections, side.table.instance_count, front.pool = links, 33.0, Pool(10_000)
     front.reducer.on_endpoint_list(0, read(listed(0, endpoints)))
     opened = 0
     for k in range(3000):
@@ -139,7 +142,7 @@
             parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
     side = parts.load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert side.instances == copies and len(start.known.entries) == 1024
+    assert side.table.instance_count == copies and len(start.known.entries) == 1024
 
 
 def test_a_line_beyond_the_longest_is_refused_and_a_doubled_id_is_one_endpoint() -> None:
@@ -158,5 +161,5 @@
     rows = "".join(
         f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
     )
-    said = on_the_wire(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{HEARD}", TX)
+    said = replies_to(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{LIST_UPDATE}", REQUEST)
     assert said[0].startswith("ISSUE i=sidecar/0 xid=t1")
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -35,10 +35,11 @@
 from cressrail.membership.messages import ALIVE, USES, Record
 from cressrail.membership.peer_reports import Hearing
 from cressrail.membership.simulation import World
-from cressrail.policy.load_balancer import LEFT_OUT_US, TenantQuotas
+from cressrail.policy.endpoint import EJECTION_US
+from cressrail.policy.tenant_quota import TenantQuotas
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from tests.fleets import SECOND, SHORTEN, Play, played, world
-from tests.helpers import cold_rule, entry, sidecar
+from tests.policy.support import make_entry, make_load_balancer, make_slow_start
 
 BEAR = 3 * SECOND
 OLD = 100 * SECOND
@@ -171,24 +172,28 @@
 
 
 def test_limits_and_shares_follow_the_count_and_cold_starts_never_gain_by_it() -> None:
-    made = [entry(n, zone=n % 2) for n in range(24)]
+    made = [make_entry(n, zone=n % 2) for n in range(24)]
     shares = TenantQuotas([240.0], 12, 0.1)
-    side = sidecar(made, instances=12, quotas=shares, slow_start=cold_rule(shares.total))
-    before = [(g.sharers, g.limit, g.size) for g in side.zone_subsets]
-    even = side.slow_start.even
+    side = make_load_balancer(
+        made, instance_count=12, quotas=shares, slow_start=make_slow_start(shares.total_per_us)
+    )
+    before = [(g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets]
+    even = side.slow_start.even_rate_per_us
     side.update_instance_count(SECOND, 12.0, 6.0)  # just what the settings say
     assert [
-        (g.sharers, g.limit, g.size) for g in side.zone_subsets
-    ] == before and side.slow_start.even == even
+        (g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets
+    ] == before and side.slow_start.even_rate_per_us == even
     for copies, near in ((4.0, 2.0), (24.0, 12.0), (6.0, 1.0)):
         side.update_instance_count(SECOND, copies, near)
         for zone, group in enumerate(side.zone_subsets):
-            assert group.sharers == pytest.approx((copies if zone else near) * group.wanted / len(group.all))
+            assert group.sharing_instances == pytest.approx(
+                (copies if zone else near) * group.target_size / len(group.endpoints)
+            )
             # What all copies together may have out at an endpoint is what it was.
-            for e in group.all:
-                assert e.limit * group.sharers == pytest.approx(6.0)
-        assert shares.rates[0] == pytest.approx(240.0 / copies / 1e6)
-        assert side.slow_start.even == min(even, shares.total)
+            for e in group.endpoints:
+                assert e.limit * group.sharing_instances == pytest.approx(6.0)
+        assert shares.rates_per_us[0] == pytest.approx(240.0 / copies / 1e6)
+        assert side.slow_start.even_rate_per_us == min(even, shares.total_per_us)
     side.update_instance_count(SECOND, 12.0, 6.0)
     assert [g.limit for g in side.zone_subsets] == pytest.approx([limit for _, limit, _ in before])
 
@@ -285,7 +290,7 @@
 
 def test_words_go_from_one_sidecar_to_another_by_the_endpoints_names() -> None:
     hearing, now = Hearing(), 4 * SECOND
-    one = sidecar([entry(0), entry(1, started_us=now), entry(2)])
+    one = make_load_balancer([make_entry(0), make_entry(1, started_us=now), make_entry(2)])
     one.on_connection_lost(now, 2)
     first = hearing.words(now, one, roster("xyz"))
     one.endpoints[1].slow_start_attempts += 4
@@ -297,18 +302,18 @@
 
 
 def test_what_several_call_failing_is_left_out_and_then_tried_before_they_count_again() -> None:
-    side, now = sidecar([entry(n) for n in range(6)]), 20 * SECOND
+    side, now = make_load_balancer([make_entry(n) for n in range(6)]), 20 * SECOND
     side.endpoints[3].last_outcome_us = now - SECOND  # own outcomes of late
     side.apply_peer_ejections(now, [2, 3])
     said = Hearing().words(now, side, roster("uvwxyz"))
     assert [word for word in said if word[0] == FAILING] == []  # what others said is not said on
     assert side.unavailable_endpoints(now) == [2]
-    later = now + LEFT_OUT_US + 1
+    later = now + EJECTION_US + 1
     side.apply_peer_ejections(later, [2])
     assert side.unavailable_endpoints(later) == []
     side.endpoints[2].last_outcome_us = later
-    side.apply_peer_ejections(later + 2 * LEFT_OUT_US, [2])
-    assert side.unavailable_endpoints(later + 2 * LEFT_OUT_US) == [2]
+    side.apply_peer_ejections(later + 2 * EJECTION_US, [2])
+    assert side.unavailable_endpoints(later + 2 * EJECTION_US) == [2]
 
 
 @pytest.mark.parametrize(
@@ -323,28 +328,32 @@
 def test_cold_endpoints_get_no_more_than_a_warm_one_from_all_copies_together(
     others: float, weight: float, low: int, high: int
 ) -> None:
-    rule = cold_rule(20 / SECOND)
-    side = sidecar([entry(0, started_us=SECOND), entry(1)], slow_start=rule, zones=1)
+    rule = make_slow_start(20 / SECOND)
+    side = make_load_balancer(
+        [make_entry(0, started_us=SECOND), make_entry(1)], slow_start=rule, zone_count=1
+    )
     e = side.endpoints[0]
     side.apply_peer_warmup_load({0: (others * 10 / SECOND, weight * 10 / SECOND)} if others >= 0 else {})
     given, e.slow_start_credit = 0, 0.0
     for now in range(SECOND, 4 * SECOND, SECOND // 100):
-        if rule.credit(e, now, side.zone_subsets[0], True):
+        if rule.accrue_credit(e, now, side.zone_subsets[0], True):
             e.slow_start_credit = 0.0
             given += 1
     assert low <= given <= high
 
 
 def test_what_is_carried_here_is_not_taken_away_by_a_lie() -> None:
-    rule = cold_rule()
-    side = sidecar([entry(0, started_us=9 * SECOND), entry(1)], slow_start=rule, zones=1)
+    rule = make_slow_start()
+    side = make_load_balancer(
+        [make_entry(0, started_us=9 * SECOND), make_entry(1)], slow_start=rule, zone_count=1
+    )
     for n in range(100):
-        rule.carry(8 * SECOND + n * SECOND // 100, side.zone_subsets[0])
+        rule.record_success(8 * SECOND + n * SECOND // 100, side.zone_subsets[0])
     side.apply_peer_warmup_load({0: (1e6, 0.0)})
     e, given = side.endpoints[0], 0
-    e.slow_start_credit, e.cold_us = 0.0, 9 * SECOND
+    e.slow_start_credit, e.slow_start_credit_us = 0.0, 9 * SECOND
     for now in range(9 * SECOND, 11 * SECOND, SECOND // 100):
-        if rule.credit(e, now, side.zone_subsets[0], True):
+        if rule.accrue_credit(e, now, side.zone_subsets[0], True):
             e.slow_start_credit = 0.0
             given += 1
     assert given >= 2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -43,7 +43,7 @@
 from cressrail.membership.scenarios import simulate
 from cressrail.membership.simulation import SECOND, World
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 KEY = b"k" * 32
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -37,9 +37,8 @@
     word = name.encode()
     text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
     assert asked(play, text) == [b"200 hello"]
-    assert (
-        play.reducer.load_balancer.quotas.credit[0] < play.reducer.load_balancer.quotas.most[0]
-    )  # counted as its own
+    quotas = play.reducer.load_balancer.quotas
+    assert quotas.tokens[0] < quotas.burst_sizes[0]  # counted as its own
     assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.counters.text(0, 0, 0)
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,13 +18,13 @@
 from cressrail.configuration.startup import read_config
 from cressrail.network import admin_server as ops
 from cressrail.network import listener
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from cressrail.proxy.request_counters import RequestCounters
 from cressrail.proxy.state_machine import DRAIN_IDLE_US, FRESH_US
-from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply, sidecar
-from tests.helpers import entry as listed
+from tests.helpers import CONFIG, SECOND, Peer, Play, ask, reply
+from tests.policy.support import make_entry, make_load_balancer
 from tests.test_sockets import serving
 from tests.test_traffic import Front
 
@@ -100,7 +100,7 @@
 
 
 def test_the_module_says_which_endpoints_it_avoids() -> None:
-    side = sidecar([listed(0), listed(1), listed(2, on=False)])
+    side = make_load_balancer([make_entry(0), make_entry(1), make_entry(2, accepts_requests=False)])
     side.on_connection_lost(0, 1)
     assert side.unavailable_endpoints(0) == [1, 2] and side.unavailable_endpoints(3 * SECOND) == [2]
 
--- a/tests/test_outfit.py
+++ b/tests/test_outfit.py
@@ -17,6 +17,7 @@
 from cressrail.configuration.startup import read_start
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, read_line
 from cressrail.network.configuration_reload import ConfigurationReload
+from cressrail.policy.request_class import Idempotency
 from tests.helpers import CONFIG, member, mesh
 
 
@@ -106,8 +107,8 @@
     start = read_start(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
     assert {p.idempotency for p in parts.request_classes(start.settings).values()} == {
-        "idempotent",
-        "journalled",
+        Idempotency.IDEMPOTENT,
+        Idempotency.WITH_KEY,
     }
     assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -361,7 +361,7 @@
 
     play = Play([away, taking(seen, reply(b"hello"))])
     for _ in range(40):
-        play.reducer.load_balancer.budget.take(play.loop.now())  # so that there is one for a retry
+        play.reducer.load_balancer.budget.count_request(play.loop.now())  # so that there is one for a retry
     heard: list[tuple[bytes, bytes]] = []
 
     def script(peer: Peer) -> None:
@@ -453,19 +453,19 @@
 
 def test_what_still_comes_or_is_passed_on_takes_no_place_at_an_endpoint() -> None:
     """Slow uploads and readers would fill the limits of endpoints that have nothing to do."""
-    from cressrail.policy.load_balancer import IDEMPOTENT, Outcome
-    from tests.helpers import SECOND, entry, profile, sidecar
-
-    side = sidecar([entry(0)])
-    tx = side.start_request(0, profile(IDEMPOTENT), -1, -1)
-    [(_, what, which, us)] = tx.route(0)
-    e = side.endpoints[which]
-    assert what == "hop" and us > 1000 * SECOND and (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
+    from cressrail.policy.outcome import Outcome
+    from tests.policy.support import SECOND, make_entry, make_load_balancer, make_request_class, starts_in
+
+    side = make_load_balancer([make_entry(0)])
+    tx = side.start_request(0, make_request_class(), -1, -1)
+    [start] = starts_in(tx.route(0))
+    e = side.endpoints[start.endpoint_index]
+    assert start.timeout_us > 1000 * SECOND and (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
     tx.start_clock(9 * SECOND, SECOND)
     assert (e.in_flight, side.zone_subsets[0].in_flight) == (1, 1) and tx.deadline_us <= 10 * SECOND
     tx.on_attempt_finished(0, 9 * SECOND + 1000, Outcome.SUCCEEDED, 1000, True)
     assert (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
-    again = side.start_request(0, profile(), -1, -1)
+    again = side.start_request(0, make_request_class(), -1, -1)
     again.route(0)
     again.on_attempt_finished(0, 1000, Outcome.CONNECT_FAILED, 1000, False)
     assert (e.in_flight, side.zone_subsets[0].in_flight) == (0, 0)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,7 +14,9 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate, read
 from cressrail.http1.head import Fields
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome, RandomGenerator
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.random_generator import RandomGenerator
+from cressrail.policy.request_class import Idempotency
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from cressrail.proxy.commands import Command
@@ -594,11 +596,11 @@
     front = Front(heard=True)
     if kind == "once":
         front.reducer.request_classes["once"] = replace(
-            front.reducer.request_classes["read"], idempotency=NON_IDEMPOTENT
+            front.reducer.request_classes["read"], idempotency=Idempotency.NON_IDEMPOTENT
         )
         front.reducer.counters.final["once"] = dict(front.reducer.counters.final["read"])
     if not sent:  # nowhere to go: it waits in the line
-        front.reducer.load_balancer.update_endpoints(0, [], full=True)
+        front.reducer.load_balancer.update_endpoints(0, [], is_complete=True)
     front.came(1)
     front.ask(1, kind)
     hops = front.all(do.SendAttempt)
@@ -607,7 +609,7 @@
     if not sent:
         [tx] = front.reducer.pending_requests
         tx.queue_until_us = tx.deadline_us  # the line would let it go sooner
-        front.reducer.load_balancer.line_due_us = tx.deadline_us
+        front.reducer.load_balancer.queue.next_expiry_us = tx.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
         front.told += front.reducer.on_timer(now)
     assert not front.all(do.SendResponse) and front.reducer.wake_us == 1_500_000
@@ -713,6 +715,6 @@
     reducer = front.reducer
     reducer.set_zone_statistics(0, towards)
     reducer.on_zone_weights(0, (0.0, 1.0), 1.0)
-    assert reducer.zone_statistics is towards and reducer.load_balancer.decided == 1.0
+    assert reducer.zone_statistics is towards and reducer.load_balancer.spillover.weighted_fraction == 1.0
     reducer.set_zone_statistics(1, None)
-    assert reducer.zone_statistics is None and reducer.load_balancer.decided == 0.0
+    assert reducer.zone_statistics is None and reducer.load_balancer.spillover.weighted_fraction == 0.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -18,13 +18,22 @@
 from cressrail.experiment.play import play_world
 from cressrail.failover.host import Host
 from cressrail.failover.messages import Decision, Epoch, Settings, Zone, ZoneTopology
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.decision import RejectRequest, StartAttempt
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.request_class import Idempotency, KeyScope
 from cressrail.proxy.zone_statistics import AttemptCounts, ZoneStatistics
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import views
 from cressrail.testbed.scenario import World
 from tests.fleets import BEAR_MS, Play, played
-from tests.helpers import CONFIG, SECOND, entry, profile, sidecar, warm_up
+from tests.helpers import CONFIG, SECOND
+from tests.policy.support import (
+    make_entry,
+    make_load_balancer,
+    make_request_class,
+    send_successes,
+    starts_in,
+)
 
 DCS = SettingsReader.nested(
     {"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}}
@@ -149,9 +158,9 @@
 
 def test_evidence_is_of_the_last_moments_and_what_it_bears_of_limits() -> None:
     settings = Settings(ZoneTopology(("a", "b"), ("", "")), 0)
-    side, towards = sidecar([entry(0), entry(1, 1)]), ZoneStatistics()
-    host = Host(settings, 1, side.rng, 0)
-    warm_up(side, 30)
+    side, towards = make_load_balancer([make_entry(0), make_entry(1, 1)]), ZoneStatistics()
+    host = Host(settings, 1, side.random_generator, 0)
+    send_successes(side, 30)
     host.evidence(0, side, towards)
     for _ in range(20):
         towards.on_attempt_finished(0, Outcome.SUCCEEDED, 50_000, False)
@@ -175,47 +184,49 @@
     ],
 )
 def test_the_module_goes_by_shares(shares: Any, part: float, low: float, high: float, turned: float) -> None:
-    side = sidecar([entry(n, n % 2) for n in range(8)])
+    side = make_load_balancer([make_entry(n, n % 2) for n in range(8)])
     side.apply_zone_weights(shares, part)
     went, back = [0, 0], 0
     for n in range(1000):
-        tx = side.start_request(n * 10_000, profile(), -1, 4 * SECOND)
-        for _, what, which, _ in tx.route(n * 10_000):
-            if what == "hop":
-                went[side.endpoints[which].zone] += 1
+        tx = side.start_request(n * 10_000, make_request_class(), -1, 4 * SECOND)
+        for decision in tx.route(n * 10_000):
+            if isinstance(decision, StartAttempt):
+                went[side.endpoints[decision.endpoint_index].zone] += 1
                 tx.on_attempt_finished(0, n * 10_000, Outcome.SUCCEEDED, 10_000, True)
             else:
-                back += what == "rolled back"
+                back += isinstance(decision, RejectRequest)
     assert low <= went[0] / 1000 <= high and back / 1000 == pytest.approx(turned, abs=0.06)
     assert sum(went) + back == 1000
 
 
 def test_a_small_share_finds_out_about_a_zone_that_fails_here_and_a_large_one_does_not() -> None:
     for share, finds in ((0.05, True), (0.5, False)):
-        side = sidecar([entry(n, n % 2) for n in range(8)])
+        side = make_load_balancer([make_entry(n, n % 2) for n in range(8)])
         for e in side.endpoints.values():
             e.success_rate, e.last_outcome_us = (0.0 if e.zone else 1.0), SECOND
         side.zone_subsets[1].choose(SECOND)
-        assert side.zone_subsets[1].failing
+        assert side.zone_subsets[1].is_failing
         side.apply_zone_weights((1 - share, share), 1.0)
         went = 0
         for n in range(400):
-            tx = side.start_request(SECOND + n, profile(), -1, 4 * SECOND)
-            for _, what, which, _ in tx.route(SECOND + n):
-                went += what == "hop" and side.endpoints[which].zone == 1
+            tx = side.start_request(SECOND + n, make_request_class(), -1, 4 * SECOND)
+            for decision in tx.route(SECOND + n):
+                went += (
+                    isinstance(decision, StartAttempt) and side.endpoints[decision.endpoint_index].zone == 1
+                )
                 tx.on_attempt_finished(0, SECOND + n, Outcome.NOT_SENT, 0, True)
         assert (went > 8) is finds
 
 
 def test_a_repeat_that_is_bound_stays_in_its_group_whatever_is_decided() -> None:
-    side = sidecar([entry(n, n % 2) for n in range(8)])
-    warm_up(side)
+    side = make_load_balancer([make_entry(n, n % 2) for n in range(8)])
+    send_successes(side)
     side.apply_zone_weights((0.0, 1.0), 1.0)
     for n in range(50):
-        tx = side.start_request(n, profile("journalled", "zone"), -1, 4 * SECOND)
-        (_, _, first, _), *_ = tx.route(n)
+        tx = side.start_request(n, make_request_class(Idempotency.WITH_KEY, KeyScope.ZONE), -1, 4 * SECOND)
+        first = starts_in(tx.route(n))[0].endpoint_index
         again = tx.on_attempt_finished(0, n, Outcome.CONNECTION_RESET, 10_000, False)
-        zones = {side.endpoints[which].zone for _, what, which, _ in again if what == "hop"}
+        zones = {side.endpoints[start.endpoint_index].zone for start in starts_in(again)}
         assert side.endpoints[first].zone == 1 and zones <= {1}
 
 
--- /dev/null
+++ b/tests/wirehost/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the adapter to the simulator's wire."""
