--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from operator import attrgetter
 
 from cressrail.policy.endpoint import Endpoint
 from cressrail.policy.retry_policy import RetryPolicy
@@ -18,10 +19,6 @@
 """Endpoints that are gone through at most for a first attempt; a retry may be bound to a few of many."""
 
 
-def _is_failing(subset: ZoneSubset) -> bool:
-    return subset.is_failing
-
-
 class EndpointSelector:
     """Two random choices among the endpoints that are open to a request."""
 
@@ -66,16 +63,16 @@
         spillover = self.spillover
         zones = spillover.zone_order
         is_probing = False
-        if not request.attempts and spillover.goes_by_weight():
+        if spillover.weighted_fraction and not request.attempts and spillover.goes_by_weight():
             zones = spillover.weighted_order()
             is_probing = spillover.is_probing(zones[0])
-        elif spillover.spills():
+        elif spillover.spilled_fraction and spillover.spills():
             zones = spillover.spilled_order()
         elif self.is_per_client:
             zones = spillover.shuffled_order(self.zone_subsets)
         subsets = [self.zone_subsets[zone] for zone in zones]
         if not is_probing:
-            subsets.sort(key=_is_failing)
+            subsets.sort(key=attrgetter("is_failing"))
         return subsets
 
     def _select_in_zone(self, subset: ZoneSubset, request: RoutedRequest, now_us: int) -> Endpoint | None:
@@ -99,8 +96,9 @@
         Of a limit between whole attempts the fraction is open to that part of the requests; otherwise
         requests over quota would get as much of a limit below one as others.
         """
-        is_busy = any(other.in_flight for other in self.zone_subsets)
-        limit = subset.limit if is_busy else max(1.0, subset.limit)
+        limit = subset.limit
+        if limit < 1.0 and not any(other.in_flight for other in self.zone_subsets):
+            limit = 1.0
         return subset.in_flight + 1 <= request.open_fraction * limit + request.random_value
 
     def _pick(
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -256,9 +256,10 @@
         endpoint = request.attempts[attempt_number]
         if request.in_flight.pop(attempt_number, None) is None:
             return []
-        self.add_in_flight(endpoint, -int(not request.is_uploading))
+        subset = self.zone_subsets[endpoint.zone]
+        subset.add_in_flight(endpoint, -int(not request.is_uploading))
         self.feedback.record(
-            self.zone_subsets[endpoint.zone],
+            subset,
             endpoint,
             now_us,
             outcome,
--- a/cressrail/policy/routed_request.py
+++ b/cressrail/policy/routed_request.py
@@ -57,7 +57,7 @@
         self.load_balancer = load_balancer
         self.tenant = tenant
         self.request_class = request_class
-        self.deadline_us = 0
+        self.deadline_us: int = 0
         self.is_finished = False  # it has its answer
         self.is_body_gone = False  # what another attempt would send is no longer there
         self.in_flight: dict[int, int] = {}  # attempt number to the time it was sent
@@ -65,26 +65,24 @@
         self.start_clock(now_us, NO_DEADLINE_US if self.is_uploading else remaining_us)
         self.fixed_endpoint: Endpoint | None = None  # of the first attempt that may have run,
         self.fixed_us = 0  # and when that was sent
-        self._shorten_deadline(now_us)
-        self.queue_until_us = min(
+        if load_balancer.is_per_client:
+            self._shorten_deadline(now_us)
+        self.queue_until_us: int = min(
             self.deadline_us, now_us + request_class.latency_objective_us // QUEUE_WAIT_PARTS
         )
         quotas = load_balancer.quotas
-        self.is_over_quota = quotas.is_over_quota(tenant, now_us)
+        self.is_over_quota: bool = quotas.is_over_quota(tenant, now_us)
         weight = request_class.priority_weight * (quotas.over_quota_weight if self.is_over_quota else 1.0)
         self.open_fraction: float = 1.0
         if load_balancer.is_ingress:
             self.open_fraction = OPEN_TO_ALL + (1 - OPEN_TO_ALL) * weight
-        self.random_value = load_balancer.random_generator.fraction()
+        self.random_value: float = load_balancer.random_generator.fraction()
         self.attempts: list[Endpoint] = []
 
     def _shorten_deadline(self, now_us: int) -> None:
         """In the mesh, ends attempts in time for a rejection where a late answer is worth nothing."""
-        if (
-            self.load_balancer.is_per_client
-            and not self.request_class.overdue_weight
-            and self.load_balancer.retry_policy.may_reject(self, may_have_run=True)
-        ):
+        may_reject = self.load_balancer.retry_policy.may_reject(self, may_have_run=True)
+        if may_reject and not self.request_class.overdue_weight:
             objective_us = self.request_class.latency_objective_us
             spare_us = _OBJECTIVE_SPARE_ROUNDS * self.load_balancer.round_us
             self.deadline_us = min(self.deadline_us, now_us + max(objective_us // 2, objective_us - spare_us))
--- a/cressrail/policy/zone_spillover.py
+++ b/cressrail/policy/zone_spillover.py
@@ -45,8 +45,8 @@
         self.weighted_fraction = fraction
 
     def goes_by_weight(self) -> bool:
-        """Decides at random whether the weights apply to a request's first attempt."""
-        return bool(self.weighted_fraction) and self.random_generator.fraction() < self.weighted_fraction
+        """Decides at random whether the weights apply; to be called where `weighted_fraction` is not 0."""
+        return self.random_generator.fraction() < self.weighted_fraction
 
     def weighted_order(self) -> list[int]:
         """Returns a zone drawn by the weights, then the others that have one, near ones first."""
@@ -64,12 +64,8 @@
         return self.zone_weights[zone] < PROBING_SHARE
 
     def spills(self) -> bool:
-        """Decides at random whether a request goes to the next zone first."""
-        return (
-            self.next_zone >= 0
-            and bool(self.spilled_fraction)
-            and self.random_generator.fraction() < self.spilled_fraction
-        )
+        """Decides at random whether to spill; to be called where `spilled_fraction` is not 0."""
+        return self.next_zone >= 0 and self.random_generator.fraction() < self.spilled_fraction
 
     def spilled_order(self) -> list[int]:
         """Returns the next zone, then the others, near ones first."""
