--- a/cressrail/policy/admission.py
+++ b/cressrail/policy/admission.py
@@ -51,7 +51,7 @@
         self.attempts_per_s = 0.0  # moving average
 
     def begin(self, even_load: float) -> None:
-        """Starts with what the zone can take of an even load, unless latencies have told more already."""
+        """Starts with what the zone can take of an even load, unless it has a fraction from latencies."""
         self.admitted_fraction = self.admitted_fraction or min(MAX_ADMITTED, even_load)
 
     def record_latency(self, latency: float) -> None:
--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -63,10 +63,10 @@
         spillover = self.spillover
         zones = spillover.zone_order
         is_probing = False
-        if spillover.weighted_fraction and not request.attempts and spillover.goes_by_weight():
+        if spillover.weighted_fraction and not request.attempts and spillover.draw_weighted():
             zones = spillover.weighted_order()
             is_probing = spillover.is_probing(zones[0])
-        elif spillover.spilled_fraction and spillover.spills():
+        elif spillover.spilled_fraction and spillover.draw_spillover():
             zones = spillover.spilled_order()
         elif self.is_per_client:
             zones = spillover.shuffled_order(self.zone_subsets)
--- a/cressrail/policy/list_polling.py
+++ b/cressrail/policy/list_polling.py
@@ -42,8 +42,8 @@
             self.consecutive_failures = 0
             self.next_poll_us = now_us + self.interval_us * _INTERVALS_AFTER_SUCCESS
 
-    def is_due(self, now_us: int) -> bool:
-        """Whether to poll now; if so, the next poll is put off until an answer can have come."""
+    def take_due_poll(self, now_us: int) -> bool:
+        """Returns whether to poll now, and then puts the next poll off until an answer can have come."""
         if self.next_poll_us < 0 or now_us < self.next_poll_us:
             return False
         self.next_poll_us = now_us + self.interval_us // _ANSWER_WAIT_PARTS
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -219,7 +219,7 @@
     def route(self, request: RoutedRequest, now_us: int) -> list[Decision]:
         """Sends a request, queues it, or gives it up."""
         if request.deadline_us <= now_us or (
-            self.spillover.weighted_fraction and self.spillover.is_unserved(request.open_fraction)
+            self.spillover.weighted_fraction and self.spillover.draw_unserved(request.open_fraction)
         ):
             return [self.give_up(request)]
         if not self.queue.is_behind(request):
--- a/cressrail/policy/routed_request.py
+++ b/cressrail/policy/routed_request.py
@@ -71,7 +71,7 @@
             self.deadline_us, now_us + request_class.latency_objective_us // QUEUE_WAIT_PARTS
         )
         quotas = load_balancer.quotas
-        self.is_over_quota: bool = quotas.is_over_quota(tenant, now_us)
+        self.is_over_quota: bool = quotas.check_over_quota(tenant, now_us)
         weight = request_class.priority_weight * (quotas.over_quota_weight if self.is_over_quota else 1.0)
         self.open_fraction: float = 1.0
         if load_balancer.is_ingress:
--- a/cressrail/policy/tenant_quota.py
+++ b/cressrail/policy/tenant_quota.py
@@ -37,8 +37,8 @@
         self.burst_sizes = [max(MIN_BURST, rate * MICROSECONDS_PER_SECOND) for rate in self.rates_per_us]
         self.total_per_us = sum(self.rates_per_us)
 
-    def is_over_quota(self, tenant: int, now_us: int) -> bool:
-        """Whether a request that comes now is over its tenant's quota; moves the buckets' clock on."""
+    def check_over_quota(self, tenant: int, now_us: int) -> bool:
+        """Moves the buckets' clock on and returns whether a request that comes now is over quota."""
         elapsed_us = now_us - self.last_request_us
         if now_us < self.short_until_us and self.total_per_us:
             # While requests within quota are rejected, buckets fill by what is sent and not by time. Else a
--- a/cressrail/policy/zone_spillover.py
+++ b/cressrail/policy/zone_spillover.py
@@ -44,7 +44,7 @@
         self.zone_weights = zone_weights
         self.weighted_fraction = fraction
 
-    def goes_by_weight(self) -> bool:
+    def draw_weighted(self) -> bool:
         """Decides at random whether the weights apply; to be called where `weighted_fraction` is not 0."""
         return self.random_generator.fraction() < self.weighted_fraction
 
@@ -63,7 +63,7 @@
         """Whether the zone's weight is only there to find out whether it has recovered."""
         return self.zone_weights[zone] < PROBING_SHARE
 
-    def spills(self) -> bool:
+    def draw_spillover(self) -> bool:
         """Decides at random whether to spill; to be called where `spilled_fraction` is not 0."""
         return self.next_zone >= 0 and self.random_generator.fraction() < self.spilled_fraction
 
@@ -84,7 +84,7 @@
 
         return self.zone_order[:1] + sorted(self.zone_order[1:], key=random_key)
 
-    def is_unserved(self, open_fraction: float) -> bool:
+    def draw_unserved(self, open_fraction: float) -> bool:
         """Decides at random whether no zone is to serve a request, by the share that the weights leave over.
 
         Requests of the least weight go first, at once, so that no queue of them builds up.
--- a/cressrail/wirehost/instance.py
+++ b/cressrail/wirehost/instance.py
@@ -167,7 +167,7 @@
     def encode_polls_and_timers(self, now_us: int) -> list[str]:
         """Writes what is to be asked for after a batch; a new timer only if it is to run out earlier."""
         lines = []
-        if self.load_balancer.list_poller.is_due(now_us):
+        if self.load_balancer.list_poller.take_due_poll(now_us):
             lines.append(codec.encode_poll(self.name))
         wake_us = max(now_us + 1, self.load_balancer.wake_us)
         if self.timer_us is None or wake_us < self.timer_us:
--- a/tests/policy/test_list_polling.py
+++ b/tests/policy/test_list_polling.py
@@ -17,7 +17,7 @@
     load_balancer = make_load_balancer([], list_poller=poller)
     poller.next_poll_us = SECOND
     load_balancer.update_endpoints(0, [make_entry(0)], True, is_poll_answer)
-    assert poller.is_due(2 * SECOND) is is_due
+    assert poller.take_due_poll(2 * SECOND) is is_due
 
 
 @pytest.mark.parametrize("failures", [0, 1, 3, 20])
@@ -26,10 +26,10 @@
     poller.start(0)
     now_us = poller.next_poll_us
     assert 0 <= now_us <= INTERVAL_US // 8
-    assert poller.is_due(now_us)
-    assert not poller.is_due(now_us)
+    assert poller.take_due_poll(now_us)
+    assert not poller.take_due_poll(now_us)
     for _ in range(failures):
         poller.on_answer(now_us, True)
         assert now_us < poller.next_poll_us <= now_us + INTERVAL_US // 2
         now_us = poller.next_poll_us
-        assert poller.is_due(now_us)
+        assert poller.take_due_poll(now_us)
--- a/tests/policy/test_tenant_quota.py
+++ b/tests/policy/test_tenant_quota.py
@@ -15,7 +15,7 @@
     quotas = TenantQuotas([20.0], 2, 0.1)
     found = 0
     for number in range(rate_per_s * 11):
-        is_over_quota = quotas.is_over_quota(0, number * SECOND // rate_per_s)
+        is_over_quota = quotas.check_over_quota(0, number * SECOND // rate_per_s)
         found += is_over_quota
         if is_sent and not is_over_quota:
             quotas.on_sent(0, False)
@@ -26,7 +26,7 @@
 def test_first_few_requests_are_within_quota_whatever_the_instance_count(instance_count: int) -> None:
     quotas = TenantQuotas([20.0], instance_count, 0.1)
     for _ in range(4):
-        assert not quotas.is_over_quota(0, 0)
+        assert not quotas.check_over_quota(0, 0)
         quotas.on_sent(0, False)
 
 
@@ -37,7 +37,7 @@
     for number in range(400):  # the first tenant alone sends, at a fifth of both quotas together
         if is_short:
             quotas.on_rejected(SECOND)
-        is_over_quota = quotas.is_over_quota(0, number * SECOND // 20)
+        is_over_quota = quotas.check_over_quota(0, number * SECOND // 20)
         quotas.on_sent(0, is_over_quota)
         found += is_over_quota
     assert found >= least if is_short else found == 0
