--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -1,9 +1,13 @@
-"""Makes the parts of the module from what a sidecar is told at its start."""
+"""Builds the parts of the policy from the settings."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+from cressrail.configuration import setting_names as names
 from cressrail.configuration.deployment_type import is_per_client
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader
+from cressrail.configuration.setting_names import count_path, entry_path
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
 from cressrail.policy.endpoint_table import NO_CONNECTION_LIMIT
 from cressrail.policy.list_polling import EndpointListPoller
 from cressrail.policy.load_balancer import LoadBalancer
@@ -14,108 +18,186 @@
 from cressrail.policy.tenant_quota import TenantQuotas
 
 SECOND_US = 1_000_000
+MAX_QUANTITY = 1e12  # of priorities and quotas
 IDEMPOTENCY_BY_SETTING = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.WITH_KEY,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 KEY_SCOPE_BY_SETTING = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
+IS_PRIORITY_BY_WORK = {"work": True, "request": False}
+IS_LIST_POLLED = {"automatic": False, "subscribe": True}
+
+
+class ConnectionTimeouts(NamedTuple):
+    """Times, in microseconds, that bound a connection to an endpoint.
+
+    Attributes:
+        connect_us: For the connection to be established.
+        idle_us: After which the endpoint may close a connection without requests.
+    """
+
+    connect_us: int
+    idle_us: int
+
 
+def read_request_classes(settings: SettingsReader) -> dict[str, RequestClass]:
+    """Returns the request classes by name, in the order of the settings.
 
-def request_classes(told: SettingsReader) -> dict[str, RequestClass]:
-    found = {}
-    count = told.whole("profiles.count", 1)
-    by_work = told.one_of("revenue_basis", {"work": "1", "request": ""}) == "1"
-    earns = priority_weights(
-        [told.real(f"profiles.{n}.revenue", 0, 1e12) for n in range(count)],
-        [told.whole(f"profiles.{n}.service_goal_us", 1) for n in range(count)],
-        by_work,
-        told.real("goal.worst_class", 0, 1, absent=0.0),
+    Raises:
+        ConfigurationError: A setting of a class is missing or impossible.
+    """
+    count = settings.whole_number(count_path(names.REQUEST_CLASSES), 1)
+    is_by_work = settings.choice(names.PRIORITY_BASIS, IS_PRIORITY_BY_WORK)
+    priorities = priority_weights(
+        [
+            settings.number(_class_path(index, names.CLASS_PRIORITY), 0, MAX_QUANTITY)
+            for index in range(count)
+        ],
+        [
+            settings.whole_number(_class_path(index, names.CLASS_LATENCY_OBJECTIVE_US), 1)
+            for index in range(count)
+        ],
+        is_by_work,
+        settings.number(names.WORST_CLASS_WEIGHT, 0, 1, absent=0.0),
     )
-    for n in range(count):
-        at = f"profiles.{n}."
-        kind = told.one_of(at + "repeat", IDEMPOTENCY_BY_SETTING)
-        group, window_us = KeyScope.ALL, 0
-        if kind is Idempotency.WITH_KEY:
-            group = told.one_of(at + "key_scope", KEY_SCOPE_BY_SETTING)
-            window_us = told.whole(at + "window_us", 1)
-        found[told.word(at + "name")] = RequestClass(
-            kind,
-            group,
+    classes = {}
+    for index, priority in enumerate(priorities):
+        idempotency = settings.choice(_class_path(index, names.CLASS_IDEMPOTENCY), IDEMPOTENCY_BY_SETTING)
+        key_scope, window_us = KeyScope.ALL, 0
+        if idempotency is Idempotency.WITH_KEY:
+            key_scope = settings.choice(_class_path(index, names.CLASS_KEY_SCOPE), KEY_SCOPE_BY_SETTING)
+            window_us = settings.whole_number(_class_path(index, names.CLASS_IDEMPOTENCY_WINDOW_US), 1)
+        classes[settings.text(_class_path(index, names.CLASS_NAME))] = RequestClass(
+            idempotency,
+            key_scope,
             window_us,
-            told.whole(at + "service_goal_us", 1),
-            told.whole(at + "hard_limit_us", 1),
-            earns[n],
-            told.real(at + "overdue_revenue", 0, 1, absent=1.0),
+            settings.whole_number(_class_path(index, names.CLASS_LATENCY_OBJECTIVE_US), 1),
+            settings.whole_number(_class_path(index, names.CLASS_DEADLINE_US), 1),
+            priority,
+            settings.number(_class_path(index, names.CLASS_OVERDUE_PRIORITY), 0, 1, absent=1.0),
         )
-    return found
+    return classes
 
 
-def tenants(told: SettingsReader) -> dict[str, float]:
+def _class_path(index: int, name: str) -> str:
+    return entry_path(names.REQUEST_CLASSES, index, name)
+
+
+def read_tenant_quotas(settings: SettingsReader) -> dict[str, float]:
+    """Returns the tenants' quotas by name, in requests a second over all instances.
+
+    Raises:
+        ConfigurationError: A setting of a tenant is missing or impossible.
+    """
     return {
-        told.word(f"tenants.{n}.name"): told.real(f"tenants.{n}.allowance_per_s", 0, 1e12)
-        for n in range(told.whole("tenants.count", 0, absent=0))
+        settings.text(entry_path(names.TENANTS, index, names.TENANT_NAME)): settings.number(
+            entry_path(names.TENANTS, index, names.TENANT_QUOTA_PER_S), 0, MAX_QUANTITY
+        )
+        for index in range(settings.whole_number(count_path(names.TENANTS), 0, absent=0))
     }
 
 
-def waits(told: SettingsReader) -> tuple[int, int]:
-    """For a connection to come up, and until an endpoint may close one that is idle."""
-    return told.whole("limits.connect_timeout_us", 1), told.whole("limits.conn_idle_us", 1)
+def read_connection_timeouts(settings: SettingsReader) -> ConnectionTimeouts:
+    """Returns the times that bound connections to endpoints.
 
+    Raises:
+        ConfigurationError: One of them is missing or impossible.
+    """
+    return ConnectionTimeouts(
+        settings.whole_number(names.CONNECT_TIMEOUT_US, 1),
+        settings.whole_number(names.CONNECTION_IDLE_US, 1),
+    )
 
-def tried(told: SettingsReader, seed: int) -> tuple[dict[str, RequestClass], dict[str, float]]:
-    """Raises `Unfit` for settings of which no sidecar can be made; its profiles and members otherwise."""
-    allowances = tenants(told)
-    waits(told)
-    load_balancer(told, seed, 0, told.names("dcs"), list(allowances.values()))
-    return request_classes(told), allowances
 
+def check_policy_settings(
+    settings: SettingsReader, seed: int
+) -> tuple[dict[str, RequestClass], dict[str, float]]:
+    """Returns request classes and tenant quotas, after building everything once to check the settings.
 
-def load_balancer(
-    told: SettingsReader,
+    Raises:
+        ConfigurationError: No policy can be built from the settings.
+    """
+    quotas = read_tenant_quotas(settings)
+    read_connection_timeouts(settings)
+    build_load_balancer(settings, seed, 0, settings.names(names.ZONES), list(quotas.values()))
+    return read_request_classes(settings), quotas
+
+
+def build_load_balancer(
+    settings: SettingsReader,
     seed: int,
-    now: int,
+    now_us: int,
     zones: list[str],
-    allowances: list[float],
-    links: int = NO_CONNECTION_LIMIT,
+    quotas_per_s: list[float],
+    max_connections: int = NO_CONNECTION_LIMIT,
 ) -> LoadBalancer:
-    if told.word("zone") not in zones:
-        raise ConfigurationError(f"zone is not one of dcs: {told.word('zone')[:40]}")
-    tiers, stage = told.names("tiers"), told.whole("stage", 0)
-    if stage >= len(tiers):
-        raise ConfigurationError(f"stage is not below the number of tiers: {stage}")
-    subscribes = told.one_of("membership_mode", {"automatic": "", "subscribe": "1"}) == "1"
-    chance = RandomGenerator(seed)
-    copies = told.whole("n_instances", 1)
-    shares = TenantQuotas(allowances, copies, told.real("surplus_revenue", 0, 1) if allowances else 1.0)
+    """Builds the policy of one instance.
+
+    Args:
+        settings: Of the tier.
+        seed: Of the random values that decisions draw.
+        now_us: Time of the start.
+        zones: Names of all zones; the policy goes by their indices.
+        quotas_per_s: Tenant quotas in requests a second, in the order of the tenants' indices.
+        max_connections: To endpoints, at a time.
+
+    Raises:
+        ConfigurationError: A setting is missing or impossible.
+    """
+    if settings.text(names.OWN_ZONE) not in zones:
+        raise ConfigurationError(
+            names.OWN_ZONE, f"is not one of {names.ZONES}: {shown(settings.text(names.OWN_ZONE))}"
+        )
+    tiers, tier_index = settings.names(names.TIERS), settings.whole_number(names.TIER_INDEX, 0)
+    if tier_index >= len(tiers):
+        raise ConfigurationError(names.TIER_INDEX, f"is not below the number of tiers: {tier_index}")
+    is_list_polled = settings.choice(names.LIST_DELIVERY, IS_LIST_POLLED)
+    random_generator = RandomGenerator(seed)
+    instance_count = settings.whole_number(names.INSTANCE_COUNT, 1)
+    over_quota_priority = settings.number(names.OVER_QUOTA_PRIORITY, 0, 1) if quotas_per_s else 1.0
+    quotas = TenantQuotas(quotas_per_s, instance_count, over_quota_priority)
     return LoadBalancer(
-        random_generator=chance,
-        zone=zones.index(told.word("zone")),
+        random_generator=random_generator,
+        zone=zones.index(settings.text(names.OWN_ZONE)),
         zone_count=len(zones),
-        remaining_tiers_fraction=(len(tiers) - stage) / len(tiers),
-        is_last_tier=stage == len(tiers) - 1,
-        is_ingress=stage == 0,
-        round_us=told.whole("round_us", 1),
-        max_retry_after_us=told.whole("limits.max_retry_after_us", 0)
-        if told.yes("limits.retry_after")
-        else 0,
-        may_cancel=told.yes("limits.may_cancel"),
+        remaining_tiers_fraction=(len(tiers) - tier_index) / len(tiers),
+        is_last_tier=tier_index == len(tiers) - 1,
+        is_ingress=tier_index == 0,
+        round_us=settings.whole_number(names.ROUND_US, 1),
+        max_retry_after_us=_max_retry_after_us(settings),
+        may_cancel=settings.flag(names.MAY_CANCEL),
         list_poller=EndpointListPoller(
-            subscribes, told.whole("contract.ask_every_us", 1) if subscribes else 0, chance
+            is_list_polled,
+            settings.whole_number(names.POLL_INTERVAL_US, 1) if is_list_polled else 0,
+            random_generator,
         ),
-        retry_policy=RetryPolicy(told.whole("limits.most_hops", 1), told.yes("limits.parallel_tries")),
-        slow_start=SlowStart(
-            told.real("contract.cold_from", 0, 1),
-            told.whole("contract.warm_within_us", 1),
-            now,
-            shares.total_per_us,
-            told.real("contract.fall_multiple", 0.1, 1e6, absent=1.0),
-            told.whole("contract.fall_us", 1, absent=SECOND_US),
+        retry_policy=RetryPolicy(
+            settings.whole_number(names.MAX_ATTEMPTS, 1), settings.flag(names.MAY_HEDGE)
         ),
-        quotas=shares,
-        instance_count=copies,
-        instance_number=told.whole("slot_no", 0, absent=0),
-        now_us=now,
-        is_per_client=is_per_client(told),
-        max_connections=links,
+        slow_start=_build_slow_start(settings, now_us, quotas.total_per_us),
+        quotas=quotas,
+        instance_count=instance_count,
+        instance_number=settings.whole_number(names.INSTANCE_INDEX, 0, absent=0),
+        now_us=now_us,
+        is_per_client=is_per_client(settings),
+        max_connections=max_connections,
+    )
+
+
+def _max_retry_after_us(settings: SettingsReader) -> int:
+    """Returns the longest retry-after that may be sent; zero where none may be."""
+    if not settings.flag(names.MAY_SEND_RETRY_AFTER):
+        return 0
+    return settings.whole_number(names.MAX_RETRY_AFTER_US, 0)
+
+
+def _build_slow_start(settings: SettingsReader, now_us: int, total_quota_per_us: float) -> SlowStart:
+    return SlowStart(
+        settings.number(names.WARMUP_START_FRACTION, 0, 1),
+        settings.whole_number(names.WARMUP_US, 1),
+        now_us,
+        total_quota_per_us,
+        settings.number(names.OVERLOAD_COLLAPSE_FACTOR, 0.1, 1e6, absent=1.0),
+        settings.whole_number(names.OVERLOAD_COLLAPSE_US, 1, absent=SECOND_US),
     )
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -1,47 +1,60 @@
-"""Copies in virtual time: a network that loses, delays and cuts, and processes that stall, die and start
-again.
+"""A fleet of instances in virtual time, whose processes stall, die and start again.
 
-The same reducer as on sockets; nothing here decides for a copy. All is drawn from one seed."""
+Each instance runs the same state machine as in service; nothing here decides for it. All random values come
+from one seed.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from heapq import heappop, heappush
 
-from cressrail.membership.messages import LOST, Address, Command, LogEvent, Send, Settings
+from cressrail.membership.messages import (
+    DEAD,
+    Address,
+    Command,
+    LogEvent,
+    MembershipSettings,
+    SendDatagram,
+)
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.random_generator import RandomGenerator
+from cressrail.simulation.lossy_network import LossyNetwork
+from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
-SECOND = 1_000_000
-QUEUE = 250  # datagrams that a socket holds for a process that does not read
-HEADERS = 28  # bytes of IP and UDP to each datagram
+SECOND = SECOND_US
+SOCKET_QUEUE_DATAGRAMS = 250  # that a socket holds for a process that does not read
+NEVER_US = 1 << 62
+PORT = 7946
+ZONE_NAMES = "abcdefgh"
 
 
 @dataclass
-class Process:
-    """One process of a copy, and what befalls it."""
+class SimulatedProcess:
+    """One process of an instance, and its state in the simulated machine."""
 
-    settings: Settings
-    copy: MembershipStateMachine
-    wake_us: int = 1 << 62
-    stalled: bool = False
+    settings: MembershipSettings
+    instance: MembershipStateMachine
+    next_timer_us: int = NEVER_US
+    is_stalled: bool = False
     queue: list[bytes] = field(default_factory=list)  # of its socket, while it is stalled
-    up: bool = True
+    is_running: bool = True
 
 
 @dataclass(frozen=True)
-class Told:
-    """A line of a copy's log."""
+class LoggedEvent:
+    """A log event of an instance."""
 
     at_us: int
-    by: str
+    reporter: str
     event: str
-    of: str
-    why: str = ""
+    subject: str
+    reason: str = ""
 
 
-class World:
+class MembershipSimulation:
+    """A fleet, its network and its clock."""
+
     def __init__(
         self,
         size: int,
@@ -50,173 +63,174 @@
         loss: float = 0.0,
         zones: int = 3,
         seeds: int = 3,
-        change: Callable[[Settings], Settings] = lambda told: told,
-        least_us: int = 200,
-        most_us: int = 2_000,
-        refuses: bool = True,
+        change: Callable[[MembershipSettings], MembershipSettings] = lambda settings: settings,
+        min_delay_us: int = 200,
+        max_delay_us: int = 2_000,
+        reports_refusals: bool = True,
     ) -> None:
-        """`change`: what each copy is set to otherwise. A datagram takes between `least_us` and `most_us`;
-        `refuses`: machines say so of one that comes where no process listens."""
-        self.refuses = refuses
-        self.chance = RandomGenerator(seed)
-        self.loss, self.least_us, self.most_us = loss, least_us, most_us
-        self.now = 0
-        self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.event_no = 0
-        self.processes: dict[Address, Process] = {}
-        self.names: dict[str, Process] = {}
-        self.cut: Callable[[str, str], bool] = lambda _from, _to: False
-        self.fate: Callable[[str, str], int] = self._drawn  # how long a datagram takes, -1 for never
-        self.log: list[Told] = []
-        self.sent_bytes = self.sent = 0
-        self.largest = 0
-        self.births = 0
-        self.change = change
-        addresses = [self.address(n) for n in range(size)]
+        """Sets up a fleet of which no process runs yet.
+
+        Args:
+            size: Number of instances.
+            seed: Of all random values.
+            loss: Share of datagrams lost in each direction.
+            zones: Number of zones, over which instances are spread in turn.
+            seeds: How many of the first instances are seeds of all.
+            change: Applied to the settings of each instance.
+            min_delay_us: Of a datagram.
+            max_delay_us: Of a datagram.
+            reports_refusals: Whether a machine answers a datagram to an address without a process.
+        """
+        self.reports_refusals = reports_refusals
+        self.random = RandomGenerator(seed)
+        self.clock = VirtualClock()
+        self.network = LossyNetwork(
+            self.clock, self.random, loss=loss, min_delay_us=min_delay_us, max_delay_us=max_delay_us
+        )
+        self.processes: dict[Address, SimulatedProcess] = {}
+        self.names: dict[str, SimulatedProcess] = {}
+        self.log: list[LoggedEvent] = []
+        addresses = [self.address(number) for number in range(size)]
         self.all_settings = [
-            change(Settings(f"copy{n}", "abcdefgh"[n % zones], addresses[n], tuple(addresses[:seeds])))
-            for n in range(size)
+            change(
+                MembershipSettings(
+                    f"copy{number}", ZONE_NAMES[number % zones], addresses[number], tuple(addresses[:seeds])
+                )
+            )
+            for number in range(size)
         ]
 
     @staticmethod
-    def address(n: int) -> Address:
-        return f"127.1.{n >> 8}.{n & 255}", 7946
-
-    def at(self, when_us: int, what: Callable[[], None]) -> None:
-        self.event_no += 1
-        heappush(self.events, (when_us, self.event_no, what))
-
-    def start(self, n: int, incarnation: int | None = None) -> Process:
-        """The n-th copy, or its next process."""
-        settings = self.all_settings[n]
-        self.births += 1
-        copy = MembershipStateMachine(
+    def address(number: int) -> Address:
+        """The address of the instance of that number."""
+        return f"127.1.{number >> 8}.{number & 255}", PORT
+
+    # Processes
+
+    def start(self, number: int, incarnation: int | None = None) -> SimulatedProcess:
+        """Starts an instance, or its next process, which counts from `incarnation` if that is given."""
+        settings, now_us = self.all_settings[number], self.clock.now_us
+        instance = MembershipStateMachine(
             settings,
-            RandomGenerator(self.chance.below(1 << 32)),
-            self.now,
-            self.chance.below(1 << 32),
-            self.now // 1000 if incarnation is None else incarnation,
+            RandomGenerator(self.random.below(1 << 32)),
+            now_us,
+            self.random.below(1 << 32),
+            now_us // 1000 if incarnation is None else incarnation,
         )
-        process = Process(settings, copy)
+        process = SimulatedProcess(settings, instance)
         self.processes[settings.advertise] = self.names[settings.name] = process
-        self._carry(process, copy.start(self.now))
+        self._execute(process, instance.start(now_us))
         return process
 
     def start_all(self) -> None:
-        for n in range(len(self.all_settings)):
-            self.start(n)
+        """Starts every instance once."""
+        for number in range(len(self.all_settings)):
+            self.start(number)
 
     def add(self, name: str, like: int = 0) -> int:
-        """One more copy's number, with what another is set to."""
-        n = len(self.all_settings)
-        self.all_settings.append(replace(self.all_settings[like], name=name, advertise=self.address(n)))
-        return n
-
-    def stall(self, names: list[str], for_us: int) -> None:
+        """Adds an instance with the settings of another and returns its number; it is not started."""
+        number = len(self.all_settings)
+        settings = replace(self.all_settings[like], name=name, advertise=self.address(number))
+        self.all_settings.append(settings)
+        return number
+
+    def pause(self, names: list[str], for_us: int) -> None:
+        """Stops processes for a while; datagrams to them wait in their sockets."""
         for name in names:
-            self.names[name].stalled = True
-        self.at(self.now + for_us, lambda: self._resume(names))
+            self.names[name].is_stalled = True
+        self.clock.schedule(self.clock.now_us + for_us, lambda: self.resume(names))
 
-    def _resume(self, names: list[str]) -> None:
+    def resume(self, names: list[str]) -> None:
+        """Ends a pause: each process reads what waited, then runs the timers that are due."""
         for name in names:
             process = self.names[name]
-            process.stalled = False
-            queue, process.queue = process.queue[:QUEUE], []
-            for data in queue:
-                self._carry(process, process.copy.heard(self.now, data))
-            self._wake(process, process.wake_us)
+            process.is_stalled = False
+            queue, process.queue = process.queue[:SOCKET_QUEUE_DATAGRAMS], []
+            for payload in queue:
+                self._execute(process, process.instance.on_datagram(self.clock.now_us, payload))
+            self._on_timer(process, process.next_timer_us)
 
     def kill(self, name: str) -> None:
-        self.names[name].up = False
+        """Ends a process without a word to the others."""
+        self.names[name].is_running = False
 
     def leave(self, name: str) -> None:
+        """Ends a process that tells the others that it leaves."""
         process = self.names[name]
-        self._carry(process, process.copy.leave(self.now))
-        process.up = False
-
-    def run(self, until_us: int) -> None:
-        while self.events and self.events[0][0] <= until_us:
-            self.now, _, what = heappop(self.events)
-            what()
-        self.now = until_us
-
-    def until(self, met: Callable[[], bool], over_us: int, step_us: int = 50_000) -> bool:
-        """Runs until it is so; false if it is not within so long."""
-        over_us += self.now
-        while not met():
-            if self.now >= over_us:
-                return False
-            self.run(self.now + step_us)
-        return True
-
-    def _carry(self, process: Process, effects: list[Command]) -> None:
-        for effect in effects:
-            if isinstance(effect, Send):
-                self._send(process, effect)
-            elif isinstance(effect, LogEvent):
-                self.log.append(
-                    Told(
-                        self.now,
-                        process.copy.name,
-                        effect.event,
-                        str(effect.fields.get("copy", "")),
-                        str(effect.fields.get("why", "")),
-                    )
-                )
-        due_us = process.copy.wake_us
-        if due_us < process.wake_us or process.wake_us <= self.now:
-            process.wake_us = due_us
-            self.at(max(due_us, self.now), lambda: self._wake(process, due_us))
-
-    def _wake(self, process: Process, due_us: int) -> None:
-        if not process.up or process.stalled or due_us != process.wake_us:
-            return
-        process.wake_us = 1 << 62
-        self._carry(process, process.copy.woke(self.now))
-
-    def _send(self, process: Process, effect: Send) -> None:
-        self.sent += 1
-        self.sent_bytes += len(effect.data) + HEADERS
-        self.largest = max(self.largest, len(effect.data))
-        other = self.processes.get(effect.to)
-        if other is None or self.cut(process.settings.name, other.settings.name):
+        self._execute(process, process.instance.leave(self.clock.now_us))
+        process.is_running = False
+
+    # Commands and datagrams
+
+    def _execute(self, process: SimulatedProcess, commands: list[Command]) -> None:
+        for command in commands:
+            if isinstance(command, SendDatagram):
+                self._send(process, command)
+            elif isinstance(command, LogEvent):
+                self._record(process, command)
+        due_us, now_us = process.instance.next_timer_us, self.clock.now_us
+        if due_us < process.next_timer_us or process.next_timer_us <= now_us:
+            process.next_timer_us = due_us
+            self.clock.schedule(max(due_us, now_us), lambda: self._on_timer(process, due_us))
+
+    def _record(self, process: SimulatedProcess, command: LogEvent) -> None:
+        subject, reason = (str(command.fields.get(key, "")) for key in ("copy", "why"))
+        self.log.append(LoggedEvent(self.clock.now_us, process.instance.name, command.event, subject, reason))
+
+    def _on_timer(self, process: SimulatedProcess, due_us: int) -> None:
+        if not process.is_running or process.is_stalled or due_us != process.next_timer_us:
             return
-        span_us = self.fate(process.settings.name, other.settings.name)
-        if span_us >= 0:
-            self.at(self.now + span_us, lambda: self._arrive(process, effect.to, effect.data))
-
-    def _drawn(self, _from: str, _to: str) -> int:
-        if self.chance.fraction() < self.loss:
-            return -1
-        return self.least_us + self.chance.below(max(1, self.most_us - self.least_us))
-
-    def _arrive(self, source: Process, to: Address, data: bytes) -> None:
-        process = self.processes[to]
-        if process.up and process.stalled:  # it waits in the queue of its socket
-            process.queue.append(data)
-        elif process.up:
-            self._carry(process, process.copy.heard(self.now, data))
-        elif self.refuses and source.up and not self.cut(process.settings.name, source.settings.name):
-            self._carry(source, source.copy.refused(self.now, to))
-
-    # What is seen
-
-    def up(self) -> list[Process]:
-        return [process for process in self.names.values() if process.up]
-
-    def agree(self) -> bool:
-        """Whether each that is up takes just those that are up for taking part."""
-        count = len(self.up())
-        names = {process.copy.name for process in self.up()}
+        process.next_timer_us = NEVER_US
+        self._execute(process, process.instance.on_timer(self.clock.now_us))
+
+    def _send(self, process: SimulatedProcess, command: SendDatagram) -> None:
+        other = self.processes.get(command.destination)
+        self.network.send(
+            process.settings.name,
+            None if other is None else other.settings.name,
+            len(command.payload),
+            lambda: self._arrive(process, command.destination, command.payload),
+        )
+
+    def _arrive(self, source: SimulatedProcess, destination: Address, payload: bytes) -> None:
+        process = self.processes[destination]
+        if process.is_running and process.is_stalled:
+            process.queue.append(payload)
+        elif process.is_running:
+            self._execute(process, process.instance.on_datagram(self.clock.now_us, payload))
+        elif self._refusal_arrives(process, source):
+            self._execute(source, source.instance.on_connection_refused(self.clock.now_us, destination))
+
+    def _refusal_arrives(self, process: SimulatedProcess, source: SimulatedProcess) -> bool:
+        if not self.reports_refusals or not source.is_running:
+            return False
+        return not self.network.is_cut(process.settings.name, source.settings.name)
+
+    # Observations
+
+    def running_processes(self) -> list[SimulatedProcess]:
+        """Those that were not killed and did not leave."""
+        return [process for process in self.names.values() if process.is_running]
+
+    def all_views_agree(self) -> bool:
+        """Whether each running instance holds exactly the running ones for live."""
+        running = self.running_processes()
+        names = {process.instance.name for process in running}
         return all(
-            process.copy.alive() == count
-            and all(
-                process.copy.table.names[at] in names
-                for at, state in enumerate(process.copy.table.states)
-                if state < LOST and process.copy.table.ids[at] not in process.copy.private
-            )
-            for process in self.up()
+            process.instance.live_instance_count() == len(running) and live_names(process.instance) <= names
+            for process in running
         )
 
-    def losses(self, since_us: int = 0) -> list[Told]:
+    def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
+        """Log events by which an instance declared another dead."""
         return [told for told in self.log if told.event == "copy_lost" and told.at_us >= since_us]
+
+
+def live_names(instance: MembershipStateMachine) -> set[str]:
+    """Names of the others that an instance holds for live."""
+    table = instance.table
+    return {
+        table.names[row]
+        for row, state in enumerate(table.states)
+        if state < DEAD and table.ids[row] not in instance.dead_in_own_view
+    }
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGINT ask for a stop, SIGHUP for the configuration to be read again."""
+"""SIGTERM and SIGINT ask the sidecar to stop, SIGHUP to read its configuration again."""
 
 from __future__ import annotations
 
@@ -6,37 +6,50 @@
 import socket
 from collections.abc import Iterator
 from contextlib import contextmanager
+from typing import TYPE_CHECKING
 
 from cressrail.event_loop.scheduler import READ
 from cressrail.network.configuration_reload import ConfigurationReload
 from cressrail.network.dispatcher import CommandDispatcher
 
+if TYPE_CHECKING:
+    from cressrail.network.membership_transport import MembershipTransport
+
+MAX_SIGNALS_PER_READ = 64  # bytes, one for each signal
+
 
 @contextmanager
-def heed_signals(net: CommandDispatcher, reread: ConfigurationReload) -> Iterator[None]:
-    """While in here. A signal ends no poll by itself, so it comes as a byte on a socket that is polled."""
-    woken, waking = socket.socketpair()
-    woken.setblocking(False)
-    waking.setblocking(False)
+def handle_signals(
+    dispatcher: CommandDispatcher,
+    configuration_reload: ConfigurationReload,
+    membership: MembershipTransport | None,
+) -> Iterator[None]:
+    """Handles signals while the context is open.
 
-    def task() -> None:
+    A signal does not end a poll by itself: it arrives as a byte on a socket pair that a task polls.
+    """
+    receiver, sender = socket.socketpair()
+    receiver.setblocking(False)
+    sender.setblocking(False)
+
+    def receive_signals() -> None:
         while True:
-            net.loop.wait(woken.fileno(), READ)
-            heard = woken.recv(64)  # a byte for each signal, its number
-            if signal.SIGHUP in heard:
-                reread.now(net)
-            if signal.SIGTERM in heard or signal.SIGINT in heard:
-                net.dispatch(net.state_machine.on_stop_requested(net.now()))
-                if net.gossip is not None:
-                    net.gossip.tell("leave")
-
-    signal.set_wakeup_fd(waking.fileno(), warn_on_full_buffer=False)
-    for name in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(name, lambda *_: None)
-    net.loop.spawn(task, vital=True)
+            dispatcher.scheduler.wait(receiver.fileno(), READ)
+            signals = receiver.recv(MAX_SIGNALS_PER_READ)  # the number of each signal
+            if signal.SIGHUP in signals:
+                configuration_reload.reload(dispatcher, membership)
+            if signal.SIGTERM in signals or signal.SIGINT in signals:
+                dispatcher.dispatch(dispatcher.state_machine.on_stop_requested(dispatcher.now()))
+                if membership is not None:
+                    membership.notify("leave")
+
+    signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
+    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(number, lambda *_: None)
+    dispatcher.scheduler.spawn(receive_signals, vital=True)
     try:
         yield
     finally:
         signal.set_wakeup_fd(-1)
-        woken.close()
-        waking.close()
+        receiver.close()
+        sender.close()
--- a/cressrail/wirehost/instance.py
+++ b/cressrail/wirehost/instance.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from cressrail.configuration import policy_factory
+from cressrail.configuration import policy_factory, setting_names
 from cressrail.configuration.settings_reader import SettingsReader
 from cressrail.policy.decision import CancelAttempt, Decision, StartAttempt
 from cressrail.policy.endpoint import EndpointUpdate
@@ -43,11 +43,11 @@
     def __init__(self, name: str, seed: int, now_us: int, settings: SettingsReader) -> None:
         """Raises `ConfigurationError` for settings of which no load balancer can be made."""
         self.name = name
-        self.request_classes = policy_factory.request_classes(settings)
-        quotas = policy_factory.tenants(settings)
+        self.request_classes = policy_factory.read_request_classes(settings)
+        quotas = policy_factory.read_tenant_quotas(settings)
         self.tenants = {tenant: index for index, tenant in enumerate(quotas)}
-        self.zones = {zone: index for index, zone in enumerate(settings.names("dcs"))}
-        self.load_balancer = policy_factory.load_balancer(
+        self.zones = {zone: index for index, zone in enumerate(settings.names(setting_names.ZONES))}
+        self.load_balancer = policy_factory.build_load_balancer(
             settings, seed, now_us, list(self.zones), list(quotas.values())
         )
         self.addresses: list[str] = []  # by endpoint index
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,7 @@
 from itertools import count
 from typing import Any
 
-from cressrail.configuration.startup import read_config
+from cressrail.configuration.startup import parse_configuration
 from cressrail.event_loop.scheduler import READ, WRITE, Scheduler
 from cressrail.network import listener
 from cressrail.network.server import assemble
@@ -170,11 +170,12 @@
         config["discovery"] = f"127.0.0.1:{self.ports[-1]}"
         config["known"]["members"] = [member(f"s{n}", port) for n, port in enumerate(self.ports[:-1][:known])]
         self.list = json.dumps(config["known"]).encode()
-        start = read_config(config, {})
+        start = parse_configuration(config, {})
         start.listen = ("127.0.0.1", 0)
         self.fd = os.open("/dev/null", os.O_WRONLY) if log is None else log
-        self.net, self.door = assemble(start, self.fd)
-        self.loop, self.reducer = self.net.loop, self.net.state_machine
+        server = assemble(start, self.fd)
+        self.net, self.door = server.dispatcher, server.listener
+        self.loop, self.reducer = self.net.scheduler, self.net.state_machine
         self.faults: list[str] = []
         self.loop.on_fault = self.faults.append
         self.at = self.door.sock.getsockname()
@@ -230,9 +231,14 @@
         os.close(self.fd)
         assert not self.faults, self.faults
         assert not (
-            self.net.clients or self.net.connections or self.reducer.clients or self.reducer.connections
+            self.net.clients
+            or self.net.connections
+            or self.reducer.clients.open
+            or self.reducer.connections.open
+        )
+        assert not (
+            self.reducer.requests.pending or self.reducer.attempts.in_flight or self.reducer.clients.idle
         )
-        assert not (self.reducer.pending_requests or self.reducer.attempts or self.reducer.idle_clients)
         # The watch may be amid a line; all else is back.
         assert self.net.pool.lent <= 1
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,14 +19,14 @@
 from cressrail.discovery.endpoint_list import read
 from cressrail.handover import state as estate
 from cressrail.handover.frame import HEAD, MARK, VERSION, Frames, HandoverError, wrap
-from cressrail.network.handover_client import MOST_PATH, find_predecessor, rendezvous_path
+from cressrail.network.handover_client import MAX_PATH_BYTES, find_predecessor, rendezvous_path
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, ask, member, reply
 from tests.policy.support import send_successes
+from tests.proxy.support import Front, news
 from tests.test_ops import call
-from tests.test_traffic import Front, news
 
 
 def test_frames_come_whole_from_any_pieces() -> None:
@@ -70,7 +70,8 @@
 def beside() -> Front:
     """A process that waits for the one before it."""
     front = Front()
-    front.reducer.listening, front.reducer.has_predecessor = False, True
+    front.reducer.lifecycle.set_accepting(False)
+    front.reducer.lifecycle.wait_for_predecessor()
     return front
 
 
@@ -84,7 +85,7 @@
     new.told = new.reducer.take_over(SECOND, told(old), 1, 1)
     side = new.reducer.load_balancer
     assert (
-        new.reducer.revision == 9
+        new.reducer.endpoint_watch.revision == 9
         and not side.endpoints[1].accepts_requests
         and side.endpoints[1].limit == 1.25
     )
@@ -208,14 +209,17 @@
     told(front)
     front.all(do.AcceptClients)
     front.told = front.reducer.on_successor_failed(SECOND)
-    assert front.all(do.AcceptClients) == [do.AcceptClients(True)] and front.reducer.handed_over_us < 0
+    assert (
+        front.all(do.AcceptClients) == [do.AcceptClients(True)]
+        and not front.reducer.lifecycle.has_handed_over
+    )
     told(front)
     front.told = front.reducer.on_stop_requested(2 * SECOND)
     front.told += front.reducer.on_successor_failed(2 * SECOND)
     assert not front.all(do.AcceptClients)
 
 
-@pytest.mark.parametrize("tmp", [None, "", "/x" * MOST_PATH])
+@pytest.mark.parametrize("tmp", [None, "", "/x" * MAX_PATH_BYTES])
 def test_without_a_place_to_meet_there_is_none(tmp: str | None) -> None:
     assert rendezvous_path(("127.0.0.1", 1), tmp) is None
 
