--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -8,28 +8,23 @@
 from cressrail.configuration.deployment_type import is_per_client
 from cressrail.configuration.setting_names import count_path, entry_path
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
-from cressrail.policy.load_balancer import (
-    ALL,
-    CELL,
-    IDEMPOTENT,
-    IDEMPOTENT_WITH_KEY,
-    NEVER_US,
-    NON_IDEMPOTENT,
-    ZONE,
-    EndpointListPoller,
-    LoadBalancer,
-    RandomGenerator,
-    RequestClass,
-    RetryPolicy,
-    SlowStart,
-    TenantQuotas,
-    priority_weights,
-)
+from cressrail.policy.endpoint_table import NO_CONNECTION_LIMIT
+from cressrail.policy.list_polling import EndpointListPoller
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.random_generator import RandomGenerator
+from cressrail.policy.request_class import Idempotency, KeyScope, RequestClass, priority_weights
+from cressrail.policy.retry_policy import RetryPolicy
+from cressrail.policy.slow_start import SlowStart
+from cressrail.policy.tenant_quota import TenantQuotas
 
 SECOND_US = 1_000_000
 MAX_QUANTITY = 1e12  # of priorities and quotas
-IDEMPOTENCY_BY_SETTING = {"safe": IDEMPOTENT, "keyed": IDEMPOTENT_WITH_KEY, "unsafe": NON_IDEMPOTENT}
-KEY_SCOPE_BY_SETTING = {"all": ALL, "zone": ZONE, "cell": CELL}
+IDEMPOTENCY_BY_SETTING = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+KEY_SCOPE_BY_SETTING = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 IS_PRIORITY_BY_WORK = {"work": True, "request": False}
 IS_LIST_POLLED = {"automatic": False, "subscribe": True}
 
@@ -69,8 +64,8 @@
     classes = {}
     for index, priority in enumerate(priorities):
         idempotency = settings.choice(_class_path(index, names.CLASS_IDEMPOTENCY), IDEMPOTENCY_BY_SETTING)
-        key_scope, window_us = ALL, 0
-        if idempotency == IDEMPOTENT_WITH_KEY:
+        key_scope, window_us = KeyScope.ALL, 0
+        if idempotency is Idempotency.WITH_KEY:
             key_scope = settings.choice(_class_path(index, names.CLASS_KEY_SCOPE), KEY_SCOPE_BY_SETTING)
             window_us = settings.whole_number(_class_path(index, names.CLASS_IDEMPOTENCY_WINDOW_US), 1)
         classes[settings.text(_class_path(index, names.CLASS_NAME))] = RequestClass(
@@ -135,7 +130,7 @@
     now_us: int,
     zones: list[str],
     quotas_per_s: list[float],
-    max_connections: int = NEVER_US,
+    max_connections: int = NO_CONNECTION_LIMIT,
 ) -> LoadBalancer:
     """Builds the policy of one instance.
 
@@ -158,14 +153,14 @@
     over_quota_priority = settings.number(names.OVER_QUOTA_PRIORITY, 0, 1) if quotas_per_s else 1.0
     quotas = TenantQuotas(quotas_per_s, instance_count, over_quota_priority)
     return LoadBalancer(
-        rng=random_generator,
+        random_generator=random_generator,
         zone=own_zone,
-        zones=len(zones),
-        tiers_to_go=(tier_count - tier_index) / tier_count,
-        last_tier=tier_index == tier_count - 1,
+        zone_count=len(zones),
+        remaining_tiers_fraction=(tier_count - tier_index) / tier_count,
+        is_last_tier=tier_index == tier_count - 1,
         is_ingress=tier_index == 0,
         round_us=settings.whole_number(names.ROUND_US, 1),
-        come_back_us=_max_retry_after_us(settings),
+        max_retry_after_us=_max_retry_after_us(settings),
         may_cancel=settings.flag(names.MAY_CANCEL),
         list_poller=EndpointListPoller(
             is_list_polled,
@@ -175,11 +170,11 @@
         retry_policy=RetryPolicy(
             settings.whole_number(names.MAX_ATTEMPTS, 1), settings.flag(names.MAY_HEDGE)
         ),
-        slow_start=_build_slow_start(settings, now_us, quotas.total),
+        slow_start=_build_slow_start(settings, now_us, quotas.total_per_us),
         quotas=quotas,
-        instances=instance_count,
-        number=settings.whole_number(names.INSTANCE_INDEX, 0, absent=0),
-        now=now_us,
+        instance_count=instance_count,
+        instance_number=settings.whole_number(names.INSTANCE_INDEX, 0, absent=0),
+        now_us=now_us,
         is_per_client=is_per_client(settings),
         max_connections=max_connections,
     )
--- a/cressrail/failover/election_timer.py
+++ b/cressrail/failover/election_timer.py
@@ -5,7 +5,7 @@
 from cressrail.failover.leadership import LEADER_TIMEOUT_PERIODS
 from cressrail.failover.local_view import LocalView
 from cressrail.failover.settings import FailoverSettings
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 NEVER_US = 1 << 62
 RANKS_PER_PERIOD = 2  # by which candidates that come later in the order of ids wait longer
--- a/cressrail/failover/evidence_collector.py
+++ b/cressrail/failover/evidence_collector.py
@@ -32,7 +32,7 @@
         self._snapshots.append(_Snapshot(now_us, dict(statistics.zones)))
         since_us, before = self._snapshots[0]
         span_us = max(1, now_us - since_us)
-        requests = sum(1 for taken_us in load_balancer.budget.taken if taken_us > since_us)
+        requests = sum(1 for taken_us in load_balancer.budget.request_times_us if taken_us > since_us)
         observations = []
         for zone in range(len(self._settings.topology.zones)):
             counts = statistics.zones.get(zone, AttemptCounts()).since(before.get(zone, AttemptCounts()))
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -8,7 +8,8 @@
 from cressrail.failover.settings import FailoverSettings
 from cressrail.failover.state_machine import FailoverStateMachine
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import LoadBalancer, RandomGenerator
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.zone_statistics import ZoneStatistics
 
 
--- a/cressrail/failover/instance_parts.py
+++ b/cressrail/failover/instance_parts.py
@@ -11,7 +11,7 @@
 from cressrail.failover.local_view import LocalView
 from cressrail.failover.outbox import Outbox, SequenceNumbers
 from cressrail.failover.settings import FailoverSettings
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 
 class InstanceParts(NamedTuple):
--- a/cressrail/failover/simulation/fleet.py
+++ b/cressrail/failover/simulation/fleet.py
@@ -13,7 +13,7 @@
 from cressrail.failover.simulation.trace import Trace
 from cressrail.failover.state_machine import RELAYED, FailoverStateMachine
 from cressrail.failover.topology import ZoneTopology
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.lossy_network import random_delay_us
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
--- a/cressrail/failover/simulation/simulator.py
+++ b/cressrail/failover/simulation/simulator.py
@@ -11,7 +11,7 @@
 from cressrail.failover.simulation.trace import Trace
 from cressrail.failover.simulation.traffic import Traffic
 from cressrail.failover.simulation.zones import SimulatedZones
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 
--- a/cressrail/failover/simulation/traffic.py
+++ b/cressrail/failover/simulation/traffic.py
@@ -12,7 +12,7 @@
 from cressrail.failover.simulation.scenario import Scenario
 from cressrail.failover.simulation.zones import SimulatedZones, on_time_share
 from cressrail.failover.topology import Proximity
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 AVOIDANCE_FAILURE_RATIO = 0.5  # of attempts: from there on an instance avoids a zone by its own judgement
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -24,7 +24,7 @@
     VoteRequest,
 )
 from cressrail.failover.settings import FailoverSettings
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 RELAYED = 0  # the sender of a message that arrived by gossip
 
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -13,7 +13,8 @@
 from typing import Any, NamedTuple
 
 from cressrail.handover.frame import MalformedStateError
-from cressrail.policy.load_balancer import Endpoint, LoadBalancer
+from cressrail.policy.endpoint import Endpoint
+from cressrail.policy.load_balancer import LoadBalancer
 
 # Members of a state; the words are part of the frame.
 ENDPOINTS, LATENCY_BASELINE, RETRY_BUDGET = "endpoints", "whole", "budget"
@@ -111,28 +112,36 @@
         ENDPOINTS: [list(_capture_endpoint(name, balancer.endpoints[ix])) for ix, name in names.items()],
         LATENCY_BASELINE: list(
             LatencyBaselineState(
-                mean=balancer.mean,
-                mean_deviation=balancer.swing,
-                baseline=balancer.usual,
-                threshold=balancer.late,
-                updated_us=balancer.usual_us,
-                sample_count=balancer.heard,
+                mean=balancer.latency_baseline.mean,
+                mean_deviation=balancer.latency_baseline.mean_deviation,
+                baseline=balancer.latency_baseline.baseline,
+                threshold=balancer.latency_baseline.threshold,
+                updated_us=balancer.latency_baseline.updated_us,
+                sample_count=balancer.latency_baseline.sample_count,
             )
         ),
-        RETRY_BUDGET: [list(balancer.budget.taken), list(balancer.budget.retried)],
-        SLOW_START: list(SlowStartState(slow_start.born_us, slow_start.carried, slow_start.carried_us)),
+        RETRY_BUDGET: [list(balancer.budget.request_times_us), list(balancer.budget.retry_times_us)],
+        SLOW_START: list(
+            SlowStartState(slow_start.born_us, slow_start.recent_successes, slow_start.recent_successes_us)
+        ),
         TENANT_QUOTAS: list(
             TenantQuotasState(
-                tokens=quotas.credit,
+                tokens=quotas.tokens,
                 filled_us=quotas.filled_us,
                 clock_us=quotas.clock_us,
-                last_request_us=quotas.seen_us,
-                short_until_us=quotas.short_us,
-                sent_since_request=quotas.sends,
+                last_request_us=quotas.last_request_us,
+                short_until_us=quotas.short_until_us,
+                sent_since_request=quotas.sent_since_request,
             )
         ),
         ZONE_SUBSETS: [
-            list(ZoneSubsetState(subset.admits, subset.hops, subset.hops_per_s))
+            list(
+                ZoneSubsetState(
+                    subset.admission.admitted_fraction,
+                    subset.admission.attempts_this_second,
+                    subset.admission.attempts_per_s,
+                )
+            )
             for subset in balancer.zone_subsets
         ],
     }
@@ -146,11 +155,11 @@
         latency=endpoint.latency,
         success_rate=endpoint.success_rate,
         slow_start_credit=endpoint.slow_start_credit,
-        limit_cut_us=endpoint.cut_us,
-        last_prompt_sent_us=endpoint.prompt_us,
+        limit_cut_us=endpoint.limit_cut_us,
+        last_prompt_sent_us=endpoint.last_prompt_sent_us,
         last_outcome_us=endpoint.last_outcome_us,
         unavailable_until_us=endpoint.unavailable_until_us,
-        slow_start_credit_us=endpoint.cold_us,
+        slow_start_credit_us=endpoint.slow_start_credit_us,
     )
 
 
@@ -174,16 +183,17 @@
         if endpoint_state is not None and endpoint_state.started_us == endpoint.started_us:
             _restore_endpoint(endpoint_state, endpoint)
     _restore_latency_baseline(state.latency_baseline, balancer)
-    balancer.budget.taken, balancer.budget.retried = (
+    balancer.budget.request_times_us, balancer.budget.retry_times_us = (
         deque(state.request_times_us),
         deque(state.retry_times_us),
     )
     _restore_slow_start(state.slow_start, balancer)
     _restore_quotas(state.quotas, balancer)
     for subset, subset_state in zip(balancer.zone_subsets, state.subsets, strict=False):
-        subset.admits = subset_state.admitted_fraction or subset.admits
-        subset.hops = subset_state.attempts_this_second
-        subset.hops_per_s = subset_state.attempts_per_s
+        admission = subset.admission
+        admission.admitted_fraction = subset_state.admitted_fraction or admission.admitted_fraction
+        admission.attempts_this_second = subset_state.attempts_this_second
+        admission.attempts_per_s = subset_state.attempts_per_s
     for subset in balancer.zone_subsets:
         subset.choose(now_us)
 
@@ -193,45 +203,46 @@
     endpoint.latency = state.latency
     endpoint.success_rate = state.success_rate
     endpoint.slow_start_credit = state.slow_start_credit
-    endpoint.cut_us = state.limit_cut_us
-    endpoint.prompt_us = state.last_prompt_sent_us
+    endpoint.limit_cut_us = state.limit_cut_us
+    endpoint.last_prompt_sent_us = state.last_prompt_sent_us
     endpoint.last_outcome_us = state.last_outcome_us
     endpoint.unavailable_until_us = state.unavailable_until_us
-    endpoint.cold_us = state.slow_start_credit_us
+    endpoint.slow_start_credit_us = state.slow_start_credit_us
 
 
 def _restore_latency_baseline(state: LatencyBaselineState, balancer: LoadBalancer) -> None:
-    balancer.mean = state.mean
-    balancer.swing = state.mean_deviation
-    balancer.usual = state.baseline
-    balancer.late = state.threshold
-    balancer.usual_us = state.updated_us
-    balancer.heard = state.sample_count
+    baseline = balancer.latency_baseline
+    baseline.mean = state.mean
+    baseline.mean_deviation = state.mean_deviation
+    baseline.baseline = state.baseline
+    baseline.threshold = state.threshold
+    baseline.updated_us = state.updated_us
+    baseline.sample_count = state.sample_count
     # Derived figures are not part of a frame, so that processes of two versions can exchange state.
-    balancer.margin = max(0.0, balancer.late / balancer.usual - 1) if balancer.usual else 0.0
+    baseline.restore_tolerance()
 
 
 def _restore_slow_start(state: SlowStartState, balancer: LoadBalancer) -> None:
     slow_start = balancer.slow_start
     slow_start.born_us = state.born_us
-    slow_start.carried = state.recent_successes
-    slow_start.carried_us = state.recent_successes_us
-    own_subset = balancer.zone_subsets[balancer.order[0]]
-    own_subset.each = state.recent_successes / max(LEAST_SIZE, own_subset.size)
-    own_subset.each_us = state.recent_successes_us
+    slow_start.recent_successes = state.recent_successes
+    slow_start.recent_successes_us = state.recent_successes_us
+    own_subset = balancer.zone_subsets[balancer.spillover.own_zone]
+    own_subset.successes_per_scale = state.recent_successes / max(LEAST_SIZE, own_subset.scale_in_use)
+    own_subset.successes_us = state.recent_successes_us
 
 
 def _restore_quotas(state: TenantQuotasState, balancer: LoadBalancer) -> None:
     """Restores the quotas' use, unless the number of tenants differs."""
     quotas = balancer.quotas
-    if len(state.tokens) != len(quotas.credit):
+    if len(state.tokens) != len(quotas.tokens):
         return
-    quotas.credit = state.tokens
+    quotas.tokens = state.tokens
     quotas.filled_us = state.filled_us
     quotas.clock_us = state.clock_us
-    quotas.seen_us = state.last_request_us
-    quotas.short_us = state.short_until_us
-    quotas.sends = state.sent_since_request
+    quotas.last_request_us = state.last_request_us
+    quotas.short_until_us = state.short_until_us
+    quotas.sent_since_request = state.sent_since_request
 
 
 def _parse(fields: dict[str, Any]) -> HandoverState:
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -62,15 +62,15 @@
         if not summary.failing_endpoints and not summary.warmup_loads:
             return [], {}
         indices = {self.endpoint_number(name): index for index, name in registry.names().items()}
-        capacity = sum(subset.whole for subset in load_balancer.zone_subsets)
-        own_traffic = len(load_balancer.budget.taken) / load_balancer.budget.window_us
+        capacity = sum(subset.total_scale for subset in load_balancer.zone_subsets)
+        own_traffic = len(load_balancer.budget.request_times_us) / load_balancer.budget.window_us
         loads = {}
         for number, others_load in summary.warmup_loads.items():
             endpoint = load_balancer.endpoints.get(indices.get(number, -1))
             if endpoint is not None and endpoint.accepts_requests:
                 subset = load_balancer.zone_subsets[endpoint.zone]
                 even_load = summary.total_traffic / max(_SMALLEST, capacity)
-                own_load = own_traffic * subset.sharers / max(_SMALLEST, subset.size)
+                own_load = own_traffic * subset.sharing_instances / max(_SMALLEST, subset.scale_in_use)
                 loads[endpoint.index] = (others_load, max(even_load, own_load) * endpoint.scale)
         return [indices[number] for number in summary.failing_endpoints if number in indices], loads
 
@@ -83,7 +83,7 @@
     @staticmethod
     def _traffic(now_us: int, load_balancer: LoadBalancer) -> int:
         budget = load_balancer.budget
-        requests = sum(1 for taken_us in budget.taken if taken_us > now_us - budget.window_us)
+        requests = sum(1 for taken_us in budget.request_times_us if taken_us > now_us - budget.window_us)
         span_us = max(1, min(budget.window_us, now_us - load_balancer.slow_start.born_us))
         return int(requests / span_us * PER_SECOND_THOUSANDTHS)
 
--- a/cressrail/membership/shared_state.py
+++ b/cressrail/membership/shared_state.py
@@ -18,7 +18,7 @@
 from cressrail.membership.reachability import ReachabilityReports
 from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.timers import TimerQueue
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 REACHABILITY_LIFETIME_PERIODS = 60  # until a report that is not refreshed is dropped
 
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -19,7 +19,7 @@
 )
 from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.lossy_network import LossyNetwork
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -44,7 +44,7 @@
 from cressrail.membership.suspicion import SuspicionTable
 from cressrail.membership.timers import TimerKind
 from cressrail.membership.view import membership_view
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 LEAVE_FANOUT = 8  # instances that are told that this one leaves
 SETTLED_PERIODS = 4  # without a change, after which the view is settled
--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -19,7 +19,7 @@
 )
 from cressrail.network.pipe_sender import PipeSender
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy.commands import SendAttempt, SendResponse
 
 OK = 200
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -12,7 +12,7 @@
     StreamInterruptedError,
     StreamTimeoutError,
 )
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import CancelAttempt, SendAttempt
 
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -13,7 +13,7 @@
 from cressrail.membership import messages as membership_messages
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.zone_statistics import ZoneStatistics
 
 SECOND_US = 1_000_000
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -29,7 +29,7 @@
 from cressrail.membership.peer_reports import PeerReportTranslator
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.network.dispatcher import CommandDispatcher
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import FailoverDriver
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -28,7 +28,7 @@
 from cressrail.network.listener import ListenerTask
 from cressrail.network.signals import handle_signals
 from cressrail.network.timer_task import timer_task
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.commands import AcceptClients, BeginTakeover, SetTimer, WatchEndpoints
 from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -7,7 +7,10 @@
 
 from cressrail.buffers.pool import BufferChain
 from cressrail.logs import events
-from cressrail.policy.load_balancer import LATE_MOST, LoadBalancer, Outcome, RoutedRequest
+from cressrail.policy.concurrency_limit import MAX_THRESHOLD
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy.commands import CancelAttempt, Command, LogEvent, SendAttempt
 from cressrail.proxy.endpoint_connections import EndpointConnections
 from cressrail.proxy.endpoint_registry import EndpointRegistry
@@ -170,7 +173,7 @@
         routed_request = attempt.routed_request
         took_us = now_us - attempt.sent_us
         # Not the limits' latency threshold, which follows the baseline: what endangers the latency objective.
-        late_us = LATE_MOST * routed_request.request_class.latency_objective_us
+        late_us = MAX_THRESHOLD * routed_request.request_class.latency_objective_us
         is_late = result.body is not None and took_us > late_us
         zone = routed_request.attempts[attempt.number].zone
         self.zone_statistics.on_attempt_finished(zone, result.outcome, took_us, is_late)
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cressrail.policy.load_balancer import RoutedRequest
+from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy.commands import CloseClient
 from cressrail.proxy.connection_limits import ConnectionLimits
 
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.commands import WatchEndpoints
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -7,7 +7,7 @@
 from zlib import crc32
 
 from cressrail.discovery.endpoint_list import EndpointEntry, EndpointListUpdate
-from cressrail.policy.load_balancer import EndpointUpdate
+from cressrail.policy.endpoint import EndpointUpdate
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
         registered.entry = entry
         zone = self.zones.setdefault(entry.zone, len(self.zones))
         changes.updates.append(
-            (
+            EndpointUpdate(
                 index,
                 zone,
                 entry.cell,
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -7,15 +7,15 @@
 from cressrail.buffers.pool import BufferChain
 from cressrail.http1.response import Response
 from cressrail.logs import events
-from cressrail.policy.load_balancer import (
-    ATTEMPT,
-    CANCEL,
-    REJECT,
+from cressrail.policy.decision import (
+    CancelAttempt,
     Decision,
-    LoadBalancer,
-    Outcome,
-    RoutedRequest,
+    RejectRequest,
+    StartAttempt,
 )
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy.attempts import AttemptResult, Attempts
 from cressrail.proxy.clients import Client, Clients
 from cressrail.proxy.commands import Command, LogEvent, ReleaseBody, SendResponse
@@ -60,13 +60,19 @@
         commands: list[Command] = []
         remaining = deque(decisions)
         while remaining:
-            routed_request, kind, argument, time_us = remaining.popleft()
-            if kind == ATTEMPT:
-                remaining += self._start_attempt(now_us, routed_request, argument, time_us, commands)
-            elif kind == CANCEL:
-                commands += self.attempts.cancel(self.requests.pending[routed_request].attempts[argument])
+            decision = remaining.popleft()
+            request = decision.request
+            if isinstance(decision, StartAttempt):
+                remaining += self._start_attempt(
+                    now_us, request, decision.endpoint_index, decision.timeout_us, commands
+                )
+            elif isinstance(decision, CancelAttempt):
+                attempt = self.requests.pending[request].attempts[decision.attempt_number]
+                commands += self.attempts.cancel(attempt)
+            elif isinstance(decision, RejectRequest):
+                commands += self._end_request(now_us, request, True, decision.retry_after_us)
             else:
-                commands += self._end_request(now_us, routed_request, kind == REJECT, time_us)
+                commands += self._end_request(now_us, request, False, 0)
         return commands
 
     def _start_attempt(
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -7,7 +7,8 @@
 from cressrail.http1.duration import parse_duration_us
 from cressrail.http1.request import Request
 from cressrail.logs import events
-from cressrail.policy.load_balancer import IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT, LoadBalancer, RequestClass
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.request_class import Idempotency, RequestClass
 from cressrail.proxy.clients import Clients
 from cressrail.proxy.commands import Command, LogEvent
 from cressrail.proxy.endpoint_list import EndpointListWatch
@@ -101,9 +102,9 @@
     ) -> list[Command]:
         request = pending.request
         has_key = bool(request.header_text(IDEMPOTENCY_KEY_FIELD))
-        if request_class.idempotency == IDEMPOTENT_WITH_KEY and not has_key:
+        if request_class.idempotency is Idempotency.WITH_KEY and not has_key:
             # Without a key the endpoint could not tell a retry from another request.
-            request_class = replace(request_class, idempotency=NON_IDEMPOTENT)
+            request_class = replace(request_class, idempotency=Idempotency.NON_IDEMPOTENT)
         tenant = self.settings.tenants.get(request.header_text(TENANT_FIELD) or "", NO_TENANT)
         routed_request = self.load_balancer.start_request(now_us, request_class, tenant, remaining_us)
         return self.forwarder.start(now_us, routed_request, pending)
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import RoutedRequest
+from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy.commands import Command, ReleaseBody
 
 REQUEST_ID_FIELD = b"req-id"
--- a/cressrail/proxy/settings.py
+++ b/cressrail/proxy/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cressrail.policy.load_balancer import RequestClass
+from cressrail.policy.request_class import RequestClass
 from cressrail.proxy.endpoint_list import WATCH_RETRY_US
 
 
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -14,7 +14,9 @@
 from cressrail.http1.request import Request
 from cressrail.http1.response import Response
 from cressrail.logs import events
-from cressrail.policy.load_balancer import LoadBalancer, Outcome, RandomGenerator
+from cressrail.policy.load_balancer import LoadBalancer
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy import admin, clients, commands
 from cressrail.proxy.attempts import AttemptResult, Attempts
 from cressrail.proxy.commands import Command, LogEvent
@@ -112,7 +114,7 @@
         if has_predecessor:
             self.lifecycle.wait_for_predecessor()
         updates, _, _ = self.registry.apply(known)
-        self.load_balancer.update_endpoints(now_us, updates, full=True, answer=False)
+        self.load_balancer.update_endpoints(now_us, updates, is_complete=True, is_poll_answer=False)
         return self._complete(now_us, [self.endpoint_watch.start(now_us, known.revision)])
 
     def on_endpoint_list(self, now_us: int, update: EndpointListUpdate) -> list[Command]:
@@ -128,7 +130,7 @@
             return [*out, LogEvent(events.ENDPOINT_LIST_UPDATED, older), watch]
         updates, stale_connections, removed = self.registry.apply(update)
         if updates or update.is_complete or is_first:
-            self.load_balancer.update_endpoints(now_us, updates, full=update.is_complete)
+            self.load_balancer.update_endpoints(now_us, updates, is_complete=update.is_complete)
             what = {"revision": update.revision, "complete": update.is_complete, "entries": len(updates)}
             out.append(LogEvent(events.ENDPOINT_LIST_UPDATED, what))
         out += self.connections.close_idle(stale_connections)
--- a/cressrail/simulation/lossy_network.py
+++ b/cressrail/simulation/lossy_network.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.virtual_clock import VirtualClock
 
 IP_UDP_HEADER_BYTES = 28  # added to each datagram in `sent_bytes`
--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -13,6 +13,7 @@
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_startup_configuration
+from cressrail.policy.request_class import Idempotency
 from tests.configuration.support import set_path
 from tests.helpers import CONFIG
 
@@ -80,8 +81,8 @@
         request_class.idempotency
         for request_class in policy_factory.read_request_classes(start.settings).values()
     } == {
-        "idempotent",
-        "journalled",
+        Idempotency.IDEMPOTENT,
+        Idempotency.WITH_KEY,
     }
     assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
 
--- a/tests/configuration/test_unicode_names.py
+++ b/tests/configuration/test_unicode_names.py
@@ -34,6 +34,6 @@
     text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
     assert asked(play, text) == [b"200 hello"]
     assert (
-        play.reducer.load_balancer.quotas.credit[0] < play.reducer.load_balancer.quotas.most[0]
+        play.reducer.load_balancer.quotas.tokens[0] < play.reducer.load_balancer.quotas.burst_sizes[0]
     )  # counted as its own
     assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.counters.text(0, 0, 0)
--- a/tests/failover/support.py
+++ b/tests/failover/support.py
@@ -8,7 +8,7 @@
 from cressrail.failover.settings import FailoverSettings
 from cressrail.failover.state_machine import RELAYED, FailoverStateMachine
 from cressrail.failover.topology import ZoneTopology
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 
 SECOND = 1_000_000
 TOPOLOGY = ZoneTopology(("a", "b", "c"), ("n", "n", "s"))
--- a/tests/failover/test_evidence_collector.py
+++ b/tests/failover/test_evidence_collector.py
@@ -9,9 +9,9 @@
 from cressrail.failover.settings import FailoverSettings
 from cressrail.failover.state_machine import FailoverStateMachine
 from cressrail.failover.topology import ZoneTopology
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy.zone_statistics import AttemptCounts, ZoneStatistics
-from tests.helpers import SECOND, entry, sidecar, warm_up
+from tests.policy.support import SECOND, make_entry, make_load_balancer, send_successes
 
 
 def test_zone_statistics_tell_connect_failures_from_failures_and_slow_attempts() -> None:
@@ -31,10 +31,10 @@
 
 def test_collect_counts_the_last_window_and_takes_capacity_from_limits() -> None:
     settings = FailoverSettings(ZoneTopology(("a", "b"), ("", "")), 0)
-    load_balancer, statistics = sidecar([entry(0), entry(1, 1)]), ZoneStatistics()
+    load_balancer, statistics = make_load_balancer([make_entry(0), make_entry(1, 1)]), ZoneStatistics()
     collector = EvidenceCollector(settings)
-    state_machine = FailoverStateMachine(settings, 1, load_balancer.rng, 0)
-    warm_up(load_balancer, 30)
+    state_machine = FailoverStateMachine(settings, 1, load_balancer.random_generator, 0)
+    send_successes(load_balancer, 30)
     collector.collect(0, load_balancer, statistics)
     for _ in range(20):
         statistics.on_attempt_finished(0, Outcome.SUCCEEDED, 50_000, False)
--- a/tests/failover/test_state_machine.py
+++ b/tests/failover/test_state_machine.py
@@ -12,7 +12,7 @@
 from cressrail.failover.messages import Epoch
 from cressrail.failover.settings import FailoverSettings
 from cressrail.failover.state_machine import FailoverStateMachine
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.zone_statistics import ZoneStatistics
 from tests.failover.support import SECOND, TOPOLOGY, UNREACHABLE, InstanceNetwork, healthy
 
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -19,10 +19,11 @@
 )
 from cressrail.network.handover_client import find_predecessor
 from cressrail.network.handover_connection import MAX_PATH_BYTES, rendezvous_path
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND, member, warm_up
+from tests.helpers import SECOND, member
+from tests.policy.support import send_successes
 from tests.proxy.support import ProxyDriver, admin_status, list_update
 
 
@@ -47,7 +48,7 @@
 
 def test_restore_gives_the_successor_what_the_predecessor_had_learned() -> None:
     old, new = ProxyDriver(), successor()
-    warm_up(old.state_machine.load_balancer, 50)
+    send_successes(old.state_machine.load_balancer, 50)
     old.state_machine.load_balancer.endpoints[1].limit = 1.25
     old.state_machine.load_balancer.on_connection_lost(SECOND, 0)
     old.commands += old.state_machine.on_endpoint_list(
@@ -61,8 +62,12 @@
         and not balancer.endpoints[1].accepts_requests
         and balancer.endpoints[1].limit == 1.25
     )
-    assert balancer.unavailable_endpoints(SECOND) == [0, 1] and len(balancer.budget.taken) == 50
-    assert balancer.slow_start.carried == old.state_machine.load_balancer.slow_start.carried > 1
+    assert balancer.unavailable_endpoints(SECOND) == [0, 1] and len(balancer.budget.request_times_us) == 50
+    assert (
+        balancer.slow_start.recent_successes
+        == old.state_machine.load_balancer.slow_start.recent_successes
+        > 1
+    )
     assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
 
 
@@ -70,21 +75,21 @@
     old, new = successor(), successor()
     slow_start, balancer = old.state_machine.load_balancer.slow_start, old.state_machine.load_balancer
     for number in range(200):
-        slow_start.carry(number * SECOND // 40, balancer.zone_subsets[0])
-        balancer._learn_usual(SECOND, (0.1, 0.3)[number % 2])
+        slow_start.record_success(number * SECOND // 40, balancer.zone_subsets[0])
+        balancer.latency_baseline.record(SECOND, (0.1, 0.3)[number % 2])
     handover_state.restore(
         captured(old, 5 * SECOND),
         new.state_machine.load_balancer,
         new.state_machine.registry.names(),
         5 * SECOND,
     )
-    assert new.state_machine.load_balancer.zone_subsets[0].each == pytest.approx(
-        balancer.zone_subsets[0].each, rel=0.15
+    assert new.state_machine.load_balancer.zone_subsets[0].successes_per_scale == pytest.approx(
+        balancer.zone_subsets[0].successes_per_scale, rel=0.15
     )
-    before = balancer.late
+    before = balancer.latency_baseline.threshold
     for each in (balancer, new.state_machine.load_balancer):
-        each._learn_usual(SECOND, 0.9)
-        assert each.late == pytest.approx(before)
+        each.latency_baseline.record(SECOND, 0.9)
+        assert each.latency_baseline.threshold == pytest.approx(before)
 
 
 @pytest.mark.parametrize(
@@ -100,7 +105,7 @@
 )
 def test_restore_refuses_a_damaged_state_and_changes_nothing(damage: Any) -> None:
     old, new = ProxyDriver(), successor()
-    warm_up(old.state_machine.load_balancer)
+    send_successes(old.state_machine.load_balancer)
     old.state_machine.load_balancer.endpoints[0].limit = 1.25
     state = captured(old)
     damage(state)
@@ -110,7 +115,7 @@
         )
     new.commands = new.state_machine.take_over(SECOND, state, 0, 0)
     assert (
-        not new.state_machine.load_balancer.budget.taken
+        not new.state_machine.load_balancer.budget.request_times_us
         and new.state_machine.load_balancer.endpoints[0].limit != 1.25
     )
     assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
@@ -118,17 +123,19 @@
 
 def test_two_processes_share_one_retry_budget_and_slow_start_credit() -> None:
     front = ProxyDriver()
-    warm_up(front.state_machine.load_balancer)
+    send_successes(front.state_machine.load_balancer)
     balancer, now = front.state_machine.load_balancer, SECOND
-    balancer.endpoints[0].started_us = balancer.endpoints[0].cold_us = 1
+    balancer.endpoints[0].started_us = balancer.endpoints[0].slow_start_credit_us = 1
     endpoint, own_subset = balancer.endpoints[0], balancer.zone_subsets[0]
-    assert balancer.slow_start.credit(endpoint, 5 * SECOND, own_subset, True)
+    assert balancer.slow_start.accrue_credit(endpoint, 5 * SECOND, own_subset, True)
     captured(front)
-    assert not balancer.budget.spend(now) and not balancer.slow_start.credit(
+    assert not balancer.budget.spend(now) and not balancer.slow_start.accrue_credit(
         endpoint, 6 * SECOND, own_subset, True
     )
     front.state_machine.on_successor_failed(now)
-    assert balancer.budget.spend(now) and balancer.slow_start.credit(endpoint, 7 * SECOND, own_subset, True)
+    assert balancer.budget.spend(now) and balancer.slow_start.accrue_credit(
+        endpoint, 7 * SECOND, own_subset, True
+    )
 
 
 def test_request_id_in_flight_at_the_predecessor_is_refused_by_the_successor() -> None:
--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -31,7 +31,7 @@
 from cressrail.membership.settings import MembershipSettings
 from cressrail.membership.simulation import MembershipSimulation
 from cressrail.membership.state_machine import MembershipStateMachine
-from cressrail.policy.load_balancer import RandomGenerator
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from tests.fleets import SECOND
 
--- a/tests/membership/test_peer_reports.py
+++ b/tests/membership/test_peer_reports.py
@@ -9,15 +9,15 @@
 )
 from cressrail.membership.peer_reports import PeerReportTranslator
 from tests.fleets import SECOND
-from tests.helpers import entry, sidecar
 from tests.membership.support import (
     registry_of,
 )
+from tests.policy.support import make_entry, make_load_balancer
 
 
 def test_reports_are_translated_by_endpoint_names() -> None:
     hearing, now = PeerReportTranslator(), 4 * SECOND
-    one = sidecar([entry(0), entry(1, started_us=now), entry(2)])
+    one = make_load_balancer([make_entry(0), make_entry(1, started_us=now), make_entry(2)])
     one.on_connection_lost(now, 2)
     first = hearing.own_reports(now, one, registry_of("xyz"))
     one.endpoints[1].slow_start_attempts += 4
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -11,7 +11,8 @@
 from cressrail.discovery.endpoint_list import EndpointListUpdate, parse_update
 from cressrail.http1.headers import Headers
 from cressrail.http1.request import Request
-from cressrail.policy.load_balancer import Outcome, RandomGenerator
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy import admin
 from cressrail.proxy import commands as do
 from cressrail.proxy.attempts import AttemptResult
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import member
 from tests.proxy.support import ProxyDriver, list_update
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -17,12 +17,11 @@
 from cressrail.handover import state as handover_state
 from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
 from cressrail.http1.errors import MalformedMessageError
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
 from tests.helpers import CONFIG, SECOND, member
 from tests.proxy.support import ProxyDriver
-from tests.test_wire import BORN, HEARD, TX
-from tests.test_wire import play as on_the_wire
+from tests.wirehost.support import BORN, LIST_UPDATE, REQUEST, replies_to
 
 SIZES = (1023, 1024, 1025, 3000)
 
@@ -39,7 +38,7 @@
 
 
 def at_work(driver: ProxyDriver) -> list[int]:
-    return [len(group.all) for group in driver.state_machine.load_balancer.zone_subsets]
+    return [len(group.endpoints) for group in driver.state_machine.load_balancer.zone_subsets]
 
 
 @pytest.mark.parametrize("n", SIZES)
@@ -64,7 +63,8 @@
     load_balancer = driver.state_machine.load_balancer
     assert len(load_balancer.endpoints) == n == len(driver.state_machine.registry.endpoints)
     assert all(
-        sum(e.is_in_subset for e in g.all) == len(g.use) == g.wanted for g in load_balancer.zone_subsets
+        sum(e.is_in_subset for e in g.endpoints) == len(g.in_use) == g.target_size
+        for g in load_balancer.zone_subsets
     )
     assert f"app_cluster_size {n}\n" in driver.state_machine.admin_calls.counters_text(SECOND).decode()
     load_balancer.endpoints[n].limit = 1.25
@@ -97,9 +97,11 @@
         other.state_machine.load_balancer.zone_subsets,
         strict=True,
     ):
-        assert [e.index for e in a.all] == [e.index for e in b.all]
-        assert [e.index for e in a.use] == [e.index for e in b.use]
-        assert (a.whole, a.size, a.sharers, a.limit) == pytest.approx((b.whole, b.size, b.sharers, b.limit))
+        assert [e.index for e in a.endpoints] == [e.index for e in b.endpoints]
+        assert [e.index for e in a.in_use] == [e.index for e in b.in_use]
+        assert (a.total_scale, a.scale_in_use, a.sharing_instances, a.limit) == pytest.approx(
+            (b.total_scale, b.scale_in_use, b.sharing_instances, b.limit)
+        )
 
 
 @pytest.mark.parametrize("endpoints, connections, dearest", [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)])
@@ -108,7 +110,7 @@
 ) -> None:
     driver = ProxyDriver(0, max_clients=40, max_endpoint_connections=connections)
     load_balancer = driver.state_machine.load_balancer
-    load_balancer.max_connections, load_balancer.instances = connections, 33.0
+    load_balancer.table.max_connections, load_balancer.table.instance_count = connections, 33.0
     driver.pool = BufferPool(10_000)
     driver.state_machine.on_endpoint_list(0, parse_update(listed(0, endpoints)))
     opened = 0
@@ -147,7 +149,7 @@
             policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
     load_balancer = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert load_balancer.instances == instances and len(start.known_endpoints.entries) == 1024
+    assert load_balancer.table.instance_count == instances and len(start.known_endpoints.entries) == 1024
 
 
 def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
@@ -166,5 +168,5 @@
     rows = "".join(
         f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
     )
-    said = on_the_wire(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{HEARD}", TX)
+    said = replies_to(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{LIST_UPDATE}", REQUEST)
     assert said[0].startswith("ISSUE i=sidecar/0 xid=t1")
--- a/tests/proxy/test_request_counters.py
+++ b/tests/proxy/test_request_counters.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from cressrail.policy.load_balancer import Outcome
+from cressrail.policy.outcome import Outcome
 from cressrail.proxy.request_counters import RequestCounters
-from tests.helpers import SECOND, sidecar
-from tests.helpers import entry as listed
+from tests.helpers import SECOND
+from tests.policy.support import make_entry, make_load_balancer
 from tests.proxy.support import ProxyDriver, counters_of
 
 
@@ -71,7 +71,7 @@
 
 
 def test_unavailable_endpoints_are_listed() -> None:
-    load_balancer = sidecar([listed(0), listed(1), listed(2, on=False)])
+    load_balancer = make_load_balancer([make_entry(0), make_entry(1), make_entry(2, accepts_requests=False)])
     load_balancer.on_connection_lost(0, 1)
     assert load_balancer.unavailable_endpoints(0) == [1, 2] and load_balancer.unavailable_endpoints(
         3 * SECOND
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cressrail.policy.load_balancer import NON_IDEMPOTENT, Outcome
+from cressrail.policy.outcome import Outcome
+from cressrail.policy.request_class import Idempotency
 from cressrail.proxy import admin
 from cressrail.proxy import commands as do
 from tests.helpers import SECOND
@@ -70,11 +71,11 @@
     driver = ProxyDriver(has_list=True)
     if kind == "once":
         driver.state_machine.settings.request_classes["once"] = replace(
-            driver.state_machine.settings.request_classes["read"], idempotency=NON_IDEMPOTENT
+            driver.state_machine.settings.request_classes["read"], idempotency=Idempotency.NON_IDEMPOTENT
         )
         driver.state_machine.counters.final["once"] = dict(driver.state_machine.counters.final["read"])
     if not sent:  # nowhere to go: it waits in the queue
-        driver.state_machine.load_balancer.update_endpoints(0, [], full=True)
+        driver.state_machine.load_balancer.update_endpoints(0, [], is_complete=True)
     driver.connect_client(1)
     driver.send_request(1, kind)
     attempts = driver.take_commands(do.SendAttempt)
@@ -83,7 +84,7 @@
     if not sent:
         [routed_request] = driver.state_machine.requests.pending
         routed_request.queue_until_us = routed_request.deadline_us  # the queue would let it go sooner
-        driver.state_machine.load_balancer.line_due_us = routed_request.deadline_us
+        driver.state_machine.load_balancer.queue.next_expiry_us = routed_request.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
         driver.commands += driver.state_machine.on_timer(now)
     assert not driver.take_commands(do.SendResponse) and driver.state_machine.timer_us == 1_500_000
