--- a/cressrail/__main__.py
+++ b/cressrail/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> None:
+    """Runs the sub-command; `serve` alone loads no library that other sub-commands need."""
     from cressrail.cli import lab
 
     if sys.argv[1:2] and sys.argv[1] in lab.RIGS:
--- a/cressrail/membership/datagram_receiver.py
+++ b/cressrail/membership/datagram_receiver.py
@@ -65,8 +65,8 @@
             raise MalformedDatagramError("stranger")
         self._process(now_us, codec.decode_datagram(verified), len(payload))
 
-    def _process(self, now_us: int, told: Datagram, size: int) -> None:
-        sender = told.sender
+    def _process(self, now_us: int, datagram: Datagram, size: int) -> None:
+        sender = datagram.sender
         if sender.id == self._self_record.id:
             if sender.process_id == self._self_record.process_id:
                 raise MalformedDatagramError("own")
@@ -75,19 +75,19 @@
         if self._is_outdated(sender):
             self._send_what_is_known(sender, size)
             return
-        window = self._replay_window(told)
+        window = self._replay_window(datagram)
         self._merge_sender(now_us, sender)
         row = self._shared.table.row_of(sender.id)
         if row >= 0:
-            self._note_sender(now_us, row, told, window)
+            self._note_sender(now_us, row, datagram, window)
         elif isinstance(sender, InstanceRecord):
             return  # it has left, or there are too many
-        self._pass_on_user_messages(told)
-        self._merge_contents(now_us, told)
+        self._pass_on_user_messages(datagram)
+        self._merge_contents(now_us, datagram)
         if isinstance(sender, InstanceRecord):
-            self._answer(now_us, told, sender, size)
+            self._answer(now_us, datagram, sender, size)
         else:
-            self._push_pull.on_response(now_us, told)
+            self._push_pull.on_response(now_us, datagram)
 
     # The sender
 
@@ -112,17 +112,17 @@
             fields = codec.encode_status(table.status_of(table.row_of(sender.id)))
             self._sender.send(sender.address, GOSSIP, fields, max_bytes=size)
 
-    def _replay_window(self, told: Datagram) -> _Window:
+    def _replay_window(self, datagram: Datagram) -> _Window:
         """The sender's window of datagram numbers, advanced by this one.
 
         Raises:
             MalformedDatagramError: The number was used before, or is too old to tell.
         """
-        table, sender = self._shared.table, told.sender
+        table, sender = self._shared.table, datagram.sender
         row = table.row_of(sender.id)
         if row < 0 or table.process_ids[row] != sender.process_id:
-            return told.number, 1
-        window = advance_replay_window(table.highest_numbers[row], table.replay_windows[row], told.number)
+            return datagram.number, 1
+        window = advance_replay_window(table.highest_numbers[row], table.replay_windows[row], datagram.number)
         if window is None:
             raise MalformedDatagramError("replayed")
         return window
@@ -135,52 +135,52 @@
         else:
             self._updates.merge_status(now_us, sender)
 
-    def _note_sender(self, now_us: int, row: int, told: Datagram, window: _Window) -> None:
-        table, sender = self._shared.table, told.sender
+    def _note_sender(self, now_us: int, row: int, datagram: Datagram, window: _Window) -> None:
+        table, sender = self._shared.table, datagram.sender
         self._isolation.note_datagram(now_us)
         table.note_datagram(row, now_us)
         if table.process_ids[row] == sender.process_id:
             table.set_replay_window(row, *window)
         if self._shared.exchanges_load_reports:
-            for report in told.load_reports:
+            for report in datagram.load_reports:
                 self._shared.load_reports.apply_peer_report(
                     now_us, sender.id, sender.incarnation, sender.process_id, report
                 )
 
     # The contents
 
-    def _pass_on_user_messages(self, told: Datagram) -> None:
+    def _pass_on_user_messages(self, datagram: Datagram) -> None:
         if not self._shared.settings.carries_user_messages:
             return
         commands = self._shared.commands
-        for message in told.user_messages[:MAX_USER_MESSAGES]:
-            commands.append(UserMessage(told.sender.id, message))
-        for _, message in told.user_broadcasts:
+        for message in datagram.user_messages[:MAX_USER_MESSAGES]:
+            commands.append(UserMessage(datagram.sender.id, message))
+        for _, message in datagram.user_broadcasts:
             commands.append(UserMessage(ANY_SENDER, message))
 
-    def _merge_contents(self, now_us: int, told: Datagram) -> None:
-        for record in told.records:
+    def _merge_contents(self, now_us: int, datagram: Datagram) -> None:
+        for record in datagram.records:
             self._updates.merge_record(now_us, record)
-        for status in (*told.statuses, *told.digest):
+        for status in (*datagram.statuses, *datagram.digest):
             self._updates.merge_status(now_us, status)
         table, own_id = self._shared.table, self._self_record.id
-        for report in told.reachability:
+        for report in datagram.reachability:
             is_known = report.reporter in table and (report.target in table or report.target == own_id)
             if is_known and self._shared.reachability.merge(report, now_us):
                 self._gossip.broadcast_reachability(now_us, report)
 
-    def _answer(self, now_us: int, told: Datagram, sender: InstanceRecord, size: int) -> None:
-        if told.kind == PUSH_PULL_REQUEST and told.id_ranges:
-            self._push_pull.on_request(told, sender, size)
-        if not told.ping_references:
+    def _answer(self, now_us: int, datagram: Datagram, sender: InstanceRecord, size: int) -> None:
+        if datagram.kind == PUSH_PULL_REQUEST and datagram.id_ranges:
+            self._push_pull.on_request(datagram, sender, size)
+        if not datagram.ping_references:
             return
-        reference = told.ping_references[0]
-        if told.kind == PING:
+        reference = datagram.ping_references[0]
+        if datagram.kind == PING:
             self._failure_detector.on_ping(reference, sender, size)
-        elif told.kind == PING_REQ:
+        elif datagram.kind == PING_REQ:
             self._relayed_pings.on_ping_req(now_us, reference, sender, size)
-        elif told.kind == ACK:
+        elif datagram.kind == ACK:
             if not self._failure_detector.on_ack(now_us, reference, sender):
                 self._relayed_pings.on_ack(reference.sequence, sender)
-        elif told.kind == NACK:
+        elif datagram.kind == NACK:
             self._failure_detector.on_nack(reference)
--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -55,49 +55,53 @@
 
     # What others say
 
-    def merge_record(self, now_us: int, told: InstanceRecord) -> None:
+    def merge_record(self, now_us: int, record: InstanceRecord) -> None:
         """Merges a whole record."""
         table = self._shared.table
-        if told.id == self._self_record.id:
-            self._refutation.on_own_status(now_us, told)
+        if record.id == self._self_record.id:
+            self._refutation.on_own_status(now_us, record)
             return
-        row = table.row_of(told.id)
+        row = table.row_of(record.id)
         if row < 0:
-            self._add(now_us, told)
-        elif told.precedence > table.precedence_of(row):
-            self._apply(now_us, row, told.status(), told)
+            self._add(now_us, record)
+        elif record.precedence > table.precedence_of(row):
+            self._apply(now_us, row, record.status(), record)
 
-    def merge_status(self, now_us: int, told: InstanceStatus) -> None:
+    def merge_status(self, now_us: int, status: InstanceStatus) -> None:
         """Merges the status of an instance whose record is known; others are passed over."""
         table = self._shared.table
-        if told.id == self._self_record.id:
-            self._refutation.on_own_status(now_us, told)
+        if status.id == self._self_record.id:
+            self._refutation.on_own_status(now_us, status)
             return
-        row = table.row_of(told.id)
+        row = table.row_of(status.id)
         if row < 0:
             return
-        if told.precedence > table.precedence_of(row):
-            self._apply(now_us, row, told)
-        elif told.precedence == table.precedence_of(row) and told.state == SUSPECTED and told.suspected_by:
-            self.confirm_suspicion(now_us, told.id, told.suspected_by)
+        if status.precedence > table.precedence_of(row):
+            self._apply(now_us, row, status)
+        elif (
+            status.precedence == table.precedence_of(row)
+            and status.state == SUSPECTED
+            and status.suspected_by
+        ):
+            self.confirm_suspicion(now_us, status.id, status.suspected_by)
 
-    def _add(self, now_us: int, told: InstanceRecord) -> None:
+    def _add(self, now_us: int, record: InstanceRecord) -> None:
         table = self._shared.table
-        if told.state == LEFT or len(table) >= MAX_INSTANCES:
+        if record.state == LEFT or len(table) >= MAX_INSTANCES:
             return
-        row = table.add(told, now_us)
+        row = table.add(record, now_us)
         table.mark_changed(now_us)
         self.needs_recount = True
-        if told.state == DEAD:
-            self._dead_retries.add_learned(now_us, told.id)
+        if record.state == DEAD:
+            self._dead_retries.add_learned(now_us, record.id)
             return
-        self._shared.log(log_events.INSTANCE_JOINED, instance=told.name, zone=told.zone)
-        self._schedule.add_to_round(told.id)
-        if told.state == SUSPECTED:
-            table.set_status(row, told.incarnation, told.process_id, ALIVE, now_us)
-            self._apply(now_us, row, told.status()._replace(suspected_by=self._self_record.id))
+        self._shared.log(log_events.INSTANCE_JOINED, instance=record.name, zone=record.zone)
+        self._schedule.add_to_round(record.id)
+        if record.state == SUSPECTED:
+            table.set_status(row, record.incarnation, record.process_id, ALIVE, now_us)
+            self._apply(now_us, row, record.status()._replace(suspected_by=self._self_record.id))
         else:
-            self._gossip.broadcast_record(now_us, told)
+            self._gossip.broadcast_record(now_us, record)
 
     # What this instance finds
 
--- a/cressrail/membership/push_pull.py
+++ b/cressrail/membership/push_pull.py
@@ -97,11 +97,11 @@
         )
         self._sender.send(destination, PUSH_PULL_REQUEST, fields, min_bytes=settings.max_datagram_bytes)
 
-    def on_request(self, told: Datagram, sender: InstanceRecord, max_bytes: int) -> None:
+    def on_request(self, datagram: Datagram, sender: InstanceRecord, max_bytes: int) -> None:
         """Answers with what takes precedence over the sender's statuses, and asks for what is new here."""
-        wanted = told.id_ranges[0]
-        digest = {status.id: status for status in told.digest}
-        reference = told.ping_references[0] if told.ping_references else PingReference(0, 0)
+        wanted = datagram.id_ranges[0]
+        digest = {status.id: status for status in datagram.digest}
+        reference = datagram.ping_references[0] if datagram.ping_references else PingReference(0, 0)
         head = codec.encode_ping_reference(reference)
         room = max_bytes - codec.MIN_DATAGRAM_BYTES - len(head) - codec.ID_RANGE_BYTES
         records, high = self._newer_records(wanted, digest, sender.id, room)
@@ -131,19 +131,19 @@
             last_id = member_id
         return fields, wanted.high
 
-    def on_response(self, now_us: int, told: Datagram) -> None:
+    def on_response(self, now_us: int, datagram: Datagram) -> None:
         """The records were merged; goes on at once until all ranges were received.
 
         Each range is asked of another random instance, so that a seed does not send all of it to all.
         """
-        if not told.id_ranges or not told.ping_references:
+        if not datagram.id_ranges or not datagram.ping_references:
             return
-        if told.ping_references[0].sequence != self._sequence:
+        if datagram.ping_references[0].sequence != self._sequence:
             return
         if not self.has_joined:
             self.has_joined = True
             self._shared.table.mark_changed(now_us)
-        high = told.id_ranges[0].high
+        high = datagram.id_ranges[0].high
         self._cursor = 0 if high >= HIGHEST_ID else high
         self.has_full_view = self.has_full_view or not self._cursor
         if not self.has_full_view:
--- a/cressrail/membership/refutation.py
+++ b/cressrail/membership/refutation.py
@@ -40,33 +40,33 @@
             own.raise_incarnation(now_us, own.incarnation + 1)
             self._gossip.broadcast_status(now_us, own.status())
 
-    def on_own_status(self, now_us: int, told: InstanceRecord | InstanceStatus) -> None:
+    def on_own_status(self, now_us: int, claim: InstanceRecord | InstanceStatus) -> None:
         """Answers what another instance holds of this one's name."""
         own = self._self_record
-        if not self._concerns_this_process(now_us, told):
+        if not self._concerns_this_process(now_us, claim):
             return
-        is_other_process = told.process_id != own.process_id
-        if is_other_process and own.must_yield_name(told.process_id, told.incarnation):
+        is_other_process = claim.process_id != own.process_id
+        if is_other_process and own.must_yield_name(claim.process_id, claim.incarnation):
             self._take_other_name(now_us)
             return
-        if told.incarnation >= MAX_INCARNATION:
+        if claim.incarnation >= MAX_INCARNATION:
             self._take_other_name(now_us)
             return
-        own.raise_incarnation(now_us, told.incarnation + 1)
+        own.raise_incarnation(now_us, claim.incarnation + 1)
         self._gossip.broadcast_status(now_us, own.status())
         for row in self._selection.random_rows(GOSSIP_FANOUT):
             self._sender.send(self._shared.table.address_of(row), codec.GOSSIP, b"")
 
-    def _concerns_this_process(self, now_us: int, told: InstanceRecord | InstanceStatus) -> bool:
+    def _concerns_this_process(self, now_us: int, claim: InstanceRecord | InstanceStatus) -> bool:
         """Whether it takes precedence over the own record; a suspicion is counted against local health."""
         own = self._self_record
-        if told.process_id != own.process_id:
-            return (told.incarnation, told.process_id) >= (own.incarnation, own.process_id)
-        if told.incarnation < own.incarnation:
+        if claim.process_id != own.process_id:
+            return (claim.incarnation, claim.process_id) >= (own.incarnation, own.process_id)
+        if claim.incarnation < own.incarnation:
             return False
-        if told.incarnation == own.incarnation and told.state == ALIVE:
+        if claim.incarnation == own.incarnation and claim.state == ALIVE:
             return False
-        if told.state in (SUSPECTED, DEAD):
+        if claim.state in (SUSPECTED, DEAD):
             self._shared.local_health.degrade()
             own.note_suspected(now_us)
         return True
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -71,7 +71,7 @@
     figures["detect_s"] = _play_one_death(fleet, size)
     figures["many_s"], figures["live_error"] = _play_many_deaths(fleet, size)
     dead = {name for name, process in fleet.names.items() if not process.is_running}
-    figures["false_losses"] = sum(1 for told in fleet.death_reports() if told.subject not in dead)
+    figures["false_losses"] = sum(1 for report in fleet.death_reports() if report.subject not in dead)
     figures["largest_bytes"] = network.largest_datagram_bytes
     table_bytes = fleet.running_processes()[0].instance.table.memory_bytes()
     figures["table_bytes_a_copy"] = round(table_bytes / max(1, size - 1))
@@ -84,8 +84,8 @@
     fleet.kill(name)
     share = _share_knowing(fleet, [name])
     fleet.clock.run_until_met(lambda: share() >= 1.0, ONE_DEATH_LIMIT_S * SECOND_US)
-    reports = [told for told in fleet.death_reports(started_us) if told.subject == name]
-    known_us = sorted({told.reporter: told.at_us for told in reports}.values())
+    reports = [report for report in fleet.death_reports(started_us) if report.subject == name]
+    known_us = sorted({report.reporter: report.at_us for report in reports}.values())
 
     def seconds_until(known_share: float) -> float | None:
         needed = max(1, -int(-known_share * others // 1))
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -225,13 +225,15 @@
     def suspicion_count(self, since_us: int) -> int:
         """Log events by which instances suspected others."""
         return sum(
-            1 for told in self.log if told.event == log_events.INSTANCE_SUSPECTED and told.at_us >= since_us
+            1
+            for entry in self.log
+            if entry.event == log_events.INSTANCE_SUSPECTED and entry.at_us >= since_us
         )
 
     def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
         """Log events by which an instance declared another dead."""
         return [
-            told for told in self.log if told.event == log_events.INSTANCE_DEAD and told.at_us >= since_us
+            entry for entry in self.log if entry.event == log_events.INSTANCE_DEAD and entry.at_us >= since_us
         ]
 
 
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -1,8 +1,7 @@
 """The proxy as one state machine: each method is an event, and returns the commands that follow from it.
 
 Clients and connections to endpoints are numbers, handed out by whoever opens them; so are attempts. The
-sockets behind them belong to the tasks in `network` that carry the commands out. Times are in us, on the
-clock of the event loop.
+sockets behind them belong to the tasks in `network` that carry the commands out. Times are in us.
 """
 
 from __future__ import annotations
