--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("rests", [True, False])
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("many", [1, 10])
-def test_what_came_together_with_its_clients_end_is_not_sent(
+def test_request_received_with_client_close_is_not_sent(
     rests: bool, may_cancel: bool, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As where it lay unread for long: one that came just now may go, and its client is not looked at."""
@@ -123,9 +123,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_client_that_leaves_while_a_connection_comes_up_is_not_sent_for(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_client_close_during_connect_prevents_send(may_cancel: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     endpoint, gate = Seen(), list[int]()
     play = Play([endpoint], may_cancel=may_cancel)
     dials = held_dial(monkeypatch, lambda: play.ports[0], gate)
@@ -148,7 +146,7 @@
     assert len(endpoint.heads) == (not may_cancel)
 
 
-def test_a_hop_called_off_before_its_task_has_run_is_not_sent() -> None:
+def test_attempt_cancelled_before_its_task_runs_is_not_sent() -> None:
     endpoint = Seen()
     play = Play([endpoint])
 
@@ -180,7 +178,7 @@
 @pytest.mark.parametrize(
     "change", [{"phase": "draining"}, {"phase": "removed"}, {"host_port": "127.0.0.1:9"}, {"up_since_ms": 77}]
 )
-def test_news_that_comes_while_a_connection_does_holds_for_its_hop(
+def test_list_update_during_connect_applies_to_attempt(
     change: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     endpoint, agent, gate = Seen(), Agent(), list[int]()
@@ -211,7 +209,7 @@
         ("read", "window over", b"200", 1),
     ],
 )
-def test_a_repeat_is_judged_again_when_its_connection_is_up(
+def test_retry_is_checked_again_once_connected(
     kind: str, late: str, answer: bytes, sent: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def drops(peer: Peer) -> None:
@@ -252,9 +250,7 @@
 
 
 @pytest.mark.parametrize("phase, sent", [("draining", 0), ("up", 1)])
-def test_nothing_goes_by_the_list_of_before_the_start_while_discovery_is_about_to_answer(
-    phase: str, sent: int
-) -> None:
+def test_configured_list_is_not_used_while_discovery_may_answer(phase: str, sent: int) -> None:
     endpoint, other, agent = Seen(), Seen(), Agent()
 
     def slowly(peer: Peer) -> None:
@@ -276,7 +272,7 @@
     assert heard == [b"200"] and (len(endpoint.heads), len(other.heads)) == (sent, 1 - sent)
 
 
-def test_a_start_with_silent_discovery_goes_by_the_list_it_was_given() -> None:
+def test_configured_list_is_used_if_discovery_is_silent() -> None:
     endpoint = Seen()
     play = Play([endpoint], lambda peer: peer.sleep(5 * SECOND))
     heard: list[bytes] = []
@@ -290,7 +286,7 @@
     assert heard == [b"200"] and not play.reducer.endpoint_watch.has_list
 
 
-def test_an_endpoint_that_leaves_while_a_request_to_it_still_comes_keeps_its_record() -> None:
+def test_removed_endpoint_is_kept_while_upload_to_it_continues() -> None:
     agent, heard = Agent(), list[bytes]()
 
     def whole(peer: Peer) -> None:
@@ -319,7 +315,7 @@
 # Answers
 
 
-def test_a_second_answer_some_milliseconds_late_is_not_the_next_clients(
+def test_late_second_answer_is_not_given_to_next_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
@@ -366,7 +362,7 @@
         (b"HTTP/1.1 102 X\r\n\r\n", True, "write", b"502"),
     ],
 )
-def test_an_answer_counts_if_it_is_whole_by_its_own_framing(
+def test_answer_counts_if_complete_by_its_own_framing(
     text: bytes, reset: bool, kind: str, answer: bytes
 ) -> None:
     def ends(peer: Peer) -> None:
@@ -389,7 +385,7 @@
     assert heard == [answer]
 
 
-def test_an_answer_and_its_clients_end_in_one_look_give_all_back() -> None:
+def test_answer_with_simultaneous_client_close_releases_buffers() -> None:
     leaving: list[socket.socket] = []
 
     def endpoint(peer: Peer) -> None:
@@ -412,7 +408,7 @@
     play.run()  # which looks whether buffers and records are back
 
 
-def test_a_stir_that_crosses_the_end_of_an_upload_is_no_call_off() -> None:
+def test_wakeup_crossing_upload_end_is_not_a_cancellation() -> None:
     goes: list[Peer] = []
 
     def endpoint(peer: Peer) -> None:
@@ -457,7 +453,7 @@
     monkeypatch.setattr(SocketStream, "receive", reads)
 
 
-def test_a_request_that_crosses_an_idle_close_meets_an_end_and_no_reset(
+def test_request_crossing_idle_close_meets_close_without_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     endpoint = Seen()
@@ -480,7 +476,7 @@
     assert heard == [b""] and len(endpoint.heads) == 1  # read after the end, so not sent on
 
 
-def test_an_idle_client_that_stays_after_the_end_is_closed_within_a_bound() -> None:
+def test_idle_client_that_stays_is_closed_in_bounded_time() -> None:
     play = Play([Seen()])
 
     def client(peer: Peer) -> None:
@@ -495,7 +491,7 @@
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_a_last_answer_arrives_whole_though_more_bytes_come(
+def test_last_answer_arrives_complete_despite_further_bytes(
     full: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer waits in the system's buffers for a client that reads late, and a reset would drop it."""
@@ -528,7 +524,7 @@
     assert heard == [BIG * 8]
 
 
-def test_a_call_to_close_overtaken_by_a_request_does_not_keep_the_loop_busy() -> None:
+def test_close_command_overtaken_by_request_does_not_spin() -> None:
     goes: list[Peer] = []
 
     def endpoint(peer: Peer) -> None:
@@ -579,7 +575,7 @@
 
 
 @pytest.mark.parametrize("fault", [errno.ECONNABORTED, errno.EMFILE, errno.EPROTO])
-def test_who_waits_as_the_door_closes_is_answered_whatever_befell_another(fault: int) -> None:
+def test_queued_client_is_answered_as_listener_closes_despite_accept_fault(fault: int) -> None:
     play = Play([Seen()])
     heard: list[bytes] = []
 
@@ -603,7 +599,7 @@
 # The watch
 
 
-def test_a_watch_has_one_budget_for_silence_on_the_whole_way() -> None:
+def test_watch_silence_budget_covers_all_stages() -> None:
     """News counts as told six seconds after a watch fell silent, four after a new address was told. A
     connection that says nothing either may come between."""
     pause_us = 75_000  # the longest first one
@@ -614,9 +610,7 @@
 
 
 @pytest.mark.parametrize("what", ["nothing", "head alone", "half a line", "an indented half"])
-def test_a_watch_that_says_less_than_a_line_is_opened_again(
-    what: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_watch_without_complete_line_is_reopened(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "FIRST_ANSWER_TIMEOUT_US", 30_000)
     monkeypatch.setattr(watch, "SILENCE_TIMEOUT_US", 60_000)
     words = {
@@ -642,7 +636,7 @@
     assert asks[:4] == [b"GET /catalog/members", *[b"GET /catalog/members?watch=1&after=4"] * 3]
 
 
-def test_an_object_whose_end_is_lost_does_not_swallow_what_follows() -> None:
+def test_truncated_object_does_not_swallow_next_one() -> None:
     asks: list[bytes] = []
     play = Play([Seen()], lambda peer: agent(peer))
 
@@ -668,7 +662,7 @@
     assert asks[1:3] == [b"GET /catalog/members?watch=1&after=4"] * 2
 
 
-def test_a_line_that_dribbles_is_as_good_as_silence_and_a_long_list_is_not(
+def test_dribbled_line_counts_as_silence_and_long_list_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watch, "SILENCE_TIMEOUT_US", 100_000)
@@ -702,7 +696,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
-def test_news_may_come_indented_and_several_in_a_piece(indent: int | None) -> None:
+def test_updates_may_be_indented_and_share_a_read(indent: int | None) -> None:
     play = Play([Seen()], lambda peer: agent(peer))
     told = [
         {"revision": n, "complete": False, "members": [member("s0", play.ports[0], phase=phase)]}
@@ -739,7 +733,7 @@
 
 
 @pytest.mark.parametrize("of", ["on_timer", "on_endpoint_list", "on_client_connected", "on_watch_ended"])
-def test_a_fault_in_what_the_process_needs_starts_it_again(of: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fault_in_vital_task_restarts_it(of: str, monkeypatch: pytest.MonkeyPatch) -> None:
     endpoint = Seen()
     play = Play([endpoint], lambda peer: agent(peer))
     right, faults, rounds = getattr(StateMachine, of), [1], list[int]()
@@ -780,7 +774,7 @@
     assert heard == [b"200"] and len(told) == 1 and "as asked" in told[0] and not play.loop.has_failed
 
 
-def test_a_fault_that_comes_again_and_again_ends_the_process_with_a_status() -> None:
+def test_repeated_fault_ends_process_with_status() -> None:
     loop = Scheduler(lambda: 5, lambda text: told.append(text))
     told: list[str] = []
 
@@ -795,7 +789,7 @@
 # Clients in a crowd
 
 
-def test_nothing_is_sent_on_long_after_its_client_left(capsys: pytest.CaptureFixture[str]) -> None:
+def test_request_is_not_forwarded_long_after_client_left(capsys: pytest.CaptureFixture[str]) -> None:
     """Clients who leave at every step of their way, in a crowd before one slow endpoint: what is sent on
     after they left, and how much later. The worst case is printed."""
     left: dict[bytes, int] = {}
@@ -845,7 +839,7 @@
 # What tasks are told
 
 
-def test_clients_and_tasks_are_told_nothing_they_cannot_take() -> None:
+def test_each_task_receives_only_commands_that_it_handles() -> None:
     """What the tasks' handling of their mail rests on: who is told what, by the effect's kind."""
     play = Play([Seen()])
     told: dict[str, set[type]] = {}
