--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -396,6 +396,8 @@
     def script(peer: Peer) -> None:
         peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[: KEPT_BODY_BYTES + 50_000])
         peer.sleep(50_000)
+        peer.sock.close()
+        peer.until(lambda: ends)  # before the loop is stopped: its task may still have to run
 
     play = Play([endpoint])
     play.client(script)
