--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cressrail.configuration import setting_names as names
 from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
@@ -18,8 +18,7 @@
 MAX_STREAMS = 1 << 20  # requests at a time on one connection
 
 
-@dataclass(frozen=True, slots=True)
-class DeploymentType:
+class DeploymentType(NamedTuple):
     """What a deployment type implies for other settings.
 
     Attributes:
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -4,8 +4,8 @@
 
 import ipaddress
 import os
-from dataclasses import dataclass
-from typing import Any
+from dataclasses import replace
+from typing import Any, NamedTuple
 
 from cressrail.configuration.addresses import read_ip_port
 from cressrail.configuration.files import read_section_file
@@ -35,8 +35,7 @@
 MIN_TOLERATED_PAUSE_MS, DEFAULT_TOLERATED_PAUSE_MS, MAX_TOLERATED_PAUSE_MS = 300, 3000, 600_000
 
 
-@dataclass(frozen=True, slots=True)
-class MembershipConfiguration:
+class MembershipConfiguration(NamedTuple):
     """What the membership protocol of one instance is started with.
 
     Attributes:
@@ -49,6 +48,11 @@
     settings: MembershipSettings
     failover: Any = None
 
+    def with_failover(self, failover: Any) -> MembershipConfiguration:
+        """Returns the same with failover, whose messages membership then carries."""
+        settings = replace(self.settings, carries_user_messages=True)
+        return self._replace(settings=settings, failover=failover)
+
 
 def read_membership_section(
     value: Any, config_path: str, instance_name: str, zone: str, instance_count: int
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -4,7 +4,6 @@
 
 import os
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
 import orjson
@@ -34,7 +33,6 @@
 FOLLOWED_WITHOUT_RESTART = (names.RANDOM_SEED, names.DISCOVERY_ADDRESS)
 
 
-@dataclass(slots=True)
 class StartupConfiguration:
     """What one sidecar process is started with.
 
@@ -54,19 +52,35 @@
         membership: Of the protocol between instances, where it is on.
     """
 
-    name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
-    discovery_in_file: str
-    seed: int
-    memory_limit_mb: float
-    max_sockets: int
-    known_endpoints: EndpointListUpdate
-    settings: SettingsReader
-    process_settings: SettingsReader
-    deployment_type: str
-    admin: tuple[str, int] | None = None
-    membership: MembershipConfiguration | None = None
+    def __init__(
+        self,
+        name: str,
+        listen: tuple[str, int],
+        discovery: tuple[str, int],
+        discovery_in_file: str,
+        seed: int,
+        memory_limit_mb: float,
+        max_sockets: int,
+        known_endpoints: EndpointListUpdate,
+        settings: SettingsReader,
+        process_settings: SettingsReader,
+        deployment_type: str,
+        admin: tuple[str, int] | None = None,
+        membership: MembershipConfiguration | None = None,
+    ) -> None:
+        self.name = name
+        self.listen = listen
+        self.discovery = discovery
+        self.discovery_in_file = discovery_in_file
+        self.seed = seed
+        self.memory_limit_mb = memory_limit_mb
+        self.max_sockets = max_sockets
+        self.known_endpoints = known_endpoints
+        self.settings = settings
+        self.process_settings = process_settings
+        self.deployment_type = deployment_type
+        self.admin = admin
+        self.membership = membership
 
 
 def read_startup_configuration(
@@ -123,10 +137,8 @@
     # Imported here so that a sidecar without failover loads nothing of it.
     from cressrail.configuration.failover import read_failover_section
 
-    return replace(
-        membership,
-        settings=replace(membership.settings, carries_user_messages=True),
-        failover=read_failover_section(value, path, settings, membership.settings.tolerated_pause_us),
+    return membership.with_failover(
+        read_failover_section(value, path, settings, membership.settings.tolerated_pause_us)
     )
 
 
--- a/cressrail/discovery/endpoint_list.py
+++ b/cressrail/discovery/endpoint_list.py
@@ -5,8 +5,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable, Sequence
 from ipaddress import ip_address
 from typing import Any, NamedTuple
 
@@ -43,8 +42,7 @@
     """What discovery sent is no list; the list known before stays in force."""
 
 
-@dataclass(slots=True)
-class EndpointEntry:
+class EndpointEntry(NamedTuple):
     """One endpoint of a list.
 
     Attributes:
@@ -70,8 +68,7 @@
     started_us: int
 
 
-@dataclass(slots=True)
-class EndpointListUpdate:
+class EndpointListUpdate(NamedTuple):
     """A whole list, or the entries that have changed.
 
     Attributes:
@@ -84,9 +81,9 @@
 
     revision: int
     is_complete: bool
-    entries: list[EndpointEntry] = field(default_factory=list)
-    unreadable_names: list[str] = field(default_factory=list)
-    errors: list[str] = field(default_factory=list)
+    entries: Sequence[EndpointEntry] = ()
+    unreadable_names: Sequence[str] = ()
+    errors: Sequence[str] = ()
 
 
 def parse_update_line(line: bytes) -> EndpointListUpdate:
@@ -112,15 +109,17 @@
     revision, is_complete = value.get(REVISION), value.get(IS_COMPLETE)
     if not isinstance(revision, int) or not isinstance(is_complete, bool):
         raise MalformedEndpointListError("no revision, or not told whether it is complete")
-    update = EndpointListUpdate(revision, is_complete)
+    entries: list[EndpointEntry] = []
+    unreadable_names: list[str] = []
+    errors: list[str] = []
     for entry in value[ENTRIES]:
         try:
-            update.entries.append(_parse_entry(entry))
+            entries.append(_parse_entry(entry))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            update.errors.append(f"{type(error).__name__}: {error}")
+            errors.append(f"{type(error).__name__}: {error}")
             if isinstance(entry, dict) and isinstance(entry.get(NAME), str):
-                update.unreadable_names.append(entry[NAME])
-    return update
+                unreadable_names.append(entry[NAME])
+    return EndpointListUpdate(revision, is_complete, entries, unreadable_names, errors)
 
 
 def _parse_entry(entry: dict[str, Any]) -> EndpointEntry:
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import re
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cressrail.buffers.pipe import StreamingBody
 from cressrail.buffers.pool import BufferChain
@@ -26,8 +26,7 @@
 REQUEST_LINE_PARTS = 3
 
 
-@dataclass(slots=True)
-class Request:
+class Request(NamedTuple):
     """A request of a client.
 
     Attributes:
--- a/cressrail/http1/response.py
+++ b/cressrail/http1/response.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cressrail.buffers.pipe import StreamingBody
 from cressrail.buffers.pool import BufferChain
@@ -27,8 +27,7 @@
 US_PER_S = 1e6
 
 
-@dataclass(slots=True)
-class Response:
+class Response(NamedTuple):
     """A response to a client.
 
     Attributes:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -5,8 +5,7 @@
 import os
 import socket
 from contextlib import suppress
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
 from cressrail.handover.frame import Frame, FrameKind, FrameReader, HandoverError, encode_frame
@@ -26,8 +25,7 @@
 MAX_HELD_BUFFERS_SHARE = 0.75  # of the pool, so that this process has some from the start
 
 
-@dataclass(frozen=True)
-class Predecessor:
+class Predecessor(NamedTuple):
     """The process that serves.
 
     Attributes:
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -5,9 +5,8 @@
 import gc
 import os
 import resource
-from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
 from cressrail.configuration import policy_factory, setting_names
@@ -49,8 +48,7 @@
 YOUNG_OBJECTS = 5_000  # allocations between two garbage collections: requests leave few reference cycles
 
 
-@dataclass(frozen=True, slots=True)
-class Server:
+class Server(NamedTuple):
     """A sidecar whose parts are connected and whose first tasks wait for the event loop."""
 
     dispatcher: CommandDispatcher
--- a/cressrail/policy/endpoint.py
+++ b/cressrail/policy/endpoint.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from cressrail.policy.retry_budget import RETRY_WINDOW_US
@@ -26,33 +25,33 @@
     ring_position: int  # the same at every instance, and unrelated to what the endpoint is like
 
 
-@dataclass(slots=True, eq=False)
 class Endpoint:
     """The record of one endpoint; times in microseconds on the caller's clock."""
 
-    index: int
-    zone: int = 0
-    cell: int = 0
-    scale: float = 1.0
-    accepts_requests: bool = False
-    started_us: int = 0
-    ring_position: int = 0
-    in_flight: int = 0
-    limit: float = 0.0  # of own attempts in flight; below one, the sum over the zone subset still binds
-    limit_cut_us: int = 0
-    last_prompt_sent_us: int = -1  # when the latest attempt was sent that was answered in time
-    latency: float = 0.0  # moving average of succeeded attempts, in latency objectives
-    success_rate: float = 1.0  # moving average: 1 for an attempt that the endpoint did not fail
-    last_outcome_us: int = -1
-    unavailable_until_us: int = 0  # until then its process counts as gone
-    is_in_subset: bool = False
-    slow_start_credit: float = 0.0
-    slow_start_credit_us: int = 0  # when the credit was last brought up to date
-    slow_start_attempts: int = 0  # that it got from this instance while warming up
-    connect_failures: int = 0  # successes still wanted after them: it may be back as another process
-    peer_work_per_us: float = -1.0  # what other instances send it while it warms up; below 0: unknown
-    warmed_up_work_per_us: float = 0.0  # what all instances would send it if it were warmed up
-    peer_ejected_us: int = -2  # when it was last ejected on the reports of peers
+    def __init__(self, index: int) -> None:
+        self.index = index
+        self.zone = 0
+        self.cell = 0
+        self.scale = 1.0
+        self.accepts_requests = False
+        self.started_us = 0
+        self.ring_position = 0
+        self.in_flight = 0
+        self.limit = 0.0  # of own attempts in flight; below one, the sum over the zone subset still binds
+        self.limit_cut_us = 0
+        self.last_prompt_sent_us = -1  # when the latest attempt was sent that was answered in time
+        self.latency = 0.0  # moving average of succeeded attempts, in latency objectives
+        self.success_rate = 1.0  # moving average: 1 for an attempt that the endpoint did not fail
+        self.last_outcome_us = -1
+        self.unavailable_until_us = 0  # until then its process counts as gone
+        self.is_in_subset = False
+        self.slow_start_credit = 0.0
+        self.slow_start_credit_us = 0  # when the credit was last brought up to date
+        self.slow_start_attempts = 0  # that it got from this instance while warming up
+        self.connect_failures = 0  # successes still wanted after them: it may be back as another process
+        self.peer_work_per_us = -1.0  # what other instances send it while it warms up; below 0: unknown
+        self.warmed_up_work_per_us = 0.0  # what all instances would send it if it were warmed up
+        self.peer_ejected_us = -2  # when it was last ejected on the reports of peers
 
     def is_available(self, now_us: int) -> bool:
         """Whether it is neither gone nor failing by its recent outcomes."""
--- a/cressrail/policy/request_class.py
+++ b/cressrail/policy/request_class.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
 class Idempotency(Enum):
@@ -23,8 +23,7 @@
     CELL = "cell"
 
 
-@dataclass(frozen=True, slots=True)
-class RequestClass:
+class RequestClass(NamedTuple):
     """The settings shared by all requests of one class; times in microseconds."""
 
     idempotency: Idempotency
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 from cressrail.buffers.pool import BufferChain
@@ -21,7 +20,6 @@
     from cressrail.proxy.zone_statistics import ZoneStatistics
 
 
-@dataclass(slots=True)
 class Attempt:
     """An attempt in flight.
 
@@ -34,11 +32,14 @@
             sent.
     """
 
-    routed_request: RoutedRequest
-    number: int
-    endpoint: int
-    connection: int
-    sent_us: int
+    def __init__(
+        self, routed_request: RoutedRequest, number: int, endpoint: int, connection: int, sent_us: int
+    ) -> None:
+        self.routed_request = routed_request
+        self.number = number
+        self.endpoint = endpoint
+        self.connection = connection
+        self.sent_us = sent_us
 
 
 class AttemptResult(NamedTuple):
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from cressrail.policy.routed_request import RoutedRequest
 from cressrail.proxy.commands import CloseClient
 from cressrail.proxy.connection_limits import ConnectionLimits
@@ -17,7 +15,6 @@
     return CLIENT_SILENCE_LIMIT_US if keeps_idle_clients else CLIENT_STALL_US
 
 
-@dataclass(slots=True)
 class Client:
     """A client's connection.
 
@@ -27,9 +24,10 @@
         routed_request: The request that it waits for the answer of.
     """
 
-    keep_alive: bool = True
-    is_over_limit: bool = False
-    routed_request: RoutedRequest | None = None
+    def __init__(self) -> None:
+        self.keep_alive = True
+        self.is_over_limit = False
+        self.routed_request: RoutedRequest | None = None
 
 
 class Clients:
--- a/cressrail/proxy/connection_limits.py
+++ b/cressrail/proxy/connection_limits.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 
-
-@dataclass(slots=True)
 class ConnectionLimits:
     """Limits by side, so that neither side can use up the descriptors of the other.
 
@@ -15,9 +12,10 @@
         endpoint_connections: Connections to endpoints.
     """
 
-    clients: int
-    extra_clients: int
-    endpoint_connections: int
+    def __init__(self, clients: int, extra_clients: int, endpoint_connections: int) -> None:
+        self.clients = clients
+        self.extra_clients = extra_clients
+        self.endpoint_connections = endpoint_connections
 
     def lend(self, clients: int, endpoint_connections: int) -> None:
         """Takes out what another process still holds. At least one connection stays on each side."""
--- a/cressrail/proxy/endpoint_connections.py
+++ b/cressrail/proxy/endpoint_connections.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from cressrail.proxy.commands import CloseEndpointConnection, Command
 from cressrail.proxy.connection_limits import ConnectionLimits
 from cressrail.proxy.endpoint_registry import EndpointRegistry, RegisteredEndpoint
@@ -12,7 +10,6 @@
 CONNECTION_SETTLE_US = 5_000  # an endpoint may send a second answer some milliseconds after its first
 
 
-@dataclass(slots=True)
 class EndpointConnection:
     """A connection, and the process that it was made to.
 
@@ -24,11 +21,12 @@
         settled_us: From then on it may carry another attempt.
     """
 
-    endpoint: int
-    host: str
-    port: int
-    started_us: int
-    settled_us: int = 0
+    def __init__(self, endpoint: int, host: str, port: int, started_us: int) -> None:
+        self.endpoint = endpoint
+        self.host = host
+        self.port = port
+        self.started_us = started_us
+        self.settled_us = 0
 
     def leads_to(self, endpoint: RegisteredEndpoint) -> bool:
         """Whether the endpoint is still the process that the connection was made to."""
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 from zlib import crc32
 
@@ -10,7 +9,6 @@
 from cressrail.policy.endpoint import EndpointUpdate
 
 
-@dataclass(slots=True)
 class RegisteredEndpoint:
     """How an endpoint is reached; what decisions go by is in the load balancer's record of it.
 
@@ -23,11 +21,12 @@
             it.
     """
 
-    name: str
-    host: str
-    port: int
-    entry: EndpointEntry
-    idle: list[int] = field(default_factory=list)
+    def __init__(self, name: str, host: str, port: int, entry: EndpointEntry) -> None:
+        self.name = name
+        self.host = host
+        self.port = port
+        self.entry = entry
+        self.idle: list[int] = []
 
 
 class RegistryChanges(NamedTuple):
@@ -111,7 +110,7 @@
     def _remove_all_but(self, listed: set[str], changes: RegistryChanges) -> None:
         for index, registered in self.endpoints.items():
             if registered.name not in listed:
-                registered.entry = replace(registered.entry, accepts_requests=False, is_removed=True)
+                registered.entry = registered.entry._replace(accepts_requests=False, is_removed=True)
                 changes.stale_connections.extend(registered.idle)
                 changes.removed.append(index)
 
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 from cressrail.http1.duration import parse_duration_us
 from cressrail.http1.request import Request
 from cressrail.logs import events
@@ -104,7 +102,7 @@
         has_key = bool(request.header_text(IDEMPOTENCY_KEY_FIELD))
         if request_class.idempotency is Idempotency.WITH_KEY and not has_key:
             # Without a key the endpoint could not tell a retry from another request.
-            request_class = replace(request_class, idempotency=Idempotency.NON_IDEMPOTENT)
+            request_class = request_class._replace(idempotency=Idempotency.NON_IDEMPOTENT)
         tenant = self.settings.tenants.get(request.header_text(TENANT_FIELD) or "", NO_TENANT)
         routed_request = self.load_balancer.start_request(now_us, request_class, tenant, remaining_us)
         return self.forwarder.start(now_us, routed_request, pending)
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 
 from cressrail.http1.request import Request
 from cressrail.policy.routed_request import RoutedRequest
@@ -16,7 +15,6 @@
 IDEMPOTENCY_KEY_FIELD = b"idempotency-key"
 
 
-@dataclass(slots=True)
 class PendingRequest:
     """A forwarded request, with what the load balancer does not need to know of it.
 
@@ -34,16 +32,25 @@
             ended.
     """
 
-    client: int
-    request: Request
-    request_id: str
-    class_name: str
-    arrived_us: int
-    time_limit_us: int
-    attempts: dict[int, int] = field(default_factory=dict)
-    attempt_count: int = 0
-    is_invalid: bool = False
-    streaming_attempt: int = 0
+    def __init__(
+        self,
+        client: int,
+        request: Request,
+        request_id: str,
+        class_name: str,
+        arrived_us: int,
+        time_limit_us: int,
+    ) -> None:
+        self.client = client
+        self.request = request
+        self.request_id = request_id
+        self.class_name = class_name
+        self.arrived_us = arrived_us
+        self.time_limit_us = time_limit_us
+        self.attempts: dict[int, int] = {}
+        self.attempt_count = 0
+        self.is_invalid = False
+        self.streaming_attempt = 0
 
     def take_number(self) -> int:
         """Returns the number of the next attempt."""
--- a/cressrail/proxy/settings.py
+++ b/cressrail/proxy/settings.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cressrail.policy.request_class import RequestClass
 from cressrail.proxy.endpoint_list import WATCH_RETRY_US
 
 
-@dataclass(slots=True)
-class ProxySettings:
+class ProxySettings(NamedTuple):
     """Settings that hold for the life of the process.
 
     Attributes:
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -141,10 +141,8 @@
     heard = EndpointRegistry.apply
 
     def never(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
-        for row in update.entries:
-            row.accepts_requests, row.is_removed = True, False
-        update.is_complete = False
-        return heard(self, update)
+        entries = [row._replace(accepts_requests=True, is_removed=False) for row in update.entries]
+        return heard(self, update._replace(entries=entries, is_complete=False))
 
     EndpointRegistry.apply = never  # type: ignore[method-assign]
 
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
 import pytest
@@ -70,9 +69,8 @@
     """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
     driver = ProxyDriver(has_list=True)
     if kind == "once":
-        driver.state_machine.settings.request_classes["once"] = replace(
-            driver.state_machine.settings.request_classes["read"], idempotency=Idempotency.NON_IDEMPOTENT
-        )
+        request_classes = driver.state_machine.settings.request_classes
+        request_classes["once"] = request_classes["read"]._replace(idempotency=Idempotency.NON_IDEMPOTENT)
         driver.state_machine.counters.final["once"] = dict(driver.state_machine.counters.final["read"])
     if not sent:  # nowhere to go: it waits in the queue
         driver.state_machine.load_balancer.update_endpoints(0, [], is_complete=True)
