--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -11,15 +11,15 @@
 
 import uvloop
 
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.discovery import Agent, Listed
 from cressrail.testbed.event_record import Ledger
 
 ZONE = "here"
 
 
-def asked(asked: Asked) -> None:
-    asked.server.answer(200, asked.fields.get(b"req-id", b"-") + b" sink committed\n")
+def asked(asked: ReceivedRequest) -> None:
+    asked.connection.respond(200, asked.headers.get(b"req-id", b"-") + b" sink committed\n")
 
 
 async def serve(number: int, out: Path) -> None:
@@ -27,7 +27,7 @@
     listed = []
     for n in range(number):
         server = await loop.create_server(
-            lambda: Served(asked, lambda served: None), "127.0.0.1", 0, backlog=256
+            lambda: ServerConnection(asked, lambda served: None), "127.0.0.1", 0, backlog=256
         )
         listed.append(Listed(f"sink{n}", {ZONE: server.sockets[0].getsockname()[:2]}, ZONE, 1))
     agent = Agent("one", ZONE, 0, listed, Ledger(out))
--- a/cressrail/http_testing/__init__.py
+++ b/cressrail/http_testing/__init__.py
@@ -1,2 +1,5 @@
-"""Both ends of HTTP/1.1 for the rigs, on asyncio and a parser that is not the sidecar's own, so that a fault
-of that one shows."""
+"""HTTP/1.1 client and server on asyncio for the test bed, the load generator and the experiments.
+
+Called by `load`, `testbed`, `experiment` and `cli`; imports no other package of cressrail. The parser is
+httptools and not the sidecar's own, so that a fault of the latter shows.
+"""
--- a/cressrail/http_testing/client.py
+++ b/cressrail/http_testing/client.py
@@ -1,5 +1,4 @@
-"""The client's end: connections that are kept, one request at a time on each, and more of them when all are
-busy, up to a bound."""
+"""HTTP/1.1 client: a bounded number of kept-alive connections, and one request at a time on each."""
 
 from __future__ import annotations
 
@@ -7,251 +6,295 @@
 import time
 from collections import deque
 from collections.abc import Callable
+from enum import StrEnum
 from typing import Any
 
 import httptools
 
-ANSWERED, NO_CONNECTION, RESET, GAVE_UP, NOT_HTTP = (
-    "answered",
-    "no connection",
-    "reset",
-    "gave up",
-    "not http",
-)
+FIRST_FINAL_STATUS = 200  # responses below it are interim
+
+
+class CallOutcome(StrEnum):
+    """How a call ended; the values stand in the event record."""
+
+    ANSWERED = "answered"
+    CONNECT_FAILED = "no connection"
+    CONNECTION_RESET = "reset"  # also one that was closed before the response was whole
+    TIMED_OUT = "gave up"
+    MALFORMED_RESPONSE = "not http"
 
 
 def now_us() -> int:
-    """Of the steady clock, one for all processes of a machine; steps of the day's time do not touch it."""
+    """Returns the time of the monotonic clock, which all processes of a host share."""
     return time.monotonic_ns() // 1000
 
 
-class Answer:
+class Response:
+    """What came of a call.
+
+    Attributes:
+        outcome: How the call ended.
+        status: Of the final response; zero where none was whole.
+        headers: Values by name in lower case; of a repeated header the last.
+        body: As far as it came.
+        sent_us: When the request was written, the last time if it was sent again; zero if it never was.
+        first_byte_us: When the first byte of the response came; zero if none did.
+        finished_us: When the call ended.
+        resent_us: When a kept-alive connection that ended made the client send it again; zero if none did.
+    """
+
     __slots__ = (
-        "again_us",
-        "begun_us",
         "body",
-        "ended_us",
-        "fields",
-        "how",
-        "keep",
+        "finished_us",
+        "first_byte_us",
+        "headers",
+        "outcome",
+        "resent_us",
         "sent_us",
         "status",
-        "surplus",
     )
 
     def __init__(self) -> None:
-        self.how = ANSWERED
-        self.status = 0  # 0: none was whole
-        self.fields: dict[bytes, bytes] = {}  # names in lower case
+        self.outcome = CallOutcome.ANSWERED
+        self.status = 0
+        self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.keep = False
-        self.sent_us = self.begun_us = self.ended_us = 0  # begun: a first byte of the answer came
-        self.again_us = 0  # its connection ended under it, and it was sent once more then
-        self.surplus = 0  # bytes beyond the answer
+        self.sent_us = self.first_byte_us = self.finished_us = self.resent_us = 0
 
 
-Heard = Callable[[Answer], None]
+ResponseCallback = Callable[[Response], None]
 
 
-class Call:
-    """One request: its bytes, until when it is waited for, and who is told."""
+class PendingCall:
+    """One request with its timeout, and the callback that takes the response."""
 
-    __slots__ = ("again", "answer", "heard", "line", "text", "timer")
+    __slots__ = ("_on_response", "connection", "request", "response", "timer", "was_resent")
 
-    def __init__(self, text: bytes, heard: Heard) -> None:
-        self.text = text
-        self.heard = heard
-        self.answer = Answer()
-        self.line: Line | None = None
+    def __init__(self, request: bytes, on_response: ResponseCallback) -> None:
+        self.request = request
+        self._on_response: ResponseCallback | None = on_response
+        self.response = Response()
+        self.connection: ClientConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.again = False  # it crossed a close and was sent once more
+        self.was_resent = False
 
-    def end(self, how: str) -> None:
-        """The one place where a call ends; told once."""
+    @property
+    def is_finished(self) -> bool:
+        """Whether the callback was called."""
+        return self._on_response is None
+
+    def finish(self, outcome: CallOutcome) -> None:
+        """Ends the call and calls back, once."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.answer.how = how
-        self.answer.ended_us = now_us()
-        heard, self.heard = self.heard, _nobody
-        heard(self.answer)
-
-
-def _nobody(_: Answer) -> None:
-    pass
+        self.response.outcome = outcome
+        self.response.finished_us = now_us()
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(self.response)
 
 
-class Line(asyncio.Protocol):
-    """One connection of a `Caller`."""
+class ClientConnection(asyncio.Protocol):
+    """One connection of an `HttpClient`, which calls it as asyncio and the parser do."""
 
-    def __init__(self, caller: Caller) -> None:
-        self.caller = caller
+    def __init__(self, client: HttpClient, call: PendingCall) -> None:
+        self.client = client
         self.parser: Any = httptools.HttpResponseParser(self)
         self.transport: Any = None
-        self.call: Call | None = None
-        self.over = False
-        self.used = False  # has carried a call to its end
+        self.call: PendingCall | None = call
+        self.is_closed = False
+        self.has_served_call = False
 
     def connection_made(self, transport: Any) -> None:
+        """Writes the request, unless its call timed out meanwhile."""
         self.transport = transport
         if self.call is None:
-            transport.abort()  # given up meanwhile
+            transport.abort()
         else:
-            self._write()
+            self._write(self.call)
 
-    def carry(self, call: Call) -> None:
+    def start_call(self, call: PendingCall) -> None:
+        """Sends a further request on an idle connection."""
         self.call = call
-        call.line = self
+        call.connection = self
         if self.transport is not None:
             self.parser = httptools.HttpResponseParser(self)
-            self._write()
+            self._write(call)
 
-    def _write(self) -> None:
-        assert self.call is not None
-        self.call.answer.sent_us = now_us()
-        self.transport.write(self.call.text)
+    def _write(self, call: PendingCall) -> None:
+        call.response.sent_us = now_us()
+        self.transport.write(call.request)
 
     def data_received(self, data: bytes) -> None:
-        if self.call is None:  # after the one final answer: the rule on answers is judged by it
-            self.caller.surplus += len(data)
-            self.caller.on_surplus(len(data))
-            self.leave()
+        """Parses a response; bytes that no call waits for are counted, and end the connection."""
+        if self.call is None:
+            self.client.count_excess_bytes(len(data))
+            self.abort()
             return
-        if not self.call.answer.begun_us:
-            self.call.answer.begun_us = now_us()
+        if not self.call.response.first_byte_us:
+            self.call.response.first_byte_us = now_us()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self._finish(NOT_HTTP, False)
+            self._finish_call(CallOutcome.MALFORMED_RESPONSE, may_keep=False)
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        self.over = True
-        self.caller.gone(self)
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Ends the call, or sends it once more if the server may have closed before the request came."""
+        self.is_closed = True
+        self.client.remove(self)
         call = self.call
-        if call is not None and self.used and not call.again and not call.answer.begun_us:
-            # A connection that was kept may be closed just as a request is on its way: sent once more, on
-            # another.
-            call.again, self.call = True, None
-            call.answer.again_us = now_us()
-            self.caller.place(call)
+        if (
+            call is not None
+            and self.has_served_call
+            and not call.was_resent
+            and not call.response.first_byte_us
+        ):
+            call.was_resent, self.call = True, None
+            call.response.resent_us = now_us()
+            self.client.assign(call)
         elif call is not None:
-            self._finish(RESET, False)
-        self.parser = None  # it holds this line: a circle that only a collection would free
+            self._finish_call(CallOutcome.CONNECTION_RESET, may_keep=False)
+        self.parser = None  # breaks a reference cycle
 
-    def leave(self) -> None:
-        if self.transport is not None and not self.over:
+    def abort(self) -> None:
+        """Closes the connection, if it is open."""
+        if self.transport is not None and not self.is_closed:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Called by the parser."""
         if self.call is not None:
-            self.call.answer.fields[name.lower()] = value
+            self.call.response.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """Called by the parser."""
         if self.call is not None:
-            self.call.answer.body += body
+            self.call.response.body += body
 
     def on_message_complete(self) -> None:
+        """Called by the parser at the end of each response, interim ones too."""
         if self.call is None:
-            self.caller.surplus += 1
-            self.caller.on_surplus(1)
+            self.client.count_excess_bytes(1)
+            return
+        status = self.parser.get_status_code()
+        if status < FIRST_FINAL_STATUS:
             return
-        if self.parser.get_status_code() < 200:
-            return  # a word on the way
-        self.call.answer.status = self.parser.get_status_code()
-        self._finish(ANSWERED, self.parser.should_keep_alive())
+        self.call.response.status = status
+        self._finish_call(CallOutcome.ANSWERED, may_keep=self.parser.should_keep_alive())
 
-    def _finish(self, how: str, keep: bool) -> None:
+    def _finish_call(self, outcome: CallOutcome, *, may_keep: bool) -> None:
         call, self.call = self.call, None
         assert call is not None
-        self.used = True
-        call.answer.keep = keep
-        if keep and self.caller.keep:
-            self.caller.rest(self)
+        self.has_served_call = True
+        if may_keep and self.client.keeps_alive:
+            self.client.release(self)
         else:
-            self.leave()
-        call.end(how)
-
-
-class Caller:
-    """Calls one address. `most` bounds the connections; calls beyond wait in turn and `held_back` counts
-    them."""
-
-    def __init__(self, host: str, port: int, most: int, keep: bool = True) -> None:
-        self.host, self.port, self.most, self.keep = host, port, most, keep
-        self.loop = asyncio.get_running_loop()
-        self.idle: list[Line] = []
-        self.lines: set[Line] = set()
-        self.opening: set[asyncio.Task[None]] = set()
-        self.waiting: deque[Call] = deque()
-        self.held_back = 0
-        self.opened = 0
-        self.surplus = 0  # bytes that came after a final answer
-        self.on_surplus: Callable[[int], None] = lambda n: None
-
-    def call(self, text: bytes, patience_us: int, heard: Heard) -> Call:
-        call = Call(text, heard)
-        call.timer = self.loop.call_later(max(0, patience_us) / 1e6, self._give_up, call)
-        self.place(call)
-        return call
-
-    def place(self, call: Call) -> None:
-        while self.idle:
-            line = self.idle.pop()
-            if not line.over:
-                line.carry(call)
+            self.abort()
+        call.finish(outcome)
+
+
+class HttpClient:
+    """Sends requests to one address.
+
+    Attributes:
+        keeps_alive: Connections are used for further requests.
+        connections_opened: Number of connections so far, failed ones too.
+        queued_calls: Number of calls so far that had to wait for a connection.
+        excess_bytes: Bytes that came after a final response.
+        on_excess_bytes: Called with the number of such bytes each time some come.
+    """
+
+    def __init__(self, host: str, port: int, max_connections: int, keeps_alive: bool = True) -> None:
+        """Belongs to the running event loop."""
+        self.host, self.port, self.max_connections = host, port, max_connections
+        self.keeps_alive = keeps_alive
+        self.connections_opened = 0
+        self.queued_calls = 0
+        self.excess_bytes = 0
+        self.on_excess_bytes: Callable[[int], None] = lambda _count: None
+        self._loop = asyncio.get_running_loop()
+        self._idle: list[ClientConnection] = []
+        self._connections: set[ClientConnection] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self._queue: deque[PendingCall] = deque()
+
+    def send(self, request: bytes, timeout_us: int, on_response: ResponseCallback) -> None:
+        """Sends a request, now or when a connection is free.
+
+        Args:
+            request: Whole, head and body.
+            timeout_us: From now; at its end the connection is closed under the request.
+            on_response: Called once, whatever the outcome.
+        """
+        call = PendingCall(request, on_response)
+        call.timer = self._loop.call_later(max(0, timeout_us) / 1e6, self._time_out, call)
+        self.assign(call)
+
+    def assign(self, call: PendingCall) -> None:
+        """Gives a call an idle connection, a new one or a place in the queue."""
+        while self._idle:
+            connection = self._idle.pop()
+            if not connection.is_closed:
+                connection.start_call(call)
                 return
-        if len(self.lines) >= self.most:
-            self.held_back += 1
-            self.waiting.append(call)
+        if len(self._connections) >= self.max_connections:
+            self.queued_calls += 1
+            self._queue.append(call)
             return
-        line = Line(self)
-        line.call = call
-        call.line = line
-        self.lines.add(line)
-        self.opened += 1
-        task = self.loop.create_task(self._open(line))
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
-
-    async def _open(self, line: Line) -> None:
+        connection = ClientConnection(self, call)
+        call.connection = connection
+        self._connections.add(connection)
+        self.connections_opened += 1
+        task = self._loop.create_task(self._connect(connection))
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
+
+    async def _connect(self, connection: ClientConnection) -> None:
         try:
-            await self.loop.create_connection(lambda: line, self.host, self.port)
-        except OSError:  # refused, or no descriptor left
-            line.over = True
-            self.gone(line)
-            if line.call is not None:
-                call, line.call = line.call, None
-                call.end(NO_CONNECTION)
-
-    def rest(self, line: Line) -> None:
-        while self.waiting:
-            call = self.waiting.popleft()
-            if call.heard is not _nobody:
-                line.carry(call)
+            await self._loop.create_connection(lambda: connection, self.host, self.port)
+        except OSError:  # refused, or no file descriptor left
+            connection.is_closed = True
+            self.remove(connection)
+            call, connection.call = connection.call, None
+            if call is not None:
+                call.finish(CallOutcome.CONNECT_FAILED)
+
+    def release(self, connection: ClientConnection) -> None:
+        """Gives a connection that is free to the next call of the queue, or keeps it idle."""
+        while self._queue:
+            call = self._queue.popleft()
+            if not call.is_finished:
+                connection.start_call(call)
                 return
-        self.idle.append(line)
-
-    def gone(self, line: Line) -> None:
-        """The one place where a connection stops counting."""
-        self.lines.discard(line)
-        if line in self.idle:
-            self.idle.remove(line)
-        while self.waiting and len(self.lines) < self.most:
-            call = self.waiting.popleft()
-            if call.heard is not _nobody:
-                self.place(call)
-
-    def _give_up(self, call: Call) -> None:
-        """The client goes away: its connection ends with it."""
+        self._idle.append(connection)
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Forgets a connection that has ended; one for a queued call may take its place."""
+        self._connections.discard(connection)
+        if connection in self._idle:
+            self._idle.remove(connection)
+        while self._queue and len(self._connections) < self.max_connections:
+            call = self._queue.popleft()
+            if not call.is_finished:
+                self.assign(call)
+
+    def count_excess_bytes(self, count: int) -> None:
+        """Counts and reports bytes that came after a final response."""
+        self.excess_bytes += count
+        self.on_excess_bytes(count)
+
+    def _time_out(self, call: PendingCall) -> None:
         call.timer = None
-        line = call.line
-        if line is not None and line.call is call:
-            line.call = None
-            line.leave()
-        call.end(GAVE_UP)
+        connection = call.connection
+        if connection is not None and connection.call is call:
+            connection.call = None
+            connection.abort()
+        call.finish(CallOutcome.TIMED_OUT)
 
     def close(self) -> None:
-        for task in list(self.opening):
+        """Closes all connections; calls that are out end as reset, queued ones at their timeout."""
+        for task in list(self._connect_tasks):
             task.cancel()
-        for line in list(self.lines):
-            line.leave()
+        for connection in list(self._connections):
+            connection.abort()
--- a/cressrail/http_testing/server.py
+++ b/cressrail/http_testing/server.py
@@ -1,5 +1,4 @@
-"""The server's end: whole requests in, answers out, and every way in which a server can let its client
-down."""
+"""HTTP/1.1 server: passes on whole requests, and can fail its client in each way that a server can."""
 
 from __future__ import annotations
 
@@ -11,105 +10,127 @@
 
 import httptools
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: the close sends RST, as a process that dies does
+# SO_LINGER with a time of zero: the close sends RST, as that of a process that dies does.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Asked:
-    """A whole request, and the connection on which it came."""
+class ReceivedRequest:
+    """A whole request and the connection on which it came.
 
-    __slots__ = ("body", "fields", "method", "server", "target")
+    Attributes:
+        connection: Takes the response.
+        method: In upper case.
+        target: Path and query, as sent.
+        headers: Values by name in lower case; of a repeated header the last.
+        body: Whole.
+    """
 
-    def __init__(self, server: Served) -> None:
-        self.server = server
+    __slots__ = ("body", "connection", "headers", "method", "target")
+
+    def __init__(self, connection: ServerConnection) -> None:
+        self.connection = connection
         self.method = b""
         self.target = b""
-        self.fields: dict[bytes, bytes] = {}  # names in lower case
+        self.headers: dict[bytes, bytes] = {}
         self.body = b""
 
-    def text(self, name: bytes) -> str:
-        return self.fields.get(name, b"").decode("latin-1")
+    def header(self, name: bytes) -> str:
+        """Returns the value of a header, named in lower case; empty where it is not there."""
+        return self.headers.get(name, b"").decode("latin-1")
+
 
+class ServerConnection(asyncio.Protocol):
+    """One accepted connection; its callbacks take it, and each whole request.
 
-class Served(asyncio.Protocol):
-    """One connection that was taken in. `on_asked` is told of each whole request, `on_left` of its end."""
+    Attributes:
+        is_open: Connected; responses are written only then.
+        context: What the server attaches to the connection; `None` at first.
+    """
 
     def __init__(
         self,
-        on_asked: Callable[[Asked], None],
-        on_left: Callable[[Served], None],
-        on_came: Callable[[Served], None] | None = None,
+        on_request: Callable[[ReceivedRequest], None],
+        on_closed: Callable[[ServerConnection], None],
+        on_opened: Callable[[ServerConnection], None] | None = None,
     ) -> None:
-        self.on_asked, self.on_left, self.on_came = on_asked, on_left, on_came
-        self.parser: Any = httptools.HttpRequestParser(self)
-        self.transport: Any = None
-        self.asked: Asked | None = None
-        self.open = False
-        self.job: Any = None  # what the server has in hand for it
+        self.is_open = False
+        self.context: Any = None
+        self._on_request, self._on_closed, self._on_opened = on_request, on_closed, on_opened
+        self._parser: Any = httptools.HttpRequestParser(self)
+        self._transport: Any = None
+        self._request: ReceivedRequest | None = None
 
     def connection_made(self, transport: Any) -> None:
-        self.transport = transport
-        self.open = True
-        if self.on_came:
-            self.on_came(self)
+        """Called by asyncio."""
+        self._transport = transport
+        self.is_open = True
+        if self._on_opened:
+            self._on_opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parses requests; malformed bytes reset the connection, whatever else is pending on it."""
         try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:  # closes on what it can't read, whatever else waits
-            self.abort()
-
-    def connection_lost(self, _: Exception | None) -> None:
-        self.open = False
-        self.on_left(self)
-        self.parser = None  # it holds this connection: a circle that only a collection would free
+            self._parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.reset()
 
-    # of the parser
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Called by asyncio."""
+        self.is_open = False
+        self._on_closed(self)
+        self._parser = None  # breaks a reference cycle
 
     def on_message_begin(self) -> None:
-        self.asked = Asked(self)
+        """Called by the parser."""
+        self._request = ReceivedRequest(self)
 
     def on_url(self, url: bytes) -> None:
-        assert self.asked is not None
-        self.asked.target += url
+        """Called by the parser, for each part of the target."""
+        assert self._request is not None
+        self._request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        assert self.asked is not None
-        self.asked.fields[name.lower()] = value
+        """Called by the parser."""
+        assert self._request is not None
+        self._request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        assert self.asked is not None
-        self.asked.body += body
+        """Called by the parser, for each part of the body."""
+        assert self._request is not None
+        self._request.body += body
 
     def on_message_complete(self) -> None:
-        asked, self.asked = self.asked, None
-        assert asked is not None
-        asked.method = self.parser.get_method()
-        self.on_asked(asked)
-
-    # what it can be made to do
-
-    def answer(self, status: int, body: bytes = b"", more: bytes = b"") -> None:
-        """`more`: further header lines, each ended by CRLF."""
-        if self.open:
-            self.transport.write(
-                b"HTTP/1.1 %d X\r\ncontent-length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
+        """Called by the parser."""
+        request, self._request = self._request, None
+        assert request is not None
+        request.method = self._parser.get_method()
+        self._on_request(request)
+
+    def respond(self, status: int, body: bytes = b"", header_lines: bytes = b"") -> None:
+        r"""Writes a whole response; each of `header_lines` ends in `\r\n`."""
+        if self.is_open:
+            self._transport.write(
+                b"HTTP/1.1 %d X\r\ncontent-length: %d\r\n%b\r\n%b" % (status, len(body), header_lines, body)
             )
 
-    def raw(self, data: bytes) -> None:
-        if self.open:
-            self.transport.write(data)
+    def write(self, data: bytes) -> None:
+        """Writes bytes as they are: a part of a response, or none at all."""
+        if self.is_open:
+            self._transport.write(data)
 
-    def hush(self) -> None:
-        """Reads nothing more; the connection stays open and silent."""
-        if self.open:
-            self.transport.pause_reading()
+    def stop_reading(self) -> None:
+        """Leaves the connection open and silent."""
+        if self.is_open:
+            self._transport.pause_reading()
 
-    def abort(self) -> None:
-        if self.open:
-            sock = self.transport.get_extra_info("socket")
+    def reset(self) -> None:
+        """Closes with RST."""
+        if self.is_open:
+            sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            self.transport.abort()
+            self._transport.abort()
 
     def close(self) -> None:
-        if self.open:
-            self.transport.close()
+        """Closes once what is written has gone out."""
+        if self.is_open:
+            self._transport.close()
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -65,7 +65,7 @@
         surplus_bytes=sender.surplus,
         busy_us=sender.watchman.busy_us,
         interrupted=sender.interrupted,
-        connections=sum(c.opened for c in sender.callers),
+        connections=sum(c.connections_opened for c in sender.callers),
         start_us=sender.start_us,
     )
     if sender.fault is not None:
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -14,8 +14,7 @@
 
 import orjson
 
-from cressrail.http_testing.client import ANSWERED as WHOLE
-from cressrail.http_testing.client import GAVE_UP, Answer, Caller, now_us
+from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.load.plan import Due, Plan, ProfileMix, pause_us
 from cressrail.load.spool import ANSWERED, HELD, Spool
 
@@ -79,9 +78,9 @@
         self.plan, self.dues, self.spool, self.ledger = plan, dues, spool, ledger
         self.profiles, self.members = profiles, members
         most = max(1, plan.connections // len(targets))
-        self.callers = [Caller(host, port, most, plan.clients.keep) for host, port in targets]
+        self.callers = [HttpClient(host, port, most, plan.clients.keep) for host, port in targets]
         for caller, (host, port) in zip(self.callers, targets, strict=True):
-            caller.on_surplus = lambda n, at=f"{host}:{port}": self._surplus(n, at)  # type: ignore[misc]
+            caller.on_excess_bytes = lambda n, at=f"{host}:{port}": self._surplus(n, at)  # type: ignore[misc]
         self.names = [f"{host}:{port}" for host, port in targets]
         self.loop = asyncio.get_running_loop()
         self.chance = random.Random(plan.seed)
@@ -181,23 +180,23 @@
         patience_us = max(1000, min(int(limit_us * self.plan.clients.give_up), left_us))
         name = f"{self.plan.seed:x}-{number:x}-{tx.tries}"
         text = request(name, profile, self.members[tx.due.member], patience_us, tx.due, tx.tries > 1)
-        held = caller.held_back
+        held = caller.queued_calls
         # Who waits to the end waits a little longer than told, so that an answer in the last moment is seen.
         more_us = LAST_US if self.plan.clients.give_up == 1 else 0
-        caller.call(
+        caller.send(
             text,
             patience_us + more_us,
             lambda answer: self._heard(number, tx, answer, name, at, now, patience_us),
         )
-        tx.held = tx.held or caller.held_back > held
+        tx.held = tx.held or caller.queued_calls > held
 
     def _heard(
-        self, number: int, tx: Tx, answer: Answer, name: str, at: int, began_us: int, patience_us: int
+        self, number: int, tx: Tx, answer: Response, name: str, at: int, began_us: int, patience_us: int
     ) -> None:
-        self.watchman.alive(answer.ended_us)
+        self.watchman.alive(answer.finished_us)
         # Guards against sends that are late behind thousands of answers, when a stall ends: the loop hands
         # out all that it has found before it looks at its timers.
-        if self.next is not None and self.start_us + self.next.due_us <= answer.ended_us:
+        if self.next is not None and self.start_us + self.next.due_us <= answer.finished_us:
             self._send_due()
         profile = self.profiles[tx.due.profile]
         if self.ledger is not None:
@@ -214,10 +213,10 @@
                         "due_us": self.start_us + tx.due.due_us,
                         "began_us": began_us,
                         "sent_us": answer.sent_us,
-                        "again_us": answer.again_us,
-                        "ended_us": answer.ended_us,
+                        "again_us": answer.resent_us,
+                        "ended_us": answer.finished_us,
                         "status": answer.status,
-                        "how": answer.how,
+                        "how": answer.outcome,
                         "limit_us": patience_us,
                         "echo": echo,
                     },
@@ -230,12 +229,18 @@
         again = tx.tries <= self.plan.clients.repeats and answer.status != 200 and not self.interrupted
         if again and (answer.status in HARMLESS or profile.repeat != "unsafe"):
             wait_us = pause_us(self.plan, tx.tries, _come_back_us(answer), self.chance)
-            if answer.how == GAVE_UP:
+            if answer.outcome == CallOutcome.TIMED_OUT:
                 wait_us = 0  # it has waited long enough
             if now_us() + wait_us < limit_us:
                 self.loop.call_later(wait_us / 1e6, self._try, number, tx)
                 return
-        self._finish(number, tx, answer.status if answer.how == WHOLE else 0, answer.sent_us, answer.ended_us)
+        self._finish(
+            number,
+            tx,
+            answer.status if answer.outcome == CallOutcome.ANSWERED else 0,
+            answer.sent_us,
+            answer.finished_us,
+        )
 
     def _finish(self, number: int, tx: Tx, status: int, sent_us: int, ended_us: int) -> None:
         """The one place where a transaction ends."""
@@ -265,11 +270,11 @@
 
     @property
     def held_back(self) -> int:
-        return sum(caller.held_back for caller in self.callers)
+        return sum(caller.queued_calls for caller in self.callers)
 
     @property
     def surplus(self) -> int:
-        return sum(caller.surplus for caller in self.callers)
+        return sum(caller.excess_bytes for caller in self.callers)
 
 
 def request(name: str, profile: ProfileMix, member: str, patience_us: int, due: Due, again: bool) -> bytes:
@@ -284,9 +289,9 @@
     return head.encode("latin-1") + FILLER[: due.size]
 
 
-def _come_back_us(answer: Answer) -> int:
+def _come_back_us(answer: Response) -> int:
     try:
-        return max(0, int(float(answer.fields.get(b"retry-after", b"0")) * 1e6))
+        return max(0, int(float(answer.headers.get(b"retry-after", b"0")) * 1e6))
     except ValueError:
         return 0
 
--- a/cressrail/testbed/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -11,7 +11,7 @@
 import orjson
 
 from cressrail.http_testing.client import now_us
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.event_record import Ledger
 
 EMPTY_S = 2.0  # between empty lines while nothing changes
@@ -48,10 +48,10 @@
         self.members = {m.name: m.entry(zone) for m in listed}
         self.changed = dict.fromkeys(self.members, 1)  # the revision of each one's last change
         self.revision = 1
-        self.watchers: dict[Served, int] = {}  # and the revision that each has
+        self.watchers: dict[ServerConnection, int] = {}  # and the revision that each has
         # All of them: one that is not read from would otherwise be owned by nobody, and closed when
         # collected.
-        self.open: set[Served] = set()
+        self.open: set[ServerConnection] = set()
         self.late_s = 0.0
         self.silent = False
         self.server: asyncio.Server | None = None
@@ -60,7 +60,7 @@
     async def listen(self, host: str) -> tuple[str, int]:
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: Served(self._asked, self._left, self.open.add), host, 0
+            lambda: ServerConnection(self._asked, self._left, self.open.add), host, 0
         )
         self.beat = loop.call_later(EMPTY_S, self._beat)
         at: tuple[str, int] = self.server.sockets[0].getsockname()[:2]
@@ -72,7 +72,7 @@
         if self.beat is not None:
             self.beat.cancel()
         for served in list(self.open):
-            served.abort()
+            served.reset()
 
     def change(self, listed: Listed) -> None:
         entry = listed.entry(self.zone)
@@ -96,7 +96,7 @@
     def tear(self) -> None:
         """Half a line, and the end."""
         for served in list(self.watchers):
-            served.raw(b'40\r\n{"revision":%d,"complete":fal' % (self.revision + 1))
+            served.write(b'40\r\n{"revision":%d,"complete":fal' % (self.revision + 1))
             served.close()
 
     def anew(self) -> None:
@@ -106,36 +106,36 @@
         for served in list(self.watchers):
             served.close()
 
-    def _asked(self, asked: Asked) -> None:
+    def _asked(self, asked: ReceivedRequest) -> None:
         path, _, query = asked.target.decode("latin-1").partition("?")
         words = dict(part.partition("=")[::2] for part in query.split("&"))
         if path != "/catalog/members":
-            asked.server.answer(404)
+            asked.connection.respond(404)
         elif self.silent:
-            asked.server.hush()
+            asked.connection.stop_reading()
         elif "watch" not in words:
-            asked.server.answer(200, self._line(-1))
+            asked.connection.respond(200, self._line(-1))
         else:
-            asked.server.raw(
+            asked.connection.write(
                 b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n"
             )
             after = words.get("after", "0")
-            self.watchers[asked.server] = int(after) if after.isdigit() else 0
-            if self.watchers[asked.server] > self.revision:
-                self.watchers[asked.server] = -1  # of another count: it is told the whole
-            self._tell(asked.server)
+            self.watchers[asked.connection] = int(after) if after.isdigit() else 0
+            if self.watchers[asked.connection] > self.revision:
+                self.watchers[asked.connection] = -1  # of another count: it is told the whole
+            self._tell(asked.connection)
 
-    def _left(self, served: Served) -> None:
+    def _left(self, served: ServerConnection) -> None:
         self.watchers.pop(served, None)
         self.open.discard(served)
 
-    def _tell(self, served: Served) -> None:
+    def _tell(self, served: ServerConnection) -> None:
         after = self.watchers[served]
         if self.silent or after == self.revision:
             return
         line = self._line(after)
         self.watchers[served] = self.revision
-        served.raw(b"%x\r\n%b\r\n" % (len(line), line))
+        served.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def _line(self, after: int) -> bytes:
         """What changed after that revision; the whole list, without those that have gone, for -1 and 0."""
@@ -155,4 +155,4 @@
     def _beat(self) -> None:
         self.beat = asyncio.get_running_loop().call_later(EMPTY_S, self._beat)
         for served in [] if self.silent else self.watchers:
-            served.raw(b"1\r\n\n\r\n")
+            served.write(b"1\r\n\n\r\n")
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from zlib import crc32
 
-from cressrail.http_testing.client import Caller, now_us
+from cressrail.http_testing.client import HttpClient, now_us
 from cressrail.testbed.discovery import Agent, Listed
 from cressrail.testbed.event_record import Ledger
 from cressrail.testbed.fault_injection import Harm, drawn
@@ -142,9 +142,9 @@
         )
 
     def _join(self, endpoint: Endpoint, sidecar: Sidecar) -> None:
-        endpoint.below = Caller(*sidecar.listen, most=CONNECTIONS)
+        endpoint.below = HttpClient(*sidecar.listen, max_connections=CONNECTIONS)
         endpoint.below_name = sidecar.target
-        endpoint.below.on_surplus = lambda n: self.ledger.note(
+        endpoint.below.on_excess_bytes = lambda n: self.ledger.note(
             surplus=n, target=sidecar.target, at_us=now_us()
         )
 
--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from cressrail.http_testing.client import now_us
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 
 BACKLOG = 4096
 
@@ -55,9 +55,11 @@
     """Answers every request when `pauses`, on the steady clock, let it."""
     loop = asyncio.get_running_loop()
 
-    def asked(asked: Asked) -> None:
+    def asked(asked: ReceivedRequest) -> None:
         now = now_us()
         wait_us = pauses.end_of(now, work_us) - now
-        loop.call_later(wait_us / 1e6, asked.server.answer, 200, asked.fields.get(b"req-id", b""))
+        loop.call_later(wait_us / 1e6, asked.connection.respond, 200, asked.headers.get(b"req-id", b""))
 
-    return await loop.create_server(lambda: Served(asked, lambda served: None), host, port, backlog=BACKLOG)
+    return await loop.create_server(
+        lambda: ServerConnection(asked, lambda served: None), host, port, backlog=BACKLOG
+    )
--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from cressrail.http_testing.client import Answer, Caller
+from cressrail.http_testing.client import HttpClient, Response
 from cressrail.testbed.scenario import World
 from cressrail.testbed.scenario_file import Unusable
 
@@ -201,9 +201,9 @@
         while loop.time() < over:
             if sidecar.process is None or sidecar.process.poll() is not None:
                 break
-            caller = Caller(*sidecar.listen, most=1, keep=False)
-            heard: asyncio.Future[Answer] = loop.create_future()
-            caller.call(b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n", 500_000, heard.set_result)
+            caller = HttpClient(*sidecar.listen, max_connections=1, keeps_alive=False)
+            heard: asyncio.Future[Response] = loop.create_future()
+            caller.send(b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n", 500_000, heard.set_result)
             if (await heard).status == 200:
                 return
             await asyncio.sleep(0.02)
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cressrail.http_testing.client import ANSWERED, Answer, Caller, now_us
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.event_record import Ledger
 from cressrail.testbed.processor_sharing import Job, Machine, draw_us
 from cressrail.testbed.scenario import Contract, Profile, Tier
@@ -50,7 +50,7 @@
 class Work:
     """One hop as its endpoint sees it."""
 
-    asked: Asked
+    asked: ReceivedRequest
     name: str
     profile: Profile
     came_us: int
@@ -90,11 +90,11 @@
         self.hosts = hosts
         self.machine = Machine(tier, contract)
         self.servers: dict[str, asyncio.Server] = {}
-        self.served: dict[Served, str] = {}  # and the zone from which it came
+        self.served: dict[ServerConnection, str] = {}  # and the zone from which it came
         self.cut: set[str] = set()  # zones from which nothing comes through
         self.blocks: list[socket.socket] = []
         self.works: dict[Job, Work] = {}
-        self.below: Caller | None = None
+        self.below: HttpClient | None = None
         self.below_name = ""
         self.draining = False
         self.faults: dict[str, float] = dict.fromkeys(FAULTS, 0.0)
@@ -112,7 +112,7 @@
             if zone in self.servers or zone in self.cut:
                 continue
             server = await loop.create_server(
-                lambda zone=zone: Served(self._asked, self._left, lambda s: self._came(s, zone)),  # type: ignore[misc]
+                lambda zone=zone: ServerConnection(self._asked, self._left, lambda s: self._came(s, zone)),  # type: ignore[misc]
                 host,
                 port,
                 backlog=BACKLOG,
@@ -131,7 +131,7 @@
         for work in list(self.works.values()):
             self._over(work, "died")
         for served in list(self.served):
-            served.abort()
+            served.reset()
         if self.below is not None:
             self.below.close()
             self.below = None
@@ -153,14 +153,14 @@
                 self._block(zone)
             for served, of in self.served.items():
                 if of == zone:
-                    served.hush()
+                    served.stop_reading()
         back = self.cut - zones
         self.cut = set(zones)
         if back:
             self._unblock()
             for served, of in list(self.served.items()):
                 if of in back:
-                    served.abort()
+                    served.reset()
 
     def _block(self, zone: str) -> None:
         """A listener whose queue is full, so that the system drops what would connect."""
@@ -185,29 +185,29 @@
 
     # Requests
 
-    def _came(self, served: Served, zone: str) -> None:
+    def _came(self, served: ServerConnection, zone: str) -> None:
         self.served[served] = zone
         if zone in self.cut:
-            served.hush()
+            served.stop_reading()
 
-    def _left(self, served: Served) -> None:
+    def _left(self, served: ServerConnection) -> None:
         self.served.pop(served, None)
-        work = served.job
+        work = served.context
         if work is not None:
             work.left = True
             work.row["left_us"] = now_us()
             if self.contract.stops_on_cancel or not work.job.slot:
                 self._over(work, "left")
 
-    def _asked(self, asked: Asked) -> None:
+    def _asked(self, asked: ReceivedRequest) -> None:
         now = now_us()
-        name, profile = asked.text(b"req-id"), self.profiles.get(asked.text(b"req-kind"))
+        name, profile = asked.header(b"req-id"), self.profiles.get(asked.header(b"req-kind"))
         if profile is None or not name:
-            asked.server.answer(404 if not name else 400)
+            asked.connection.respond(404 if not name else 400)
             return
-        span = asked.text(b"req-deadline").rstrip("u")
+        span = asked.header(b"req-deadline").rstrip("u")
         limit_us = now + (int(span) if span.isdigit() else int(profile.limit_ms * 1000))
-        key = asked.text(b"idempotency-key")
+        key = asked.header(b"idempotency-key")
         row = {
             "endpoint": self.name,
             "tier": self.tier_no,
@@ -239,7 +239,7 @@
         first = whole * self.tier.before if work.calls else whole
         work.rest_us = whole - first
         work.job = Job(work, first)
-        asked.server.job = work
+        asked.connection.context = work
         self.works[work.job] = work
         if not self.machine.offer(now, work.job):
             self._decline(work)
@@ -251,7 +251,7 @@
         return self.faults[kind] > 0 and self.chance.random() < self.faults[kind]
 
     def _decline(self, work: Work) -> None:
-        work.asked.server.answer(503, more=b"Srv-Declined: 1\r\n")
+        work.asked.connection.respond(503, header_lines=b"Srv-Declined: 1\r\n")
         self._over(work, "turned away")
 
     def look(self) -> None:
@@ -277,7 +277,7 @@
         self.calls += 1
         name = f"{work.name}.{self.name}-{self.calls}"
         left_us = max(1000, work.limit_us - now)
-        fields = work.asked.fields
+        fields = work.asked.headers
         text = (
             f"{work.asked.method.decode()} {work.asked.target.decode('latin-1')} HTTP/1.1\r\n"
             f"Host: app.svc\r\nReq-Id: {name}\r\nReq-Kind: {work.profile.name}\r\n"
@@ -290,11 +290,11 @@
             text = text[:-2] + "Content-Length: 0\r\n\r\n"
         below, at = self.below, self.below_name
         if below is None:
-            self._heard(work, Answer())
+            self._heard(work, Response())
             return
         began = now_us()
 
-        def heard(answer: Answer) -> None:
+        def heard(answer: Response) -> None:
             self.ledger.note(
                 call=name,
                 id=name,
@@ -305,10 +305,10 @@
                 due_us=began,
                 began_us=began,
                 sent_us=answer.sent_us,
-                again_us=answer.again_us,
-                ended_us=answer.ended_us,
+                again_us=answer.resent_us,
+                ended_us=answer.finished_us,
                 status=answer.status,
-                how=answer.how if self.up else "caller died",
+                how=answer.outcome if self.up else "caller died",
                 limit_us=left_us,
                 echo=answer.body[:200].partition(b" ")[0].decode("latin-1"),
             )
@@ -316,10 +316,10 @@
                 self._heard(work, answer)
 
         # A little longer than told, so that an answer in the last moment is seen and not mistaken for none.
-        below.call(text.encode("latin-1") + work.asked.body, left_us + LAST_US, heard)
+        below.send(text.encode("latin-1") + work.asked.body, left_us + LAST_US, heard)
 
-    def _heard(self, work: Work, answer: Answer) -> None:
-        if answer.how == ANSWERED and answer.status == 200:
+    def _heard(self, work: Work, answer: Response) -> None:
+        if answer.outcome == CallOutcome.ANSWERED and answer.status == 200:
             self.machine.resume(now_us(), work.job, work.rest_us)
             self.look()
         else:
@@ -327,12 +327,12 @@
 
     def _answer(self, work: Work) -> None:
         if self._strikes("reset"):
-            work.asked.server.abort()
+            work.asked.connection.reset()
             self._over(work, "reset")
         elif self._strikes("err"):
             self._end(work, 500, "error")
         elif self._strikes("spoil"):
-            work.asked.server.raw(
+            work.asked.connection.write(
                 b"HTTP/1.1 2x0 %d\r\n\x00\x01 nothing that can be read\r\n\r\n" % len(work.name)
             )
             self._over(work, "spoilt")
@@ -342,7 +342,7 @@
     def _end(self, work: Work, status: int, how: str) -> None:
         """An answer that has the request's id up front, so that a client can tell whose it is."""
         body = f"{work.name} {self.name} {how}\n".encode() if status == 200 else b""
-        work.asked.server.answer(status, body)
+        work.asked.connection.respond(status, body)
         self._over(work, how)
 
     def _over(self, work: Work, how: str) -> None:
@@ -351,8 +351,8 @@
         self.machine.leave(now, work.job)
         if self.works.pop(work.job, None) is not None and self.up:
             asyncio.get_running_loop().call_soon(self.look)  # its slot may have let another begin
-        if work.asked.server.job is work:
-            work.asked.server.job = None
+        if work.asked.connection.context is work:
+            work.asked.connection.context = None
         row = work.row
         row["ran"] = row["ran"] or how in ("committed", "error", "reset", "spoilt", "failed below")
         row.setdefault("left_us", now)
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from cressrail.http_testing.client import Answer, Caller, now_us
+from cressrail.http_testing.client import HttpClient, Response, now_us
 from cressrail.membership import log_events
 from cressrail.testbed.event_record import Ledger
 from cressrail.testbed.sidecars import Sidecar
@@ -38,8 +38,10 @@
         while True:
             began = loop.time()
             if sidecar.process is not None:
-                heard: asyncio.Future[Answer] = loop.create_future()
-                Caller(*sidecar.ops, most=1, keep=False).call(ASK, SPAN_US, heard.set_result)
+                heard: asyncio.Future[Response] = loop.create_future()
+                HttpClient(*sidecar.ops, max_connections=1, keeps_alive=False).send(
+                    ASK, SPAN_US, heard.set_result
+                )
                 answer = await heard
                 if answer.status == 200:
                     self._note(sidecar.name, bytes(answer.body))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -22,7 +22,7 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.load.figures import Figures, closed_loop
 from cressrail.load.plan import Plan, drawn, pause_us
 from cressrail.load.record import recorded
@@ -234,25 +234,25 @@
 
 # Against targets
 
-Deed = Callable[[Asked], None]
+Deed = Callable[[ReceivedRequest], None]
 
 
-def drips(asked: Asked) -> None:
+def drips(asked: ReceivedRequest) -> None:
     """One byte a second."""
     for n, byte in enumerate(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"):
-        asyncio.get_running_loop().call_later(n, asked.server.raw, bytes([byte]))
+        asyncio.get_running_loop().call_later(n, asked.connection.write, bytes([byte]))
 
 
-def late(asked: Asked) -> None:
+def late(asked: ReceivedRequest) -> None:
     asyncio.get_running_loop().call_later(0.05, answers, asked)
 
 
-def halves(asked: Asked) -> None:
-    asked.server.raw(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
+def halves(asked: ReceivedRequest) -> None:
+    asked.connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
 
 
-def answers(asked: Asked) -> None:
-    asked.server.answer(200, asked.fields[b"req-id"])
+def answers(asked: ReceivedRequest) -> None:
+    asked.connection.respond(200, asked.headers[b"req-id"])
 
 
 @contextmanager
@@ -260,18 +260,19 @@
     """A server on a thread of its own; without a deed one that accepts and never reads."""
     ready = threading.Event()
     at: list[Any] = []
-    held: list[Served] = []  # one that is not read from is collected, and so closed, unless somebody has it
+    # One that is not read from is collected, and so closed, unless somebody has it.
+    held: list[ServerConnection] = []
 
-    def came(served: Served) -> None:
+    def came(served: ServerConnection) -> None:
         held.append(served)
         if deed is None:
-            served.hush()
+            served.stop_reading()
 
     def run() -> None:
         async def serve() -> None:
             loop = asyncio.get_running_loop()
             server = await loop.create_server(
-                lambda: Served(deed or (lambda asked: None), lambda served: None, came),
+                lambda: ServerConnection(deed or (lambda asked: None), lambda served: None, came),
                 "127.0.0.1",
                 0,
                 backlog=1000,
@@ -304,8 +305,8 @@
         (None, "gave up"),
         (halves, "gave up"),
         (drips, "gave up"),
-        (lambda asked: asked.server.close(), "reset"),
-        (lambda asked: asked.server.raw(b"what?\r\n\r\n"), "not http"),
+        (lambda asked: asked.connection.close(), "reset"),
+        (lambda asked: asked.connection.write(b"what?\r\n\r\n"), "not http"),
     ],
 )
 def test_what_is_not_answered_is_counted_and_timed(tmp_path: Path, deed: Deed | None, how: str) -> None:
@@ -325,10 +326,10 @@
 def test_clients_repeat_only_what_they_may(tmp_path: Path) -> None:
     seen: list[str] = []
 
-    def turns_away(asked: Asked) -> None:
-        seen.append(asked.text(b"req-retry"))
-        status = 502 if asked.text(b"req-kind") == "number" else 503
-        asked.server.answer(status, more=b"Retry-After: 0.01\r\n")
+    def turns_away(asked: ReceivedRequest) -> None:
+        seen.append(asked.header(b"req-retry"))
+        status = 502 if asked.header(b"req-kind") == "number" else 503
+        asked.connection.respond(status, header_lines=b"Retry-After: 0.01\r\n")
 
     with target(turns_away) as to:
         told, tries = load(
@@ -420,7 +421,7 @@
 def test_a_pause_of_its_own_is_seen_and_said(tmp_path: Path) -> None:
     came = threading.Event()
 
-    def heard(asked: Asked) -> None:
+    def heard(asked: ReceivedRequest) -> None:
         came.set()
         answers(asked)
 
