--- a/cressrail/__main__.py
+++ b/cressrail/__main__.py
@@ -6,11 +6,11 @@
 
 
 def main() -> None:
-    """Runs the sub-command; `serve` alone loads no library that other sub-commands need."""
+    """Runs the sub-command; `serve` loads no library that only others need."""
     from cressrail.cli import lab
 
-    if sys.argv[1:2] and sys.argv[1] in lab.RIGS:
-        lab.main()
+    if sys.argv[1:2] and sys.argv[1] in lab.LAB_COMMANDS:
+        lab.run_lab_command()
     else:
         from cressrail.cli.commands import app
 
--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -1,19 +1,19 @@
-"""Queries a running sidecar at its operators' address.
+"""Queries a running sidecar at its admin address, for all sub-commands that do so.
 
-Libraries are loaded where they are used, as `serve` imports this module too.
+Libraries are imported where they are used, as `serve` loads this module too.
 """
 
 from __future__ import annotations
 
-import sys
 import time
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Annotated, Any, NamedTuple, NoReturn
+from contextlib import closing, suppress
+from typing import TYPE_CHECKING, Annotated, Any, NamedTuple
 
 import orjson
 import typer
 
-from cressrail.cli.output import address, fail
+from cressrail.cli.output import STATUS_FAILED, fail, parse_address
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_startup_configuration
 
@@ -21,11 +21,11 @@
     from rich.table import Table
 
 TIMEOUT_S = 2.0
-MAX_REASON_CHARACTERS = 200  # of an answer that is no success
+MAX_REASON_CHARACTERS = 200  # shown of an answer that is no success
 HTTP_OK = 200
 
 SidecarArgument = Annotated[
-    str, typer.Argument(help="CONFIG of a sidecar with an operators' address, or that HOST:PORT.")
+    str, typer.Argument(help="CONFIG of a sidecar with an admin address, or that HOST:PORT.")
 ]
 OnceOption = Annotated[bool, typer.Option(help="Print one table and end.")]
 
@@ -35,44 +35,47 @@
 
 
 class AdminResource(NamedTuple):
-    """Something that a sidecar answers at its operators' address.
+    """Something that a sidecar answers at its admin address.
 
     Attributes:
         path: Its path.
         part: The part of the configuration without which it is missing.
+        method: The HTTP method to ask for it with.
     """
 
     path: str
     part: str
+    method: str = "GET"
+
+
+QueryParameters = Mapping[str, str | int]
 
 
 def admin_address(sidecar: str) -> tuple[str, int]:
-    """Returns the operators' address of a sidecar; ends the process with 2 where it has none.
+    """Returns the admin address of a sidecar; ends the process with 2 where it has none.
 
     Args:
         sidecar: HOST:PORT, or the path of the sidecar's configuration.
     """
-    try:
-        return address(sidecar)
-    except ValueError:
-        pass
+    with suppress(ValueError):
+        return parse_address(sidecar)
     try:
         start = read_startup_configuration(sidecar)
     except ConfigurationError as error:
         fail(str(error))
     if start.admin is None:
-        fail(f"{sidecar}: ops is missing: the sidecar has no operators' address")
+        fail(f"{sidecar}: ops is missing: the sidecar has no admin address")
     return start.admin
 
 
-def query(
-    at: tuple[str, int],
-    resource: AdminResource,
-    method: str = "GET",
-    parameters: Mapping[str, str | int] | None = None,
-) -> Any:
+def query(at: tuple[str, int], resource: AdminResource, parameters: QueryParameters | None = None) -> Any:
     """Returns the JSON value that a sidecar answers.
 
+    Args:
+        at: Host and port of the admin address.
+        resource: What to ask for.
+        parameters: Of the query string.
+
     Raises:
         AdminQueryError: There is no answer, or it is no success or no JSON.
     """
@@ -81,38 +84,44 @@
 
     target = f"{resource.path}?{urlencode(parameters)}" if parameters else resource.path
     host, port = at
-    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
-        connection.request(method, target)
-        answer = connection.getresponse()
-        body = answer.read()
+        with closing(http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)) as connection:
+            connection.request(resource.method, target)
+            answer = connection.getresponse()
+            body = answer.read()
         if answer.status == HTTP_OK:
             return orjson.loads(body)
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
         raise AdminQueryError(f"{host}:{port}: {error}") from None
-    finally:
-        connection.close()
     reason = body.decode(errors="replace").strip()[:MAX_REASON_CHARACTERS]
     raise AdminQueryError(f"{host}:{port} answers {answer.status}: no {resource.part} there ({reason})")
 
 
 def query_or_exit(
-    at: tuple[str, int],
-    resource: AdminResource,
-    method: str = "GET",
-    parameters: Mapping[str, str | int] | None = None,
+    at: tuple[str, int], resource: AdminResource, parameters: QueryParameters | None = None
 ) -> Any:
     """Returns what `query` returns; ends the process with 1 and one line where it fails."""
     try:
-        return query(at, resource, method, parameters)
+        return query(at, resource, parameters)
     except AdminQueryError as error:
-        exit_with(str(error))
+        fail(str(error), STATUS_FAILED)
 
 
-def exit_with(reason: str) -> NoReturn:
-    """Ends the process with 1: the sidecar's answer was not what was wanted."""
-    print(f"cressrail: {reason}", file=sys.stderr)
-    sys.exit(1)
+def add_watch_command(
+    group: typer.Typer, resource: AdminResource, summary: str, to_table: Callable[[Any], Table]
+) -> None:
+    """Adds `watch`, which shows a resource as a table.
+
+    Args:
+        group: The group of sub-commands to add it to.
+        resource: What to show.
+        summary: Help text.
+        to_table: Makes a table of the sidecar's answer.
+    """
+
+    @group.command("watch", help=summary)
+    def watch(sidecar: SidecarArgument, once: OnceOption = False, every_s: float = 1.0) -> None:
+        show_table(sidecar, resource, to_table, once, every_s)
 
 
 def show_table(
--- a/cressrail/cli/commands.py
+++ b/cressrail/cli/commands.py
@@ -1,4 +1,4 @@
-"""Sub-commands, on typer."""
+"""All sub-commands but those of `lab.py`, on typer."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 from cressrail import __version__
 from cressrail.cli import failover, membership, zones
-from cressrail.cli.launch import launch, look
+from cressrail.cli.launch import check_configuration, launch
 
 app = typer.Typer(
     help="A load-balancing sidecar for services that call services.",
     no_args_is_help=True,
-    epilog="The rigs, with requirements-lab.txt: load, standin, experiment.",
+    epilog="Load generator and test bed, with requirements-lab.txt: load, standin, experiment.",
     add_completion=False,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
 )
-Path = Annotated[str, typer.Argument(envvar="BALANCER_CONFIG", help="The configuration, a JSON file.")]
+ConfigurationPath = Annotated[
+    str, typer.Argument(envvar="BALANCER_CONFIG", help="The configuration, a JSON file.")
+]
 
 
 app.add_typer(membership.app, name="membership")
@@ -28,15 +30,15 @@
 
 
 @app.command()
-def serve(config: Path) -> None:
+def serve(config: ConfigurationPath) -> None:
     """Run one sidecar in the foreground until SIGTERM."""
     sys.exit(launch(config))
 
 
 @app.command()
-def check(config: Path) -> None:
-    """Read a configuration and say what is wrong with it, or what it comes to."""
-    sys.exit(look(config))
+def check(config: ConfigurationPath) -> None:
+    """Read a configuration and print what is wrong with it, or what it comes to."""
+    sys.exit(check_configuration(config))
 
 
 @app.command("version")
--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -1,4 +1,4 @@
-"""`cressrail failover`: simulations of how the sidecars of a tier decide jointly on zones."""
+"""`cressrail failover`: simulations of the zone weights that a tier's elected leader hands out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import typer
 
 from cressrail.cli.command_group import command_group
-from cressrail.cli.output import fail, tell
+from cressrail.cli.output import fail, print_figures
 
 app = command_group("Which part of each zone's traffic goes where.")
 
@@ -33,4 +33,4 @@
         figures = run_simulation(read(scenario, Scenario), seed)
     except Unusable as error:
         fail(str(error))
-    tell(figures, json)
+    print_figures(figures, json)
--- a/cressrail/cli/lab.py
+++ b/cressrail/cli/lab.py
@@ -1,20 +1,22 @@
-"""The rigs' commands. They take the libraries of requirements-lab.txt, which no sidecar needs."""
+"""Sub-commands that need the libraries of requirements-lab.txt, which no sidecar loads."""
 
 from __future__ import annotations
 
 import sys
 from importlib import import_module
 
-RIGS = ("load", "standin", "experiment")
+from cressrail.cli.output import fail
 
+LAB_COMMANDS = ("load", "standin", "experiment")  # each is a module beside this one
 
-def main() -> None:
+
+def run_lab_command() -> None:
+    """Runs the sub-command that the first argument names; ends with 2 if a library is missing."""
     name = sys.argv[1]
     try:
         module = import_module(f"cressrail.cli.{name}")
-    except ModuleNotFoundError as fault:
-        if str(fault.name).startswith("cressrail"):
+    except ModuleNotFoundError as error:
+        if str(error.name).startswith("cressrail"):
             raise
-        print(f"cressrail: {name} needs {fault.name}: pip install -r requirements-lab.txt", file=sys.stderr)
-        sys.exit(2)
+        fail(f"{name} needs {error.name}: pip install -r requirements-lab.txt")
     module.app(args=sys.argv[2:], prog_name=f"cressrail {name}")
--- a/cressrail/cli/launch.py
+++ b/cressrail/cli/launch.py
@@ -1,9 +1,8 @@
-"""What the sub-commands do, apart from reading the command line."""
+"""What `serve` and `check` do, apart from reading the command line."""
 
 from __future__ import annotations
 
-import sys
-
+from cressrail.cli.output import STATUS_FAILED, STATUS_UNUSABLE, print_error
 from cressrail.configuration import policy_factory
 from cressrail.configuration.deployment_type import MESH
 from cressrail.configuration.setting_names import MAX_STREAMS_PER_CONNECTION
@@ -12,6 +11,14 @@
 
 
 def launch(config: str) -> int:
+    """Runs one sidecar until SIGTERM.
+
+    Args:
+        config: Path of the configuration.
+
+    Returns:
+        The exit status: 2 if the configuration cannot be used, 1 if an address cannot be listened on.
+    """
     from cressrail.network.configuration_reload import ConfigurationReload
     from cressrail.network.server import assemble, run
 
@@ -20,30 +27,39 @@
         with error_prefix(f"{config}: settings."):
             server = assemble(start)
         return run(server, ConfigurationReload(config, start))
-    except ConfigurationError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        return 2
-    except OSError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        return 1
+    except ConfigurationError as error:
+        print_error(error)
+        return STATUS_UNUSABLE
+    except OSError as error:
+        print_error(error)
+        return STATUS_FAILED
+
+
+def check_configuration(config: str) -> int:
+    """Prints what a configuration comes to, or what is wrong with it.
 
+    Args:
+        config: Path of the configuration.
 
-def look(config: str) -> int:
+    Returns:
+        The exit status: 2 if the configuration cannot be used.
+    """
     try:
         start = read_startup_configuration(config)
         with error_prefix(f"{config}: settings."):
-            profiles, members = policy_factory.check_policy_settings(start.settings, start.seed)
-    except ConfigurationError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        return 2
+            request_classes, tenants = policy_factory.check_policy_settings(start.settings, start.seed)
+    except ConfigurationError as error:
+        print_error(error)
+        return STATUS_UNUSABLE
+    # Scripts may read this line, so it keeps its words: request classes are profiles here, tenants members.
     print(
-        f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, {len(profiles)} profiles, "
-        f"{len(members)} members, {len(start.known_endpoints.entries)} endpoints known, "
-        f"{start.deployment_type}"
+        f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, "
+        f"{len(request_classes)} profiles, {len(tenants)} members, "
+        f"{len(start.known_endpoints.entries)} endpoints known, {start.deployment_type}"
     )
     if start.deployment_type == MESH:
         print(
-            f"{config}: a connection carries one transaction at a time here, of the "
+            f"{config}: a connection carries one request at a time here, of the "
             f"{start.settings.text(MAX_STREAMS_PER_CONNECTION)} that {MAX_STREAMS_PER_CONNECTION} allows"
         )
     return 0
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -11,7 +11,7 @@
 import typer
 from pydantic import ValidationError
 
-from cressrail.cli.output import address, fail
+from cressrail.cli.output import fail, parse_address
 from cressrail.load.plan import MemberMix, Plan, ProfileMix, reason
 from cressrail.load.record import recorded
 from cressrail.load.run import Job, play, summary, write_json
@@ -78,7 +78,7 @@
         told = play(
             Job(
                 plan,
-                [address(text) for text in target],
+                [parse_address(text) for text in target],
                 trace,
                 time_scale,
                 rate_scale,
--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -1,4 +1,4 @@
-"""`cressrail membership`: what a running sidecar knows of the others, and plays in virtual time."""
+"""`cressrail membership`: a running sidecar's view of the others, and a simulation of a fleet."""
 
 from __future__ import annotations
 
@@ -7,26 +7,47 @@
 
 import typer
 
-from cressrail.cli.admin_client import AdminResource, OnceOption, SidecarArgument, show_table
+from cressrail.cli.admin_client import AdminResource, add_watch_command
 from cressrail.cli.command_group import command_group
-from cressrail.cli.output import fail, tell
+from cressrail.cli.output import fail, print_figures
 
 if TYPE_CHECKING:
-    from rich.table import Table  # loaded where a table is shown only: `serve` passes by here
+    from rich.table import Table  # loaded only where a table is shown, as `serve` imports this module too
 
 MEMBERSHIP = AdminResource("/membership", "membership")
 
+MAX_SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
+
 app = command_group("Who of the sidecars is alive.")
 
 
-@app.command()
-def watch(
-    sidecar: SidecarArgument,
-    once: OnceOption = False,
-    every_s: float = 1.0,
-) -> None:
-    """Show a sidecar's view of the others, live."""
-    show_table(sidecar, MEMBERSHIP, _table, once, every_s)
+def _membership_table(view: dict[str, Any]) -> Table:
+    from rich.table import Table
+
+    stability = "stable" if view["settled"] else "not stable"
+    table = Table(
+        "instance",
+        "zone",
+        "state",
+        "for s",
+        "last heard s ago",
+        "cannot be reached by",
+        title=f"{view['self']}: {view['alive']} alive, {stability}, incarnation {view['incarnation']}",
+    )
+    for instance in view["copies"]:
+        last_heard = "-" if instance["heard_ms"] < 0 else f"{instance['heard_ms'] / 1000:.1f}"
+        table.add_row(
+            instance["name"],
+            instance["zone"],
+            instance["state"],
+            f"{instance['since_ms'] / 1000:.0f}",
+            last_heard,
+            ", ".join(instance["cannot_reach"]),
+        )
+    return table
+
+
+add_watch_command(app, MEMBERSHIP, "Show a sidecar's view of the others, live.", _membership_table)
 
 
 @app.command()
@@ -37,40 +58,15 @@
     bear_pause_ms: Annotated[int, typer.Option(min=300)] = 3000,
     most_bytes: Annotated[int, typer.Option(min=256, max=1400)] = 1400,
     without: Annotated[list[str] | None, typer.Option(help="Take out aware, indirect or shrinks.")] = None,
-    json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
 ) -> None:
-    """Play a fleet's start, calm, one death and seven deaths in ten, in virtual time."""
+    """Simulate a fleet's start, calm, one death and seven deaths in ten, on a virtual clock."""
     from cressrail.membership.scenarios import ABLATIONS
-    from cressrail.membership.scenarios import simulate as play
-
-    for word in without or ():
-        if word not in ABLATIONS:
-            fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {word[:40]}")
-    told = play(size, seed, loss, bear_pause_ms, most_bytes, tuple(without or ()))
-    tell(told, json)
+    from cressrail.membership.scenarios import simulate as run_simulation
 
-
-def _table(told: dict[str, Any]) -> Table:
-    from rich.table import Table
-
-    settled = "settled" if told["settled"] else "not settled"
-    table = Table(
-        "copy",
-        "zone",
-        "state",
-        "for s",
-        "heard s ago",
-        "can't be reached by",
-        title=f"{told['self']}: {told['alive']} alive, {settled}, incarnation {told['incarnation']}",
-    )
-    for copy in told["copies"]:
-        heard = "-" if copy["heard_ms"] < 0 else f"{copy['heard_ms'] / 1000:.1f}"
-        table.add_row(
-            copy["name"],
-            copy["zone"],
-            copy["state"],
-            f"{copy['since_ms'] / 1000:.0f}",
-            heard,
-            ", ".join(copy["cannot_reach"]),
-        )
-    return table
+    for ablation in without or ():
+        if ablation not in ABLATIONS:
+            shown = ablation[:MAX_SHOWN_CHARACTERS]
+            fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {shown}")
+    figures = run_simulation(size, seed, loss, bear_pause_ms, most_bytes, tuple(without or ()))
+    print_figures(figures, json)
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -1,4 +1,4 @@
-"""`cressrail zones`: the decisions of the sidecars of a tier on zones, and operators' drain requests."""
+"""`cressrail zones`: zone weights as the leader of a tier's sidecars hands them out, and drain requests."""
 
 from __future__ import annotations
 
@@ -8,38 +8,53 @@
 
 from cressrail.cli.admin_client import (
     AdminResource,
-    OnceOption,
     SidecarArgument,
+    add_watch_command,
     admin_address,
-    exit_with,
     query_or_exit,
-    show_table,
 )
 from cressrail.cli.command_group import command_group
+from cressrail.cli.output import STATUS_FAILED, fail
 
 if TYPE_CHECKING:
     from rich.table import Table  # loaded only where a table is shown, as `serve` imports this module too
 
 PART = "failover"
 ZONES = AdminResource("/zones", PART)
-DRAIN = AdminResource("/zones/drain", PART)
-UNDRAIN = AdminResource("/zones/undrain", PART)
+DRAIN = AdminResource("/zones/drain", PART, "POST")
+UNDRAIN = AdminResource("/zones/undrain", PART, "POST")
 EXPLAIN = AdminResource("/zones/explain", PART)
 MAX_DRAIN_S = 43_200
-SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
+MAX_SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
 
 app = command_group("Which part of each zone's traffic goes where.")
 ZoneOrRegion = Annotated[str, typer.Argument(help="A zone, or a region: all its zones.")]
 
 
-@app.command()
-def watch(
-    sidecar: SidecarArgument,
-    once: OnceOption = False,
-    every_s: float = 1.0,
-) -> None:
-    """Show the present decision, live."""
-    show_table(sidecar, ZONES, _decision_table, once, every_s)
+def _decision_table(view: dict[str, Any]) -> Table:
+    from rich.table import Table
+
+    near = view["near"]
+    freshness = "stood by" if view["fresh"] else "not stood by any more"
+    served = f"served near: zone {near['zone']:.0%}, region {near['region']:.0%}, beyond {near['beyond']:.0%}"
+    names = [row["zone"] for row in view["zones"]]
+    table = Table(
+        "zone",
+        "region",
+        "state",
+        "why",
+        "for s",
+        *(f"from {name}" for name in names),
+        title=f"epoch {view['epoch']} by {view['decided_by'] or 'nobody'}, {freshness}; {served}",
+    )
+    for row in view["zones"]:
+        weights = [f"{row['shares'].get(name, 0):.0%}" for name in names]
+        duration_s = f"{row['since_ms'] / 1000:.0f}"
+        table.add_row(row["zone"], row["region"], row["state"], row["why"], duration_s, *weights)
+    return table
+
+
+add_watch_command(app, ZONES, "Show the present decision, live.", _decision_table)
 
 
 @app.command()
@@ -51,16 +66,16 @@
     """Have a zone or region emptied, as far as others have the capacity, for so long at the most."""
     at = admin_address(sidecar)
     for zone in _matching_zones(at, where):
-        answer = query_or_exit(at, DRAIN, "POST", {"zone": zone, "for_s": for_s})
+        answer = query_or_exit(at, DRAIN, {"zone": zone, "for_s": for_s})
         print(f"{zone}: drained for {answer['for_s']} s")
 
 
 @app.command()
 def undrain(sidecar: SidecarArgument, where: ZoneOrRegion) -> None:
-    """End that before its time."""
+    """End a drain before its time."""
     at = admin_address(sidecar)
     for zone in _matching_zones(at, where):
-        query_or_exit(at, UNDRAIN, "POST", {"zone": zone})
+        query_or_exit(at, UNDRAIN, {"zone": zone})
         print(f"{zone}: comes back")
 
 
@@ -70,7 +85,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    rows = query_or_exit(admin_address(sidecar), EXPLAIN, parameters={"zone": zone})
+    rows = query_or_exit(admin_address(sidecar), EXPLAIN, {"zone": zone})
     columns = rows[0] if rows else ("sidecar",)
     table = Table(*columns, title=f"evidence on {zone}, of the last moments")
     for row in rows:
@@ -86,28 +101,5 @@
     rows = query_or_exit(at, ZONES)["zones"]
     found = [row["zone"] for row in rows if where in (row["zone"], row["region"])]
     if not found:
-        exit_with(f"no zone or region is {where[:SHOWN_CHARACTERS]}")
+        fail(f"no zone or region is {where[:MAX_SHOWN_CHARACTERS]}", STATUS_FAILED)
     return found
-
-
-def _decision_table(view: dict[str, Any]) -> Table:
-    from rich.table import Table
-
-    near = view["near"]
-    freshness = "stood by" if view["fresh"] else "not stood by any more"
-    served = f"served near: zone {near['zone']:.0%}, region {near['region']:.0%}, beyond {near['beyond']:.0%}"
-    names = [row["zone"] for row in view["zones"]]
-    table = Table(
-        "zone",
-        "region",
-        "state",
-        "why",
-        "for s",
-        *(f"from {name}" for name in names),
-        title=f"epoch {view['epoch']} by {view['decided_by'] or 'nobody'}, {freshness}; {served}",
-    )
-    for row in view["zones"]:
-        weights = [f"{row['shares'].get(name, 0):.0%}" for name in names]
-        duration_s = f"{row['since_ms'] / 1000:.0f}"
-        table.add_row(row["zone"], row["region"], row["state"], row["why"], duration_s, *weights)
-    return table
--- a/tests/configuration/test_deployment_type.py
+++ b/tests/configuration/test_deployment_type.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cressrail.cli.launch import launch, look
+from cressrail.cli.launch import check_configuration, launch
 from cressrail.configuration import policy_factory
 from cressrail.configuration.deployment_type import is_per_client, read_deployment_type
 from cressrail.configuration.settings_reader import SettingsReader
@@ -50,7 +50,7 @@
     before = read_startup_configuration(str(path), {})
     set_path(config["settings"], setting, value)
     path.write_text(json.dumps(config))
-    for command in (look, launch):
+    for command in (check_configuration, launch):
         assert command(str(path)) == 2
         output = capsys.readouterr().err
         assert output.startswith(f"cressrail: {path}: settings.{message}") and output.count("\n") == 1
@@ -90,7 +90,7 @@
     config["settings"]["limits"].update({"max_retry_after_us": 1_000_000, path: permitted})
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config))
-    assert look(str(file)) == 0
+    assert check_configuration(str(file)) == 0
 
 
 @pytest.mark.parametrize(
@@ -106,14 +106,15 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(mesh()))
-    assert look(str(path)) == 0
+    assert check_configuration(str(path)) == 0
     output = capsys.readouterr().out
-    assert "endpoints known, mesh" in output and "one transaction at a time here, of the 100" in output
+    assert "endpoints known, mesh" in output and "one request at a time here, of the 100" in output
 
 
 @pytest.mark.parametrize("name, deployment_type", [("config", "chain"), ("mesh", "mesh")])
 def test_examples_have_the_deployment_type_of_their_name(name: str, deployment_type: str) -> None:
     path = ROOT / "example" / f"{name}.json"
     assert (
-        look(str(path)) == 0 and read_startup_configuration(str(path), {}).deployment_type == deployment_type
+        check_configuration(str(path)) == 0
+        and read_startup_configuration(str(path), {}).deployment_type == deployment_type
     )
--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cressrail.cli.launch import look
+from cressrail.cli.launch import check_configuration
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
 from cressrail.configuration.startup import read_startup_configuration
@@ -65,7 +65,7 @@
     set_path(config, setting, value)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
-    assert look(str(path)) == 2
+    assert check_configuration(str(path)) == 2
     error = capsys.readouterr().err
     assert error.startswith(f"cressrail: {path}: {message}") and error.count("\n") == 1
 
@@ -84,9 +84,9 @@
         Idempotency.IDEMPOTENT,
         Idempotency.WITH_KEY,
     }
-    assert look(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
+    assert check_configuration(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
 
 
 def test_check_reports_a_missing_file(capsys: pytest.CaptureFixture[str]) -> None:
-    assert look("/nowhere/config.json") == 2
+    assert check_configuration("/nowhere/config.json") == 2
     assert capsys.readouterr().err == "cressrail: /nowhere/config.json: No such file or directory\n"
