--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-import os
 from typing import Any
 
 from cressrail.configuration import setting_names as names
-from cressrail.configuration.files import read_section_file
+from cressrail.configuration.files import open_section
 from cressrail.configuration.settings_reader import (
     ConfigurationError,
     SettingsReader,
-    error_prefix,
     shown,
 )
 from cressrail.failover.messages import MAX_ZONES
@@ -35,15 +33,8 @@
     Raises:
         ConfigurationError: A setting is missing or impossible.
     """
-    if isinstance(value, str):
-        path = os.path.join(os.path.dirname(config_path), value)
-        section = read_section_file(path)
-        with error_prefix(f"{path}: "):
-            return _parse(section, settings, suspicion_floor_us)
-    if not isinstance(value, dict):
-        raise ConfigurationError(f"{config_path}: failover", "is neither a part nor the path of one")
-    with error_prefix(f"{config_path}: failover."):
-        return _parse(value, settings, suspicion_floor_us)
+    with open_section(value, names.FAILOVER_SECTION, config_path) as section:
+        return _parse(section.values, settings, suspicion_floor_us)
 
 
 def _parse(section: dict[str, Any], settings: SettingsReader, suspicion_floor_us: int) -> FailoverSettings:
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -7,12 +7,12 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
+from cressrail.configuration import setting_names as names
 from cressrail.configuration.addresses import read_ip_port
-from cressrail.configuration.files import read_section_file
+from cressrail.configuration.files import Section, open_section
 from cressrail.configuration.settings_reader import (
     ConfigurationError,
     SettingsReader,
-    error_prefix,
     shown,
 )
 from cressrail.membership.messages import (
@@ -69,22 +69,13 @@
     Raises:
         ConfigurationError: A setting is missing or impossible.
     """
-    if isinstance(value, str):
-        path = os.path.join(os.path.dirname(config_path), value)
-        section = read_section_file(path)
-        with error_prefix(f"{path}: "):
-            return _parse(section, os.path.dirname(path), instance_name, zone, instance_count)
-    if not isinstance(value, dict):
-        raise ConfigurationError(f"{config_path}: membership", "is neither a part nor the path of one")
-    with error_prefix(f"{config_path}: membership."):
-        return _parse(value, os.path.dirname(config_path), instance_name, zone, instance_count)
-
-
-def _parse(
-    section: dict[str, Any], folder: str, instance_name: str, zone: str, instance_count: int
-) -> MembershipConfiguration:
-    reader = SettingsReader.from_nested(section)
-    for name in section:
+    with open_section(value, names.MEMBERSHIP_SECTION, config_path) as section:
+        return _parse(section, instance_name, zone, instance_count)
+
+
+def _parse(section: Section, instance_name: str, zone: str, instance_count: int) -> MembershipConfiguration:
+    reader = SettingsReader.from_nested(section.values)
+    for name in section.values:
         if name not in KNOWN_SETTINGS:
             raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
     listen = read_ip_port(LISTEN, reader.text(LISTEN))
@@ -103,13 +94,13 @@
         absent=DEFAULT_TOLERATED_PAUSE_MS,
     )
     seeds = tuple(
-        read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section, SEEDS))
+        read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section.values, SEEDS))
     )
-    uses = _read_list(section, USED_FOR)
+    uses = _read_list(section.values, USED_FOR)
     for index, use in enumerate(uses):
         if use not in USES:
             raise ConfigurationError(f"{USED_FOR}.{index}", f"is none of {', '.join(USES)}: {shown(use)}")
-    keys = _read_keys(os.path.join(folder, reader.text(KEYS)))
+    keys = _read_keys(os.path.join(section.folder, reader.text(KEYS)))
     return MembershipConfiguration(
         listen,
         MembershipSettings(
