--- a/cressrail/logs/log_writer.py
+++ b/cressrail/logs/log_writer.py
@@ -10,6 +10,8 @@
 
 import orjson
 
+from cressrail.logs import events
+
 MAX_WAITING_LINES = 2000
 MAX_LINE_BYTES = 4096  # of a write that a pipe with room takes whole (PIPE_BUF)
 MAX_SHOWN_BYTES = MAX_LINE_BYTES // 2  # of an event that can't be written as it is
@@ -74,7 +76,7 @@
                 return
             if self.dropped_lines and not self.waiting_lines:
                 dropped, self.dropped_lines = self.dropped_lines, 0
-                self.write_event("lines_dropped", {"n": dropped})
+                self.write_event(events.LINES_DROPPED, {"n": dropped})
 
     def _is_writable(self) -> bool:
         return any(mask & select.POLLOUT for _, mask in self.poller.poll(0))
--- a/cressrail/membership/log_events.py
+++ b/cressrail/membership/log_events.py
@@ -11,6 +11,7 @@
 INSTANCE_RENAMED = "instance_renamed"
 INSTANCES_COUNTED = "instances_counted"
 MALFORMED_DATAGRAMS = "malformed_datagrams"
+KEYS_RELOADED = "membership_keys"
 
 REASON_NO_ANSWER = "no answer"
 REASON_ISOLATED = "nobody is heard"
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -232,7 +232,7 @@
     def set_keys(self, configuration: MembershipConfiguration) -> None:
         """Takes over the keys of a configuration that was read again."""
         self.instance.set_keys(configuration.settings.keys)
-        self.dispatcher.log.write_event("membership_keys", {"keys": len(configuration.settings.keys)})
+        self.dispatcher.log.write_event(log_events.KEYS_RELOADED, {"keys": len(configuration.settings.keys)})
 
     def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
         """Answers an operator's request on zones with a status and what is told."""
