--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -16,8 +16,8 @@
 from cressrail.experiment.cost import cost, table
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import run as play
-from cressrail.testbed.scenario_file import Unusable, named, read
-from cressrail.testbed.sidecars import check
+from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
+from cressrail.testbed.sidecars import check_settings
 
 app = typer.Typer(
     help="Experiments on real sidecars amid stand-ins.",
@@ -35,12 +35,12 @@
 ) -> None:
     """Play the arms in turns, compare them in pairs, write the report."""
     try:
-        experiment = read(file, Experiment)
-        with named(file):
+        experiment = read_scenario(file, Experiment)
+        with errors_in_file(file):
             for arm in experiment.arms:
-                check(experiment.world(arm, 0))
+                check_settings(experiment.world(arm, 0))
         result = play(experiment, out, lambda text: print(text, file=sys.stderr, flush=True), keep)
-    except (Unusable, NoRevision) as fault:
+    except (ScenarioError, NoRevision) as fault:
         fail(str(fault))
     except RuntimeError as fault:
         print(f"cressrail: {fault}", file=sys.stderr)
--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -27,10 +27,10 @@
     """Simulate a scenario on a virtual clock, by the same state machine as in service."""
     from cressrail.failover.simulation.scenario import Scenario
     from cressrail.failover.simulation.simulator import simulate as run_simulation
-    from cressrail.testbed.scenario_file import Unusable, read
+    from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
     try:
-        figures = run_simulation(read(scenario, Scenario), seed)
-    except Unusable as error:
+        figures = run_simulation(read_scenario(scenario, Scenario), seed)
+    except ScenarioError as error:
         fail(str(error))
     tell(figures, json)
--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -17,9 +17,9 @@
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.rule_checker import evidence, judge
 from cressrail.testbed.run import run as run_fleet
-from cressrail.testbed.scenario import World
-from cressrail.testbed.scenario_file import Unusable, named, read
-from cressrail.testbed.sidecars import check
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
+from cressrail.testbed.sidecars import check_settings
 
 app = typer.Typer(
     help="Stand-in tiers with faults, and the rule checker.",
@@ -43,10 +43,10 @@
 ) -> None:
     """Start the fleet, print where its doors are, play its faults; until Ctrl-C or the end of the input."""
     try:
-        world = read(file, World)
-        with named(file):
-            check(world)
-    except Unusable as fault:
+        world = read_scenario(file, FleetScenario)
+        with errors_in_file(file):
+            check_settings(world)
+    except ScenarioError as fault:
         fail(str(fault))
     sys.exit(run_fleet(world, out, tree.resolve(), policy, broken, not wait))
 
@@ -59,9 +59,9 @@
 ) -> None:
     """Judge the four rules from a run's ledgers; exit status 3 if one is broken."""
     try:
-        world = read(file, World)
+        world = read_scenario(file, FleetScenario)
         broken = judge(world, evidence(rows(load), rows(fleet)))
-    except (Unusable, OSError, orjson.JSONDecodeError) as fault:
+    except (ScenarioError, OSError, orjson.JSONDecodeError) as fault:
         fail(str(fault))
     for one in broken:
         print(f"rule {one.rule}: {one.tx or '-'}: {one.evidence}")
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -24,9 +24,9 @@
 from cressrail.experiment.sink import ZONE
 from cressrail.load.plan import Plan
 from cressrail.load.run import Job, play
-from cressrail.testbed.fleet import loopback
-from cressrail.testbed.scenario import World
-from cressrail.testbed.sidecars import Sidecar, put, told
+from cressrail.testbed.fleet import loopback_host
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.sidecars import SidecarProcess, build_configuration, override_setting
 
 RATE, SLICE_S, SLICES = 1500.0, 1.0, 5
 READY_S = 15.0
@@ -175,11 +175,14 @@
             at = free.getsockname()
         words, where = ["-m", "cressrail.experiment.relay", str(at[1]), str(port)], HERE
     else:
-        at = (loopback(1), 9000)
-        config = told(
-            World.model_validate(WORLD), Sidecar("one", 0, 0, ZONE, at, ("127.0.0.1", discovery)), 1, 7
+        at = (loopback_host(1), 9000)
+        config = build_configuration(
+            FleetScenario.model_validate(WORLD),
+            SidecarProcess("one", 0, 0, ZONE, at, ("127.0.0.1", discovery)),
+            1,
+            7,
         )
-        put(config, "limits.sockets", SOCKETS)
+        override_setting(config, "limits.sockets", SOCKETS)
         (folder / "config.json").write_bytes(orjson.dumps(config))
         words = ["-m", "cressrail", "serve", str(folder / "config.json")]
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -9,7 +9,7 @@
 import numpy.typing as npt
 
 from cressrail.experiment.play import Played
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 DRAWS = 4000  # of the bootstrap
 # Which way is better: 1 more, -1 less.
@@ -34,14 +34,14 @@
 BACK, STAYS_S = 0.9, 3  # of the goodput before, held for so long: recovered
 
 
-def figures(world: World, played: Played, due: dict[str, float] | None = None) -> dict[str, float]:
+def figures(world: FleetScenario, played: Played, due: dict[str, float] | None = None) -> dict[str, float]:
     """`goodput`: share of transactions committed within the service goal, counted from when they were due;
     `goodput_first`: by their first try. `revenue`: the same weighted. `worst_member`, `worst_profile`: the
     least goodput of one. `hops_per_tx`: hops that reached endpoints of the first tier for each try a door
     took; `retry_share`: those beyond the first, at all tiers, over all calls. `late_work_share`: work that
     ended after the caller's time was up, of all work that ran; `effects_after_end`: how many non-idempotent
     or journalled hops ran on after that."""
-    profiles = {p.name: p for p in world.profiles}
+    profiles = {p.name: p for p in world.request_classes}
     ends: dict[str, dict[str, Any]] = {}
     first: dict[str, bool] = {}
     for call in (c for c in played.seen.calls if "call" not in c):
@@ -88,18 +88,18 @@
     }
 
 
-def _after_harm(world: World, of: dict[str, Any]) -> dict[str, float]:
+def _after_harm(world: FleetScenario, of: dict[str, Any]) -> dict[str, float]:
     """`goodput_harmed`: share committed in time while the first of the faults lasts that take processes or
     endpoints away; `recovery_s`: from its begin until goodput has come to nine tenths of what it was, and
     stayed; the rest of the run if it does not. Both 0 where there is none."""
     harm = [fault for fault in world.faults if fault.kind in HARMFUL]
     if not harm:
         return {"goodput_harmed": 0.0, "recovery_s": 0.0}
-    at, end = int(harm[0].at_s), int(min(world.seconds, harm[0].at_s + harm[0].for_s))
+    at, end = int(harm[0].at_s), int(min(world.duration_s, harm[0].at_s + harm[0].duration_s))
     good = [g / max(1, o) for g, o in zip(of["good"], of["offered"], strict=True)]
     return {
         "goodput_harmed": sum(of["good"][at:end]) / max(1, sum(of["offered"][at:end])),
-        "recovery_s": float(recovered(good, at, int(world.seconds))),
+        "recovery_s": float(recovered(good, at, int(world.duration_s))),
     }
 
 
@@ -119,13 +119,13 @@
     return min((float(np.mean(good)) for good in found.values()), default=0.0)
 
 
-def _worst_due(world: World, ends: dict[str, dict[str, Any]], due: dict[str, float]) -> float:
+def _worst_due(world: FleetScenario, ends: dict[str, dict[str, Any]], due: dict[str, float]) -> float:
     found: dict[str, list[bool]] = defaultdict(list)
     for e in ends.values():
         found[e["member"]].append(e["good"])
     return min(
         (
-            sum(good) / min(len(good), due[member] * world.seconds)
+            sum(good) / min(len(good), due[member] * world.duration_s)
             for member, good in found.items()
             if due.get(member)
         ),
@@ -133,11 +133,11 @@
     )
 
 
-def series(world: World, played: Played) -> dict[str, Any]:
+def series(world: FleetScenario, played: Played) -> dict[str, Any]:
     """By second of the run, for the plots: offered, committed in time, revenue, retries; and hops by
     endpoint."""
-    start, size = played.seen.start_us, int(world.seconds) + 3
-    profiles = {p.name: p for p in world.profiles}
+    start, size = played.seen.start_us, int(world.duration_s) + 3
+    profiles = {p.name: p for p in world.request_classes}
     found = {name: np.zeros(size) for name in ("offered", "good", "revenue", "worth", "retries", "calls")}
 
     def second(us: int) -> int:
@@ -155,7 +155,7 @@
         if call["status"] == 200 and call["ended_us"] - call["due_us"] <= profile.goal_ms * 1000:
             found["good"][second(call["due_us"])] += 1
             found["revenue"][second(call["due_us"])] += profile.revenue
-    names = [f"{tier.name}{n}" for tier in world.fleet.tiers for n in range(tier.endpoints)]
+    names = [f"{tier.name}{n}" for tier in world.fleet.tiers for n in range(tier.endpoint_count)]
     heat = {name: np.zeros(size, int) for name in names}
     seen: set[str] = set()
     for hop in sorted(played.seen.hops, key=lambda hop: hop["came_us"]):
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -16,20 +16,20 @@
 from cressrail.experiment.play import Played, play_world
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
-from cressrail.testbed.scenario import World
-from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
 RETURN_BEARS = 3  # in which a return has got round, in units of the pause that is borne
 
 
-def figures(world: World, played: Played, folder: Path) -> dict[str, Any]:
+def figures(world: FleetScenario, played: Played, folder: Path) -> dict[str, Any]:
     """Of one play. Seconds; `bytes_per_s` and `cpu` are a second of one sidecar, the latter all its work
     included."""
     ledger = list(rows(folder / "fleet.jsonl"))
     seen = views(ledger)
     talk = world.fleet.membership
     assert talk is not None
-    bear_us = talk.bear_pause_ms * 1000
+    bear_us = talk.tolerated_pause_ms * 1000
     start_us = next(row["start_us"] for row in ledger if "start_us" in row)
     spent = [row for row in ledger if "spent_s" in row]
     span_s = max(1e-9, (spent[-1]["at_us"] - spent[0]["at_us"]) / 1e6)
@@ -70,9 +70,9 @@
 
 
 def play(file: Path, folder: Path) -> dict[str, Any]:
-    world = read(file, World)
+    world = read_scenario(file, FleetScenario)
     if world.fleet.membership is None:
-        raise Unusable(f"{file}: fleet.membership is missing")
+        raise ScenarioError(f"{file}: fleet.membership is missing")
     return figures(world, play_world(world, folder), folder)
 
 
@@ -84,13 +84,13 @@
     worst = 0
     try:
         if not files:
-            raise Unusable("no file is named")
+            raise ScenarioError("no file is named")
         for file in files:
             with TemporaryDirectory(prefix="cressrail-") as passing:
                 told = play(file, (out / file.stem) if out is not None else Path(passing))
             print(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode(), flush=True)
             worst = max(worst, 4 if told["void"] else 3 if told["broken"] or told["false_losses"] else 0)
-    except Unusable as fault:
+    except ScenarioError as fault:
         print(f"cressrail: {fault}", file=sys.stderr)
         return 2
     except RuntimeError as fault:
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -7,22 +7,22 @@
 from pydantic import Field, model_validator
 
 from cressrail.load.plan import Strict
-from cressrail.testbed.scenario import Broken, Policy, World
+from cressrail.testbed.scenario import DefectName, FleetScenario, PolicyName
 
 
 class Arm(Strict):
     """A configuration, a baseline, or an earlier revision of this repository."""
 
     name: str
-    policy: Policy = "own"
-    broken: Broken = ""
+    policy: PolicyName = "own"
+    broken: DefectName = ""
     revision: str = ""  # a commit, checked out beside the tree; empty: the tree as it stands
     settings: dict[str, Any] = Field(default_factory=dict)  # paths in each sidecar's configuration
     members_shares: bool = True  # false: no member has an allowance
     failover: bool = True  # false: each sidecar judges zones for itself
 
 
-class Experiment(World):
+class Experiment(FleetScenario):
     rounds: int = Field(3, ge=1, le=50)  # each arm is played so often, with seeds of its round
     arms: list[Arm] = Field(min_length=1)
 
@@ -38,13 +38,13 @@
                 )
         return self
 
-    def world(self, arm: Arm, round_no: int) -> World:
+    def world(self, arm: Arm, round_no: int) -> FleetScenario:
         told = self.model_dump(exclude={"rounds", "arms"}, by_alias=True)
         told["seed"] = self.seed + round_no
-        told["fleet"]["settings"] = {**self.fleet.settings, **arm.settings}
+        told["fleet"]["settings"] = {**self.fleet.setting_overrides, **arm.settings}
         if not arm.failover:
             told["fleet"]["failover"] = None
         if not arm.members_shares:
             for member in told["members"]:
                 member["allowance_per_s"] = 0.0
-        return World.model_validate(told)
+        return FleetScenario.model_validate(told)
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -20,7 +20,7 @@
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import Views, views
 from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 HERE = Path(__file__).resolve().parents[2]
 LEAD_US = 400_000  # from the word to begin to the first that can be due
@@ -34,27 +34,28 @@
     broken: list[Break]
 
 
-def plan_of(world: World) -> Plan:
+def plan_of(world: FleetScenario) -> Plan:
     return Plan.model_validate(
         {
             "rate": world.load.rate,
-            "seconds": world.seconds,
+            "seconds": world.duration_s,
             "seed": world.seed,
             "shape": world.load.shape,
-            "with": world.load.with_,
-            "clients": world.load.clients,
-            "connections": world.load.connections,
+            "with": world.load.shape_parameters,
+            "clients": world.load.client_behaviour,
+            "connections": world.load.max_connections,
             "profiles": [
-                ProfileMix(**p.model_dump(include=set(ProfileMix.model_fields))) for p in world.profiles
+                ProfileMix(**p.model_dump(include=set(ProfileMix.model_fields)))
+                for p in world.request_classes
             ],
-            "members": [MemberMix(name=m.name, part=m.part) for m in world.members],
+            "members": [MemberMix(name=m.name, part=m.part) for m in world.tenants],
         }
     )
 
 
 @contextmanager
 def fleet(
-    world: World, folder: Path, *, tree: Path = HERE, policy: str = "own", broken: str = ""
+    world: FleetScenario, folder: Path, *, tree: Path = HERE, policy: str = "own", broken: str = ""
 ) -> Iterator[tuple[list[tuple[str, int]], int]]:
     """Doors, and the moment of the steady clock at which the faults' time begins. Raises `RuntimeError` if
     the fleet does not come up."""
@@ -128,7 +129,7 @@
 
 
 def play_world(
-    world: World,
+    world: FleetScenario,
     folder: Path,
     *,
     tree: Path = HERE,
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -22,7 +22,7 @@
     """Leaves result.json and report.html in `out`; with `keep`, ledgers and logs of each run too. Raises
     `NoRevision`, and `RuntimeError` where a fleet does not come up."""
     out.mkdir(parents=True, exist_ok=True)
-    due = {m.name: m.allowance_per_s for m in experiment.members}
+    due = {m.name: m.quota_per_s for m in experiment.tenants}
     arms: dict[str, dict[str, Any]] = {
         arm.name: {**arm.model_dump(), "rounds": []} for arm in experiment.arms
     }
@@ -56,10 +56,10 @@
                 )
     result = {
         "name": experiment.name,
-        "seconds": experiment.seconds,
+        "seconds": experiment.duration_s,
         "rounds": experiment.rounds,
         "seed": experiment.seed,
-        "faults": [f.model_dump() for f in experiment.faults],
+        "faults": [fault.report_row() for fault in experiment.faults],
         "arms": arms,
         "differences": compared({name: [r["figures"] for r in arm["rounds"]] for name, arm in arms.items()}),
     }
--- a/cressrail/testbed/processor_sharing.py
+++ b/cressrail/testbed/processor_sharing.py
@@ -12,7 +12,7 @@
 from heapq import heapify, heappop, heappush
 from math import log1p
 
-from cressrail.testbed.scenario import Contract, Service, Tier
+from cressrail.testbed.scenario import EndpointContract, ServiceTime, Tier
 
 GRAIN_US = 20_000  # while cold, the rate is looked at so often
 CLEAR = 0.1  # of the slots: one that is choked recovers at that
@@ -31,8 +31,8 @@
         self.slot = self.computing = False
 
 
-class Machine:
-    def __init__(self, tier: Tier, contract: Contract, started_us: int = 0) -> None:
+class ProcessorSharingServer:
+    def __init__(self, tier: Tier, contract: EndpointContract, started_us: int = 0) -> None:
         """`started_us`: 0 for one that has run for long."""
         self.tier, self.contract = tier, contract
         self.started_us = started_us
@@ -49,18 +49,25 @@
 
     def capacity(self, now: int) -> float:
         """Share of the whole that it has by now."""
-        warm_us = self.contract.warm_ms * 1000
+        warm_us = self.contract.warmup_ms * 1000
         if not self.started_us or now >= self.started_us + warm_us:
             return 1.0
-        return self.contract.cold_from + (1 - self.contract.cold_from) * (now - self.started_us) / warm_us
+        return (
+            self.contract.initial_share
+            + (1 - self.contract.initial_share) * (now - self.started_us) / warm_us
+        )
 
     def rate(self, now: int) -> float:
         """At which each that computes gets on, in core microseconds a microsecond."""
         if self.stalled or not self.computing:
             return 0.0
-        crowd = self.held / self.tier.slots - self.tier.thrash_from
-        slower = 1 + self.tier.thrash * max(0.0, crowd) / max(1e-9, 1 - self.tier.thrash_from)
-        speed = self.capacity(now) / slower / self.slowness * (self.tier.choke_speed if self.choked else 1.0)
+        crowd = self.held / self.tier.slots - self.tier.thrashing_threshold
+        slower = 1 + self.tier.thrashing_slowdown * max(0.0, crowd) / max(
+            1e-9, 1 - self.tier.thrashing_threshold
+        )
+        speed = (
+            self.capacity(now) / slower / self.slowness * (self.tier.collapse_speed if self.choked else 1.0)
+        )
         return speed * min(1.0, self.tier.cores / self.computing)
 
     def offer(self, now: int, job: Job) -> bool:
@@ -68,7 +75,7 @@
         self.pass_time(now)
         if self.held < self.tier.slots:
             self._take(job)
-        elif len(self.waiting) < self.tier.room:
+        elif len(self.waiting) < self.tier.queue_capacity:
             self.waiting.append(job)
         else:
             return False
@@ -77,7 +84,7 @@
     def _take(self, job: Job) -> None:
         self.held += 1
         job.slot = True
-        if self.tier.choke_at and self.held >= self.tier.choke_at * self.tier.slots:
+        if self.tier.collapse_threshold and self.held >= self.tier.collapse_threshold * self.tier.slots:
             self.choked = True
         self._compute(job)
 
@@ -141,12 +148,12 @@
         return now + (min(wait, GRAIN_US) if self.capacity(now) < 1 else wait)
 
 
-def draw_us(service: Service, chance: random.Random) -> float:
+def draw_work_us(service: ServiceTime, chance: random.Random) -> float:
     """Work in microseconds of a core."""
     mean = service.mean_ms * 1000
-    if service.kind == "fixed" or (service.kind == "lognormal" and not service.cv):
+    if service.distribution == "fixed" or (service.distribution == "lognormal" and not service.variation):
         return mean
-    if service.kind == "pareto":  # alpha, with the mean kept: x_min = mean (alpha - 1) / alpha
-        return mean * (service.cv - 1) / service.cv * chance.paretovariate(service.cv)
-    sigma2 = log1p(service.cv**2)
+    if service.distribution == "pareto":  # alpha, with the mean kept: x_min = mean (alpha - 1) / alpha
+        return mean * (service.variation - 1) / service.variation * chance.paretovariate(service.variation)
+    sigma2 = log1p(service.variation**2)
     return mean * chance.lognormvariate(-sigma2 / 2, sigma2**0.5)
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from cressrail.testbed.scenario import Profile, World
+from cressrail.testbed.scenario import FleetScenario, RequestClass
 
 Row = dict[str, Any]
 TOGETHER_US = 50_000  # hops that overlap by less may be a close that was under way
@@ -67,8 +67,8 @@
     return found
 
 
-def judge(world: World, seen: Evidence) -> list[Break]:
-    profiles = {p.name: p for p in world.profiles}
+def judge(world: FleetScenario, seen: Evidence) -> list[Break]:
+    profiles = {p.name: p for p in world.request_classes}
     by_tx: dict[str, list[Row]] = defaultdict(list)
     for hop in seen.hops:
         by_tx[hop["id"]].append(hop)
@@ -91,10 +91,10 @@
     return f"{us / 1000:.1f} ms"
 
 
-def _answered(world: World, call: Row, hops: list[Row]) -> list[Break]:
+def _answered(world: FleetScenario, call: Row, hops: list[Row]) -> list[Break]:
     """Rule 1. One that was never written whole was not taken; a client that gave up early had left."""
     took = call["ended_us"] - (call["sent_us"] or call["began_us"])
-    whole = call["limit_us"] + int(world.rules.late_ms * 1000)
+    whole = call["limit_us"] + int(world.rules.lateness_ms * 1000)
     how = call["how"]
     if not call["sent_us"] or how in ("no connection", "caller died"):
         return []
@@ -116,7 +116,7 @@
             Break(1, call["id"], f"no answer: {how} after {_ms(took)}, {len(hops)} hops, at {call['target']}")
         ]
     if how == "gave up":
-        if world.load.clients.give_up < 1 and "call" not in call:
+        if world.load.client_behaviour.give_up < 1 and "call" not in call:
             return []
         return [
             Break(
@@ -135,7 +135,7 @@
 
 
 def _no_effect_twice(
-    world: World, profile: Profile, call: Row, hops: list[Row], faults: list[Row]
+    world: FleetScenario, profile: RequestClass, call: Row, hops: list[Row], faults: list[Row]
 ) -> list[Break]:
     """Rule 2. Hops to endpoints that a cut zone hid are not seen to end, so they prove no overlap."""
     broken: list[Break] = []
@@ -168,13 +168,13 @@
                         f"{later['endpoint']} in {group} {later[group]}",
                     )
                 )
-            elif apart > profile.window_ms * 1000 + TOGETHER_US:
+            elif apart > profile.idempotency_window_ms * 1000 + TOGETHER_US:
                 broken.append(
                     Break(
                         2,
                         call["id"],
                         f"journalled, sent again {_ms(apart)} after {where}, window "
-                        f"{profile.window_ms:.0f} ms",
+                        f"{profile.idempotency_window_ms:.0f} ms",
                     )
                 )
         if call["status"] == 503 and call["how"] == "answered" and (profile.repeat == "unsafe" or group):
@@ -193,7 +193,7 @@
     return broken
 
 
-def _drains_kept(world: World, seen: Evidence) -> list[Break]:
+def _drains_kept(world: FleetScenario, seen: Evidence) -> list[Break]:
     """Rule 3. Which sidecar sent a hop follows from its call; what that one had been told, from discovery's
     agent."""
     by_call = {c["id"]: seen.sidecars.get(c["target"], {}).get("sidecar", "") for c in seen.calls}
@@ -224,7 +224,7 @@
     return broken
 
 
-def _cold_kept(world: World, seen: Evidence) -> list[Break]:
+def _cold_kept(world: FleetScenario, seen: Evidence) -> list[Break]:
     """Rule 4. Work sent within any window, by all sidecars, against what a cold endpoint can do in it. A
     little slack for chance: the three heaviest hops of the window do not count."""
     contract, rules = world.fleet.contract, world.rules
@@ -232,7 +232,7 @@
     for hop in seen.hops:
         by_endpoint[hop["endpoint"]].append(hop)
     broken = []
-    span, warm = int(rules.fall_ms * 1000), int(contract.warm_ms * 1000)
+    span, warm = int(rules.overload_window_ms * 1000), int(contract.warmup_ms * 1000)
     for start in seen.started:
         name, at = start["started"], start["at_us"]
         cold = sorted(
@@ -247,10 +247,10 @@
             sent = sum(sorted(h["work_us"] for h in within)[:-3])
             age = (last["came_us"] - at) / warm
             may = (
-                rules.fall_multiple
+                rules.overload_multiple
                 * span
                 * tier.cores
-                * (contract.cold_from + (1 - contract.cold_from) * age)
+                * (contract.initial_share + (1 - contract.initial_share) * age)
             )
             if sent > may:
                 broken.append(
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -13,10 +13,10 @@
 
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.fleet import Fleet
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 
-def run(world: World, folder: Path, tree: Path, policy: str, broken: str, at_once: bool) -> int:
+def run(world: FleetScenario, folder: Path, tree: Path, policy: str, broken: str, at_once: bool) -> int:
     """Writes one line of JSON once ready, `doors` being what load is sent to. Then a line `go MICROSECONDS`
     on standard input starts the faults at that time of the steady clock; with `at_once` they start without.
     Ends when the input does, or on SIGINT and SIGTERM."""
@@ -30,12 +30,12 @@
         loop.add_signal_handler(name, over.set)
     try:
         await fleet.start()
-        print(orjson.dumps({"doors": [s.target for s in fleet.doors]}).decode(), flush=True)
+        print(orjson.dumps({"doors": [s.target for s in fleet.ingress_sidecars]}).decode(), flush=True)
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1000)
         if at_once:
-            fleet.spawn(fleet.play(now_us()))
+            fleet.spawn(fleet.run_faults(now_us()))
         else:
             loop.add_reader(sys.stdin.fileno(), _heard, fleet, over)
         await over.wait()
@@ -50,7 +50,7 @@
 def _heard(fleet: Fleet, over: asyncio.Event) -> None:
     words = sys.stdin.readline().split()
     if len(words) == 2 and words[0] == "go" and words[1].isdigit():
-        fleet.spawn(fleet.play(int(words[1])))
+        fleet.spawn(fleet.run_faults(int(words[1])))
     else:
         asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
         over.set()
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -1,5 +1,8 @@
-"""The words of a fleet's file: fleet, profiles, members, faults, rules. Checked when read; shared by every
-rig."""
+"""A fleet's scenario file as typed records: fleet, request classes, tenants, load, faults, bounds.
+
+Checked when read. Where a key of the file is not the code's term, the field has the term and the key is its
+alias; rows and files that are written keep the keys.
+"""
 
 from __future__ import annotations
 
@@ -30,165 +33,304 @@
     "restart",
     "flood",
 ]
-OF_LIST = ("late", "silent", "tear", "anew")  # faults of discovery
-# between them, and of their processes
-OF_SIDECARS = ("wire", "stall-process", "kill", "stop", "restart", "flood")
-HARM = {"delay_ms", "jitter_ms", "duplicate", "reorder", "corrupt", "rate"}  # to datagrams, beside loss
-Policy = Literal["own", "random", "round-robin", "least-in-flight", "retry-always"]
-Broken = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
+DISCOVERY_FAULTS = ("late", "silent", "tear", "anew")
+SIDECAR_FAULTS = ("wire", "stall-process", "kill", "stop", "restart", "flood")
+# Of a fault of kind `wire`, beside the share that is dropped.
+NETWORK_EFFECTS = {"delay_ms", "jitter_ms", "duplicate", "reorder", "corrupt", "rate"}
+PolicyName = Literal["own", "random", "round-robin", "least-in-flight", "retry-always"]
+DefectName = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
+
 
+class ServiceTime(Strict):
+    """Distribution of the work of one request on one core.
 
-class Service(Strict):
-    """Work of one transaction on a core. Pareto's shape is `cv` too: smaller tails for larger figures."""
+    Attributes:
+        distribution: Kind of the distribution.
+        mean_ms: Mean, whatever the distribution.
+        variation: Coefficient of variation; of a Pareto distribution its alpha, above 1, where larger figures
+            give a smaller tail.
+    """
 
-    kind: Literal["fixed", "lognormal", "pareto"] = "lognormal"
+    distribution: Literal["fixed", "lognormal", "pareto"] = Field("lognormal", alias="kind")
     mean_ms: float = Field(8.0, gt=0)
-    cv: float = Field(0.5, ge=0)  # coefficient of variation; of pareto: its alpha, above 1
+    variation: float = Field(0.5, ge=0, alias="cv")
 
     @model_validator(mode="after")
-    def _has_mean(self) -> Service:
-        if self.kind == "pareto" and self.cv <= 1:
+    def _has_mean(self) -> ServiceTime:
+        if self.distribution == "pareto" and self.variation <= 1:
             raise ValueError("cv: pareto takes its alpha here, above 1")
         return self
 
 
 class Tier(Strict):
+    """A tier of simulated services, all of the same capacity.
+
+    Attributes:
+        name: Prefix of its endpoints' names, a number being the rest.
+        endpoint_count: How many endpoints it has.
+        cores: Of one endpoint; shared evenly by the requests that compute.
+        slots: Requests that an endpoint holds at a time.
+        queue_capacity: Requests that wait for a slot; further ones are rejected.
+        service_time: Work of one request.
+        work_before_call: Share of the work that comes before the call to the next tier.
+        thrashing_threshold: Share of the slots beyond which each held request slows down all of them.
+        thrashing_slowdown: By how much they are slower when all slots are held.
+        collapse_threshold: Share of the slots at which the endpoint collapses until it is nearly idle; 0 for
+            never.
+        collapse_speed: Speed of a collapsed endpoint, as a share of the usual one.
+        work_factors: Factor of the work by request class; 1 where none is named.
+    """
+
     name: str
-    endpoints: int = Field(4, ge=1, le=2048)
+    endpoint_count: int = Field(4, ge=1, le=2048, alias="endpoints")
     cores: float = Field(2.0, gt=0)
     slots: int = Field(32, ge=1)
-    room: int = Field(16, ge=0)  # waits beyond the slots; the rest is turned away
-    service: Service = Service()
-    before: float = Field(0.6, ge=0, le=1)  # share of the work that comes before the call to the next tier
-    thrash_from: float = Field(0.5, gt=0)  # of the slots: held beyond that makes all slower
-    thrash: float = Field(0.5, ge=0)  # slower by so much when all slots are held
-    choke_at: float = Field(0.0, ge=0)  # of the slots; 0: never. Choked until nearly idle
-    choke_speed: float = Field(0.25, gt=0, le=1)
-    weights: dict[str, float] = Field(default_factory=dict)  # work by profile, 1 where none is named
-
-
-class Contract(Strict):
-    cold_from: float = Field(0.2, gt=0, le=1)
-    warm_ms: float = Field(6000.0, gt=0)
-    notice_ms: float = Field(1500.0, ge=0)  # until discovery tells of a death
-    stops_on_cancel: bool = False  # work that nobody waits for any more
-
-
-class Membership(Strict):
-    """What each sidecar's part `membership` holds, beside its addresses."""
-
-    bear_pause_ms: int = Field(3000, ge=300)
-    most_bytes: int = Field(1400, ge=256, le=1400)
-    use: tuple[Literal["copies", "cold", "failing"], ...] = ()
-    seeds: int = Field(3, ge=1)  # sidecars of each tier that the others ask first
-    dead_seeds: int = Field(0, ge=0)  # further addresses among them where nobody is
-    late_seed_ms: float = Field(0.0, ge=0)  # by which all that goes to the first of them is late at the start
-    look_s: float = Field(0.2, gt=0)  # between two looks at each one's view
+    queue_capacity: int = Field(16, ge=0, alias="room")
+    service_time: ServiceTime = Field(ServiceTime(), alias="service")
+    work_before_call: float = Field(0.6, ge=0, le=1, alias="before")
+    thrashing_threshold: float = Field(0.5, gt=0, alias="thrash_from")
+    thrashing_slowdown: float = Field(0.5, ge=0, alias="thrash")
+    collapse_threshold: float = Field(0.0, ge=0, alias="choke_at")
+    collapse_speed: float = Field(0.25, gt=0, le=1, alias="choke_speed")
+    work_factors: dict[str, float] = Field(default_factory=dict, alias="weights")
+
+
+class EndpointContract(Strict):
+    """What a tier's operators promise of their endpoints, and sidecars are told.
+
+    Attributes:
+        initial_share: Of the capacity, right after a start.
+        warmup_ms: Time from a start to the whole capacity, which grows evenly.
+        removal_delay_ms: Time from an endpoint's end until discovery announces it.
+        stops_on_cancel: Whether work ends once its client has gone.
+    """
+
+    initial_share: float = Field(0.2, gt=0, le=1, alias="cold_from")
+    warmup_ms: float = Field(6000.0, gt=0, alias="warm_ms")
+    removal_delay_ms: float = Field(1500.0, ge=0, alias="notice_ms")
+    stops_on_cancel: bool = False
+
+
+class MembershipSetup(Strict):
+    """The section `membership` of each sidecar's configuration, but for its addresses.
+
+    Attributes:
+        tolerated_pause_ms: Pauses shorter than this must not make an instance look dead.
+        max_datagram_bytes: Longest datagram.
+        used_for: What the load balancer takes from membership.
+        seed_count: Sidecars of each tier that the others contact first.
+        dead_seed_count: Further seeds at whose addresses nobody listens.
+        first_seed_delay_ms: Delay of all datagrams to the first sidecar until the faults begin.
+        poll_interval_s: Time between two polls of a sidecar's membership view.
+    """
+
+    tolerated_pause_ms: int = Field(3000, ge=300, alias="bear_pause_ms")
+    max_datagram_bytes: int = Field(1400, ge=256, le=1400, alias="most_bytes")
+    used_for: tuple[Literal["copies", "cold", "failing"], ...] = Field((), alias="use")
+    seed_count: int = Field(3, ge=1, alias="seeds")
+    dead_seed_count: int = Field(0, ge=0, alias="dead_seeds")
+    first_seed_delay_ms: float = Field(0.0, ge=0, alias="late_seed_ms")
+    poll_interval_s: float = Field(0.2, gt=0, alias="look_s")
+
+
+class FailoverSetup(Strict):
+    """The section `failover` of each sidecar's configuration.
+
+    Attributes:
+        regions: Zones by region; none if all zones are one region.
+        round_trip_ms: Between two regions.
+    """
+
+    regions: dict[str, list[str]] = Field(default_factory=dict)
+    round_trip_ms: int = Field(0, ge=0, alias="way_ms")
+
+
+class FleetLayout(Strict):
+    """What a fleet is made of.
+
+    Attributes:
+        zones: Names; endpoints and sidecars are spread over them in turn.
+        ingress_sidecars: How many sidecars stand before the first tier.
+        tiers: In the order of calls.
+        contract: Of the endpoints of all tiers.
+        setting_overrides: Values by their path in a sidecar's configuration.
+        failover: Joint decisions on zones; None if it is off. Needs membership.
+        membership: Among the sidecars of a tier; None if it is off.
+    """
 
+    zones: list[str] = Field(["a", "b"], min_length=1, max_length=8)
+    ingress_sidecars: int = Field(2, ge=1, le=700, alias="doors")
+    tiers: list[Tier] = Field(min_length=1, max_length=4)
+    contract: EndpointContract = EndpointContract()
+    setting_overrides: dict[str, Any] = Field(default_factory=dict, alias="settings")
+    failover: FailoverSetup | None = None
+    membership: MembershipSetup | None = None
 
-class Failover(Strict):
-    """The part `failover` of each sidecar."""
 
-    regions: dict[str, list[str]] = Field(default_factory=dict)  # none: all zones are one
-    way_ms: int = Field(0, ge=0)
+class RequestClass(ProfileMix):
+    """A request class of the load, and what endpoints do with its idempotency keys.
 
+    Attributes:
+        key_scope: Where a key is known.
+        idempotency_window_ms: How long a key is known.
+    """
 
-class Fleet(Strict):
-    zones: list[str] = Field(["a", "b"], min_length=1, max_length=8)
-    doors: int = Field(2, ge=1, le=700)  # sidecars before the first tier
-    tiers: list[Tier] = Field(min_length=1, max_length=4)
-    contract: Contract = Contract()
-    # paths in a sidecar's configuration, and what they are
-    settings: dict[str, Any] = Field(default_factory=dict)
-    failover: Failover | None = None  # what is decided on zones in common; needs membership
-    membership: Membership | None = None  # talk between the sidecars of a tier; none: it is off
+    key_scope: Literal["all", "zone", "cell"] = "cell"
+    idempotency_window_ms: float = Field(2000.0, ge=0, alias="window_ms")
 
 
-class Profile(ProfileMix):
-    key_scope: Literal["all", "zone", "cell"] = "cell"
-    window_ms: float = Field(2000.0, ge=0)
+class Tenant(MemberMix):
+    """A tenant of the load.
 
+    Attributes:
+        quota_per_s: Requests a second within the quota; 0 if there is no quota.
+    """
 
-class Member(MemberMix):
-    allowance_per_s: float = Field(0.0, ge=0)  # 0: no share is set
+    quota_per_s: float = Field(0.0, ge=0, alias="allowance_per_s")
 
 
 class Fault(Strict):
+    """A fault, and when it begins and ends.
+
+    Attributes:
+        at_s: Begin, from the start of the run.
+        duration_s: From begin to end.
+        kind: What happens.
+        tier: Index of the tier that is met.
+        endpoint_indices: Endpoints of the tier that are met; all where neither these nor a zone are named.
+        zone: Of the endpoints or of discovery's clients that are met; of a `cut`, the zone that is cut off.
+        value: Of `slow`, times slower; of `refuse`, `reset`, `err` and `spoil`, the share of attempts; of
+            `late`, seconds.
+        senders: Of a `wire`, names of sidecars, `zone:NAME` or `tier:N`; all where nothing is named.
+        receivers: Likewise, who does not get what the senders send.
+        sidecars: Likewise, whose processes are met.
+        share: Of datagrams that are dropped; of processes that are met.
+        delay_ms: Of datagrams.
+        jitter_ms: Of datagrams, beyond the delay at most.
+        duplicate: Share of datagrams that come twice.
+        reorder: Share of datagrams that come behind later ones.
+        corrupt: Share of datagrams with a flipped bit.
+        rate: Datagrams a second that come through between two sidecars; of a flood, that each one gets.
+        config: What a sidecar that starts again is configured with: `same`, another random `seed`, or an
+            `older` configuration.
+    """
+
     at_s: float = Field(ge=0)
-    for_s: float = Field(2.0, gt=0)
+    duration_s: float = Field(2.0, gt=0, alias="for_s")
     kind: FaultKind
     tier: int = Field(0, ge=0)
-    # of the tier; all where neither this nor a zone is named
-    endpoints: list[int] = Field(default_factory=list)
+    endpoint_indices: list[int] = Field(default_factory=list, alias="endpoints")
     zone: str = ""
-    # slow: times slower; refuse, reset, err, spoil: share of hops; late: seconds
     value: float = Field(0.5, ge=0)
-    # of sidecars, by name, `zone:NAME` or `tier:N`: between whom (all where nothing is named), or whose
-    # processes
-    from_: list[str] = Field(default_factory=list, alias="from")
-    to: list[str] = Field(default_factory=list)
-    who: list[str] = Field(default_factory=list)
-    share: float = Field(1.0, ge=0, le=1)  # of datagrams that is dropped; of processes that is met
+    senders: list[str] = Field(default_factory=list, alias="from")
+    receivers: list[str] = Field(default_factory=list, alias="to")
+    sidecars: list[str] = Field(default_factory=list, alias="who")
+    share: float = Field(1.0, ge=0, le=1)
     delay_ms: float = Field(0.0, ge=0)
     jitter_ms: float = Field(0.0, ge=0)
     duplicate: float = Field(0.0, ge=0, le=1)
     reorder: float = Field(0.0, ge=0, le=1)
     corrupt: float = Field(0.0, ge=0, le=1)
-    rate: float = Field(0.0, ge=0)  # datagrams a second of a pair; of a flood, to each that it meets
-    config: Literal["same", "seed", "older"] = "same"  # what one that starts again is told
+    rate: float = Field(0.0, ge=0)
+    config: Literal["same", "seed", "older"] = "same"
 
     @model_validator(mode="before")
     @classmethod
-    def _drops_what_it_says(cls, told: Any) -> Any:
-        """A wire that is told of other harm drops nothing unless that is said too."""
-        wire = isinstance(told, dict) and told.get("kind") == "wire"
-        if wire and "share" not in told and told.keys() & HARM:
-            return {**told, "share": 0.0}
-        return told
-
-
-class Schedule(Strict):
-    """Faults of sidecars that are drawn, beside those that are listed."""
+    def _drop_only_on_request(cls, keys: Any) -> Any:
+        """Sets the dropped share of a `wire` to 0 where other effects are named and the share is not."""
+        is_network_fault = isinstance(keys, dict) and keys.get("kind") == "wire"
+        if is_network_fault and "share" not in keys and keys.keys() & NETWORK_EFFECTS:
+            return {**keys, "share": 0.0}
+        return keys
+
+    def report_row(self) -> dict[str, Any]:
+        """Returns the fault as reports of experiments hold it: the keys of the file, but `from_`."""
+        row = self.model_dump(by_alias=True)
+        row["from_"] = row.pop("from")
+        return row
+
+
+class FaultSchedule(Strict):
+    """Faults of sidecars that are drawn at random, beside those that are listed.
+
+    Attributes:
+        seed: Of the random values.
+        fault_count: How many faults are drawn.
+        max_duration_s: Of one fault.
+        kinds: What may be drawn.
+    """
 
     seed: int = 1
-    faults: int = Field(8, ge=1, le=200)
-    longest_s: float = Field(2.5, gt=0)
+    fault_count: int = Field(8, ge=1, le=200, alias="faults")
+    max_duration_s: float = Field(2.5, gt=0, alias="longest_s")
     kinds: list[Literal["wire", "stall-process", "kill", "restart"]] = Field(
         default=["wire", "stall-process", "kill", "restart"], min_length=1
     )
 
 
-class Rules(Strict):
+class RuleBounds(Strict):
+    """Bounds that the rule checker goes by.
+
+    Attributes:
+        drain_grace_ms: How long attempts may still be sent to a draining endpoint after its announcement.
+        lateness_ms: How long after its deadline a request may be answered.
+        overload_multiple: What a warming-up endpoint may get, in multiples of its capacity.
+        overload_window_ms: Window in which that is counted.
+    """
+
     drain_grace_ms: float = 500.0
-    late_ms: float = 50.0  # on top of each limit
-    fall_multiple: float = 3.0
-    fall_ms: float = 2000.0
+    lateness_ms: float = Field(50.0, alias="late_ms")
+    overload_multiple: float = Field(3.0, alias="fall_multiple")
+    overload_window_ms: float = Field(2000.0, alias="fall_ms")
 
 
-class Load(Strict):
-    rate: float = Field(100.0, gt=0)
-    shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
-    with_: dict[str, float] = Field(default_factory=dict, alias="with")
-    clients: Behaviour = Behaviour()
-    connections: int = Field(4000, ge=1)
+class LoadSetup(Strict):
+    """The load on the ingress tier.
 
+    Attributes:
+        rate: Requests a second.
+        shape: How the rate changes over time.
+        shape_parameters: Parameters of the shape by name.
+        client_behaviour: What clients do about slow and failed responses.
+        max_connections: Open at a time, over all ingress sidecars.
+    """
 
-class World(Strict):
-    """One file: a fleet, its load and what befalls it."""
+    rate: float = Field(100.0, gt=0)
+    shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
+    shape_parameters: dict[str, float] = Field(default_factory=dict, alias="with")
+    client_behaviour: Behaviour = Field(Behaviour(), alias="clients")
+    max_connections: int = Field(4000, ge=1, alias="connections")
+
+
+class FleetScenario(Strict):
+    """A scenario file: a fleet, its load and the faults that it meets.
+
+    Attributes:
+        name: Of the scenario.
+        duration_s: Of the load.
+        seed: Of all random values.
+        fleet: Layout of the fleet.
+        request_classes: Of the load.
+        tenants: Of the load.
+        load: Its rate and shape.
+        faults: Listed faults.
+        schedule: Faults that are drawn; None for none.
+        rules: Bounds of the rule checker.
+    """
 
     name: str = "world"
-    seconds: float = Field(20.0, gt=0)
+    duration_s: float = Field(20.0, gt=0, alias="seconds")
     seed: int = 1
-    fleet: Fleet
-    profiles: list[Profile] = Field(min_length=1)
-    members: list[Member] = Field(min_length=1)
-    load: Load = Load()
+    fleet: FleetLayout
+    request_classes: list[RequestClass] = Field(min_length=1, alias="profiles")
+    tenants: list[Tenant] = Field(min_length=1, alias="members")
+    load: LoadSetup = LoadSetup()
     faults: list[Fault] = Field(default_factory=list)
-    schedule: Schedule | None = None
-    rules: Rules = Rules()
+    schedule: FaultSchedule | None = None
+    rules: RuleBounds = RuleBounds()
 
     @model_validator(mode="after")
-    def _names_what_is_there(self) -> World:
+    def _check_references(self) -> FleetScenario:
         if self.fleet.failover is not None and self.fleet.membership is None:
             raise ValueError("fleet.failover: sidecars talk by way of fleet.membership, which is missing")
         for n, fault in enumerate(self.faults):
@@ -196,30 +338,30 @@
                 raise ValueError(f"faults.{n}.tier: there are {len(self.fleet.tiers)} tiers")
             if fault.zone and fault.zone not in self.fleet.zones:
                 raise ValueError(f"faults.{n}.zone: none of {', '.join(self.fleet.zones)}: {fault.zone}")
-            if any(not 0 <= e < self.fleet.tiers[fault.tier].endpoints for e in fault.endpoints):
+            if any(not 0 <= e < self.fleet.tiers[fault.tier].endpoint_count for e in fault.endpoint_indices):
                 raise ValueError(
                     f"faults.{n}.endpoints: tier {fault.tier} has "
-                    f"{self.fleet.tiers[fault.tier].endpoints}"
+                    f"{self.fleet.tiers[fault.tier].endpoint_count}"
                 )
             if fault.kind in ("wire", "flood") and self.fleet.membership is None:
                 raise ValueError(f"faults.{n}.kind: it is between sidecars that talk: fleet.membership")
-            for word in (*fault.from_, *fault.to, *fault.who):
-                if not self._meets(word):
+            for word in (*fault.senders, *fault.receivers, *fault.sidecars):
+                if not self._selects_sidecars(word):
                     raise ValueError(f"faults.{n}: no sidecar is {word[:40]}")
             if fault.kind == "cut" and not fault.zone:
                 raise ValueError(f"faults.{n}.zone: a cut names the zone that is cut off")
         return self
 
-    def _meets(self, word: str) -> bool:
+    def _selects_sidecars(self, word: str) -> bool:
         kind, _, name = word.partition(":")
         if kind == "zone":
             return name in self.fleet.zones
         if kind == "tier":
             return name.isdigit() and int(name) < len(self.fleet.tiers)
-        return word == "list" or word in self.sidecars()
+        return word == "list" or word in self.sidecar_names()
 
-    def sidecars(self) -> list[str]:
-        """Names of all of them: those at the door, and of each endpoint that calls on."""
-        return [f"door{n}" for n in range(self.fleet.doors)] + [
-            f"{tier.name}{n}-calls" for tier in self.fleet.tiers[:-1] for n in range(tier.endpoints)
+    def sidecar_names(self) -> list[str]:
+        """Returns the names of the ingress sidecars, then of each calling endpoint's sidecar."""
+        return [f"door{n}" for n in range(self.fleet.ingress_sidecars)] + [
+            f"{tier.name}{n}-calls" for tier in self.fleet.tiers[:-1] for n in range(tier.endpoint_count)
         ]
--- a/cressrail/testbed/scenario_file.py
+++ b/cressrail/testbed/scenario_file.py
@@ -15,25 +15,25 @@
 Model = TypeVar("Model", bound=BaseModel)
 
 
-class Unusable(Exception):
+class ScenarioError(Exception):
     pass
 
 
 @contextmanager
-def named(path: Path) -> Iterator[None]:
+def errors_in_file(path: Path) -> Iterator[None]:
     """Names the file in which what can't be used in here stands."""
     try:
         yield
-    except Unusable as fault:
-        raise Unusable(f"{path}: {fault}") from None
+    except ScenarioError as fault:
+        raise ScenarioError(f"{path}: {fault}") from None
 
 
-def read(path: Path, model: type[Model]) -> Model:
+def read_scenario(path: Path, model: type[Model]) -> Model:
     try:
         return model.model_validate(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError) as fault:
-        raise Unusable(f"{path}: {getattr(fault, 'strerror', None) or fault}") from None
+        raise ScenarioError(f"{path}: {getattr(fault, 'strerror', None) or fault}") from None
     except tomllib.TOMLDecodeError as fault:
-        raise Unusable(f"{path}: not TOML: {fault}") from None
+        raise ScenarioError(f"{path}: not TOML: {fault}") from None
     except ValidationError as fault:
-        raise Unusable(f"{path}: {reason(fault)}") from None
+        raise ScenarioError(f"{path}: {reason(fault)}") from None
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -18,8 +18,8 @@
 from cressrail.http_testing.client import ANSWERED, Answer, Caller, now_us
 from cressrail.http_testing.server import Asked, Served
 from cressrail.testbed.event_record import Ledger
-from cressrail.testbed.processor_sharing import Job, Machine, draw_us
-from cressrail.testbed.scenario import Contract, Profile, Tier
+from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
+from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 
 BACKLOG = 1024
 FAULTS = ("refuse", "reset", "err", "spoil")
@@ -27,7 +27,7 @@
 CONNECTIONS = 512  # of an endpoint to its own sidecar
 
 
-class Journal:
+class IdempotencyKeys:
     """The keys that a group has seen, and when. One for the endpoints that the group holds."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
 
     asked: Asked
     name: str
-    profile: Profile
+    profile: RequestClass
     came_us: int
     limit_us: int  # when the caller's time is up
     row: dict[str, Any]
@@ -62,17 +62,17 @@
     left: bool = False  # the caller has gone
 
 
-class Endpoint:
+class SimulatedEndpoint:
     def __init__(
         self,
         name: str,
         tier_no: int,
         tier: Tier,
-        contract: Contract,
+        contract: EndpointContract,
         zone: str,
         cell: int,
-        profiles: dict[str, Profile],
-        journals: Callable[[Endpoint, Profile], Journal],
+        profiles: dict[str, RequestClass],
+        journals: Callable[[SimulatedEndpoint, RequestClass], IdempotencyKeys],
         ledger: Ledger,
         seed: int,
         hosts: dict[str, tuple[str, int]],
@@ -88,7 +88,7 @@
         )
         self.chance = random.Random(seed)
         self.hosts = hosts
-        self.machine = Machine(tier, contract)
+        self.machine = ProcessorSharingServer(tier, contract)
         self.servers: dict[str, asyncio.Server] = {}
         self.served: dict[Served, str] = {}  # and the zone from which it came
         self.cut: set[str] = set()  # zones from which nothing comes through
@@ -139,7 +139,7 @@
 
     async def start(self, started_us: int) -> None:
         """Again, with nothing: cold from `started_us` on."""
-        self.machine = Machine(self.tier, self.contract, started_us)
+        self.machine = ProcessorSharingServer(self.tier, self.contract, started_us)
         self.draining = False
         await self.listen()
 
@@ -227,16 +227,18 @@
         if self.draining or self._strikes("refuse"):
             self._decline(work)
             return
-        whole = draw_us(self.tier.service, self.chance) * self.tier.weights.get(profile.name, 1.0)
+        whole = draw_work_us(self.tier.service_time, self.chance) * self.tier.work_factors.get(
+            profile.name, 1.0
+        )
         row["work_us"] = int(whole)
         if profile.repeat == "keyed" and key:
             journal = self.journals(self, profile)
-            if journal.repeat(key, now, int(profile.window_ms * 1000)):
+            if journal.repeat(key, now, int(profile.idempotency_window_ms * 1000)):
                 row["repeat"] = True
                 self._end(work, 200, "repeat")
                 return
         work.calls = self.below is not None
-        first = whole * self.tier.before if work.calls else whole
+        first = whole * self.tier.work_before_call if work.calls else whole
         work.rest_us = whole - first
         work.job = Job(work, first)
         asked.server.job = work
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -13,7 +13,7 @@
 from cressrail.http_testing.client import Answer, Caller, now_us
 from cressrail.membership import log_events
 from cressrail.testbed.event_record import Ledger
-from cressrail.testbed.sidecars import Sidecar
+from cressrail.testbed.sidecars import SidecarProcess
 
 ASK = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
 SPAN_US = 1_000_000
@@ -32,14 +32,14 @@
         self.last: dict[str, bytes] = {}  # what was written of each, to write only what differs
         self.views: dict[str, dict[str, Any]] = {}  # the latest of each
 
-    async def watch(self, sidecar: Sidecar, every_s: float, after_s: float) -> None:
+    async def watch(self, sidecar: SidecarProcess, every_s: float, after_s: float) -> None:
         await asyncio.sleep(after_s)
         loop = asyncio.get_running_loop()
         while True:
             began = loop.time()
             if sidecar.process is not None:
                 heard: asyncio.Future[Answer] = loop.create_future()
-                Caller(*sidecar.ops, most=1, keep=False).call(ASK, SPAN_US, heard.set_result)
+                Caller(*sidecar.admin_address, most=1, keep=False).call(ASK, SPAN_US, heard.set_result)
                 answer = await heard
                 if answer.status == 200:
                     self._note(sidecar.name, bytes(answer.body))
--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -16,12 +16,12 @@
 from cressrail.failover.log_events import DECISION_ADOPTED
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import views
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 from tests.fleets import BEAR_MS, Play, played
 
 
-def scenario(**more: Any) -> World:
-    return World.model_validate(
+def scenario(**more: Any) -> FleetScenario:
+    return FleetScenario.model_validate(
         {
             "fleet": {
                 "zones": ["a", "b", "c"],
@@ -91,7 +91,7 @@
 def test_operators_watch_drain_undrain_and_explain_at_any_sidecar(tmp_path: Path) -> None:
     async def script(play: Play) -> None:
         def address(sidecar: int) -> str:
-            return "{}:{}".format(*play.doors[sidecar].ops)
+            return "{}:{}".format(*play.doors[sidecar].admin_address)
 
         async def run(*arguments: str) -> Any:
             return await asyncio.to_thread(CliRunner().invoke, app, ["zones", *arguments])
--- a/tests/failover/test_simulation.py
+++ b/tests/failover/test_simulation.py
@@ -12,7 +12,7 @@
 from cressrail.cli.commands import app
 from cressrail.failover.simulation.scenario import Scenario
 from cressrail.failover.simulation.simulator import FailoverSimulation
-from cressrail.testbed.scenario_file import read
+from cressrail.testbed.scenario_file import read_scenario
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "example" / "failover"
 SCENARIOS = sorted(EXAMPLES.glob("*.toml"))
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("file", SCENARIOS, ids=lambda file: file.stem)
 def test_scenario_recovers_within_its_bounds(file: Path) -> None:
-    simulation = FailoverSimulation(read(file, Scenario), 2)
+    simulation = FailoverSimulation(read_scenario(file, Scenario), 2)
     simulation.run()
     found = simulation.figures()
     bounds = BOUNDS.get(file.stem, OTHER_BOUNDS)
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -14,7 +14,7 @@
 from cressrail.testbed.fleet import Fleet
 from cressrail.testbed.membership_verdicts import views
 from cressrail.testbed.network_emulation import Rule
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 HERE = Path(__file__).resolve().parents[1]
 SECOND = 1_000_000
@@ -22,8 +22,8 @@
 SHORTEN = {"bear_pause_ms": BEAR_MS, "look_s": 0.1}
 
 
-def world(doors: int, membership: dict[str, Any] = SHORTEN, **more: Any) -> World:
-    return World.model_validate(
+def world(doors: int, membership: dict[str, Any] = SHORTEN, **more: Any) -> FleetScenario:
+    return FleetScenario.model_validate(
         {
             "fleet": {
                 "zones": ["a", "b"],
@@ -44,8 +44,8 @@
     """A fleet under way, and what a script may do to it."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.doors = fleet, fleet.doors
-        self.wires = fleet.wires
+        self.fleet, self.doors = fleet, fleet.ingress_sidecars
+        self.wires = fleet.network
 
     def view(self, n: int) -> dict[str, Any]:
         return self.fleet.watchers.views.get(f"door{n}", {"alive": 0, "states": {}, "cannot_reach": {}})
@@ -80,11 +80,11 @@
         return {told["instance"] for n in range(len(self.doors)) for told in self.said(n, "instance_dead")}
 
     def note(self, n: int, how: str) -> None:
-        self.fleet.harm.told(self.doors[n], how)
+        self.fleet.fault_injector.told(self.doors[n], how)
 
 
 def played(
-    tmp_path: Path, doors: int, script: Callable[[Play], Awaitable[None]], told: World | None = None
+    tmp_path: Path, doors: int, script: Callable[[Play], Awaitable[None]], told: FleetScenario | None = None
 ) -> None:
     """Up to three times, while the machine lags under it."""
     for n in range(3):
@@ -99,7 +99,7 @@
 
 
 async def _played(
-    folder: Path, doors: int, script: Callable[[Play], Awaitable[None]], told: World
+    folder: Path, doors: int, script: Callable[[Play], Awaitable[None]], told: FleetScenario
 ) -> AssertionError | None:
     fleet = Fleet(told, folder, HERE)
     try:
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -22,15 +22,15 @@
 from cressrail.load.trace import read as read_trace
 from cressrail.testbed.event_record import Ledger, rows
 from cressrail.testbed.membership_verdicts import views
-from cressrail.testbed.scenario import World
-from cressrail.testbed.scenario_file import read as read_words
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.scenario_file import read_scenario as read_words
 from tests.golden_edges.stored import DATA, hold, text_of
 from tests.helpers import CONFIG
 
 HERE = Path(__file__).resolve().parents[2]
 WORDS: dict[str, type[BaseModel]] = {
     "example/failover": Scenario,
-    "example/fleets": World,
+    "example/fleets": FleetScenario,
     "example/experiments": Experiment,
 }
 
@@ -126,7 +126,7 @@
             told = read_words(path, model).model_dump(mode="json", by_alias=True)
             found[f"{folder}/{path.name}"] = digest(told)
     found["fleet.toml"] = digest(
-        read_words(DATA / "fleet.toml", World).model_dump(mode="json", by_alias=True)
+        read_words(DATA / "fleet.toml", FleetScenario).model_dump(mode="json", by_alias=True)
     )
     hold(found, "scenarios.json")
 
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -37,7 +37,7 @@
         await play.all_know(2, but=tuple(dead))
         # Four of six are gone: no majority is left, so it is their addresses that say so.
         await play.until(lambda: all(2.0 <= goes_by(n) < 3.0 for n in up))
-        await asyncio.gather(*(play.fleet._again(play.doors[n], "same") for n in dead))
+        await asyncio.gather(*(play.fleet.restart_sidecar(play.doors[n], "same") for n in dead))
         for n in dead:
             play.note(n, "up")
         await play.until(lambda: all(goes_by(n) >= 5.8 for n in range(6)))
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -17,8 +17,8 @@
 from cressrail.experiment.report import page, text_table
 from cressrail.testbed.membership_verdicts import Life, Views
 from cressrail.testbed.rule_checker import Break, Evidence, evidence
-from cressrail.testbed.scenario_file import Unusable, read
-from cressrail.testbed.sidecars import Sidecar, check, put, told
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
+from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
 from tests.test_standin import DOOR, call, hop
 
 FILE: dict[str, Any] = {
@@ -116,7 +116,7 @@
         "rounds": 2,
         "seed": 5,
         "arms": arms,
-        "faults": [f.model_dump() for f in experiment.faults],
+        "faults": [fault.report_row() for fault in experiment.faults],
         "differences": compared({name: [r["figures"] for r in arm["rounds"]] for name, arm in arms.items()}),
     }
     text = page(result)
@@ -149,11 +149,11 @@
     tmp_path: Path, path: str, value: object, why: str
 ) -> None:
     changed = copy.deepcopy(FILE)
-    put(changed, path, value)
+    override_setting(changed, path, value)
     file = tmp_path / "e.toml"
     file.write_text(tomlkit.dumps(changed))
-    with pytest.raises(Unusable) as fault:
-        read(file, Experiment)
+    with pytest.raises(ScenarioError) as fault:
+        read_scenario(file, Experiment)
     assert str(fault.value).startswith(f"{file}: {why}")
 
 
@@ -161,16 +161,16 @@
     experiment = Experiment.model_validate(
         {**FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
     )
-    with pytest.raises(Unusable, match=r"settings: nothing at limit\.sockets"):
-        check(experiment.world(experiment.arms[0], 0))
+    with pytest.raises(ScenarioError, match=r"settings: nothing at limit\.sockets"):
+        check_settings(experiment.world(experiment.arms[0], 0))
 
 
 def test_arms_change_what_sidecars_are_told_and_rounds_the_seed() -> None:
     experiment = Experiment.model_validate(FILE)
     own, other = (experiment.world(arm, 1) for arm in experiment.arms)
-    sidecar = Sidecar("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
+    sidecar = SidecarProcess("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
     assert (own.seed, other.seed) == (6, 6) and plan_of(own) == plan_of(other)
-    a, b = told(own, sidecar, 2, 1), told(other, sidecar, 2, 1)
+    a, b = build_configuration(own, sidecar, 2, 1), build_configuration(other, sidecar, 2, 1)
     assert (a["limits"]["sockets"], b["limits"]["sockets"]) == (500, 300)
     assert len(a["settings"]["tenants"]) == 2 and b["settings"]["tenants"] == []
 
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -28,9 +28,9 @@
 from cressrail.testbed.fault_injection import drawn
 from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
 from cressrail.testbed.network_emulation import Rule, Wires
-from cressrail.testbed.scenario import Fault, Schedule, World
-from cressrail.testbed.scenario_file import Unusable, read
-from cressrail.testbed.sidecars import Sidecar, Sidecars
+from cressrail.testbed.scenario import Fault, FaultSchedule, FleetScenario
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
+from cressrail.testbed.sidecars import SidecarManager, SidecarProcess
 from tests.fleets import BEAR_MS, HERE, SECOND, Play, played, world
 
 # Processes
@@ -52,11 +52,13 @@
     play.note(4, "killed")
     await play.all_know(4, but=(4,))
     assert play.losses() == {"door4"}
-    await fleet._again(last, "same")
+    await fleet.restart_sidecar(last, "same")
     play.note(4, "up")
     await play.all_know(5)
     config = orjson.loads((fleet.folder / "door4.json").read_bytes())
-    (fleet.folder / "beside.json").write_bytes(orjson.dumps({**config, "ops": f"{last.ops[0]}:9003"}))
+    (fleet.folder / "beside.json").write_bytes(
+        orjson.dumps({**config, "ops": f"{last.admin_address[0]}:9003"})
+    )
     words = [sys.executable, "-m", "cressrail", "serve", str(fleet.folder / "beside.json")]
     with open(fleet.folder / "beside.log", "wb") as log, subprocess.Popen(words, stdout=log) as beside:
         try:
@@ -99,11 +101,11 @@
 
         for chosen in ((1, 2), (1, 2, 3, 4, 5)):
             for n in chosen:
-                play.fleet.sidecars.stall(play.doors[n])
+                play.fleet.sidecars.pause(play.doors[n])
                 play.note(n, "stalled")
             await asyncio.sleep(0.8 * BEAR_MS / 1000)
             for n in chosen:
-                play.fleet.sidecars.go_on(play.doors[n])
+                play.fleet.sidecars.resume(play.doors[n])
                 play.note(n, "running")
             await play.until(partial(woke, chosen))
             await asyncio.sleep(2 * BEAR_MS / 1000)
@@ -137,7 +139,7 @@
             Rule(frozenset(a), frozenset(b), 1.0) for a, b in ((["door0"], ["list"]), (["list"], ["door0"]))
         ]
         before = news(0), news(1)
-        play.fleet._phase(play.fleet.tiers[0][0], "draining")
+        play.fleet.announce_phase(play.fleet.tiers[0][0], "draining")
         await play.until(lambda: news(1) > before[1])
         await asyncio.sleep(0.5)
         assert news(0) == before[0] and play.view(0)["alive"] == 2  # those who talk still hear it
@@ -151,7 +153,7 @@
     tmp_path: Path,
 ) -> None:
     async def script(play: Play) -> None:
-        at = play.doors[0].gossip
+        at = play.doors[0].membership_address
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             pieces = [os.urandom(size) for size in (20, 200, 1400, 2000)]
             for n in range(20_000):
@@ -263,8 +265,8 @@
 
 
 def test_a_sidecar_has_one_process_whatever_faults_overlap(tmp_path: Path) -> None:
-    sidecars = Sidecars(world(1), tmp_path, HERE, "own", "")
-    sidecar = Sidecar("door0", 0, 0, "a", ("127.0.0.9", 9000), ("127.0.0.1", 1))
+    sidecars = SidecarManager(world(1), tmp_path, HERE, "own", "")
+    sidecar = SidecarProcess("door0", 0, 0, "a", ("127.0.0.9", 9000), ("127.0.0.1", 1))
     sidecars.start(sidecar, 1, 1)
     first, written = sidecar.process, (tmp_path / "door0.json").stat().st_mtime_ns
     sidecars.start(sidecar, 1, 1)
@@ -431,14 +433,14 @@
 
 def test_a_schedule_is_the_same_for_the_same_seed_and_reads_as_any_fault() -> None:
     names = [f"door{n}" for n in range(6)]
-    one, two, other = (drawn(Schedule(seed=seed, faults=40), 30.0, names) for seed in (1, 1, 2))
+    one, two, other = (drawn(FaultSchedule(seed=seed, faults=40), 30.0, names) for seed in (1, 1, 2))
     assert one == two != other and {fault.kind for fault in one} == {
         "wire",
         "stall-process",
         "kill",
         "restart",
     }
-    assert all(f.at_s >= 0 and f.at_s + f.for_s <= 24 + 1e-6 for f in one)
+    assert all(f.at_s >= 0 and f.at_s + f.duration_s <= 24 + 1e-6 for f in one)
     for fault in one:
         assert Fault.model_validate(fault.model_dump(by_alias=True)) == fault
 
@@ -461,10 +463,12 @@
 
 def test_the_files_of_fleets_can_be_read_and_one_without_talk_is_refused(tmp_path: Path) -> None:
     files = sorted(Path("example/fleets").glob("*.toml"))
-    assert len(files) >= 9 and all(read(file, World).fleet.membership is not None for file in files)
+    assert len(files) >= 9 and all(
+        read_scenario(file, FleetScenario).fleet.membership is not None for file in files
+    )
     assert main([str(Path("example/experiments/zone-cut.toml"))]) == 2 and main([]) == 2
-    with pytest.raises(Unusable):
-        read(tmp_path / "none.toml", World)
+    with pytest.raises(ScenarioError):
+        read_scenario(tmp_path / "none.toml", FleetScenario)
 
 
 def test_how_long_all_took_to_join_counts_from_the_last_start() -> None:
@@ -479,5 +483,8 @@
 
 
 def test_an_address_that_is_advertised_is_another_than_the_one_listened_on() -> None:
-    sidecar = Sidecar("door0", 0, 0, "a", ("127.0.0.9", 9000), ("127.0.0.1", 1))
-    assert len({sidecar.gossip, sidecar.advertise, sidecar.ops, sidecar.listen}) == 4
+    sidecar = SidecarProcess("door0", 0, 0, "a", ("127.0.0.9", 9000), ("127.0.0.1", 1))
+    assert (
+        len({sidecar.membership_address, sidecar.advertised_address, sidecar.admin_address, sidecar.address})
+        == 4
+    )
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -13,11 +13,11 @@
 from cressrail.testbed.discovery import Agent, Listed
 from cressrail.testbed.event_record import Ledger, rows
 from cressrail.testbed.pauses import Pauses, draw
-from cressrail.testbed.processor_sharing import Job, Machine, draw_us
+from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
 from cressrail.testbed.rule_checker import Evidence, evidence, judge
-from cressrail.testbed.scenario import Contract, Service, Tier, World
-from cressrail.testbed.scenario_file import Unusable, read
-from cressrail.testbed.simulated_service import Journal
+from cressrail.testbed.scenario import EndpointContract, FleetScenario, ServiceTime, Tier
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
+from cressrail.testbed.simulated_service import IdempotencyKeys
 
 MS = 1000
 ONE_TIER: dict[str, Any] = {
@@ -40,7 +40,7 @@
 # Machines
 
 
-def finished(machine: Machine, until: int) -> dict[object, int]:
+def finished(machine: ProcessorSharingServer, until: int) -> dict[object, int]:
     """When each job that is there ends, each leaving at once."""
     ends: dict[object, int] = {}
     while (due := machine.next_us(machine.at_us)) is not None and due <= until:
@@ -71,7 +71,7 @@
 def test_work_ends_when_its_share_of_the_cores_says(
     tier: dict[str, Any], set_: dict[str, Any], jobs: list[int], ends: list[int]
 ) -> None:
-    machine = Machine(Tier(name="x", **tier), Contract())
+    machine = ProcessorSharingServer(Tier(name="x", **tier), EndpointContract())
     for name, value in set_.items():
         setattr(machine, name, value)
     for n, ms in enumerate(jobs):
@@ -82,7 +82,9 @@
 
 
 def test_a_cold_machine_is_slow_and_warms_evenly() -> None:
-    machine = Machine(Tier(name="x", cores=1), Contract(cold_from=0.2, warm_ms=1000), started_us=5_000_000)
+    machine = ProcessorSharingServer(
+        Tier(name="x", cores=1), EndpointContract(cold_from=0.2, warm_ms=1000), started_us=5_000_000
+    )
     assert [round(machine.capacity(5_000_000 + ms * MS), 2) for ms in (0, 500, 1000, 9000)] == [
         0.2,
         0.6,
@@ -95,7 +97,7 @@
 
 
 def test_a_choked_machine_stays_so_until_nearly_idle() -> None:
-    machine = Machine(Tier(name="x", slots=10, choke_at=1.0, room=0), Contract())
+    machine = ProcessorSharingServer(Tier(name="x", slots=10, choke_at=1.0, room=0), EndpointContract())
     jobs = [Job(n, 1e9) for n in range(11)]
     assert [machine.offer(0, job) for job in jobs] == [True] * 10 + [False]
     for job in jobs[:8]:
@@ -107,7 +109,9 @@
 
 def test_whatever_happens_slots_and_places_come_back() -> None:
     chance = random.Random(4)
-    machine = Machine(Tier(name="x", slots=5, room=3, cores=2, choke_at=0.9), Contract())
+    machine = ProcessorSharingServer(
+        Tier(name="x", slots=5, room=3, cores=2, choke_at=0.9), EndpointContract()
+    )
     here: list[Job] = []
     now = 0
     for _ in range(3000):
@@ -131,14 +135,16 @@
     assert (machine.held, machine.computing, len(machine.waiting), machine.ends) == (0, 0, 0, [])
 
 
-@pytest.mark.parametrize("service", [Service(kind="fixed"), Service(cv=1.2), Service(kind="pareto", cv=3.0)])
-def test_service_times_have_the_mean_they_state(service: Service) -> None:
+@pytest.mark.parametrize(
+    "service", [ServiceTime(kind="fixed"), ServiceTime(cv=1.2), ServiceTime(kind="pareto", cv=3.0)]
+)
+def test_service_times_have_the_mean_they_state(service: ServiceTime) -> None:
     chance = random.Random(1)
-    assert sum(draw_us(service, chance) for _ in range(40_000)) / 40_000 == pytest.approx(8000, rel=0.03)
+    assert sum(draw_work_us(service, chance) for _ in range(40_000)) / 40_000 == pytest.approx(8000, rel=0.03)
 
 
 def test_a_journal_knows_a_repeat_for_its_window_only() -> None:
-    journal = Journal()
+    journal = IdempotencyKeys()
     assert [
         journal.repeat(key, at, 100) for key, at in (("k", 0), ("k", 90), ("j", 95), ("k", 120), ("k", 130))
     ] == [False, True, False, False, True]
@@ -195,8 +201,8 @@
     path.write_text(
         change + '\n[[fleet.tiers]]\nname = "x"\n[[profiles]]\nname = "read"\n[[members]]\nname = "m"\n'
     )
-    with pytest.raises(Unusable) as fault:
-        read(path, World)
+    with pytest.raises(ScenarioError) as fault:
+        read_scenario(path, FleetScenario)
     assert (
         why in str(fault.value) and str(fault.value).startswith(f"{path}: ") and "\n" not in str(fault.value)
     )
@@ -252,7 +258,7 @@
     return {"told": "door0", "endpoint": "x0", "phase": phase, "at_us": at_us}
 
 
-WORLD = World.model_validate(
+WORLD = FleetScenario.model_validate(
     {**ONE_TIER, "profiles": [*ONE_TIER["profiles"], {"name": "keyed", "repeat": "keyed", "window_ms": 1000}]}
 )
 SOUND: list[tuple[list[dict[str, Any]], list[dict[str, Any]]]] = [
@@ -376,7 +382,7 @@
             **ONE_TIER["fleet"],
             "contract": {"warm_ms": 9000, "cold_from": 0.05, "notice_ms": 200},
         }
-    played = play_world(World.model_validate(told), tmp_path, broken=broken)
+    played = play_world(FleetScenario.model_validate(told), tmp_path, broken=broken)
     assert played.told["answered"] > 100 and not played.seen.failed
     assert ({RULE[broken]} if broken else set()) <= {b.rule for b in played.broken}
     if not broken:
