--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -13,10 +13,10 @@
 
 from cressrail.cli.output import fail
 from cressrail.http_testing.client import now_us
-from cressrail.testbed import pauses as known
 from cressrail.testbed.event_record import rows
+from cressrail.testbed.pauses import PauseSchedule, draw_pauses, serve_with_pauses
 from cressrail.testbed.rule_checker import evidence, judge
-from cressrail.testbed.run import run as run_fleet
+from cressrail.testbed.run import run_fleet
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
 from cressrail.testbed.sidecars import check_settings
@@ -84,10 +84,10 @@
 
     async def serve() -> None:
         start = now_us()
-        drawn = known.draw(seed, seconds, every_s, mean_ms, most_ms)
-        spans = [(a + start, b + start) for a, b in drawn.spans]
+        drawn = draw_pauses(seed, seconds, every_s, mean_ms, most_ms)
+        spans = [(a + start, b + start) for a, b in drawn.spans_us]
         out.write_bytes(orjson.dumps({"work_us": int(work_ms * 1000), "spans_us": spans}))
-        await known.serve("127.0.0.1", port, known.Pauses(spans), int(work_ms * 1000))
+        await serve_with_pauses("127.0.0.1", port, PauseSchedule(spans), int(work_ms * 1000))
         await asyncio.sleep(seconds)
 
     uvloop.run(serve())
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -235,9 +235,9 @@
             if fault.kind in FAULTS:
                 e.faults[fault.kind] = fault.value
             elif fault.kind == "stall":
-                self._set(e, stalled=True)
+                self._set(e, is_stalled=True)
             elif fault.kind == "slow":
-                self._set(e, slowness=max(1.0, fault.value))
+                self._set(e, slowdown=max(1.0, fault.value))
             elif fault.kind == "die" and e.up:
                 self._die(e)
                 self._later(self.scenario.fleet.contract.removal_delay_ms / 1000, e, "removed")
@@ -254,9 +254,9 @@
             if fault.kind in FAULTS:
                 e.faults[fault.kind] = 0.0
             elif fault.kind == "stall":
-                self._set(e, stalled=False)
+                self._set(e, is_stalled=False)
             elif fault.kind == "slow":
-                self._set(e, slowness=1.0)
+                self._set(e, slowdown=1.0)
             elif fault.kind == "die":
                 self.spawn(self._return(e))
             elif fault.kind == "drain":
@@ -264,7 +264,7 @@
                 self.spawn(self._return(e))
 
     def _set(self, e: SimulatedEndpoint, **what: object) -> None:
-        e.machine.pass_time(now_us())
+        e.machine.advance(now_us())
         for name, value in what.items():
             setattr(e.machine, name, value)
         e.look()
--- a/cressrail/testbed/flood.py
+++ b/cressrail/testbed/flood.py
@@ -1,5 +1,9 @@
-"""python -m cressrail.testbed.flood HOST PORT RATE KEYS: datagrams to one sidecar, so many a second, until it
-is ended: forged, cut short, replayed, and noise. A process of its own, so that the relay is not held up."""
+"""Floods one sidecar with datagrams that it must not act on: forged, truncated, replayed, random bytes.
+
+A process of its own, so that it does not hold up the relay of the test bed; runs until it is killed.
+
+python -m cressrail.testbed.flood HOST PORT DATAGRAMS_PER_S KEY_FILE
+"""
 
 from __future__ import annotations
 
@@ -8,6 +12,7 @@
 import socket
 import sys
 import time
+from collections.abc import Sequence
 from contextlib import suppress
 from pathlib import Path
 
@@ -15,43 +20,50 @@
 from cressrail.membership.authentication import sign_datagram
 from cressrail.membership.messages import ALIVE, InstanceRecord
 
-TURN_S = 0.002  # between two bursts
+BURST_INTERVAL_S = 0.002
+FORGED_KEY_BYTES = 32
+RANDOM_DATAGRAM_SIZES = (1400, 20, 2000)  # bytes: the longest allowed, a short one, one that is too long
+
 
+def build_datagrams(key: bytes, seed: int = 1) -> list[bytes]:
+    """Returns one datagram of each sort, of which only the first is signed with the key.
 
-def pieces(key: bytes, seed: int = 1) -> list[bytes]:
-    """One of each kind."""
-    own = codec.encode_record(InstanceRecord("ghost", "a", ("127.99.0.1", 9), 1, 7, ALIVE))
-    sound = codec.encode_datagram(codec.GOSSIP, 1, own)
-    replayed, forged = sign_datagram(key, sound), sign_datagram(os.urandom(32), sound)
-    chance = random.Random(seed)
+    Args:
+        key: Of the fleet.
+        seed: Of the random bytes.
+    """
+    record = codec.encode_record(InstanceRecord("ghost", "a", ("127.99.0.1", 9), 1, 7, ALIVE))
+    plain = codec.encode_datagram(codec.GOSSIP, 1, record)
+    replayed, forged = sign_datagram(key, plain), sign_datagram(os.urandom(FORGED_KEY_BYTES), plain)
+    random_generator = random.Random(seed)
     return [
         replayed,
         forged,
         replayed[: len(replayed) // 2],
         replayed[:-1],
-        chance.randbytes(1400),
-        chance.randbytes(20),
-        chance.randbytes(2000),
+        *(random_generator.randbytes(size) for size in RANDOM_DATAGRAM_SIZES),
     ]
 
 
-def flood(at: tuple[str, int], rate: float, told: list[bytes]) -> None:
-    family = socket.AF_INET6 if ":" in at[0] else socket.AF_INET
+def send_flood(address: tuple[str, int], datagrams_per_s: float, datagrams: Sequence[bytes]) -> None:
+    """Sends the datagrams in turn, for ever, at that rate on average."""
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as sock:
-        began, sent = time.monotonic(), 0
+        started_s, sent_count = time.monotonic(), 0
         while True:
-            due = int((time.monotonic() - began) * rate)
-            while sent < due:
-                with suppress(OSError):  # it is down, or its queue is full
-                    sock.sendto(told[sent % len(told)], at)
-                sent += 1
-            time.sleep(TURN_S)
-
-
-def main(words: list[str]) -> None:
-    host, port, rate, keys = words
-    key = bytes.fromhex(Path(keys).read_text().split()[0])
-    flood((host, int(port)), float(rate), pieces(key))
+            due_count = int((time.monotonic() - started_s) * datagrams_per_s)
+            while sent_count < due_count:
+                with suppress(OSError):  # nobody listens there, or the queue is full
+                    sock.sendto(datagrams[sent_count % len(datagrams)], address)
+                sent_count += 1
+            time.sleep(BURST_INTERVAL_S)
+
+
+def main(arguments: Sequence[str]) -> None:
+    """Reads the command line and sends until the process is killed."""
+    host, port, datagrams_per_s, key_file = arguments
+    key = bytes.fromhex(Path(key_file).read_text().split()[0])
+    send_flood((host, int(port)), float(datagrams_per_s), build_datagrams(key))
 
 
 if __name__ == "__main__":
--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -1,5 +1,4 @@
-"""A server with pauses that are known: drawn before it starts and written to a file, so that what a load
-generator reports can be held against what is true."""
+"""A server with known pauses, drawn before it starts: what a load generator reports is compared with them."""
 
 from __future__ import annotations
 
@@ -12,52 +11,74 @@
 from cressrail.http_testing.client import now_us
 from cressrail.http_testing.server import Asked, Served
 
-BACKLOG = 4096
+BACKLOG = 4096  # connections that wait to be accepted
+SECOND_US = 1_000_000
+MILLISECOND_US = 1000
+FAR_FUTURE_US = 1 << 62
 
 
 @dataclass(frozen=True)
-class Pauses:
-    """`spans`: (from, to) in microseconds, apart and in order."""
-
-    spans: Sequence[tuple[int, int]]
-
-    def end_of(self, came_us: int, work_us: int) -> int:
-        """When a request that came then is answered: its work goes on only outside the pauses."""
-        at, left = came_us, work_us
-        k = bisect_right(self.spans, (at, 1 << 62)) - 1
-        if k >= 0 and at < self.spans[k][1]:
-            at = self.spans[k][1]
-        for start, end in self.spans[k + 1 :]:
-            if at + left <= start:
+class PauseSchedule:
+    """When a server stands still.
+
+    Attributes:
+        spans_us: Begin and end of each pause, in order and apart from each other.
+    """
+
+    spans_us: Sequence[tuple[int, int]]
+
+    def completion_us(self, arrived_us: int, work_us: int) -> int:
+        """Returns when a request is answered whose work goes on only outside the pauses."""
+        progressed_us, remaining_us = arrived_us, work_us
+        last = bisect_right(self.spans_us, (arrived_us, FAR_FUTURE_US)) - 1
+        if last >= 0 and arrived_us < self.spans_us[last][1]:
+            progressed_us = self.spans_us[last][1]
+        for start_us, end_us in self.spans_us[last + 1 :]:
+            if progressed_us + remaining_us <= start_us:
                 break
-            left -= start - at
-            at = end
-        return at + left
-
-
-def draw(
-    seed: int, seconds: float, every_s: float = 3.0, mean_ms: float = 300.0, most_ms: float = 2000.0
-) -> Pauses:
-    """Gaps and lengths exponential, from 0 on."""
-    chance = random.Random(seed)
-    spans: list[tuple[int, int]] = []
-    at = 0.0
+            remaining_us -= start_us - progressed_us
+            progressed_us = end_us
+        return progressed_us + remaining_us
+
+
+def draw_pauses(
+    seed: int,
+    duration_s: float,
+    mean_interval_s: float = 3.0,
+    mean_pause_ms: float = 300.0,
+    max_pause_ms: float = 2000.0,
+) -> PauseSchedule:
+    """Returns random pauses from time 0 on, of exponential lengths and intervals.
+
+    Args:
+        seed: The same seed gives the same pauses.
+        duration_s: In which pauses begin.
+        mean_interval_s: From the end of a pause to the next.
+        mean_pause_ms: Length of a pause before it is cut.
+        max_pause_ms: Longer ones are cut to this.
+    """
+    random_generator = random.Random(seed)
+    spans_us: list[tuple[int, int]] = []
+    start_us = 0.0
     while True:
-        at += chance.expovariate(1 / every_s) * 1e6
-        length = min(most_ms, chance.expovariate(1 / mean_ms)) * 1000
-        if at > seconds * 1e6:
-            return Pauses(spans)
-        spans.append((int(at), int(at + length)))
-        at += length
+        start_us += random_generator.expovariate(1 / mean_interval_s) * SECOND_US
+        length_us = min(max_pause_ms, random_generator.expovariate(1 / mean_pause_ms)) * MILLISECOND_US
+        if start_us > duration_s * SECOND_US:
+            return PauseSchedule(spans_us)
+        spans_us.append((int(start_us), int(start_us + length_us)))
+        start_us += length_us
 
 
-async def serve(host: str, port: int, pauses: Pauses, work_us: int) -> asyncio.Server:
-    """Answers every request when `pauses`, on the steady clock, let it."""
+async def serve_with_pauses(host: str, port: int, pauses: PauseSchedule, work_us: int) -> asyncio.Server:
+    """Starts a server that answers each request when the pauses, on the monotonic clock, let it."""
     loop = asyncio.get_running_loop()
 
-    def asked(asked: Asked) -> None:
-        now = now_us()
-        wait_us = pauses.end_of(now, work_us) - now
-        loop.call_later(wait_us / 1e6, asked.server.answer, 200, asked.fields.get(b"req-id", b""))
+    def answer_later(request: Asked) -> None:
+        arrived_us = now_us()
+        wait_us = pauses.completion_us(arrived_us, work_us) - arrived_us
+        request_id = request.fields.get(b"req-id", b"")
+        loop.call_later(wait_us / SECOND_US, request.server.answer, 200, request_id)
 
-    return await loop.create_server(lambda: Served(asked, lambda served: None), host, port, backlog=BACKLOG)
+    return await loop.create_server(
+        lambda: Served(answer_later, lambda _connection: None), host, port, backlog=BACKLOG
+    )
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -1,12 +1,16 @@
-"""Starts a sidecar with another policy, as a baseline, or broken on purpose, to prove that the rule checker
-sees it. Switches of the rig only: the product has none of them.
+"""Starts a sidecar with a baseline policy, or with a deliberate defect that the rule checker must find.
 
-python -m cressrail.testbed.policy_variants --policy NAME --break NAME CONFIG
+Only the test bed has these variants; the program has no option for them.
+
+python -m cressrail.testbed.policy_variants --policy NAME --break NAME CONFIGURATION
 """
 
 from __future__ import annotations
 
+import argparse
 import sys
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from cressrail.cli.launch import launch
 from cressrail.configuration import policy_factory
@@ -24,6 +28,10 @@
 from cressrail.proxy.commands import SendResponse
 from cressrail.proxy.endpoint_registry import EndpointRegistry, RegistryChanges
 
+SECOND_RESPONSE_INTERVAL = 3  # every so-many-th client connection gets a second response
+SWALLOWED_INTERVAL = 7  # every so-many-th response is swallowed
+SECOND_RESPONSE_TIMEOUT_US = 100_000
+
 
 class Baseline(LoadBalancer):
     """A uniformly random choice, without limits, queue, zone preference or slow start.
@@ -68,12 +76,12 @@
 class RoundRobin(Baseline):
     """One endpoint after the other."""
 
-    turn = 0
+    choice_count = 0
 
     def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
         """Returns the next one."""
-        self.turn += 1
-        return candidates[self.turn % len(candidates)]
+        self.choice_count += 1
+        return candidates[self.choice_count % len(candidates)]
 
 
 class LeastInFlight(Baseline):
@@ -93,7 +101,7 @@
     retries_always = True
 
 
-POLICIES = {
+POLICIES: dict[str, type[LoadBalancer]] = {
     "random": Baseline,
     "round-robin": RoundRobin,
     "least-in-flight": LeastInFlight,
@@ -101,81 +109,99 @@
 }
 
 
-def answers_twice() -> None:
-    """Rule 1: something is sent after the final answer."""
-    write = ClientConnectionTask._send_response
+def send_second_response() -> None:
+    """Rule 1: some connections get bytes after the one final response."""
+    send_response = ClientConnectionTask._send_response
 
-    def twice(self: ClientConnectionTask, command: SendResponse) -> None:
-        write(self, command)
-        if self.number % 3 == 0:
-            self.stream.send([memoryview(Response(503).encode_head(True))], self.dispatcher.now() + 100_000)
+    def send_twice(self: ClientConnectionTask, command: SendResponse) -> None:
+        send_response(self, command)
+        if self.number % SECOND_RESPONSE_INTERVAL == 0:
+            second = memoryview(Response(503).encode_head(True))
+            self.stream.send([second], self.dispatcher.now() + SECOND_RESPONSE_TIMEOUT_US)
 
-    ClientConnectionTask._send_response = twice  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = send_twice  # type: ignore[method-assign]
 
 
-def swallows() -> None:
-    """Rule 1: some that were taken get no answer."""
-    write = ClientConnectionTask._send_response
+def swallow_responses() -> None:
+    """Rule 1: some accepted requests get no response."""
+    send_response = ClientConnectionTask._send_response
 
-    def eats(self: ClientConnectionTask, command: SendResponse) -> None:
-        if command.response.body is None or self.dispatcher.state_machine.ids.last % 7:
-            write(self, command)
+    def swallow_some(self: ClientConnectionTask, command: SendResponse) -> None:
+        if command.response.body is None or self.dispatcher.state_machine.ids.last % SWALLOWED_INTERVAL:
+            send_response(self, command)
             return
         command.response.body.release()
         raise OSError("swallowed on purpose")
 
-    ClientConnectionTask._send_response = eats  # type: ignore[method-assign]
+    ClientConnectionTask._send_response = swallow_some  # type: ignore[method-assign]
+
+
+def retry_unsafe_requests() -> None:
+    """Rule 2: what may have taken effect is sent again, whatever its request class."""
 
+    def may_retry(self: RetryPolicy, request: RoutedRequest, *_: Any, **__: Any) -> bool:
+        return len(request.attempts) < self.max_attempts
 
-def repeats() -> None:
-    """Rule 2: what may have run goes out again, whatever its profile."""
-    RetryPolicy.may_retry = lambda self, request, now_us: len(request.attempts) < self.max_attempts  # type: ignore[method-assign]
-    RetryPolicy.may_run_again = lambda self, request, now_us: True  # type: ignore[method-assign]
-    RetryPolicy.may_use_endpoint = lambda self, request, endpoint: True  # type: ignore[method-assign]
-    RetryBudget.spend = lambda self, now_us: True  # type: ignore[method-assign]
-    LoadBalancer._is_owned_error = lambda self, endpoint, now_us, outcome: True  # type: ignore[method-assign]
+    RetryPolicy.may_retry = may_retry  # type: ignore[method-assign]
+    RetryPolicy.may_run_again = _always  # type: ignore[method-assign]
+    RetryPolicy.may_use_endpoint = _always  # type: ignore[method-assign]
+    RetryBudget.spend = _always  # type: ignore[method-assign]
+    LoadBalancer._is_owned_error = _always  # type: ignore[method-assign]
 
 
-def deaf() -> None:
-    """Rule 3: what discovery says of draining and leaving is not heard."""
-    heard = EndpointRegistry.apply
+def ignore_drains() -> None:
+    """Rule 3: draining and removed endpoints stay in use."""
+    apply_update = EndpointRegistry.apply
 
-    def never(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
-        for row in update.entries:
-            row.accepts_requests, row.is_removed = True, False
+    def apply_as_accepting(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
+        for entry in update.entries:
+            entry.accepts_requests, entry.is_removed = True, False
         update.is_complete = False
-        return heard(self, update)
+        return apply_update(self, update)
 
-    EndpointRegistry.apply = never  # type: ignore[method-assign]
+    EndpointRegistry.apply = apply_as_accepting  # type: ignore[method-assign]
 
 
-def rushes() -> None:
-    """Rule 4: a cold endpoint is the one that everything goes to."""
-    SlowStart.is_warming_up = lambda self, endpoint, now_us: False  # type: ignore[method-assign]
+def rush_to_new_endpoints() -> None:
+    """Rule 4: everything is sent to the endpoint that started last."""
 
-    class Rush(LeastInFlight):
+    class NewestEndpoint(LeastInFlight):
         def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
             return max(candidates, key=lambda endpoint: endpoint.started_us)
 
-    POLICIES["own"] = Rush
+    SlowStart.is_warming_up = _never  # type: ignore[method-assign]
+    POLICIES["own"] = NewestEndpoint
+
+
+def _always(*_: Any, **__: Any) -> bool:
+    return True
+
+
+def _never(*_: Any, **__: Any) -> bool:
+    return False
 
 
-BREAKS = {
-    "answers-twice": answers_twice,
-    "swallows": swallows,
-    "repeats": repeats,
-    "deaf": deaf,
-    "rushes": rushes,
+DEFECTS: dict[str, Callable[[], None]] = {
+    "answers-twice": send_second_response,
+    "swallows": swallow_responses,
+    "repeats": retry_unsafe_requests,
+    "deaf": ignore_drains,
+    "rushes": rush_to_new_endpoints,
 }
 
 
-def main(words: list[str]) -> int:
-    policy, broken, config = words[1], words[3], words[4]
-    if broken:
-        BREAKS[broken]()
-    if policy in POLICIES:
-        vars(policy_factory)["LoadBalancer"] = POLICIES[policy]
-    return launch(config)
+def main(arguments: Sequence[str]) -> int:
+    """Runs the sidecar; returns its exit status."""
+    parser = argparse.ArgumentParser(prog="python -m cressrail.testbed.policy_variants")
+    parser.add_argument("--policy", required=True)
+    parser.add_argument("--break", required=True, dest="defect")
+    parser.add_argument("configuration")
+    options = parser.parse_args(arguments)
+    if options.defect:
+        DEFECTS[options.defect]()
+    if options.policy in POLICIES:
+        vars(policy_factory)["LoadBalancer"] = POLICIES[options.policy]
+    return launch(options.configuration)
 
 
 if __name__ == "__main__":
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -1,4 +1,4 @@
-"""The fleet as a process of its own: ready, told when to begin, ended by the end of its input or a signal."""
+"""Runs a fleet as a process of its own: reports that it is ready, begins the faults, ends with its input."""
 
 from __future__ import annotations
 
@@ -15,42 +15,65 @@
 from cressrail.testbed.fleet import Fleet
 from cressrail.testbed.scenario import FleetScenario
 
+START_COMMAND = "go"
+# Collections hold the relay up: rare ones of what the run itself allocates.
+GC_THRESHOLDS = (50_000, 20, 1000)
 
-def run(world: FleetScenario, folder: Path, tree: Path, policy: str, broken: str, at_once: bool) -> int:
-    """Writes one line of JSON once ready, `doors` being what load is sent to. Then a line `go MICROSECONDS`
-    on standard input starts the faults at that time of the steady clock; with `at_once` they start without.
-    Ends when the input does, or on SIGINT and SIGTERM."""
-    return uvloop.run(_run(Fleet(world, folder, tree, policy, broken), at_once))
 
+def run_fleet(
+    scenario: FleetScenario, folder: Path, checkout: Path, policy: str, defect: str, starts_at_once: bool
+) -> int:
+    """Runs the fleet of a scenario until the end of standard input, SIGINT or SIGTERM.
 
-async def _run(fleet: Fleet, at_once: bool) -> int:
+    Writes one line of JSON to standard output once it is ready, with the addresses of the ingress sidecars
+    under `doors`. A line `go MICROSECONDS` on standard input then starts the faults at that time of the
+    monotonic clock.
+
+    Args:
+        scenario: What runs.
+        folder: For configurations, logs and the record of events.
+        checkout: Of the repository whose sidecars run.
+        policy: Name of the policy.
+        defect: Name of a deliberate defect of the sidecars, empty for none.
+        starts_at_once: Whether the faults start without the line.
+
+    Returns:
+        Exit status: 0, or 1 if the fleet can't be started.
+    """
+    return uvloop.run(_run(Fleet(scenario, folder, checkout, policy, defect), starts_at_once))
+
+
+async def _run(fleet: Fleet, starts_at_once: bool) -> int:
     loop = asyncio.get_running_loop()
-    over = asyncio.Event()
-    for name in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(name, over.set)
+    is_over = asyncio.Event()
+    for stop_signal in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(stop_signal, is_over.set)
     try:
         await fleet.start()
-        print(orjson.dumps({"doors": [s.target for s in fleet.ingress_sidecars]}).decode(), flush=True)
+        print(
+            orjson.dumps({"doors": [sidecar.target for sidecar in fleet.ingress_sidecars]}).decode(),
+            flush=True,
+        )
         gc.collect()
         gc.freeze()
-        gc.set_threshold(50_000, 20, 1000)
-        if at_once:
+        gc.set_threshold(*GC_THRESHOLDS)
+        if starts_at_once:
             fleet.spawn(fleet.run_faults(now_us()))
         else:
-            loop.add_reader(sys.stdin.fileno(), _heard, fleet, over)
-        await over.wait()
-    except (RuntimeError, OSError) as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
+            loop.add_reader(sys.stdin.fileno(), _read_command, fleet, is_over)
+        await is_over.wait()
+    except (RuntimeError, OSError) as error:
+        print(f"cressrail: {error}", file=sys.stderr)
         return 1
     finally:
         await fleet.close()
     return 0
 
 
-def _heard(fleet: Fleet, over: asyncio.Event) -> None:
-    words = sys.stdin.readline().split()
-    if len(words) == 2 and words[0] == "go" and words[1].isdigit():
-        fleet.spawn(fleet.run_faults(int(words[1])))
-    else:
-        asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
-        over.set()
+def _read_command(fleet: Fleet, is_over: asyncio.Event) -> None:
+    match sys.stdin.readline().split():
+        case [command, start_us] if command == START_COMMAND and start_us.isdigit():
+            fleet.spawn(fleet.run_faults(int(start_us)))
+        case _:  # the end of the input, or nothing that can be read
+            asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
+            is_over.set()
--- a/cressrail/testbed/scenario_file.py
+++ b/cressrail/testbed/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reads a rig's TOML file; what can't be used is one line with file, path and reason."""
+"""Reads scenario files in TOML; what is wrong with one is said in one line with file, path and reason."""
 
 from __future__ import annotations
 
@@ -16,24 +16,35 @@
 
 
 class ScenarioError(Exception):
-    pass
+    """A scenario file is missing, or says what can't be used."""
 
 
 @contextmanager
 def errors_in_file(path: Path) -> Iterator[None]:
-    """Names the file in which what can't be used in here stands."""
+    """Puts the file's path before the message of a ScenarioError that is raised inside."""
     try:
         yield
-    except ScenarioError as fault:
-        raise ScenarioError(f"{path}: {fault}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{path}: {error}") from None
 
 
 def read_scenario(path: Path, model: type[Model]) -> Model:
+    """Returns the records of a scenario file.
+
+    Args:
+        path: Of the TOML file.
+        model: Pydantic model of the file's root.
+
+    Raises:
+        ScenarioError: The file can't be read, is no TOML or does not fit the model.
+    """
     try:
         return model.model_validate(tomllib.loads(path.read_text()))
-    except (OSError, UnicodeDecodeError) as fault:
-        raise ScenarioError(f"{path}: {getattr(fault, 'strerror', None) or fault}") from None
-    except tomllib.TOMLDecodeError as fault:
-        raise ScenarioError(f"{path}: not TOML: {fault}") from None
-    except ValidationError as fault:
-        raise ScenarioError(f"{path}: {reason(fault)}") from None
+    except OSError as error:
+        raise ScenarioError(f"{path}: {error.strerror or error}") from None
+    except UnicodeDecodeError as error:
+        raise ScenarioError(f"{path}: {error}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(f"{path}: not TOML: {error}") from None
+    except ValidationError as error:
+        raise ScenarioError(f"{path}: {reason(error)}") from None
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -10,7 +10,7 @@
 import asyncio
 import random
 import socket
-from collections import deque
+from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
@@ -28,21 +28,25 @@
 
 
 class IdempotencyKeys:
-    """The keys that a group has seen, and when. One for the endpoints that the group holds."""
+    """The idempotency keys that the endpoints of one key scope have seen.
+
+    Attributes:
+        first_seen_us: When each key was seen, the oldest first.
+    """
 
     def __init__(self) -> None:
-        self.seen: dict[str, int] = {}
-        self.order: deque[tuple[int, str]] = deque()
-
-    def repeat(self, key: str, now: int, window_us: int) -> bool:
-        while self.order and self.order[0][0] + window_us < now:
-            at, old = self.order.popleft()
-            if self.seen.get(old) == at:
-                del self.seen[old]
-        if key in self.seen:
+        self.first_seen_us: OrderedDict[str, int] = OrderedDict()
+
+    def is_repeat(self, key: str, now_us: int, window_us: int) -> bool:
+        """Returns whether the key was seen within the window; keeps it from now on if not."""
+        while self.first_seen_us:
+            oldest_key, oldest_us = next(iter(self.first_seen_us.items()))
+            if oldest_us + window_us >= now_us:
+                break
+            del self.first_seen_us[oldest_key]
+        if key in self.first_seen_us:
             return True
-        self.seen[key] = now
-        self.order.append((now, key))
+        self.first_seen_us[key] = now_us
         return False
 
 
@@ -196,7 +200,7 @@
         if work is not None:
             work.left = True
             work.row["left_us"] = now_us()
-            if self.contract.stops_on_cancel or not work.job.slot:
+            if self.contract.stops_on_cancel or not work.job.has_slot:
                 self._over(work, "left")
 
     def _asked(self, asked: Asked) -> None:
@@ -219,7 +223,7 @@
             "came_us": now,
             "limit_us": limit_us,
             "ran": False,
-            "cold": self.machine.capacity(now),
+            "cold": self.machine.available_share(now),
             "work_us": 0,
         }
         work = Work(asked, name, profile, now, limit_us, row)
@@ -233,7 +237,7 @@
         row["work_us"] = int(whole)
         if profile.repeat == "keyed" and key:
             journal = self.journals(self, profile)
-            if journal.repeat(key, now, int(profile.idempotency_window_ms * 1000)):
+            if journal.is_repeat(key, now, int(profile.idempotency_window_ms * 1000)):
                 row["repeat"] = True
                 self._end(work, 200, "repeat")
                 return
@@ -246,7 +250,7 @@
         if not self.machine.offer(now, work.job):
             self._decline(work)
             return
-        row["ran"] = work.job.slot
+        row["ran"] = work.job.has_slot
         self.look()
 
     def _strikes(self, kind: str) -> bool:
@@ -259,7 +263,7 @@
     def look(self) -> None:
         """What has computed its part goes on; then waits for the next."""
         now = now_us()
-        for job in self.machine.ended(now):
+        for job in self.machine.pop_completed(now):
             work = self.works[job]
             work.row["ran"] = True
             if work.calls:
@@ -268,7 +272,7 @@
             else:
                 self._answer(work)
         now = now_us()
-        due = self.machine.next_us(now)
+        due = self.machine.next_completion_us(now)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -350,7 +354,7 @@
     def _over(self, work: Work, how: str) -> None:
         """The one place where a hop's work ends, slot and place given back, and its row is written."""
         now = now_us()
-        self.machine.leave(now, work.job)
+        self.machine.release(now, work.job)
         if self.works.pop(work.job, None) is not None and self.up:
             asyncio.get_running_loop().call_soon(self.look)  # its slot may have let another begin
         if work.asked.server.job is work:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -19,7 +19,7 @@
 from cressrail.testbed.rule_checker import Break, Evidence, evidence
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
-from tests.test_standin import DOOR, call, hop
+from tests.testbed.event_rows import INGRESS_ROW, attempt_row, call_row
 
 FILE: dict[str, Any] = {
     "name": "<x>",
@@ -39,19 +39,19 @@
     ],
 }
 LOAD: list[dict[str, Any]] = [
-    call("5-1-1"),
-    call("5-2-1", status=503),
-    call("5-2-2", ended_us=15_000),
-    call("5-3-1", "note", member="umea", ended_us=40_000),
-    call("5-4-1", member="umea", status=0, how="gave up"),
+    call_row("5-1-1"),
+    call_row("5-2-1", status=503),
+    call_row("5-2-2", ended_us=15_000),
+    call_row("5-3-1", "note", member="umea", ended_us=40_000),
+    call_row("5-4-1", member="umea", status=0, how="gave up"),
 ]
 FLEET: list[dict[str, Any]] = [
-    DOOR,
+    INGRESS_ROW,
     {"start_us": 0},
-    hop("5-1-1"),
-    hop("5-1-1", "x1", 300),
-    hop("5-2-2"),
-    hop("5-3-1", late_us=9, profile="note"),
+    attempt_row("5-1-1"),
+    attempt_row("5-1-1", "x1", 300),
+    attempt_row("5-2-2"),
+    attempt_row("5-3-1", late_us=9, profile="note"),
 ]
 
 
--- /dev/null
+++ b/tests/testbed/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of cressrail.testbed, one file a module."""
--- /dev/null
+++ b/tests/testbed/event_rows.py
@@ -0,0 +1,71 @@
+"""Rows of a run's event record and of the load's attempt log, as sound ones look, and a scenario for them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+Row = dict[str, Any]
+
+ONE_TIER: Row = {
+    "seconds": 5,
+    "fleet": {
+        "zones": ["a"],
+        "doors": 1,
+        "contract": {"warm_ms": 4000, "notice_ms": 300},
+        "tiers": [{"name": "x", "endpoints": 3, "cores": 2, "service": {"mean_ms": 5}}],
+    },
+    "profiles": [
+        {"name": "read", "limit_ms": 500, "goal_ms": 200},
+        {"name": "note", "repeat": "unsafe", "limit_ms": 500, "goal_ms": 200},
+    ],
+    "members": [{"name": "acme"}],
+    "load": {"rate": 120},
+}
+INGRESS_ROW: Row = {"sidecar": "door0", "target": "door", "tier": 0, "zone": "a", "at_us": 0}
+
+
+def call_row(request_id: str, request_class: str = "read", **fields: Any) -> Row:
+    """A client's attempt that succeeded within 9 ms of its deadline of 500 ms, but for the fields named."""
+    return {
+        "id": request_id,
+        "profile": request_class,
+        "member": "acme",
+        "key": "k",
+        "target": "door",
+        "due_us": 0,
+        "began_us": 0,
+        "sent_us": 1,
+        "ended_us": 9000,
+        "status": 200,
+        "how": "answered",
+        "limit_us": 500_000,
+        "echo": request_id,
+        **fields,
+    }
+
+
+def attempt_row(request_id: str, endpoint: str = "x0", arrived_us: int = 100, **fields: Any) -> Row:
+    """An attempt that its endpoint completed in 10 microseconds, but for the fields named."""
+    return {
+        "endpoint": endpoint,
+        "tier": 0,
+        "zone": "a",
+        "cell": 1,
+        "id": request_id,
+        "profile": "read",
+        "key": "k",
+        "came_us": arrived_us,
+        "limit_us": 500_000,
+        "ran": True,
+        "how": "committed",
+        "left_us": arrived_us + 10,
+        "ended_us": arrived_us + 10,
+        "late_us": 0,
+        "work_us": 5000,
+        **fields,
+    }
+
+
+def phase_row(phase: str, at_us: int) -> Row:
+    """Discovery announces a phase of endpoint x0 to the ingress sidecar."""
+    return {"told": "door0", "endpoint": "x0", "phase": phase, "at_us": at_us}
--- /dev/null
+++ b/tests/testbed/test_rule_checker.py
@@ -0,0 +1,176 @@
+"""The rule checker: sound runs break no rule; each violation is named with its evidence."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.testbed.rule_checker import Evidence, evidence, judge
+from cressrail.testbed.scenario import FleetScenario
+from tests.testbed.event_rows import INGRESS_ROW, ONE_TIER, Row, attempt_row, call_row, phase_row
+
+SCENARIO = FleetScenario.model_validate(
+    {
+        **ONE_TIER,
+        "profiles": [*ONE_TIER["profiles"], {"name": "keyed", "repeat": "keyed", "window_ms": 1000}],
+    }
+)
+
+
+@pytest.mark.parametrize(
+    ("load", "fleet"),
+    [
+        pytest.param([call_row("a")], [attempt_row("a")], id="succeeded"),
+        pytest.param([call_row("a", sent_us=0, how="reset", status=0)], [], id="never-sent"),
+        pytest.param([call_row("a", how="no connection", sent_us=0, status=0)], [], id="no-connection"),
+        pytest.param(
+            [call_row("a", again_us=90)], [attempt_row("a")], id="sent-again-after-crossing-a-close"
+        ),
+        pytest.param(
+            [call_row("a", status=503)],
+            [attempt_row("a", ran=False, how="turned away")],
+            id="rejected-by-the-endpoint",
+        ),
+        pytest.param(
+            [call_row("a")],
+            [attempt_row("a", how="error"), attempt_row("a", "x1", 200)],
+            id="idempotent-and-retried",
+        ),
+        pytest.param(
+            [call_row("a", "note", status=502)], [attempt_row("a", how="error")], id="failed-without-a-retry"
+        ),
+        pytest.param(
+            [call_row("a", "keyed")],
+            [
+                attempt_row("a", how="reset"),
+                attempt_row("a", "x1", 900_000, how="repeat", ran=False, repeat=True),
+            ],
+            id="retried-within-the-idempotency-window",
+        ),
+        pytest.param(
+            [call_row("a")],
+            [attempt_row("a", arrived_us=900_000), phase_row("draining", 500_000)],
+            id="within-the-drain-grace",
+        ),
+        pytest.param(
+            [call_row("a")],
+            [
+                attempt_row("a", arrived_us=5_000_000),
+                phase_row("draining", 500_000),
+                phase_row("up", 600_000),
+            ],
+            id="back-after-the-drain",
+        ),
+    ],
+)
+def test_sound_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
+    assert judge(SCENARIO, evidence(load, [INGRESS_ROW, *fleet])) == []
+
+
+def test_empty_run_breaks_no_rule() -> None:
+    assert judge(SCENARIO, Evidence()) == []
+
+
+@pytest.mark.parametrize(
+    ("rule", "message", "load", "fleet"),
+    [
+        pytest.param(1, "no answer: reset", [call_row("a", how="reset", status=0)], [], id="reset"),
+        pytest.param(1, "no answer within", [call_row("a", how="gave up", status=0)], [], id="no-response"),
+        pytest.param(
+            1, "answered after 551.0 ms", [call_row("a", ended_us=551_001)], [attempt_row("a")], id="late"
+        ),
+        pytest.param(1, "made for b", [call_row("a", echo="b")], [attempt_row("a")], id="of-another-request"),
+        pytest.param(
+            1, "no endpoint committed", [call_row("a")], [attempt_row("a", how="error")], id="made-up-success"
+        ),
+        pytest.param(
+            1,
+            "closed without an answer after x0",
+            [call_row("a", again_us=150)],
+            [attempt_row("a"), attempt_row("a", "x1", 200)],
+            id="closed-after-an-attempt",
+        ),
+        pytest.param(
+            1,
+            "7 bytes after",
+            [call_row("a"), {"surplus": 7, "target": "door"}],
+            [attempt_row("a")],
+            id="bytes-after-the-final-response",
+        ),
+        pytest.param(
+            2,
+            "non-idempotent, ran on x0",
+            [call_row("a", "note")],
+            [attempt_row("a", how="error"), attempt_row("a", "x1", 200)],
+            id="non-idempotent-retried",
+        ),
+        pytest.param(
+            2,
+            "rolled back, but it ran",
+            [call_row("a", "note", status=503)],
+            [attempt_row("a", how="error")],
+            id="rejected-though-it-ran",
+        ),
+        pytest.param(
+            2,
+            "in cell 1, sent to x1 in cell 2",
+            [call_row("a", "keyed")],
+            [attempt_row("a", how="reset"), attempt_row("a", "x1", 200, cell=2)],
+            id="outside-the-key-scope",
+        ),
+        pytest.param(
+            2,
+            "sent again 1100.0 ms after",
+            [call_row("a", "keyed")],
+            [attempt_row("a", how="reset"), attempt_row("a", "x1", 1_100_100)],
+            id="outside-the-idempotency-window",
+        ),
+        pytest.param(
+            2,
+            "two hops out",
+            [call_row("a")],
+            [attempt_row("a", left_us=400_000), attempt_row("a", "x1", 200_000)],
+            id="two-attempts-at-once",
+        ),
+        pytest.param(
+            3,
+            "draining and sent to it 700.0 ms",
+            [call_row("a")],
+            [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 500_000)],
+            id="sent-to-a-draining-endpoint",
+        ),
+        pytest.param(
+            3,
+            "removed and sent",
+            [call_row("a")],
+            [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 1), phase_row("removed", 900_000)],
+            id="sent-to-a-removed-endpoint",
+        ),
+        pytest.param(
+            4,
+            "x0, cold for",
+            [call_row(f"a{n}") for n in range(90)],
+            [
+                {"started": "x0", "at_us": 0},
+                *(attempt_row(f"a{n}", arrived_us=1000 + n, work_us=50_000) for n in range(90)),
+            ],
+            id="overload-during-warmup",
+        ),
+        pytest.param(
+            0,
+            "2 retries for 9 transactions",
+            [call_row(f"a{n}") for n in range(9)],
+            [
+                *(attempt_row(f"a{n}") for n in range(9)),
+                *(attempt_row(f"a{n}", "x1", 300) for n in range(3)),
+            ],
+            id="over-the-retry-budget",
+        ),
+    ],
+)
+def test_violation_is_named_with_its_evidence(
+    rule: int, message: str, load: list[Row], fleet: list[Row]
+) -> None:
+    violations = judge(SCENARIO, evidence(load, [INGRESS_ROW, *fleet]))
+
+    assert [violation.rule for violation in violations] == [rule]
+    assert message in violations[0].evidence
--- /dev/null
+++ b/tests/testbed/test_scenario.py
@@ -0,0 +1,58 @@
+"""Scenario files: what can't be used is one line with file, path and reason."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
+
+SMALLEST_SCENARIO = """
+[[fleet.tiers]]
+name = "x"
+[[profiles]]
+name = "read"
+[[members]]
+name = "m"
+"""
+
+
+@pytest.mark.parametrize(
+    ("line", "reason"),
+    [
+        pytest.param("seconds = -1", "seconds: Input should be greater than 0", id="duration"),
+        pytest.param("colour = 1", "colour: Extra inputs", id="unknown-key"),
+        pytest.param("duration_s = 1", "duration_s: Extra inputs", id="term-in-place-of-key"),
+        pytest.param(
+            'faults = [{at_s=1, kind="die", tier=4}]', "faults.0.tier: there are 1 tiers", id="unknown-tier"
+        ),
+        pytest.param(
+            'faults = [{at_s=1, kind="cut"}]', "faults.0.zone: a cut names the zone", id="cut-without-zone"
+        ),
+        pytest.param(
+            'faults = [{at_s=1, kind="die", zone="q"}]',
+            "faults.0.zone: none of a, b: q",
+            id="unknown-zone",
+        ),
+        pytest.param(
+            'faults = [{at_s=1, kind="die", endpoints=[9]}]',
+            "faults.0.endpoints: tier 0 has 4",
+            id="unknown-endpoint",
+        ),
+        pytest.param('faults = [{at_s=1, kind="burn"}]', "faults.0.kind: Input should be", id="unknown-kind"),
+        pytest.param("seed = ", "not TOML: ", id="no-toml"),
+    ],
+)
+def test_unusable_file_is_refused_in_one_line(tmp_path: Path, line: str, reason: str) -> None:
+    path = tmp_path / "scenario.toml"
+    path.write_text(line + "\n" + SMALLEST_SCENARIO)
+
+    with pytest.raises(ScenarioError) as raised:
+        read_scenario(path, FleetScenario)
+
+    message = str(raised.value)
+    assert message.startswith(f"{path}: ")
+    assert reason in message
+    assert "\n" not in message
