--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from cressrail.http_testing.client import now_us
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 
 BACKLOG = 4096  # connections that wait to be accepted
 SECOND_US = 1_000_000
@@ -73,12 +73,12 @@
     """Starts a server that answers each request when the pauses, on the monotonic clock, let it."""
     loop = asyncio.get_running_loop()
 
-    def answer_later(request: Asked) -> None:
+    def answer_later(request: ReceivedRequest) -> None:
         arrived_us = now_us()
         wait_us = pauses.completion_us(arrived_us, work_us) - arrived_us
-        request_id = request.fields.get(b"req-id", b"")
-        loop.call_later(wait_us / SECOND_US, request.server.answer, 200, request_id)
+        request_id = request.headers.get(b"req-id", b"")
+        loop.call_later(wait_us / SECOND_US, request.connection.respond, 200, request_id)
 
     return await loop.create_server(
-        lambda: Served(answer_later, lambda _connection: None), host, port, backlog=BACKLOG
+        lambda: ServerConnection(answer_later, lambda _connection: None), host, port, backlog=BACKLOG
     )
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -154,10 +154,8 @@
     apply_update = EndpointRegistry.apply
 
     def apply_as_accepting(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
-        for entry in update.entries:
-            entry.accepts_requests, entry.is_removed = True, False
-        update.is_complete = False
-        return apply_update(self, update)
+        entries = [entry._replace(accepts_requests=True, is_removed=False) for entry in update.entries]
+        return apply_update(self, update._replace(entries=entries, is_complete=False))
 
     EndpointRegistry.apply = apply_as_accepting  # type: ignore[method-assign]
 
