--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -14,7 +14,7 @@
 from cressrail.cli.output import fail
 from cressrail.http_testing.client import now_us
 from cressrail.testbed import pauses as known
-from cressrail.testbed.event_record import rows
+from cressrail.testbed.event_record import read_events
 from cressrail.testbed.rule_checker import evidence, judge
 from cressrail.testbed.run import run as run_fleet
 from cressrail.testbed.scenario import FleetScenario
@@ -60,7 +60,7 @@
     """Judge the four rules from a run's ledgers; exit status 3 if one is broken."""
     try:
         world = read_scenario(file, FleetScenario)
-        broken = judge(world, evidence(rows(load), rows(fleet)))
+        broken = judge(world, evidence(read_events(load), read_events(fleet)))
     except (ScenarioError, OSError, orjson.JSONDecodeError) as fault:
         fail(str(fault))
     for one in broken:
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -14,8 +14,15 @@
 import orjson
 
 from cressrail.experiment.play import Played, play_world
-from cressrail.testbed.event_record import rows
-from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
+from cressrail.testbed.event_record import read_events
+from cressrail.testbed.membership_evidence import collect_membership_evidence
+from cressrail.testbed.membership_verdicts import (
+    detection_times,
+    do_views_agree,
+    find_false_deaths,
+    join_time_s,
+    mean_count_error,
+)
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
@@ -25,8 +32,8 @@
 def figures(world: FleetScenario, played: Played, folder: Path) -> dict[str, Any]:
     """Of one play. Seconds; `bytes_per_s` and `cpu` are a second of one sidecar, the latter all its work
     included."""
-    ledger = list(rows(folder / "fleet.jsonl"))
-    seen = views(ledger)
+    ledger = list(read_events(folder / "fleet.jsonl"))
+    seen = collect_membership_evidence(ledger)
     talk = world.fleet.membership
     assert talk is not None
     bear_us = talk.tolerated_pause_ms * 1000
@@ -39,29 +46,29 @@
         for name, before in spent[0]["spent_s"].items()
         if spent[-1]["spent_s"][name] >= before
     ]
-    deaths = known(seen)
+    deaths = detection_times(seen)
     worst = {
         part: max((getattr(one, part) for one in deaths if getattr(one, part) is not None), default=None)
         for part in ("first_s", "half_s", "all_s")
     }
     return {
         "name": world.name,
-        "sidecars": len(seen.lives),
-        "void": seen.void,
-        "lag_ms": round(seen.lag_s * 1000, 1),
+        "sidecars": len(seen.processes),
+        "void": seen.invalid_reason,
+        "lag_ms": round(seen.relay_lag_s * 1000, 1),
         "broken": [f"rule {one.rule}: {one.tx}: {one.evidence}" for one in played.broken],
         "false_losses": [
-            f"{one.by} of {one.of} at {(one.at_us - start_us) / 1e6:.1f} s"
-            for one in false_losses(seen, bear_us, RETURN_BEARS * bear_us)
+            f"{one.observer} of {one.subject} at {(one.at_us - start_us) / 1e6:.1f} s"
+            for one in find_false_deaths(seen, bear_us, RETURN_BEARS * bear_us)
         ],
-        "joined_s": joined(seen),
+        "joined_s": join_time_s(seen),
         "deaths": len(deaths),
         "known_to_all": sum(1 for one in deaths if one.all_s is not None),
         "slowest": worst,
-        "live_error": round(live_error(seen, start_us, seen.end_us), 4),
-        "most_gone_by": max((row.get("goes_by", 0) for row in seen.rows), default=0),
-        "agree_at_end": agreed(seen, seen.end_us),
-        "bytes_per_s": round(bytes_ / span_s / max(1, len(seen.lives))),
+        "live_error": round(mean_count_error(seen, start_us, seen.end_us), 4),
+        "most_gone_by": max((view.counted_instances for view in seen.views), default=0),
+        "agree_at_end": do_views_agree(seen, seen.end_us),
+        "bytes_per_s": round(bytes_ / span_s / max(1, len(seen.processes))),
         "cpu": round(sum(cpu) / max(1, len(cpu)) / span_s, 5),
         "wires": spent[-1]["wires"],
         "tries": played.told["tries"],
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -17,8 +17,8 @@
 from cressrail.http_testing.client import now_us
 from cressrail.load.plan import MemberMix, Plan, ProfileMix
 from cressrail.load.run import Job, play
-from cressrail.testbed.event_record import rows
-from cressrail.testbed.membership_verdicts import Views, views
+from cressrail.testbed.event_record import read_events
+from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
 from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
 from cressrail.testbed.scenario import FleetScenario
 
@@ -142,22 +142,22 @@
         told = play(
             Job(plan_of(world), doors, ledger=ledger, spool=folder / "spool", start_us=start_us, quiet=quiet)
         )
-    seen = evidence(rows(ledger), rows(folder / "fleet.jsonl"))
+    seen = evidence(read_events(ledger), read_events(folder / "fleet.jsonl"))
     found = judge(world, seen)
     if world.fleet.membership is not None:
-        away = excused(seen, views(rows(folder / "fleet.jsonl")))
+        away = excused(seen, collect_membership_evidence(read_events(folder / "fleet.jsonl")))
         found = [one for one in found if one.rule != 1 or one.tx not in away]
     return Played(told, seen, found)
 
 
-def excused(seen: Evidence, processes: Views) -> set[str]:
+def excused(seen: Evidence, processes: MembershipEvidence) -> set[str]:
     """What was sent to a process that did not run all the time it had: it has nobody to answer it."""
     names = {target: row["sidecar"] for target, row in seen.sidecars.items()}
     return {
         call["id"]
         for call in seen.calls
         if call["target"] in names
-        and not processes.lives[names[call["target"]]].ran_since(
+        and not processes.processes[names[call["target"]]].has_run_for(
             call["sent_us"] + call["limit_us"], call["limit_us"]
         )
     }
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -12,8 +12,8 @@
 import uvloop
 
 from cressrail.http_testing.server import Asked, Served
-from cressrail.testbed.discovery import Agent, Listed
-from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
+from cressrail.testbed.event_record import EventRecord
 
 ZONE = "here"
 
@@ -29,10 +29,10 @@
         server = await loop.create_server(
             lambda: Served(asked, lambda served: None), "127.0.0.1", 0, backlog=256
         )
-        listed.append(Listed(f"sink{n}", {ZONE: server.sockets[0].getsockname()[:2]}, ZONE, 1))
-    agent = Agent("one", ZONE, 0, listed, Ledger(out))
+        listed.append(ListedEndpoint(f"sink{n}", {ZONE: server.sockets[0].getsockname()[:2]}, ZONE, 1))
+    agent = DiscoveryAgent("one", ZONE, 0, listed, EventRecord(out))
     _, port = await agent.listen("127.0.0.1")
-    print(listed[0].hosts[ZONE][1], port, flush=True)
+    print(listed[0].addresses[ZONE][1], port, flush=True)
     await asyncio.sleep(600)
 
 
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -10,15 +10,16 @@
 from zlib import crc32
 
 from cressrail.http_testing.client import Caller, now_us
-from cressrail.testbed.discovery import Agent, Listed
-from cressrail.testbed.event_record import Ledger
-from cressrail.testbed.fault_injection import Harm, drawn
-from cressrail.testbed.network_emulation import Relay, Rule, Wires
+from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
+from cressrail.testbed.event_record import EventRecord, ProcessState
+from cressrail.testbed.fault_injection import FaultInjector, draw_faults
+from cressrail.testbed.network_emulation import NetworkEmulator, NetworkRule
 from cressrail.testbed.scenario import DISCOVERY_FAULTS, SIDECAR_FAULTS, Fault, FleetScenario, RequestClass
 from cressrail.testbed.sidecars import RELAY_PORT, SidecarManager, SidecarProcess
 from cressrail.testbed.simulated_service import CONNECTIONS, FAULTS, IdempotencyKeys, SimulatedEndpoint
-from cressrail.testbed.tcp_relay import Ways
-from cressrail.testbed.watchers import Watchers
+from cressrail.testbed.tcp_relay import TcpRelay
+from cressrail.testbed.udp_relay import UdpRelay
+from cressrail.testbed.watchers import MembershipWatcher
 
 SIDECAR_PORT = 9000
 LOOKS_A_S = 100  # at views, over all sidecars
@@ -40,13 +41,13 @@
     ) -> None:
         self.scenario, self.folder = scenario, folder
         folder.mkdir(parents=True, exist_ok=True)
-        self.event_record = Ledger(folder / "fleet.jsonl")
+        self.event_record = EventRecord(folder / "fleet.jsonl")
         self.sidecars = SidecarManager(scenario, folder, checkout, policy, defect)
         self.profiles = {p.name: p for p in scenario.request_classes}
         self.journals: dict[tuple[object, ...], IdempotencyKeys] = {}
         self.tiers: list[list[SimulatedEndpoint]] = []
-        self.listed: dict[str, Listed] = {}
-        self.agents: dict[str, Agent] = {}
+        self.listed: dict[str, ListedEndpoint] = {}
+        self.agents: dict[str, DiscoveryAgent] = {}
         self.callers: dict[
             SimulatedEndpoint, SidecarProcess
         ] = {}  # the sidecar through which an endpoint calls on
@@ -54,15 +55,15 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.cut: set[str] = set()
         self.restarts = 0
-        self.network = Wires(scenario.seed)
-        self.datagram_relay = Relay(
-            self.network, lambda lag_s: self.event_record.note(relay_lag_s=lag_s, at_us=now_us())
+        self.network = NetworkEmulator(scenario.seed)
+        self.udp_relay = UdpRelay(
+            self.network, lambda lag_s: self.event_record.append(relay_lag_s=lag_s, at_us=now_us())
         )
-        self.tcp_relay = Ways(self.network)
-        self.fault_injector = Harm(
+        self.tcp_relay = TcpRelay(self.network)
+        self.fault_injector = FaultInjector(
             self.sidecars, self.network, self.event_record, self.restart_sidecar, scenario.seed
         )
-        self.watchers = Watchers(self.event_record, self.folder)
+        self.watchers = MembershipWatcher(self.event_record, self.folder)
 
     async def start(self) -> None:
         """Everything up and ready. What was begun is ended by `close`, also if this fails."""
@@ -87,7 +88,7 @@
                 )
                 self.tiers[-1].append(endpoint)
                 await endpoint.listen()
-                self.listed[name] = Listed(name, endpoint.hosts, endpoint.zone, endpoint.cell)
+                self.listed[name] = ListedEndpoint(name, endpoint.hosts, endpoint.zone, endpoint.cell)
         for n in range(self.scenario.fleet.ingress_sidecars):
             self.ingress_sidecars.append(await self._sidecar(f"door{n}", 0, n, zones[n % len(zones)]))
         for tier_no, endpoints in enumerate(self.tiers[:-1], 1):
@@ -104,16 +105,19 @@
             sidecar.seed_addresses += [
                 (loopback_host(LAST - n), RELAY_PORT) for n in range(talk.dead_seed_count)
             ]
-            self.datagram_relay.post(sidecar.name, sidecar.membership_address, sidecar.advertised_address)
+            self.udp_relay.add_sidecar(sidecar.name, sidecar.membership_address, sidecar.advertised_address)
         if talk is not None and talk.first_seed_delay_ms:
             self.network.rules = [
-                Rule(to=frozenset([self.ingress_sidecars[0].name]), delay_s=talk.first_seed_delay_ms / 1000)
+                NetworkRule(
+                    receivers=frozenset([self.ingress_sidecars[0].name]),
+                    delay_s=talk.first_seed_delay_ms / 1000,
+                )
             ]
         for sidecar in sidecars:
             self._launch(sidecar)
         for sidecar in sidecars:
             await self.sidecars.wait_until_ready(sidecar)
-            self.fault_injector.told(sidecar, "up")
+            self.fault_injector.record_state(sidecar, ProcessState.UP)
         if talk is not None:
             every_s = max(talk.poll_interval_s, len(sidecars) / LOOKS_A_S)
             for n, sidecar in enumerate(sidecars):
@@ -122,7 +126,7 @@
             self._join(endpoint, sidecar)
 
     async def _sidecar(self, name: str, tier_no: int, number: int, zone: str) -> SidecarProcess:
-        agent = Agent(
+        agent = DiscoveryAgent(
             name,
             zone,
             tier_no,
@@ -132,7 +136,7 @@
         self.agents[name] = agent
         discovery = await agent.listen("127.0.0.1")
         if self.scenario.fleet.membership is not None:
-            discovery = await self.tcp_relay.way(name, discovery)
+            discovery = await self.tcp_relay.add_sidecar(name, discovery)
         return SidecarProcess(
             name, tier_no, number, zone, (loopback_host(len(self.agents)), SIDECAR_PORT), discovery
         )
@@ -149,7 +153,7 @@
         )
         seed = crc32(f"{self.scenario.seed}.{sidecar.name}".encode()) + 1
         self.sidecars.start(sidecar, copies, seed + anew, older)
-        self.event_record.note(
+        self.event_record.append(
             sidecar=sidecar.name,
             target=sidecar.target,
             tier=sidecar.tier_index,
@@ -160,7 +164,7 @@
     def _join(self, endpoint: SimulatedEndpoint, sidecar: SidecarProcess) -> None:
         endpoint.below = Caller(*sidecar.address, most=CONNECTIONS)
         endpoint.below_name = sidecar.target
-        endpoint.below.on_surplus = lambda n: self.event_record.note(
+        endpoint.below.on_surplus = lambda n: self.event_record.append(
             surplus=n, target=sidecar.target, at_us=now_us()
         )
 
@@ -174,14 +178,14 @@
 
     async def run_faults(self, start_us: int) -> None:
         """All faults of the file, each at its time after `start_us` of the steady clock."""
-        self.event_record.note(start_us=start_us)
+        self.event_record.append(start_us=start_us)
         self.network.rules = []
         self._spent()
         self.spawn(self._spent_now_and_then())
-        self.datagram_relay.worst_s = 0.0
+        self.udp_relay.max_lag_s = 0.0
         faults = list(self.scenario.faults)
         if self.scenario.schedule is not None:
-            faults += drawn(
+            faults += draw_faults(
                 self.scenario.schedule, self.scenario.duration_s, [s.name for s in self.sidecars.sidecars]
             )
         todo = [(f.at_s, 0, n, f) for n, f in enumerate(faults)]
@@ -191,7 +195,7 @@
             if fault.kind in SIDECAR_FAULTS:
                 self.spawn(self._harm(n, fault, bool(over)))
                 continue
-            self.event_record.note(
+            self.event_record.append(
                 fault=fault.kind,
                 over=bool(over),
                 at_us=now_us(),
@@ -202,7 +206,7 @@
             (self._end if over else self._begin)(fault)
 
     async def _harm(self, number: int, fault: Fault, over: bool) -> None:
-        self.event_record.note(
+        self.event_record.append(
             harm=fault.kind,
             number=number,
             over=over,
@@ -213,7 +217,7 @@
             await self.fault_injector.end(number, fault)
         else:
             met = await self.fault_injector.begin(number, fault)
-            self.event_record.note(met=met, number=number, at_us=now_us())
+            self.event_record.append(met=met, number=number, at_us=now_us())
 
     def _meant(self, fault: Fault) -> list[SimulatedEndpoint]:
         tier = self.tiers[fault.tier]
@@ -282,7 +286,7 @@
         await e.start(now)
         if e in self.callers:
             self._join(e, self.callers[e])
-        self.event_record.note(started=e.name, at_us=now)
+        self.event_record.append(started=e.name, at_us=now)
         self.listed[e.name].up_since_ms = time.time_ns() // 1_000_000
         self.announce_phase(e, "up")
 
@@ -290,8 +294,8 @@
         listed = self.listed[e.name]
         listed.phase = phase
         for agent in self.agents.values():
-            if agent.tier_no == e.tier_no:
-                agent.change(listed)
+            if agent.tier_index == e.tier_no:
+                agent.announce(listed)
 
     def _later(self, seconds: float, e: SimulatedEndpoint, phase: str) -> None:
         async def tell() -> None:
@@ -312,16 +316,16 @@
 
     def _of_list(self, fault: Fault, on: bool) -> None:
         for agent in self.agents.values():
-            if agent.tier_no != fault.tier or (fault.zone and agent.zone != fault.zone):
+            if agent.tier_index != fault.tier or (fault.zone and agent.zone != fault.zone):
                 continue
             if fault.kind == "late":
-                agent.late_s = fault.value if on else 0.0
+                agent.delay_s = fault.value if on else 0.0
             elif fault.kind == "silent":
-                agent.speak(on)
+                agent.set_silent(on)
             elif on and fault.kind == "tear":
-                agent.tear()
+                agent.break_watches()
             elif on and fault.kind == "anew":
-                agent.anew()
+                agent.restart_revisions()
 
     def spawn(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
@@ -331,7 +335,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.event_record.note(failed=repr(task.exception()), at_us=now_us())
+            self.event_record.append(failed=repr(task.exception()), at_us=now_us())
 
     async def _spent_now_and_then(self) -> None:
         while True:
@@ -339,7 +343,7 @@
             self._spent()
 
     def _spent(self) -> None:
-        self.event_record.note(
+        self.event_record.append(
             spent_s={s.name: self.sidecars.cpu_seconds(s) for s in self.sidecars.sidecars},
             wires=dict(self.network.counts),
             at_us=now_us(),
@@ -349,7 +353,7 @@
         for task in list(self.tasks):
             task.cancel()
         self._spent()
-        self.datagram_relay.close()
+        self.udp_relay.close()
         self.tcp_relay.close()
         self.sidecars.close()
         if self.scenario.fleet.membership is not None:
--- /dev/null
+++ b/cressrail/testbed/membership_evidence.py
@@ -0,0 +1,251 @@
+"""Evidence on membership from the event record of a run.
+
+It holds the states of processes, views as the admin addresses showed them, events from the sidecars' logs,
+and cuts of the network; `membership_verdicts` judges by it.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_right
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from itertools import pairwise
+from typing import NamedTuple
+
+from cressrail.membership.log_events import INSTANCE_PAUSED, is_event
+from cressrail.testbed.event_record import Event, ProcessState
+
+NEVER_US = 1 << 62
+MAX_LAG_S = 0.05  # a run whose relay lagged more is invalid,
+MAX_PAUSE_US = 1_000_000  # and one in which a sidecar that nobody paused did not run for so long
+
+
+class ProcessChange(NamedTuple):
+    """A moment at which a process began or ceased to run."""
+
+    at_us: int
+    is_running: bool
+
+
+@dataclass
+class ProcessHistory:
+    """One sidecar's process over time.
+
+    Attributes:
+        tier: Index of the tier before which it stands.
+        changes: In order.
+        paused_at_us: The changes at which it was paused instead of ended.
+    """
+
+    tier: int = 0
+    changes: list[ProcessChange] = field(default_factory=list)
+    paused_at_us: set[int] = field(default_factory=set)
+
+    def is_running(self, at_us: int) -> bool:
+        """Whether it runs at that time."""
+        change = self._last_change(at_us)
+        return change is not None and change.is_running
+
+    def exists(self, at_us: int) -> bool:
+        """Whether it runs or is paused at that time."""
+        change = self._last_change(at_us)
+        return change is not None and (change.is_running or change.at_us in self.paused_at_us)
+
+    def has_run_for(self, at_us: int, duration_us: int) -> bool:
+        """Whether it ran throughout that time before `at_us`."""
+        return self.has_lived_for(at_us, 0, duration_us)
+
+    def has_lived_for(self, at_us: int, tolerated_pause_us: int, duration_us: int) -> bool:
+        """Whether it ran throughout that time before `at_us`, but for pauses below the tolerated one."""
+        changes = [*self.changes, ProcessChange(NEVER_US, is_running=False)]
+        if changes[0].at_us > at_us - duration_us:
+            return False
+        for change, following in pairwise(changes):
+            is_in_span = change.at_us <= at_us and following.at_us > at_us - duration_us
+            is_tolerated = (
+                change.at_us in self.paused_at_us
+                and min(following.at_us, at_us) - change.at_us < tolerated_pause_us
+            )
+            if not change.is_running and is_in_span and not is_tolerated:
+                return False
+        return True
+
+    def _last_change(self, at_us: int) -> ProcessChange | None:
+        index = bisect_right(self.changes, (at_us, True)) - 1
+        return self.changes[index] if index >= 0 else None
+
+
+class View(NamedTuple):
+    """What one sidecar takes the others for.
+
+    Attributes:
+        at_us: When its admin address showed it.
+        observer: The sidecar's name.
+        alive: Live instances of its tier, itself included.
+        states: State by name, as the admin API names it.
+        counted_instances: The instance count by which it goes; 0 if unknown.
+    """
+
+    at_us: int
+    observer: str
+    alive: int
+    states: dict[str, str]
+    counted_instances: int
+
+
+class LoggedEvent(NamedTuple):
+    """A line on membership in a sidecar's log.
+
+    Attributes:
+        at_us: When it was logged.
+        observer: Name of the sidecar whose log it is.
+        event: Its name, of the present or an earlier version.
+        instance: Of which it tells; empty for none.
+        paused_ms: How long the sidecar itself did not run.
+    """
+
+    at_us: int
+    observer: str
+    event: str
+    instance: str
+    paused_ms: int
+
+
+class Kill(NamedTuple):
+    """A process that was killed."""
+
+    at_us: int
+    sidecar: str
+
+
+class Cut(NamedTuple):
+    """A one-way cut of the network; no names stand for all."""
+
+    from_us: int
+    until_us: int
+    senders: frozenset[str]
+    receivers: frozenset[str]
+
+    def is_between(self, sender: str, receiver: str, at_us: int) -> bool:
+        """Whether nothing from this sender reaches this receiver at that time."""
+        return (
+            self.from_us <= at_us < self.until_us
+            and (not self.senders or sender in self.senders)
+            and (not self.receivers or receiver in self.receivers)
+        )
+
+
+@dataclass
+class MembershipEvidence:
+    """What the event record tells of membership.
+
+    Attributes:
+        processes: History by sidecar.
+        views: In the order of the record.
+        logged_events: Likewise.
+        kills: Likewise.
+        cuts: Likewise.
+        relay_lag_s: At most, once the run had started.
+        end_us: Of the last event.
+    """
+
+    processes: dict[str, ProcessHistory] = field(default_factory=dict)
+    views: list[View] = field(default_factory=list)
+    logged_events: list[LoggedEvent] = field(default_factory=list)
+    kills: list[Kill] = field(default_factory=list)
+    cuts: list[Cut] = field(default_factory=list)
+    relay_lag_s: float = 0.0
+    end_us: int = 0
+
+    @property
+    def invalid_reason(self) -> str:
+        """Why the run proves nothing, since the machine lagged; empty if it is valid."""
+        if self.relay_lag_s > MAX_LAG_S:
+            return f"the relay lagged by {self.relay_lag_s * 1000:.0f} ms"
+        for logged in self.logged_events:
+            is_long = is_event(logged.event, INSTANCE_PAUSED) and logged.paused_ms * 1000 > MAX_PAUSE_US
+            if is_long and not self._was_paused(logged):
+                return f"{logged.observer} did not run for {logged.paused_ms} ms"
+        return ""
+
+    def could_exchange(self, first: str, second: str, from_us: int, until_us: int) -> bool:
+        """Whether each could reach the other all the time, directly or through others."""
+        cut_changes = [at_us for cut in self.cuts for at_us in (cut.from_us, cut.until_us - 1)]
+        moments = [from_us, *(at_us for at_us in cut_changes if from_us <= at_us <= until_us), until_us]
+        return all(
+            second in self._who_reach(first, at_us) and first in self._who_reach(second, at_us)
+            for at_us in moments
+        )
+
+    def live_instances(self, tier: int, at_us: int) -> int:
+        """How many processes of a tier run."""
+        return sum(
+            1 for process in self.processes.values() if process.tier == tier and process.is_running(at_us)
+        )
+
+    def _who_reach(self, receiver: str, at_us: int) -> set[str]:
+        """Sidecars whose messages arrive there, directly or through others."""
+        reached, pending = {receiver}, [receiver]
+        while pending:
+            through = pending.pop()
+            for sender, process in self.processes.items():
+                is_cut = any(cut.is_between(sender, through, at_us) for cut in self.cuts)
+                if sender not in reached and not is_cut and process.exists(at_us):
+                    reached.add(sender)
+                    pending.append(sender)
+        return reached
+
+    def _was_paused(self, logged: LoggedEvent) -> bool:
+        process = self.processes.get(logged.observer)
+        return process is not None and not process.has_run_for(logged.at_us, logged.paused_ms * 1000)
+
+
+def collect_membership_evidence(events: Iterable[Event]) -> MembershipEvidence:
+    """Reads an event record; events on other matters are left out."""
+    evidence = MembershipEvidence()
+    open_cuts: dict[int, int] = {}  # index among the cuts by number of the fault
+    for event in events:
+        evidence.end_us = max(evidence.end_us, event.get("at_us", 0))
+        if "process" in event:
+            _add_process_change(evidence, event)
+        elif "view" in event:
+            evidence.views.append(
+                View(event["at_us"], event["view"], event["alive"], event["states"], event.get("goes_by", 0))
+            )
+        elif "said" in event:
+            evidence.logged_events.append(
+                LoggedEvent(
+                    event["at_us"],
+                    event["said"],
+                    event["event"],
+                    event.get("copy", ""),
+                    event.get("for_ms", 0),
+                )
+            )
+        elif "cut" in event:
+            _add_cut(evidence, event, open_cuts)
+        elif "start_us" in event:
+            evidence.relay_lag_s = 0.0  # the lag while all processes started is no part of the run
+        elif "relay_lag_s" in event:
+            evidence.relay_lag_s = max(evidence.relay_lag_s, event["relay_lag_s"])
+    return evidence
+
+
+def _add_process_change(evidence: MembershipEvidence, event: Event) -> None:
+    process = evidence.processes.setdefault(event["process"], ProcessHistory(event.get("pool", 0)))
+    is_running = event["how"] in (ProcessState.UP, ProcessState.RUNNING)
+    process.changes.append(ProcessChange(event["at_us"], is_running))
+    if event["how"] == ProcessState.STALLED:
+        process.paused_at_us.add(event["at_us"])
+    if event["how"] == ProcessState.KILLED:
+        evidence.kills.append(Kill(event["at_us"], event["process"]))
+
+
+def _add_cut(evidence: MembershipEvidence, event: Event, open_cuts: dict[int, int]) -> None:
+    if event["on"]:
+        senders, receivers = event["ways"]
+        open_cuts[event["cut"]] = len(evidence.cuts)
+        evidence.cuts.append(Cut(event["at_us"], NEVER_US, frozenset(senders), frozenset(receivers)))
+    else:
+        index = open_cuts.pop(event["cut"])
+        evidence.cuts[index] = evidence.cuts[index]._replace(until_us=event["at_us"])
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -17,7 +17,7 @@
 
 from cressrail.http_testing.client import ANSWERED, Answer, Caller, now_us
 from cressrail.http_testing.server import Asked, Served
-from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.event_record import EventRecord
 from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
 from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 
@@ -73,7 +73,7 @@
         cell: int,
         profiles: dict[str, RequestClass],
         journals: Callable[[SimulatedEndpoint, RequestClass], IdempotencyKeys],
-        ledger: Ledger,
+        ledger: EventRecord,
         seed: int,
         hosts: dict[str, tuple[str, int]],
     ) -> None:
@@ -297,7 +297,7 @@
         began = now_us()
 
         def heard(answer: Answer) -> None:
-            self.ledger.note(
+            self.ledger.append(
                 call=name,
                 id=name,
                 profile=work.profile.name,
@@ -360,7 +360,7 @@
         row.setdefault("left_us", now)
         late = now - max(work.limit_us, work.came_us)
         row.update(how=how, ended_us=now, late_us=max(0, late) if row["ran"] else 0)
-        self.ledger.note(**row)
+        self.ledger.append(**row)
 
     def close(self) -> None:
         if self.timer is not None:
--- a/cressrail/testbed/tcp_relay.py
+++ b/cressrail/testbed/tcp_relay.py
@@ -1,86 +1,101 @@
-"""What lies between a sidecar and its list service: each connection passes a relay of the rig, which does
-harm to it by the rules for datagrams, where they name `list`.
+"""TCP relay between sidecars and discovery: each connection passes it and meets the emulated network.
 
-A connection loses nothing: what a datagram's rule would drop comes late, as after a retransmission, and a way
-that is cut holds what is sent until it is whole again."""
+Rules apply where they name `DISCOVERY`. A connection loses nothing: what the rules drop arrives late, as
+after a retransmission, and a cut holds back what is sent until it ends.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import suppress
 
-from cressrail.testbed.network_emulation import LIST, Wires
+from cressrail.testbed.network_emulation import DISCOVERY, NetworkEmulator
 
-PIECE = 65536
-AGAIN_S = 0.2  # until what was lost is sent again, as TCP does at the least
-LOOK_S = 0.05  # between two looks at whether a way is whole again
+READ_BYTES = 65536
+RETRANSMISSION_S = 0.2  # the least that TCP waits before it sends again
+CUT_CHECK_INTERVAL_S = 0.05
 
 
-class Ways:
-    """Runs on the current asyncio loop."""
+class TcpRelay:
+    """Owns the listeners and connections of the relay; runs on the current event loop."""
 
-    def __init__(self, wires: Wires) -> None:
-        self.wires = wires
-        self.servers: list[asyncio.Server] = []
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[asyncio.StreamWriter] = set()
+    def __init__(self, network: NetworkEmulator) -> None:
+        self._network = network
+        self._servers: list[asyncio.Server] = []
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
 
-    async def way(self, name: str, service: tuple[str, int]) -> tuple[str, int]:
-        """An address for that sidecar by which it reaches the list service."""
+    async def add_sidecar(self, sidecar: str, discovery: tuple[str, int]) -> tuple[str, int]:
+        """Listens for a sidecar; returns the address by which it reaches discovery."""
 
-        async def come(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            task = asyncio.current_task()
-            assert task is not None
-            self.tasks.add(task)
-            self.open.add(writer)
-            other: asyncio.StreamWriter | None = None
-            try:
-                await self._whole(name, LIST)
-                back, other = await asyncio.open_connection(*service)
-                self.open.add(other)
-                there, here = self._carry(name, LIST, reader, other), self._carry(LIST, name, back, writer)
-                await asyncio.gather(there, here)
-            except (OSError, asyncio.CancelledError):
-                pass
-            finally:
-                self.tasks.discard(task)
-                for one in (writer, other):
-                    if one is not None:
-                        self.open.discard(one)
-                        one.close()
+        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await self._relay(sidecar, discovery, reader, writer)
 
-        server = await asyncio.start_server(come, service[0], 0)
-        self.servers.append(server)
+        server = await asyncio.start_server(accept, discovery[0], 0)
+        self._servers.append(server)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
 
-    async def _carry(
-        self, a: str, b: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    def close(self) -> None:
+        """Closes listeners and connections."""
+        for server in self._servers:
+            server.close()
+        for task in list(self._tasks):
+            task.cancel()
+        for writer in list(self._writers):
+            writer.close()
+
+    async def _relay(
+        self,
+        sidecar: str,
+        discovery: tuple[str, int],
+        sidecar_reader: asyncio.StreamReader,
+        sidecar_writer: asyncio.StreamWriter,
+    ) -> None:
+        task = asyncio.current_task()
+        assert task is not None
+        self._tasks.add(task)
+        self._writers.add(sidecar_writer)
+        discovery_writer: asyncio.StreamWriter | None = None
+        try:
+            await self._wait_while_cut(sidecar)
+            discovery_reader, discovery_writer = await asyncio.open_connection(*discovery)
+            self._writers.add(discovery_writer)
+            await asyncio.gather(
+                self._forward(sidecar, DISCOVERY, sidecar_reader, discovery_writer),
+                self._forward(DISCOVERY, sidecar, discovery_reader, sidecar_writer),
+            )
+        except (OSError, asyncio.CancelledError):
+            pass  # the other side has gone, or the relay closes
+        finally:
+            self._tasks.discard(task)
+            for writer in (sidecar_writer, discovery_writer):
+                if writer is not None:
+                    self._writers.discard(writer)
+                    writer.close()
+
+    async def _forward(
+        self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         loop = asyncio.get_running_loop()
         try:
-            while data := await reader.read(PIECE):
-                fate = self.wires.fate(a, b, loop.time())
-                while not fate.after_s:  # lost: sent again until it comes through
-                    await asyncio.sleep(AGAIN_S)
-                    fate = self.wires.fate(a, b, loop.time())
-                if fate.after_s[0] > 0:
-                    await asyncio.sleep(fate.after_s[0])
+            while data := await reader.read(READ_BYTES):
+                outcome = self._network.decide(sender, receiver, loop.time())
+                while not outcome.delays_s:  # lost: sent again until it arrives
+                    await asyncio.sleep(RETRANSMISSION_S)
+                    outcome = self._network.decide(sender, receiver, loop.time())
+                if outcome.delays_s[0] > 0:
+                    await asyncio.sleep(outcome.delays_s[0])
                 writer.write(data)
                 await writer.drain()
         finally:
             with suppress(OSError, RuntimeError):
                 writer.close()
 
-    async def _whole(self, a: str, b: str) -> None:
-        """A connection comes up once both ways are."""
-        while any(rule.share >= 1.0 and (rule.meets(a, b) or rule.meets(b, a)) for rule in self.wires.rules):
-            await asyncio.sleep(LOOK_S)
-
-    def close(self) -> None:
-        for server in self.servers:
-            server.close()
-        for task in list(self.tasks):
-            task.cancel()
-        for writer in list(self.open):
-            writer.close()
+    async def _wait_while_cut(self, sidecar: str) -> None:
+        """A connection opens only while neither direction is cut."""
+        while any(
+            rule.is_cut and (rule.applies_to(sidecar, DISCOVERY) or rule.applies_to(DISCOVERY, sidecar))
+            for rule in self._network.rules
+        ):
+            await asyncio.sleep(CUT_CHECK_INTERVAL_S)
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -1,9 +1,10 @@
-"""Looks at each sidecar's view of the others, at its operators' door, and writes down what it says."""
+"""Observes what each sidecar takes the others for: polls its admin address and reads its log."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from collections.abc import Iterable
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -12,11 +13,12 @@
 
 from cressrail.http_testing.client import Answer, Caller, now_us
 from cressrail.membership import log_events
-from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.event_record import EventRecord
 from cressrail.testbed.sidecars import SidecarProcess
 
-ASK = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
-SPAN_US = 1_000_000
+MEMBERSHIP_REQUEST = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
+RESPONSE_TIMEOUT_US = 1_000_000
+HTTP_OK = 200
 # In a sidecar's log, of the present and of earlier versions.
 MEMBERSHIP_EVENTS = tuple(
     b'"event":"%b"' % name.encode()
@@ -26,54 +28,71 @@
 )
 
 
-class Watchers:
-    def __init__(self, ledger: Ledger, folder: Path) -> None:
-        self.ledger, self.folder = ledger, folder
-        self.last: dict[str, bytes] = {}  # what was written of each, to write only what differs
-        self.views: dict[str, dict[str, Any]] = {}  # the latest of each
+class MembershipWatcher:
+    """Writes the views of all sidecars to the event record.
 
-    async def watch(self, sidecar: SidecarProcess, every_s: float, after_s: float) -> None:
-        await asyncio.sleep(after_s)
+    Attributes:
+        views: The latest of each sidecar, by name, with the keys of the event record.
+    """
+
+    def __init__(self, event_record: EventRecord, log_folder: Path) -> None:
+        self.views: dict[str, dict[str, Any]] = {}
+        self._event_record = event_record
+        self._log_folder = log_folder
+        self._last_written: dict[str, bytes] = {}
+
+    async def watch(self, sidecar: SidecarProcess, interval_s: float, first_delay_s: float) -> None:
+        """Polls a sidecar's view until the task is cancelled."""
+        await asyncio.sleep(first_delay_s)
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
+            began_s = loop.time()
             if sidecar.process is not None:
-                heard: asyncio.Future[Answer] = loop.create_future()
-                Caller(*sidecar.admin_address, most=1, keep=False).call(ASK, SPAN_US, heard.set_result)
-                answer = await heard
-                if answer.status == 200:
-                    self._note(sidecar.name, bytes(answer.body))
-            await asyncio.sleep(max(0.0, began + every_s - loop.time()))
+                await self._poll(sidecar)
+            await asyncio.sleep(max(0.0, began_s + interval_s - loop.time()))
 
-    def read_logs(self, names: list[str]) -> None:
-        """What each said in its log of the others, on the clock of the ledger."""
-        apart_us = time.time_ns() // 1000 - now_us()
-        for name in names:
-            for line in (self.folder / f"{name}.log").read_bytes().splitlines():
+    def read_logs(self, sidecars: Iterable[str]) -> None:
+        """Writes what the sidecars logged of membership to the event record, on its clock."""
+        clock_offset_us = time.time_ns() // 1000 - now_us()
+        for sidecar in sidecars:
+            for line in (self._log_folder / f"{sidecar}.log").read_bytes().splitlines():
                 if any(event in line for event in MEMBERSHIP_EVENTS):
-                    with suppress(orjson.JSONDecodeError):  # one that was cut off by a kill
-                        told = orjson.loads(line)
-                        self.ledger.note(
-                            said=name,
-                            event=told["event"],
-                            copy=told.get("instance", told.get(log_events.EARLIER_INSTANCE_FIELD, "")),
-                            for_ms=told.get("paused_ms", told.get(log_events.EARLIER_PAUSE_FIELD, 0)),
-                            at_us=told["at_us"] - apart_us,
-                        )
+                    with suppress(orjson.JSONDecodeError):  # a line that a kill cut off
+                        self._append_logged(sidecar, orjson.loads(line), clock_offset_us)
+
+    async def _poll(self, sidecar: SidecarProcess) -> None:
+        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        caller = Caller(*sidecar.admin_address, most=1, keep=False)
+        caller.call(MEMBERSHIP_REQUEST, RESPONSE_TIMEOUT_US, answered.set_result)
+        answer = await answered
+        if answer.status == HTTP_OK:
+            self._append_view(sidecar.name, orjson.loads(answer.body))
+
+    def _append_logged(self, sidecar: str, logged: dict[str, Any], clock_offset_us: int) -> None:
+        self._event_record.append(
+            said=sidecar,
+            event=logged["event"],
+            copy=logged.get("instance", logged.get(log_events.EARLIER_INSTANCE_FIELD, "")),
+            for_ms=logged.get("paused_ms", logged.get(log_events.EARLIER_PAUSE_FIELD, 0)),
+            at_us=logged["at_us"] - clock_offset_us,
+        )
 
-    def _note(self, name: str, text: bytes) -> None:
-        told = orjson.loads(text)
-        said = {
-            "alive": told["alive"],
-            "settled": told["settled"],
-            "goes_by": told.get("goes_by", 0),
-            "states": {copy["name"]: copy["state"] for copy in told["copies"]},
+    def _append_view(self, sidecar: str, membership: dict[str, Any]) -> None:
+        """Writes a view if it differs from the last one."""
+        instances = membership["copies"]
+        view = {
+            "alive": membership["alive"],
+            "settled": membership["settled"],
+            "goes_by": membership.get("goes_by", 0),
+            "states": {instance["name"]: instance["state"] for instance in instances},
             "cannot_reach": {
-                copy["name"]: copy["cannot_reach"] for copy in told["copies"] if copy["cannot_reach"]
+                instance["name"]: instance["cannot_reach"]
+                for instance in instances
+                if instance["cannot_reach"]
             },
         }
-        self.views[name] = said
-        line = orjson.dumps(said, option=orjson.OPT_SORT_KEYS)
-        if self.last.get(name) != line:
-            self.last[name] = line
-            self.ledger.note(view=name, at_us=now_us(), **said)
+        self.views[sidecar] = view
+        line = orjson.dumps(view, option=orjson.OPT_SORT_KEYS)
+        if self._last_written.get(sidecar) != line:
+            self._last_written[sidecar] = line
+            self._event_record.append(view=sidecar, at_us=now_us(), **view)
--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -14,8 +14,8 @@
 from cressrail.cli.commands import app
 from cressrail.experiment.play import play_world
 from cressrail.failover.log_events import DECISION_ADOPTED
-from cressrail.testbed.event_record import rows
-from cressrail.testbed.membership_verdicts import views
+from cressrail.testbed.event_record import read_events
+from cressrail.testbed.membership_evidence import collect_membership_evidence
 from cressrail.testbed.scenario import FleetScenario
 from tests.fleets import BEAR_MS, Play, played
 
@@ -67,8 +67,8 @@
     for attempt in range(3):
         folder = tmp_path / str(attempt)
         result = play_world(world, folder)
-        verdicts = views(rows(folder / "fleet.jsonl"))
-        if verdicts.void:
+        verdicts = collect_membership_evidence(read_events(folder / "fleet.jsonl"))
+        if verdicts.invalid_reason:
             continue
         assert result.broken == []
         assert not result.seen.failed
@@ -85,7 +85,7 @@
         assert len(set(last.values())) == 1
         assert [row["at_us"] for row in found if row["zones"].get("a") == "away: failing"]
         return
-    pytest.skip(verdicts.void)
+    pytest.skip(verdicts.invalid_reason)
 
 
 def test_operators_watch_drain_undrain_and_explain_at_any_sidecar(tmp_path: Path) -> None:
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -10,10 +10,10 @@
 import orjson
 import pytest
 
-from cressrail.testbed.event_record import rows
+from cressrail.testbed.event_record import ProcessState, read_events
 from cressrail.testbed.fleet import Fleet
-from cressrail.testbed.membership_verdicts import views
-from cressrail.testbed.network_emulation import Rule
+from cressrail.testbed.membership_evidence import collect_membership_evidence
+from cressrail.testbed.network_emulation import NetworkRule
 from cressrail.testbed.scenario import FleetScenario
 
 HERE = Path(__file__).resolve().parents[1]
@@ -64,7 +64,7 @@
 
     def cut(self, *ways: tuple[list[int], list[int]]) -> None:
         self.wires.rules = [
-            Rule(frozenset(f"door{n}" for n in ones), frozenset(f"door{n}" for n in others), 1.0)
+            NetworkRule(frozenset(f"door{n}" for n in ones), frozenset(f"door{n}" for n in others), 1.0)
             for ones, others in ways
         ]
 
@@ -79,8 +79,8 @@
     def losses(self) -> set[str]:
         return {told["instance"] for n in range(len(self.doors)) for told in self.said(n, "instance_dead")}
 
-    def note(self, n: int, how: str) -> None:
-        self.fleet.fault_injector.told(self.doors[n], how)
+    def note(self, n: int, how: ProcessState) -> None:
+        self.fleet.fault_injector.record_state(self.doors[n], how)
 
 
 def played(
@@ -90,12 +90,12 @@
     for n in range(3):
         folder = tmp_path / str(n)
         fault = asyncio.run(_played(folder, doors, script, told or world(doors)))
-        seen = views(rows(folder / "fleet.jsonl"))
-        if not seen.void:
+        seen = collect_membership_evidence(read_events(folder / "fleet.jsonl"))
+        if not seen.invalid_reason:
             if fault is not None:
                 raise fault
             return
-    pytest.skip(seen.void)
+    pytest.skip(seen.invalid_reason)
 
 
 async def _played(
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -20,8 +20,8 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.failover.simulation.scenario import Scenario
 from cressrail.load.trace import read as read_trace
-from cressrail.testbed.event_record import Ledger, rows
-from cressrail.testbed.membership_verdicts import views
+from cressrail.testbed.event_record import EventRecord, read_events
+from cressrail.testbed.membership_evidence import collect_membership_evidence
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import read_scenario as read_words
 from tests.golden_edges.stored import DATA, hold, text_of
@@ -55,7 +55,7 @@
 
 def kinds(path: Path) -> dict[str, Any]:
     """How many rows there are with the same keys, and a digest of all values."""
-    told = list(rows(path))
+    told = list(read_events(path))
     return {"rows": dict(Counter(" ".join(row) for row in told)), "digest": digest(told)}
 
 
@@ -63,17 +63,19 @@
     found: dict[str, Any] = {
         name: kinds(DATA / name) for name in ("fleet.jsonl", "load.jsonl", "sidecar.log")
     }
-    seen = views(rows(DATA / "fleet.jsonl"))
+    seen = collect_membership_evidence(read_events(DATA / "fleet.jsonl"))
     found["views"] = {
-        "lives": {name: [life.pool, len(life.turns)] for name, life in sorted(seen.lives.items())},
-        "rows": len(seen.rows),
-        "said": [row["event"] for row in seen.said],
-        "deaths": len(seen.deaths),
-        "void": seen.void,
+        "lives": {
+            name: [process.tier, len(process.changes)] for name, process in sorted(seen.processes.items())
+        },
+        "rows": len(seen.views),
+        "said": [logged.event for logged in seen.logged_events],
+        "deaths": len(seen.kills),
+        "void": seen.invalid_reason,
     }
-    again = Ledger(tmp_path / "again")
-    for row in rows(DATA / "load.jsonl"):
-        again.note(**row)
+    again = EventRecord(tmp_path / "again")
+    for row in read_events(DATA / "load.jsonl"):
+        again.append(**row)
     again.close()
     assert (tmp_path / "again").read_bytes() == (DATA / "load.jsonl").read_bytes()
     hold(found, "ledgers.json")
@@ -82,7 +84,7 @@
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_run_is_judged(tmp_path: Path, broken: bool) -> None:
     """A ledger in which one transaction that is not to be repeated ran a second time breaks rule 2."""
-    fleet = list(rows(DATA / "fleet.jsonl"))
+    fleet = list(read_events(DATA / "fleet.jsonl"))
     if broken:
         hop = next(row for row in fleet if row.get("profile") == "pay" and row["ran"])
         fleet.append({**hop, "came_us": hop["came_us"] + 1000})
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -15,6 +15,7 @@
 from cressrail.experiment.fleet_faults import figures
 from cressrail.experiment.play import play_world
 from cressrail.membership.messages import USES
+from cressrail.testbed.event_record import ProcessState
 from tests.fleets import SHORTEN, Play, played, world
 from tests.membership.support import (
     false_claims,
@@ -33,13 +34,13 @@
         dead, up = range(2, 6), range(2)
         await play.fleet.sidecars.kill_all([play.doors[n] for n in dead])
         for n in dead:
-            play.note(n, "killed")
+            play.note(n, ProcessState.KILLED)
         await play.all_know(2, but=tuple(dead))
         # Four of six are gone: no majority is left, so it is their addresses that say so.
         await play.until(lambda: all(2.0 <= goes_by(n) < 3.0 for n in up))
         await asyncio.gather(*(play.fleet.restart_sidecar(play.doors[n], "same") for n in dead))
         for n in dead:
-            play.note(n, "up")
+            play.note(n, ProcessState.UP)
         await play.until(lambda: all(goes_by(n) >= 5.8 for n in range(6)))
 
     played(tmp_path, 6, script, world(6, membership=USE))
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -15,7 +15,7 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.play import Played, excused, plan_of
 from cressrail.experiment.report import page, text_table
-from cressrail.testbed.membership_verdicts import Life, Views
+from cressrail.testbed.membership_evidence import MembershipEvidence, ProcessChange, ProcessHistory
 from cressrail.testbed.rule_checker import Break, Evidence, evidence
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
@@ -196,7 +196,13 @@
 def test_only_what_was_sent_to_a_process_that_went_away_is_excused() -> None:
     seen = Evidence(sidecars={"t": {"sidecar": "door0"}})
     seen.calls = [{"id": f"{at}", "target": "t", "sent_us": at, "limit_us": 10} for at in (10, 45, 80)]
-    away = Views(lives={"door0": Life(turns=[(0, True), (50, False), (75, True)])})
+    away = MembershipEvidence(
+        processes={
+            "door0": ProcessHistory(
+                changes=[ProcessChange(0, True), ProcessChange(50, False), ProcessChange(75, True)]
+            )
+        }
+    )
     assert excused(seen, away) == {"45"}
 
 
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -10,8 +10,8 @@
 import pytest
 
 from cressrail.experiment.play import play_world
-from cressrail.testbed.discovery import Agent, Listed
-from cressrail.testbed.event_record import Ledger, rows
+from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
+from cressrail.testbed.event_record import EventRecord, read_events
 from cressrail.testbed.pauses import Pauses, draw
 from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
 from cressrail.testbed.rule_checker import Evidence, evidence, judge
@@ -164,19 +164,19 @@
 
 
 def test_discovery_tells_what_changed_and_the_whole_without_those_gone(tmp_path: Path) -> None:
-    listed = [Listed(name, {"a": ("127.0.0.1", 1)}, "a", 1) for name in "xyz"]
-    ledger = Ledger(tmp_path / "l")
-    agent = Agent("s", "a", 0, listed, ledger)
+    listed = [ListedEndpoint(name, {"a": ("127.0.0.1", 1)}, "a", 1) for name in "xyz"]
+    ledger = EventRecord(tmp_path / "l")
+    agent = DiscoveryAgent("s", "a", 0, listed, ledger)
     listed[1].phase = "draining"
-    agent._change(listed[1].entry("a"))
+    agent.apply_change(listed[1].as_entry("a"))
     listed[2].phase = "removed"
-    agent._change(listed[2].entry("a"))
-    whole, since, none = agent._line(-1), agent._line(2), agent._line(3)
+    agent.apply_change(listed[2].as_entry("a"))
+    whole, since, none = agent.list_line(-1), agent.list_line(2), agent.list_line(3)
     assert b'"revision":3,"complete":true' in whole and b'"z"' not in whole and b'"x"' in whole
     assert b'"complete":false' in since and b'"z"' in since and b'"y"' not in since
     assert b'"members":[]' in none
     ledger.close()
-    told = [(row["endpoint"], row["phase"]) for row in rows(tmp_path / "l")]
+    told = [(row["endpoint"], row["phase"]) for row in read_events(tmp_path / "l")]
     assert told == [("x", "up"), ("y", "draining"), ("z", "removed"), ("z", "removed")]  # absence tells too
 
 
--- /dev/null
+++ b/tests/testbed/test_fault_injection.py
@@ -0,0 +1,67 @@
+"""Faults of sidecars: what is drawn, and what a scenario may name."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from cressrail.testbed.fault_injection import draw_faults
+from cressrail.testbed.scenario import Fault, FaultSchedule
+from tests.fleets import world
+
+SIDECARS = [f"door{index}" for index in range(6)]
+DURATION_S = 30.0
+LAST_DRAWN_S = 24.0
+
+
+def draw(seed: int) -> list[Fault]:
+    return draw_faults(FaultSchedule(seed=seed, faults=40), DURATION_S, SIDECARS)
+
+
+def test_drawn_faults_are_the_same_for_the_same_seed() -> None:
+    assert draw(1) == draw(1)
+    assert draw(1) != draw(2)
+
+
+def test_drawn_faults_are_of_all_kinds_and_end_before_the_run() -> None:
+    faults = draw(1)
+
+    assert {fault.kind for fault in faults} == {"wire", "stall-process", "kill", "restart"}
+    assert all(fault.at_s >= 0 for fault in faults)
+    assert all(fault.at_s + fault.duration_s <= LAST_DRAWN_S + 1e-6 for fault in faults)
+
+
+def test_drawn_faults_read_as_any_fault_of_a_file() -> None:
+    for fault in draw(1):
+        assert Fault.model_validate(fault.model_dump(by_alias=True)) == fault
+
+
+@pytest.mark.parametrize(
+    "change, expected_error",
+    [
+        pytest.param(
+            {"faults": [{"at_s": 1, "kind": "kill", "who": ["door9"]}]},
+            "no sidecar is door9",
+            id="no such sidecar",
+        ),
+        pytest.param(
+            {"faults": [{"at_s": 1, "kind": "wire", "to": ["zone:z"]}]},
+            "no sidecar is zone:z",
+            id="no such zone",
+        ),
+        pytest.param(
+            {"fleet": {"doors": 2, "tiers": [{"name": "x"}]}, "faults": [{"at_s": 1, "kind": "wire"}]},
+            "fleet.membership",
+            id="network fault without membership",
+        ),
+    ],
+)
+def test_fault_that_affects_nobody_is_refused(change: dict[str, Any], expected_error: str) -> None:
+    with pytest.raises(ValueError, match=expected_error):
+        world(**{"doors": 2, **change})
+
+
+def test_network_fault_cuts_unless_another_effect_is_named() -> None:
+    assert Fault(at_s=1, kind="wire").share == 1.0
+    assert Fault.model_validate({"at_s": 1, "kind": "wire", "delay_ms": 5}).share == 0.0
--- /dev/null
+++ b/tests/testbed/test_membership_evidence.py
@@ -0,0 +1,41 @@
+"""Whether a run is evidence at all."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.testbed.event_record import Event, ProcessState
+from cressrail.testbed.membership_evidence import collect_membership_evidence
+from tests.testbed.events import log_event, process_event, record_of_three
+
+
+@pytest.mark.parametrize(
+    "events, expected_reason",
+    [
+        pytest.param([{"relay_lag_s": 0.06}], "the relay lagged by 60 ms", id="relay lagged"),
+        pytest.param([{"relay_lag_s": 0.04}], "", id="relay lagged within the bound"),
+        pytest.param(
+            [log_event(9, "a", "instance_paused", paused_ms=2000)],
+            "a did not run for 2000 ms",
+            id="sidecar did not run",
+        ),
+        pytest.param(
+            [log_event(9, "a", "copy_paused", paused_ms=2000)],
+            "a did not run for 2000 ms",
+            id="sidecar of an earlier version did not run",
+        ),
+        pytest.param(
+            [
+                process_event(5, "a", ProcessState.STALLED),
+                process_event(9, "a", ProcessState.RUNNING),
+                log_event(9, "a", "copy_paused", paused_ms=2000),
+            ],
+            "",
+            id="sidecar was paused on purpose",
+        ),
+    ],
+)
+def test_run_is_invalid_where_the_machine_lagged(events: list[Event], expected_reason: str) -> None:
+    evidence = collect_membership_evidence(record_of_three(*events))
+
+    assert evidence.invalid_reason == expected_reason
--- /dev/null
+++ b/tests/testbed/test_membership_verdicts.py
@@ -0,0 +1,140 @@
+"""Verdicts on membership from a record of three sidecars."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrail.testbed.event_record import Event, ProcessState
+from cressrail.testbed.membership_evidence import collect_membership_evidence
+from cressrail.testbed.membership_verdicts import (
+    detection_times,
+    do_views_agree,
+    find_false_deaths,
+    join_time_s,
+    mean_count_error,
+)
+from tests.testbed.events import (
+    SECOND_US,
+    cut_event,
+    log_event,
+    process_event,
+    record_of_three,
+    view_event,
+)
+
+TOLERATED_PAUSE_US = 3 * SECOND_US
+RETURN_TIME_US = 9 * SECOND_US
+DEAD_AT_20_S = view_event(20, "a", 2, b="lost")
+
+
+@pytest.mark.parametrize(
+    "events, expected_subjects",
+    [
+        pytest.param([DEAD_AT_20_S], ["b"], id="dead in a view"),
+        pytest.param([DEAD_AT_20_S, view_event(21, "a", 2, b="lost")], ["b"], id="twice without a return"),
+        pytest.param(
+            [DEAD_AT_20_S, view_event(21, "a", 3, b="alive"), view_event(22, "a", 2, b="lost")],
+            ["b", "b"],
+            id="twice with a return",
+        ),
+        pytest.param([log_event(20, "a", "instance_dead", "b")], ["b"], id="dead in a log"),
+        pytest.param([log_event(20, "a", "copy_lost", "b")], ["b"], id="dead in a log of an earlier version"),
+        pytest.param([view_event(20, "a", 2, b="suspected")], [], id="suspected only"),
+        pytest.param([process_event(10, "b", ProcessState.KILLED), DEAD_AT_20_S], [], id="killed"),
+        pytest.param(
+            [
+                process_event(10, "b", ProcessState.STALLED),
+                process_event(12, "b", ProcessState.RUNNING),
+                DEAD_AT_20_S,
+            ],
+            ["b"],
+            id="paused for less than is tolerated",
+        ),
+        pytest.param(
+            [
+                process_event(10, "b", ProcessState.STALLED),
+                process_event(16, "b", ProcessState.RUNNING),
+                DEAD_AT_20_S,
+            ],
+            [],
+            id="paused for longer than is tolerated",
+        ),
+        pytest.param(
+            [
+                process_event(15, "b", ProcessState.KILLED),
+                process_event(16, "b", ProcessState.UP),
+                DEAD_AT_20_S,
+            ],
+            [],
+            id="returned too recently to be known",
+        ),
+        pytest.param([cut_event(5, True, "b"), DEAD_AT_20_S], [], id="cut off from all"),
+        pytest.param([cut_event(5, True, "b", "a"), DEAD_AT_20_S], ["b"], id="reachable through another"),
+        pytest.param(
+            [cut_event(5, True, "b"), cut_event(7, False), DEAD_AT_20_S], ["b"], id="cut ended long ago"
+        ),
+        pytest.param(
+            [cut_event(5, True, "b"), cut_event(13, False), DEAD_AT_20_S], [], id="cut ended recently"
+        ),
+    ],
+)
+def test_false_death_is_a_live_sidecar_reported_dead(
+    events: list[Event], expected_subjects: list[str]
+) -> None:
+    evidence = collect_membership_evidence(record_of_three(*events))
+
+    false_deaths = find_false_deaths(evidence, TOLERATED_PAUSE_US, RETURN_TIME_US)
+
+    assert [false_death.subject for false_death in false_deaths] == expected_subjects
+
+
+KILL_DETECTED_BY_TWO = record_of_three(
+    process_event(10, "c", ProcessState.KILLED),
+    view_event(12, "a", 3, c="suspected"),
+    view_event(14, "a", 2, c="lost"),
+    view_event(16, "b", 2, c="lost"),
+)
+
+
+def test_detection_time_counts_from_the_kill_to_each_view_that_shows_it() -> None:
+    [detection] = detection_times(collect_membership_evidence(KILL_DETECTED_BY_TWO))
+
+    assert (detection.first_s, detection.half_s, detection.all_s) == (4.0, 4.0, 6.0)
+
+
+def test_detection_after_a_return_does_not_count() -> None:
+    events = record_of_three(
+        process_event(10, "c", ProcessState.KILLED),
+        process_event(12, "c", ProcessState.UP),
+        view_event(14, "a", 2, c="lost"),
+    )
+
+    [detection] = detection_times(collect_membership_evidence(events))
+
+    assert detection.first_s is None
+
+
+def test_count_error_is_a_share_of_the_true_count() -> None:
+    evidence = collect_membership_evidence(KILL_DETECTED_BY_TWO)
+
+    assert mean_count_error(evidence, 0, 13 * SECOND_US) == 0.5
+    assert mean_count_error(evidence, 13 * SECOND_US, 99 * SECOND_US) == 0.0
+
+
+def test_views_agree_once_each_running_sidecar_counts_those_that_run() -> None:
+    evidence = collect_membership_evidence(KILL_DETECTED_BY_TWO)
+
+    assert do_views_agree(evidence, 17 * SECOND_US)
+    assert not do_views_agree(evidence, 15 * SECOND_US)
+
+
+def test_join_time_counts_from_the_last_start() -> None:
+    events = [
+        process_event(1, "a", ProcessState.UP),
+        process_event(3, "b", ProcessState.UP),
+        view_event(2, "a", 1),
+        view_event(4, "a", 2),
+    ]
+
+    assert join_time_s(collect_membership_evidence(events)) is None
+    assert join_time_s(collect_membership_evidence([*events, view_event(7, "b", 2)])) == 4.0
