--- a/cressrail/testbed/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -14,7 +14,7 @@
 import orjson
 
 from cressrail.http_testing.client import now_us
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.event_record import EventRecord
 
 KEEPALIVE_INTERVAL_S = 2.0  # between empty lines while nothing changes
@@ -85,9 +85,9 @@
         self._entries = {endpoint.name: endpoint.as_entry(zone) for endpoint in endpoints}
         self._revision = FIRST_REVISION
         self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)  # the revision, by endpoint
-        self._watches: dict[Served, int] = {}  # and the revision that each has been told
+        self._watches: dict[ServerConnection, int] = {}  # and the revision that each has been told
         # All connections: one that is not read would otherwise have no owner, and be closed when collected.
-        self._connections: set[Served] = set()
+        self._connections: set[ServerConnection] = set()
         self._is_silent = False
         self._server: asyncio.Server | None = None
         self._keepalive_timer: asyncio.TimerHandle | None = None
@@ -96,7 +96,7 @@
         """Serves on a free port of this host; returns the address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Served(self._on_request, self._on_closed, self._connections.add), host, 0
+            lambda: ServerConnection(self._on_request, self._on_closed, self._connections.add), host, 0
         )
         self._keepalive_timer = loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalive)
         address: tuple[str, int] = self._server.sockets[0].getsockname()[:2]
@@ -109,7 +109,7 @@
         if self._keepalive_timer is not None:
             self._keepalive_timer.cancel()
         for connection in list(self._connections):
-            connection.abort()
+            connection.reset()
 
     def announce(self, endpoint: ListedEndpoint) -> None:
         """Announces an endpoint's present state, after the delay."""
@@ -135,7 +135,7 @@
     def break_watches(self) -> None:
         """Ends each watch in the middle of a line."""
         for connection in list(self._watches):
-            connection.raw(b'40\r\n{"revision":%d,"complete":fal' % (self._revision + 1))
+            connection.write(b'40\r\n{"revision":%d,"complete":fal' % (self._revision + 1))
             connection.close()
 
     def restart_revisions(self) -> None:
@@ -166,25 +166,25 @@
         update = {"revision": self._revision, "complete": is_whole, "members": entries}
         return orjson.dumps(update, option=orjson.OPT_APPEND_NEWLINE)
 
-    def _on_request(self, request: Asked) -> None:
+    def _on_request(self, request: ReceivedRequest) -> None:
         path, _, query = request.target.decode("latin-1").partition("?")
         parameters = dict(part.partition("=")[::2] for part in query.split("&"))
-        connection = request.server
+        connection = request.connection
         if path != LIST_PATH:
-            connection.answer(404)
+            connection.respond(404)
         elif self._is_silent:
-            connection.hush()
+            connection.stop_reading()
         elif "watch" not in parameters:
-            connection.answer(200, self.list_line(WHOLE_LIST))
+            connection.respond(200, self.list_line(WHOLE_LIST))
         else:
-            connection.raw(WATCH_HEAD)
+            connection.write(WATCH_HEAD)
             after = parameters.get("after", "0")
             revision = int(after) if after.isdigit() else 0
             # A revision of another count: the sidecar is told the whole list.
             self._watches[connection] = WHOLE_LIST if revision > self._revision else revision
             self._update_watch(connection)
 
-    def _on_closed(self, connection: Served) -> None:
+    def _on_closed(self, connection: ServerConnection) -> None:
         self._watches.pop(connection, None)
         self._connections.discard(connection)
 
@@ -192,13 +192,13 @@
         for connection in list(self._watches):
             self._update_watch(connection)
 
-    def _update_watch(self, connection: Served) -> None:
+    def _update_watch(self, connection: ServerConnection) -> None:
         told_revision = self._watches[connection]
         if self._is_silent or told_revision == self._revision:
             return
         line = self.list_line(told_revision)
         self._watches[connection] = self._revision
-        connection.raw(b"%x\r\n%b\r\n" % (len(line), line))
+        connection.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def _send_keepalive(self) -> None:
         self._keepalive_timer = asyncio.get_running_loop().call_later(
@@ -206,4 +206,4 @@
         )
         if not self._is_silent:
             for connection in self._watches:
-                connection.raw(KEEPALIVE_CHUNK)
+                connection.write(KEEPALIVE_CHUNK)
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from zlib import crc32
 
-from cressrail.http_testing.client import Caller, now_us
+from cressrail.http_testing.client import HttpClient, now_us
 from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
 from cressrail.testbed.event_record import EventRecord, ProcessState
 from cressrail.testbed.fault_injection import FaultInjector, draw_faults
@@ -162,9 +162,9 @@
         )
 
     def _join(self, endpoint: SimulatedEndpoint, sidecar: SidecarProcess) -> None:
-        endpoint.below = Caller(*sidecar.address, most=CONNECTIONS)
+        endpoint.below = HttpClient(*sidecar.address, max_connections=CONNECTIONS)
         endpoint.below_name = sidecar.target
-        endpoint.below.on_surplus = lambda n: self.event_record.append(
+        endpoint.below.on_excess_bytes = lambda n: self.event_record.append(
             surplus=n, target=sidecar.target, at_us=now_us()
         )
 
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from cressrail.http_testing.client import Answer, Caller, now_us
+from cressrail.http_testing.client import HttpClient, Response, now_us
 from cressrail.membership import log_events
 from cressrail.testbed.event_record import EventRecord
 from cressrail.testbed.sidecars import SidecarProcess
@@ -61,12 +61,12 @@
                         self._append_logged(sidecar, orjson.loads(line), clock_offset_us)
 
     async def _poll(self, sidecar: SidecarProcess) -> None:
-        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        caller = Caller(*sidecar.admin_address, most=1, keep=False)
-        caller.call(MEMBERSHIP_REQUEST, RESPONSE_TIMEOUT_US, answered.set_result)
-        answer = await answered
-        if answer.status == HTTP_OK:
-            self._append_view(sidecar.name, orjson.loads(answer.body))
+        responded: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+        client = HttpClient(*sidecar.admin_address, max_connections=1, keeps_alive=False)
+        client.send(MEMBERSHIP_REQUEST, RESPONSE_TIMEOUT_US, responded.set_result)
+        response = await responded
+        if response.status == HTTP_OK:
+            self._append_view(sidecar.name, orjson.loads(response.body))
 
     def _append_logged(self, sidecar: str, logged: dict[str, Any], clock_offset_us: int) -> None:
         self._event_record.append(
