--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -214,10 +214,10 @@
         while loop.time() < over:
             if sidecar.process is None or sidecar.process.poll() is not None:
                 break
-            caller = HttpClient(*sidecar.address, max_connections=1, keeps_alive=False)
-            heard: asyncio.Future[Response] = loop.create_future()
-            caller.send(b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n", 500_000, heard.set_result)
-            if (await heard).status == 200:
+            client = HttpClient(*sidecar.address, max_connections=1, keeps_alive=False)
+            response: asyncio.Future[Response] = loop.create_future()
+            client.send(b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n", 500_000, response.set_result)
+            if (await response).status == 200:
                 return
             await asyncio.sleep(0.02)
         raise RuntimeError(f"{sidecar.name} does not get ready: see {self.folder / (sidecar.name + '.log')}")
