--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -17,7 +17,7 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import run as play
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
-from cressrail.testbed.sidecars import check_settings
+from cressrail.testbed.sidecar_configuration import check_settings
 
 app = typer.Typer(
     help="Experiments on real sidecars amid stand-ins.",
--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -19,7 +19,7 @@
 from cressrail.testbed.run import run_fleet
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
-from cressrail.testbed.sidecars import check_settings
+from cressrail.testbed.sidecar_configuration import check_settings
 
 app = typer.Typer(
     help="Stand-in tiers with faults, and the rule checker.",
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -24,9 +24,10 @@
 from cressrail.experiment.sink import ZONE
 from cressrail.load.plan import Plan
 from cressrail.load.run import Job, play
-from cressrail.testbed.fleet import loopback_host
+from cressrail.testbed.loopback import loopback_host
 from cressrail.testbed.scenario import FleetScenario
-from cressrail.testbed.sidecars import SidecarProcess, build_configuration, override_setting
+from cressrail.testbed.sidecar_configuration import build_configuration, override_setting
+from cressrail.testbed.sidecar_process import SidecarProcess
 
 RATE, SLICE_S, SLICES = 1500.0, 1.0, 5
 READY_S = 15.0
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -11,7 +11,8 @@
 from cressrail.testbed.event_record import EventRecord, ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkEmulator, NetworkRule
 from cressrail.testbed.scenario import Fault, FaultSchedule
-from cressrail.testbed.sidecars import SidecarManager, SidecarProcess
+from cressrail.testbed.sidecar_process import SidecarProcess
+from cressrail.testbed.sidecars import SidecarManager
 
 DRAWN_SHARE = 0.8  # of a run, in which drawn faults fall; the rest shows whether all recover
 MIN_DRAWN_DURATION_S = 0.2
--- /dev/null
+++ b/cressrail/testbed/fault_timeline.py
@@ -0,0 +1,94 @@
+"""Plays the faults of a scenario on a running fleet, each at its time."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import NamedTuple
+
+from cressrail.http_testing.client import now_us
+from cressrail.testbed.endpoint_faults import EndpointFaults
+from cressrail.testbed.fault_injection import draw_faults
+from cressrail.testbed.fleet import Fleet
+from cressrail.testbed.scenario import SIDECAR_FAULTS, Fault
+
+SECOND_US = 1_000_000
+
+
+class FaultChange(NamedTuple):
+    """Begin or end of a fault; sorted by time, and at the same time begins before ends.
+
+    Attributes:
+        at_s: From the start of the run.
+        is_end: Whether the fault ends.
+        number: Of the fault.
+    """
+
+    at_s: float
+    is_end: bool
+    number: int
+
+
+async def run_faults(fleet: Fleet, start_us: int) -> None:
+    """Begins and ends all listed and drawn faults of the fleet's scenario.
+
+    Args:
+        fleet: That was started.
+        start_us: Begin of the run, on the monotonic clock.
+    """
+    fleet.event_record.append(start_us=start_us)
+    fleet.network.rules = []
+    fleet.record_usage()
+    fleet.spawn(fleet.record_usage_repeatedly())
+    fleet.udp_relay.max_lag_s = 0.0
+    faults = _collect_faults(fleet)
+    changes = [FaultChange(fault.at_s, False, number) for number, fault in enumerate(faults)]
+    changes += [FaultChange(fault.at_s + fault.duration_s, True, n) for n, fault in enumerate(faults)]
+    endpoint_faults = EndpointFaults(fleet)
+    for change in sorted(changes):
+        await asyncio.sleep(max(0.0, (start_us - now_us()) / SECOND_US + change.at_s))
+        fault = faults[change.number]
+        if fault.kind in SIDECAR_FAULTS:
+            fleet.spawn(_change_sidecar_fault(fleet, fault, change))
+        else:
+            _change_endpoint_fault(fleet, endpoint_faults, fault, change)
+
+
+def _collect_faults(fleet: Fleet) -> list[Fault]:
+    scenario = fleet.scenario
+    faults = list(scenario.faults)
+    if scenario.schedule is not None:
+        names = [sidecar.name for sidecar in fleet.sidecars.sidecars]
+        faults += draw_faults(scenario.schedule, scenario.duration_s, names)
+    return faults
+
+
+def _change_endpoint_fault(
+    fleet: Fleet, endpoint_faults: EndpointFaults, fault: Fault, change: FaultChange
+) -> None:
+    fleet.event_record.append(
+        fault=fault.kind,
+        over=change.is_end,
+        at_us=now_us(),
+        tier=fault.tier,
+        zone=fault.zone,
+        endpoints=[endpoint.name for endpoint in endpoint_faults.affected_endpoints(fault)],
+    )
+    if change.is_end:
+        endpoint_faults.end(fault)
+    else:
+        endpoint_faults.begin(fault)
+
+
+async def _change_sidecar_fault(fleet: Fleet, fault: Fault, change: FaultChange) -> None:
+    fleet.event_record.append(
+        harm=fault.kind,
+        number=change.number,
+        over=change.is_end,
+        at_us=now_us(),
+        words=fault.model_dump(by_alias=True, exclude_defaults=True),
+    )
+    if change.is_end:
+        await fleet.fault_injector.end(change.number, fault)
+    else:
+        affected = await fleet.fault_injector.begin(change.number, fault)
+        fleet.event_record.append(met=affected, number=change.number, at_us=now_us())
--- /dev/null
+++ b/cressrail/testbed/idempotency_keys.py
@@ -0,0 +1,28 @@
+"""Idempotency keys that endpoints have seen, for as long as they know them."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+
+class IdempotencyKeys:
+    """The keys that the endpoints of one key scope share.
+
+    Attributes:
+        first_seen_us: When each key was seen, the oldest first.
+    """
+
+    def __init__(self) -> None:
+        self.first_seen_us: OrderedDict[str, int] = OrderedDict()
+
+    def is_repeat(self, key: str, now_us: int, window_us: int) -> bool:
+        """Returns whether the key was seen within the window; keeps it from now on if not."""
+        while self.first_seen_us:
+            oldest_key, oldest_us = next(iter(self.first_seen_us.items()))
+            if oldest_us + window_us >= now_us:
+                break
+            del self.first_seen_us[oldest_key]
+        if key in self.first_seen_us:
+            return True
+        self.first_seen_us[key] = now_us
+        return False
--- /dev/null
+++ b/cressrail/testbed/loopback.py
@@ -0,0 +1,19 @@
+"""Loopback hosts for listeners whose ports must be known before they are started."""
+
+from __future__ import annotations
+
+import os
+
+FIRST_NETWORK = 64  # 127.64.0.0 and up: apart from what else listens on loopback
+NETWORK_BLOCK = 64  # second octets of one block; further hosts of a run go into the next block
+BLOCKS = 3
+OCTET_VALUES = 256
+HOSTS_IN_NETWORK = 254
+
+
+def loopback_host(number: int) -> str:
+    """Returns the host of that number, which no other run that goes on has."""
+    run = os.getpid() % (NETWORK_BLOCK * OCTET_VALUES)
+    block = number // HOSTS_IN_NETWORK % BLOCKS
+    second_octet = FIRST_NETWORK + run // OCTET_VALUES + NETWORK_BLOCK * block
+    return f"127.{second_octet}.{run % OCTET_VALUES}.{number % HOSTS_IN_NETWORK + 1}"
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -12,6 +12,7 @@
 import uvloop
 
 from cressrail.http_testing.client import now_us
+from cressrail.testbed.fault_timeline import run_faults
 from cressrail.testbed.fleet import Fleet
 from cressrail.testbed.scenario import FleetScenario
 
@@ -58,7 +59,7 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         if starts_at_once:
-            fleet.spawn(fleet.run_faults(now_us()))
+            fleet.spawn(run_faults(fleet, now_us()))
         else:
             loop.add_reader(sys.stdin.fileno(), _read_command, fleet, is_over)
         await is_over.wait()
@@ -73,7 +74,7 @@
 def _read_command(fleet: Fleet, is_over: asyncio.Event) -> None:
     match sys.stdin.readline().split():
         case [command, start_us] if command == START_COMMAND and start_us.isdigit():
-            fleet.spawn(fleet.run_faults(int(start_us)))
+            fleet.spawn(run_faults(fleet, int(start_us)))
         case _:  # the end of the input, or nothing that can be read
             asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
             is_over.set()
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -6,35 +6,58 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any, Literal
 
 from pydantic import Field, model_validator
 
 from cressrail.load.plan import Behaviour, MemberMix, ProfileMix, Strict
 
-FaultKind = Literal[
-    "die",
-    "stall",
-    "slow",
-    "refuse",
-    "reset",
-    "err",
-    "spoil",
-    "drain",
-    "cut",
-    "late",
-    "silent",
-    "tear",
-    "anew",
-    "wire",
-    "stall-process",
-    "kill",
-    "stop",
-    "restart",
-    "flood",
-]
-DISCOVERY_FAULTS = ("late", "silent", "tear", "anew")
-SIDECAR_FAULTS = ("wire", "stall-process", "kill", "stop", "restart", "flood")
+
+class FaultKind(StrEnum):
+    """What a fault does; the values stand in scenario files and in event records."""
+
+    ENDPOINT_CRASH = "die"
+    ENDPOINT_STALL = "stall"
+    ENDPOINT_SLOWDOWN = "slow"
+    ENDPOINT_DRAIN = "drain"
+    RESPONSE_REJECTED = "refuse"
+    RESPONSE_RESET = "reset"
+    RESPONSE_ERROR = "err"
+    RESPONSE_GARBLED = "spoil"
+    ZONE_CUT = "cut"
+    DISCOVERY_DELAY = "late"
+    DISCOVERY_SILENCE = "silent"
+    DISCOVERY_BREAK = "tear"
+    DISCOVERY_RESTART = "anew"
+    NETWORK = "wire"
+    SIDECAR_PAUSE = "stall-process"
+    SIDECAR_KILL = "kill"
+    SIDECAR_TERMINATION = "stop"
+    SIDECAR_RESTART = "restart"
+    DATAGRAM_FLOOD = "flood"
+
+
+RESPONSE_FAULTS = (
+    FaultKind.RESPONSE_REJECTED,
+    FaultKind.RESPONSE_RESET,
+    FaultKind.RESPONSE_ERROR,
+    FaultKind.RESPONSE_GARBLED,
+)
+DISCOVERY_FAULTS = (
+    FaultKind.DISCOVERY_DELAY,
+    FaultKind.DISCOVERY_SILENCE,
+    FaultKind.DISCOVERY_BREAK,
+    FaultKind.DISCOVERY_RESTART,
+)
+SIDECAR_FAULTS = (
+    FaultKind.NETWORK,
+    FaultKind.SIDECAR_PAUSE,
+    FaultKind.SIDECAR_KILL,
+    FaultKind.SIDECAR_TERMINATION,
+    FaultKind.SIDECAR_RESTART,
+    FaultKind.DATAGRAM_FLOOD,
+)
 # Of a fault of kind `wire`, beside the share that is dropped.
 NETWORK_EFFECTS = {"delay_ms", "jitter_ms", "duplicate", "reorder", "corrupt", "rate"}
 PolicyName = Literal["own", "random", "round-robin", "least-in-flight", "retry-always"]
@@ -238,7 +261,7 @@
     @classmethod
     def _drop_only_on_request(cls, keys: Any) -> Any:
         """Sets the dropped share of a `wire` to 0 where other effects are named and the share is not."""
-        is_network_fault = isinstance(keys, dict) and keys.get("kind") == "wire"
+        is_network_fault = isinstance(keys, dict) and keys.get("kind") == FaultKind.NETWORK
         if is_network_fault and "share" not in keys and keys.keys() & NETWORK_EFFECTS:
             return {**keys, "share": 0.0}
         return keys
@@ -343,12 +366,12 @@
                     f"faults.{n}.endpoints: tier {fault.tier} has "
                     f"{self.fleet.tiers[fault.tier].endpoint_count}"
                 )
-            if fault.kind in ("wire", "flood") and self.fleet.membership is None:
+            if fault.kind in (FaultKind.NETWORK, FaultKind.DATAGRAM_FLOOD) and self.fleet.membership is None:
                 raise ValueError(f"faults.{n}.kind: it is between sidecars that talk: fleet.membership")
             for word in (*fault.senders, *fault.receivers, *fault.sidecars):
                 if not self._selects_sidecars(word):
                     raise ValueError(f"faults.{n}: no sidecar is {word[:40]}")
-            if fault.kind == "cut" and not fault.zone:
+            if fault.kind == FaultKind.ZONE_CUT and not fault.zone:
                 raise ValueError(f"faults.{n}.zone: a cut names the zone that is cut off")
         return self
 
--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars as processes: what each is told, its start, its end. The one owner of these processes."""
+"""Starts, pauses and ends the processes of real sidecars, and of floods against them."""
 
 from __future__ import annotations
 
@@ -7,281 +7,189 @@
 import signal
 import subprocess
 import sys
+from collections.abc import Sequence
 from contextlib import suppress
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
 
 import orjson
 
 from cressrail.http_testing.client import HttpClient, Response
 from cressrail.testbed.scenario import FleetScenario
-from cressrail.testbed.scenario_file import ScenarioError
+from cressrail.testbed.sidecar_configuration import KEY_FILE, build_configuration
+from cressrail.testbed.sidecar_process import SidecarProcess
+
+READY_TIMEOUT_S = 60.0
+READY_POLL_INTERVAL_S = 0.02
+HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n"
+HEALTH_TIMEOUT_US = 500_000
+END_POLL_INTERVAL_S = 0.005
+TERMINATION_TIMEOUT_S = 0.1  # before a process is killed
+MEMBERSHIP_KEY = "5a" * 32  # hexadecimal
+# Sections that configurations of earlier versions do not have.
+OLDER_CONFIGURATION = {"membership": None, "failover": None}
+# proc(5): fields of /proc/PID/stat behind the program's name.
+USER_TICKS_FIELD, SYSTEM_TICKS_FIELD = 11, 12
 
-READY_S = 60.0
-ADMIN_PORT, GOSSIP_PORT, RELAY_PORT = 9001, 7946, 7947
-KEY_FILE = "keys"
-OLDER = {"membership": None, "failover": None}  # what an older configuration lacks
 
+class SidecarManager:
+    """The one owner of the processes of a fleet's sidecars.
 
-class SidecarProcess:
-    def __init__(
-        self,
-        name: str,
-        tier_index: int,
-        instance_number: int,
-        zone: str,
-        address: tuple[str, int],
-        discovery_address: tuple[str, int],
-    ) -> None:
-        self.name, self.tier_index, self.instance_number, self.zone = name, tier_index, instance_number, zone
-        self.address, self.discovery_address = address, discovery_address
-        self.seed_addresses: list[tuple[str, int]] = []  # of its tier, as they advertise themselves
-        self.process: subprocess.Popen[bytes] | None = None
-
-    @property
-    def admin_address(self) -> tuple[str, int]:
-        return self.address[0], ADMIN_PORT
-
-    @property
-    def membership_address(self) -> tuple[str, int]:
-        """Where it listens to the others; they send to `advertise`, which is the relay's."""
-        return self.address[0], GOSSIP_PORT
-
-    @property
-    def advertised_address(self) -> tuple[str, int]:
-        return self.address[0], RELAY_PORT
-
-    @property
-    def target(self) -> str:
-        return f"{self.address[0]}:{self.address[1]}"
-
-
-def build_configuration(
-    world: FleetScenario, sidecar: SidecarProcess, copies: int, seed: int
-) -> dict[str, Any]:
-    """Its configuration, in the platform's words."""
-    config: dict[str, Any] = {
-        "name": sidecar.name,
-        "listen": sidecar.target,
-        "discovery": "{}:{}".format(*sidecar.discovery_address),
-        "seed": f"{seed:x}",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"revision": 0, "complete": True, "members": []},
-        "settings": {
-            "n_instances": copies,
-            "slot_no": sidecar.instance_number,
-            "tiers": [t.name for t in world.fleet.tiers],
-            "stage": sidecar.tier_index,
-            "dcs": world.fleet.zones,
-            "zone": sidecar.zone,
-            "round_us": 5000,
-            "membership_mode": "automatic",
-            "revenue_basis": "request",
-            "surplus_revenue": 0.05,
-            "profiles": [
-                {
-                    "name": p.name,
-                    "repeat": p.repeat,
-                    "service_goal_us": int(p.goal_ms * 1000),
-                    "hard_limit_us": int(p.limit_ms * 1000),
-                    "revenue": p.revenue,
-                    **(
-                        {"key_scope": p.key_scope, "window_us": int(p.idempotency_window_ms * 1000)}
-                        if p.repeat == "keyed"
-                        else {}
-                    ),
-                }
-                for p in world.request_classes
-            ],
-            "tenants": [
-                {"name": m.name, "allowance_per_s": m.quota_per_s, "share": m.part}
-                for m in world.tenants
-                if m.quota_per_s
-            ],
-            "limits": {
-                "may_cancel": True,
-                "most_hops": 3,
-                "parallel_tries": False,
-                "retry_after": True,
-                "max_retry_after_us": 1_000_000,
-                "connect_timeout_us": 250_000,
-                "conn_idle_us": 10_000_000,
-            },
-            "contract": {
-                "cold_from": world.fleet.contract.initial_share,
-                "warm_within_us": int(world.fleet.contract.warmup_ms * 1000),
-                "fall_multiple": world.rules.overload_multiple,
-                "fall_us": int(world.rules.overload_window_ms * 1000),
-            },
-        },
-    }
-    talk = world.fleet.membership
-    if talk is not None:
-        config["ops"] = "{}:{}".format(*sidecar.admin_address)
-        config["membership"] = {
-            "listen": "{}:{}".format(*sidecar.membership_address),
-            "advertise": "{}:{}".format(*sidecar.advertised_address),
-            "seeds": ["{}:{}".format(*seed) for seed in sidecar.seed_addresses],
-            "keys": KEY_FILE,
-            "bear_pause_ms": talk.tolerated_pause_ms,
-            "most_bytes": talk.max_datagram_bytes,
-            "use": talk.used_for,
-        }
-    if world.fleet.failover is not None:
-        shared = world.fleet.failover
-        regions = {"regions": shared.regions} if shared.regions else {}
-        config["failover"] = {"way_ms": shared.round_trip_ms, **regions}
-    for path, value in world.fleet.setting_overrides.items():
-        override_setting(config, path, value)
-    return config
-
-
-def override_setting(into: dict[str, Any], path: str, value: Any) -> None:
-    """Sets `a.b.c`, numbers for the items of lists.
-
-    Raises `ScenarioError` where a part on the way is missing.
+    Attributes:
+        sidecars: All that were started so far.
     """
-    *way, last = path.split(".")
-    at: Any = into
-    try:
-        for word in way:
-            at = at[int(word)] if isinstance(at, list) else at[word]
-        at[int(last) if isinstance(at, list) else last] = value
-    except (KeyError, IndexError, TypeError, ValueError):
-        raise ScenarioError(f"settings: nothing at {path}") from None
-
-
-def check_settings(world: FleetScenario) -> None:
-    """That sidecars can be told what the file's settings say. Raises `ScenarioError`."""
-    build_configuration(
-        world, SidecarProcess("any", 0, 0, world.fleet.zones[0], ("127.0.0.1", 1), ("127.0.0.1", 2)), 1, 1
-    )
-
-
-class SidecarManager:
-    """`checkout`: where the program stands whose sidecars these are."""
 
     def __init__(
         self, scenario: FleetScenario, folder: Path, checkout: Path, policy: str, defect: str
     ) -> None:
-        self.scenario, self.folder, self.checkout = scenario, folder, checkout
-        self.policy, self.defect = policy, defect
-        (folder / KEY_FILE).write_text("5a" * 32 + "\n")
+        """Starts none yet.
+
+        Args:
+            scenario: Of the fleet.
+            folder: For configurations, logs and the key file.
+            checkout: Of the repository whose sidecars run.
+            policy: Name of their policy.
+            defect: Name of a deliberate defect; empty for none.
+        """
         self.sidecars: list[SidecarProcess] = []
-        self.written_configurations: dict[str, bytes] = {}
-        self.flood_processes: dict[str, subprocess.Popen[bytes]] = {}
-
-    def start(self, sidecar: SidecarProcess, copies: int, seed: int, older: bool = False) -> None:
-        self.kill(sidecar)  # guards against faults that overlap and leave a process that nobody owns
-        config = self.folder / f"{sidecar.name}.json"
-        text = orjson.dumps(
-            build_configuration(self.scenario, sidecar, copies, seed) | (OLDER if older else {})
-        )
-        if (
-            self.written_configurations.get(sidecar.name) != text
-        ):  # to cut a file short may take long, and the relay waits
-            config.write_bytes(text)
-            self.written_configurations[sidecar.name] = text
-        log = open(self.folder / f"{sidecar.name}.log", "ab")  # noqa: SIM115 - closed below, once it is the child's
-        words = ["-m", "cressrail", "serve", str(config)]
-        if self.policy != "own" or self.defect:
-            words = [
-                "-m",
-                "cressrail.testbed.policy_variants",
-                "--policy",
-                self.policy,
-                "--break",
-                self.defect,
-                str(config),
-            ]
-        env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
-        with log:
+        self._scenario, self._folder, self._checkout = scenario, folder, checkout
+        self._policy, self._defect = policy, defect
+        self._written_configurations: dict[str, bytes] = {}
+        self._floods: dict[str, subprocess.Popen[bytes]] = {}
+        (folder / KEY_FILE).write_text(MEMBERSHIP_KEY + "\n")
+
+    def start(self, sidecar: SidecarProcess, instance_count: int, seed: int, is_older: bool = False) -> None:
+        """Starts a sidecar's process, in place of one that still runs.
+
+        Args:
+            sidecar: Which one.
+            instance_count: Sidecars of its tier.
+            seed: Of its random values.
+            is_older: Whether it gets the configuration of an earlier version.
+        """
+        self.kill(sidecar)  # faults that overlap would leave a process without an owner
+        path = self._write_configuration(sidecar, instance_count, seed, is_older)
+        with (self._folder / f"{sidecar.name}.log").open("ab") as log:
             sidecar.process = subprocess.Popen(
-                [sys.executable, *words],
-                cwd=self.checkout,
+                [sys.executable, *self._program_arguments(path)],
+                cwd=self._checkout,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                env={**env, "PYTHONPATH": str(self.checkout)},
+                env=self._environment(),
             )
         if sidecar not in self.sidecars:
             self.sidecars.append(sidecar)
 
     async def wait_until_ready(self, sidecar: SidecarProcess) -> None:
-        """Until /_health answers 200. Raises `RuntimeError` if it does not in time."""
+        """Waits until its health check succeeds.
+
+        Raises:
+            RuntimeError: It ended, or the check does not succeed in time.
+        """
         loop = asyncio.get_running_loop()
-        over = loop.time() + READY_S
-        while loop.time() < over:
+        timeout_at_s = loop.time() + READY_TIMEOUT_S
+        while loop.time() < timeout_at_s:
             if sidecar.process is None or sidecar.process.poll() is not None:
                 break
             client = HttpClient(*sidecar.address, max_connections=1, keeps_alive=False)
             response: asyncio.Future[Response] = loop.create_future()
-            client.send(b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n", 500_000, response.set_result)
-            if (await response).status == 200:
+            client.send(HEALTH_REQUEST, HEALTH_TIMEOUT_US, response.set_result)
+            if (await response).status == HTTPStatus.OK:
                 return
-            await asyncio.sleep(0.02)
-        raise RuntimeError(f"{sidecar.name} does not get ready: see {self.folder / (sidecar.name + '.log')}")
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+        raise RuntimeError(f"{sidecar.name} does not get ready: see {self._folder / (sidecar.name + '.log')}")
 
     def cpu_seconds(self, sidecar: SidecarProcess) -> float:
-        """Processor time of its process so far."""
+        """Returns the processor time of its process so far; 0 if there is none."""
         if sidecar.process is None:
             return 0.0
         with suppress(OSError, IndexError):
             fields = Path(f"/proc/{sidecar.process.pid}/stat").read_text().rpartition(")")[2].split()
-            return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+            ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
+            return ticks / os.sysconf("SC_CLK_TCK")
         return 0.0
 
     def pause(self, sidecar: SidecarProcess) -> None:
+        """Stops its process until `resume`."""
         if sidecar.process is not None:
             sidecar.process.send_signal(signal.SIGSTOP)
 
     def resume(self, sidecar: SidecarProcess) -> None:
+        """Lets a paused process go on."""
         if sidecar.process is not None:
             sidecar.process.send_signal(signal.SIGCONT)
 
-    def start_flood(self, sidecar: SidecarProcess, rate: float) -> None:
+    def start_flood(self, sidecar: SidecarProcess, datagrams_per_s: float) -> None:
+        """Floods its membership address until `stop_flood`."""
         self.stop_flood(sidecar)
-        words = [*map(str, sidecar.membership_address), str(rate), str(self.folder / KEY_FILE)]
-        self.flood_processes[sidecar.name] = subprocess.Popen(
-            [sys.executable, "-m", "cressrail.testbed.flood", *words],
-            cwd=self.checkout,
+        arguments = [
+            *map(str, sidecar.membership_address),
+            str(datagrams_per_s),
+            str(self._folder / KEY_FILE),
+        ]
+        self._floods[sidecar.name] = subprocess.Popen(
+            [sys.executable, "-m", "cressrail.testbed.flood", *arguments],
+            cwd=self._checkout,
             stdin=subprocess.DEVNULL,
-            env={**os.environ, "PYTHONPATH": str(self.checkout)},
+            env={**os.environ, "PYTHONPATH": str(self._checkout)},
         )
 
     def stop_flood(self, sidecar: SidecarProcess) -> None:
-        if (process := self.flood_processes.pop(sidecar.name, None)) is not None:
+        """Ends the flood against it, if there is one."""
+        if (process := self._floods.pop(sidecar.name, None)) is not None:
             process.kill()
             process.wait()
 
     def kill(self, sidecar: SidecarProcess) -> None:
+        """Kills its process and waits for its end."""
         if sidecar.process is not None:
             sidecar.process.kill()
             sidecar.process.wait()
             sidecar.process = None
 
-    async def kill_all(self, chosen: list[SidecarProcess]) -> None:
-        """At once, and without holding up this process: an end takes its time where many end."""
-        ending = [sidecar.process for sidecar in chosen if sidecar.process is not None]
-        for process in ending:
+    async def kill_all(self, sidecars: Sequence[SidecarProcess]) -> None:
+        """Kills processes at the same time; other tasks go on while they end."""
+        processes = [sidecar.process for sidecar in sidecars if sidecar.process is not None]
+        for process in processes:
             process.kill()
-        while any(process.poll() is None for process in ending):
-            await asyncio.sleep(0.005)
-        for sidecar in chosen:
+        while any(process.poll() is None for process in processes):
+            await asyncio.sleep(END_POLL_INTERVAL_S)
+        for sidecar in sidecars:
             sidecar.process = None
 
     def close(self) -> None:
+        """Ends all processes: terminates them, and kills those that do not end in time."""
         for sidecar in self.sidecars:
             self.stop_flood(sidecar)
         for sidecar in self.sidecars:
             if sidecar.process is not None:
-                self.resume(sidecar)  # one that is stalled hears no other signal
+                self.resume(sidecar)  # a paused process gets no other signal
                 sidecar.process.terminate()
         for sidecar in self.sidecars:
             if sidecar.process is not None:
-                try:
-                    sidecar.process.wait(0.1)
-                except subprocess.TimeoutExpired:
-                    sidecar.process.kill()
-                    sidecar.process.wait()
-                sidecar.process = None
+                with suppress(subprocess.TimeoutExpired):
+                    sidecar.process.wait(TERMINATION_TIMEOUT_S)
+                self.kill(sidecar)
+
+    def _write_configuration(
+        self, sidecar: SidecarProcess, instance_count: int, seed: int, is_older: bool
+    ) -> Path:
+        path = self._folder / f"{sidecar.name}.json"
+        configuration = build_configuration(self._scenario, sidecar, instance_count, seed)
+        text = orjson.dumps(configuration | (OLDER_CONFIGURATION if is_older else {}))
+        # Truncating a file may take long, and the relay waits meanwhile.
+        if self._written_configurations.get(sidecar.name) != text:
+            path.write_bytes(text)
+            self._written_configurations[sidecar.name] = text
+        return path
+
+    def _program_arguments(self, configuration: Path) -> Sequence[str]:
+        if self._policy == "own" and not self._defect:
+            return ["-m", "cressrail", "serve", str(configuration)]
+        variant = ["--policy", self._policy, "--break", self._defect]
+        return ["-m", "cressrail.testbed.policy_variants", *variant, str(configuration)]
+
+    def _environment(self) -> dict[str, str]:
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
+        return {**inherited, "PYTHONPATH": str(self._checkout)}
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -1,373 +1,329 @@
-"""One endpoint: a machine behind listeners, one for callers of each zone, so that a zone can be cut off.
+"""One simulated endpoint: processes requests, calls the next tier through its own sidecar, and responds.
 
-It begins a request when its last byte has come, calls the next tier through its own sidecar, and answers. A
-repeat of a journalled transaction that its group has seen within the window is dropped: it is answered and
-runs nothing.
+Work on a request begins when its last byte has arrived. A repeat of a request whose idempotency key the
+endpoint's key scope has seen within the window gets a response and does no work.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-import socket
-from collections import OrderedDict
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+from typing import NamedTuple
 
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
+from cressrail.testbed.attempt import OUTCOMES_AFTER_WORK, Attempt, AttemptOutcome, Placement
 from cressrail.testbed.event_record import EventRecord
+from cressrail.testbed.idempotency_keys import IdempotencyKeys
 from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
-from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
+from cressrail.testbed.scenario import RESPONSE_FAULTS, EndpointContract, FaultKind, RequestClass, Tier
+from cressrail.testbed.zone_listeners import ZoneListeners
 
-BACKLOG = 1024
-FAULTS = ("refuse", "reset", "err", "spoil")
-LAST_US = 250_000  # on top of what a call is told, as clients wait
-CONNECTIONS = 512  # of an endpoint to its own sidecar
+SECOND_US = 1_000_000
+MILLISECOND_US = 1000
+MIN_TIMEOUT_US = 1000  # told to the next tier
+EXTRA_PATIENCE_US = 250_000  # a call waits so much longer, so that a response at the last moment is seen
+MAX_CONNECTIONS = 512  # of an endpoint to its own sidecar
+MAX_ECHO_BYTES = 200  # of a response's body, in which the request id is looked for
 
 
-class IdempotencyKeys:
-    """The idempotency keys that the endpoints of one key scope have seen.
+class NextTier(NamedTuple):
+    """The endpoint's own sidecar.
 
     Attributes:
-        first_seen_us: When each key was seen, the oldest first.
+        client: Connections to it.
+        target: Its address, as the event record names it.
     """
 
-    def __init__(self) -> None:
-        self.first_seen_us: OrderedDict[str, int] = OrderedDict()
-
-    def is_repeat(self, key: str, now_us: int, window_us: int) -> bool:
-        """Returns whether the key was seen within the window; keeps it from now on if not."""
-        while self.first_seen_us:
-            oldest_key, oldest_us = next(iter(self.first_seen_us.items()))
-            if oldest_us + window_us >= now_us:
-                break
-            del self.first_seen_us[oldest_key]
-        if key in self.first_seen_us:
-            return True
-        self.first_seen_us[key] = now_us
-        return False
-
-
-@dataclass(eq=False)
-class Work:
-    """One hop as its endpoint sees it."""
-
-    asked: ReceivedRequest
-    name: str
-    profile: RequestClass
-    came_us: int
-    limit_us: int  # when the caller's time is up
-    row: dict[str, Any]
-    job: Job = field(init=False)
-    rest_us: float = 0.0  # of work after the call to the next tier
-    calls: bool = False
-    left: bool = False  # the caller has gone
+    client: HttpClient
+    target: str
 
 
 class SimulatedEndpoint:
+    """An endpoint of a tier.
+
+    Attributes:
+        placement: Where it stands.
+        listeners: For clients of each zone.
+        fault_shares: Share of attempts that each fault of `RESPONSE_FAULTS` meets.
+        is_up: Whether it runs.
+    """
+
     def __init__(
         self,
-        name: str,
-        tier_no: int,
+        placement: Placement,
         tier: Tier,
         contract: EndpointContract,
-        zone: str,
-        cell: int,
-        profiles: dict[str, RequestClass],
-        journals: Callable[[SimulatedEndpoint, RequestClass], IdempotencyKeys],
-        ledger: EventRecord,
+        request_classes: Mapping[str, RequestClass],
+        find_keys: Callable[[Placement, RequestClass], IdempotencyKeys],
+        event_record: EventRecord,
         seed: int,
-        hosts: dict[str, tuple[str, int]],
+        addresses: dict[str, tuple[str, int]],
     ) -> None:
-        """`hosts`: where callers of each zone reach it; port 0 is settled by the first `listen`."""
-        self.name, self.tier_no, self.tier, self.contract = name, tier_no, tier, contract
-        self.zone, self.cell, self.profiles, self.journals, self.ledger = (
-            zone,
-            cell,
-            profiles,
-            journals,
-            ledger,
-        )
-        self.chance = random.Random(seed)
-        self.hosts = hosts
-        self.machine = ProcessorSharingServer(tier, contract)
-        self.servers: dict[str, asyncio.Server] = {}
-        self.served: dict[ServerConnection, str] = {}  # and the zone from which it came
-        self.cut: set[str] = set()  # zones from which nothing comes through
-        self.blocks: list[socket.socket] = []
-        self.works: dict[Job, Work] = {}
-        self.below: HttpClient | None = None
-        self.below_name = ""
-        self.draining = False
-        self.faults: dict[str, float] = dict.fromkeys(FAULTS, 0.0)
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_us = 0
-        self.calls = 0
-        self.up = False
-
-    # Up and down
+        """Does not listen yet.
+
+        Args:
+            placement: Where it stands.
+            tier: Its capacity and work.
+            contract: How it starts.
+            request_classes: By name.
+            find_keys: Returns the keys of a request class that the endpoint shares with its key scope.
+            event_record: Takes attempts and calls.
+            seed: Of the random values.
+            addresses: Host and port by the zone of the clients; port 0 for a free one.
+        """
+        self.placement = placement
+        self.listeners = ZoneListeners(addresses, self._on_request, self._on_disconnected)
+        self.fault_shares = dict.fromkeys(RESPONSE_FAULTS, 0.0)
+        self.is_up = False
+        self._tier, self._contract = tier, contract
+        self._request_classes, self._find_keys = request_classes, find_keys
+        self._event_record = event_record
+        self._random = random.Random(seed)
+        self._processors = ProcessorSharingServer(tier, contract)
+        self._attempts: dict[Job, Attempt] = {}
+        self._next_tier: NextTier | None = None
+        self._call_count = 0
+        self._completion_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def name(self) -> str:
+        """Unique in the fleet."""
+        return self.placement.name
 
     async def listen(self) -> None:
-        """For callers of every zone that is not cut off and for which it does not listen already."""
-        loop = asyncio.get_running_loop()
-        for zone, (host, port) in self.hosts.items():
-            if zone in self.servers or zone in self.cut:
-                continue
-            server = await loop.create_server(
-                lambda zone=zone: ServerConnection(self._asked, self._left, lambda s: self._came(s, zone)),  # type: ignore[misc]
-                host,
-                port,
-                backlog=BACKLOG,
-                reuse_address=True,
-            )
-            self.servers[zone] = server
-            self.hosts[zone] = (host, server.sockets[0].getsockname()[1])
-        self.up = True
-
-    def die(self) -> None:
-        """As a process does: listeners gone, connections reset, work lost."""
-        self.up = False
-        for server in self.servers.values():
-            server.close()
-        self.servers.clear()
-        for work in list(self.works.values()):
-            self._over(work, "died")
-        for served in list(self.served):
-            served.reset()
-        if self.below is not None:
-            self.below.close()
-            self.below = None
-        self._unblock()
-
-    async def start(self, started_us: int) -> None:
-        """Again, with nothing: cold from `started_us` on."""
-        self.machine = ProcessorSharingServer(self.tier, self.contract, started_us)
-        self.draining = False
+        """Listens for clients of every zone that is not cut off."""
+        await self.listeners.listen()
+        self.is_up = True
+
+    async def restart(self, started_us: int) -> None:
+        """Starts again, without connections or work, and warms up from that time on."""
+        self._processors = ProcessorSharingServer(self._tier, self._contract, started_us)
         await self.listen()
 
-    def cut_from(self, zones: set[str]) -> None:
-        """Nothing comes through from there: what is open stays open and silent, nothing new comes up. When it
-        is back, what was open is reset."""
-        for zone in zones - self.cut:
-            server = self.servers.pop(zone, None)
-            if server is not None:
-                server.close()
-                self._block(zone)
-            for served, of in self.served.items():
-                if of == zone:
-                    served.stop_reading()
-        back = self.cut - zones
-        self.cut = set(zones)
-        if back:
-            self._unblock()
-            for served, of in list(self.served.items()):
-                if of in back:
-                    served.reset()
-
-    def _block(self, zone: str) -> None:
-        """A listener whose queue is full, so that the system drops what would connect."""
-        deaf = socket.socket()
-        deaf.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.blocks.append(deaf)
-        try:
-            deaf.bind(self.hosts[zone])
-        except OSError:
-            return  # refused then, which is the next best
-        deaf.listen(0)
-        for _ in range(3):
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex(self.hosts[zone])
-            self.blocks.append(filler)
-
-    def _unblock(self) -> None:
-        for sock in self.blocks:
-            sock.close()
-        self.blocks.clear()
-
-    # Requests
-
-    def _came(self, served: ServerConnection, zone: str) -> None:
-        self.served[served] = zone
-        if zone in self.cut:
-            served.stop_reading()
-
-    def _left(self, served: ServerConnection) -> None:
-        self.served.pop(served, None)
-        work = served.context
-        if work is not None:
-            work.left = True
-            work.row["left_us"] = now_us()
-            if self.contract.stops_on_cancel or not work.job.has_slot:
-                self._over(work, "left")
-
-    def _asked(self, asked: ReceivedRequest) -> None:
-        now = now_us()
-        name, profile = asked.header(b"req-id"), self.profiles.get(asked.header(b"req-kind"))
-        if profile is None or not name:
-            asked.connection.respond(404 if not name else 400)
-            return
-        span = asked.header(b"req-deadline").rstrip("u")
-        limit_us = now + (int(span) if span.isdigit() else int(profile.limit_ms * 1000))
-        key = asked.header(b"idempotency-key")
-        row = {
-            "endpoint": self.name,
-            "tier": self.tier_no,
-            "zone": self.zone,
-            "cell": self.cell,
-            "id": name,
-            "profile": profile.name,
-            "key": key,
-            "came_us": now,
-            "limit_us": limit_us,
-            "ran": False,
-            "cold": self.machine.available_share(now),
-            "work_us": 0,
-        }
-        work = Work(asked, name, profile, now, limit_us, row)
-        work.job = Job(work, 0.0)
-        if self.draining or self._strikes("refuse"):
-            self._decline(work)
+    def crash(self) -> None:
+        """Ends as a process that is killed: no listeners, connections reset, work lost."""
+        self.is_up = False
+        self.listeners.close()
+        for attempt in list(self._attempts.values()):
+            self._end(attempt, AttemptOutcome.ENDPOINT_DIED)
+        self.listeners.reset_connections()
+        if self._next_tier is not None:
+            self._next_tier.client.close()
+            self._next_tier = None
+        self.listeners.unblock()
+
+    def close(self) -> None:
+        """Ends the endpoint and its timer."""
+        if self._completion_timer is not None:
+            self._completion_timer.cancel()
+        if self.is_up:
+            self.crash()
+
+    def connect_next_tier(self, address: tuple[str, int], target: str) -> None:
+        """Calls the next tier from now on, through the sidecar at that address."""
+        client = HttpClient(*address, max_connections=MAX_CONNECTIONS)
+        client.on_excess_bytes = lambda count: self._event_record.append(
+            surplus=count, target=target, at_us=now_us()
+        )
+        self._next_tier = NextTier(client, target)
+
+    def set_stalled(self, is_stalled: bool) -> None:
+        """Holds up all work, or lets it go on."""
+        self._processors.advance(now_us())
+        self._processors.is_stalled = is_stalled
+        self._process_completions()
+
+    def set_slowdown(self, factor: float) -> None:
+        """Makes all work so many times slower."""
+        self._processors.advance(now_us())
+        self._processors.slowdown = factor
+        self._process_completions()
+
+    def _on_disconnected(self, connection: ServerConnection) -> None:
+        attempt = connection.context
+        if attempt is not None:
+            attempt.disconnected_us = now_us()
+            if self._contract.stops_on_cancel or not attempt.job.has_slot:
+                self._end(attempt, AttemptOutcome.CLIENT_DISCONNECTED)
+
+    def _on_request(self, request: ReceivedRequest) -> None:
+        arrived_us = now_us()
+        request_id = request.header(b"req-id")
+        request_class = self._request_classes.get(request.header(b"req-kind"))
+        if request_class is None or not request_id:
+            request.connection.respond(HTTPStatus.BAD_REQUEST if request_id else HTTPStatus.NOT_FOUND)
             return
-        whole = draw_work_us(self.tier.service_time, self.chance) * self.tier.work_factors.get(
-            profile.name, 1.0
+        attempt = Attempt(
+            request,
+            request_id,
+            request_class,
+            request.header(b"idempotency-key"),
+            arrived_us,
+            arrived_us + _read_timeout_us(request, request_class),
+            self._processors.available_share(arrived_us),
+            Job(None, 0.0),
         )
-        row["work_us"] = int(whole)
-        if profile.repeat == "keyed" and key:
-            journal = self.journals(self, profile)
-            if journal.is_repeat(key, now, int(profile.idempotency_window_ms * 1000)):
-                row["repeat"] = True
-                self._end(work, 200, "repeat")
-                return
-        work.calls = self.below is not None
-        first = whole * self.tier.work_before_call if work.calls else whole
-        work.rest_us = whole - first
-        work.job = Job(work, first)
-        asked.connection.context = work
-        self.works[work.job] = work
-        if not self.machine.offer(now, work.job):
-            self._decline(work)
+        if self._is_struck_by(FaultKind.RESPONSE_REJECTED):
+            self._reject(attempt)
             return
-        row["ran"] = work.job.has_slot
-        self.look()
-
-    def _strikes(self, kind: str) -> bool:
-        return self.faults[kind] > 0 and self.chance.random() < self.faults[kind]
-
-    def _decline(self, work: Work) -> None:
-        work.asked.connection.respond(503, header_lines=b"Srv-Declined: 1\r\n")
-        self._over(work, "turned away")
-
-    def look(self) -> None:
-        """What has computed its part goes on; then waits for the next."""
-        now = now_us()
-        for job in self.machine.pop_completed(now):
-            work = self.works[job]
-            work.row["ran"] = True
-            if work.calls:
-                work.calls = False
-                self._call_below(work, now)
-            else:
-                self._answer(work)
-        now = now_us()
-        due = self.machine.next_completion_us(now)
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        if due is not None:
-            self.timer = asyncio.get_running_loop().call_later((due - now) / 1e6, self.look)
-
-    def _call_below(self, work: Work, now: int) -> None:
-        self.calls += 1
-        name = f"{work.name}.{self.name}-{self.calls}"
-        left_us = max(1000, work.limit_us - now)
-        fields = work.asked.headers
-        text = (
-            f"{work.asked.method.decode()} {work.asked.target.decode('latin-1')} HTTP/1.1\r\n"
-            f"Host: app.svc\r\nReq-Id: {name}\r\nReq-Kind: {work.profile.name}\r\n"
-            f"Req-Owner: {fields.get(b'req-owner', b'').decode('latin-1')}\r\nReq-Deadline: {left_us}u\r\n"
-            + (f"Idempotency-Key: {work.row['key']}\r\n" if work.row["key"] else "")
-            + (f"Content-Length: {len(work.asked.body)}\r\n" if work.asked.body else "")
-            + "\r\n"
+        work_factor = self._tier.work_factors.get(request_class.name, 1.0)
+        attempt.total_work_us = draw_work_us(self._tier.service_time, self._random) * work_factor
+        if self._is_repeat(attempt):
+            attempt.is_repeat = True
+            self._respond(attempt, HTTPStatus.OK, AttemptOutcome.REPEATED)
+            return
+        self._start(attempt)
+
+    def _is_repeat(self, attempt: Attempt) -> bool:
+        request_class = attempt.request_class
+        if request_class.repeat != "keyed" or not attempt.idempotency_key:
+            return False
+        window_us = int(request_class.idempotency_window_ms * MILLISECOND_US)
+        keys = self._find_keys(self.placement, request_class)
+        return keys.is_repeat(attempt.idempotency_key, attempt.arrived_us, window_us)
+
+    def _start(self, attempt: Attempt) -> None:
+        attempt.must_call = self._next_tier is not None
+        work_us = attempt.total_work_us
+        if attempt.must_call:
+            work_us *= self._tier.work_before_call
+        attempt.remaining_work_us = attempt.total_work_us - work_us
+        attempt.job.work_us = work_us
+        attempt.request.connection.context = attempt
+        self._attempts[attempt.job] = attempt
+        if not self._processors.offer(attempt.arrived_us, attempt.job):
+            self._reject(attempt)
+            return
+        attempt.has_run = attempt.job.has_slot
+        self._process_completions()
+
+    def _is_struck_by(self, fault: FaultKind) -> bool:
+        share = self.fault_shares[fault]
+        return share > 0 and self._random.random() < share
+
+    def _reject(self, attempt: Attempt) -> None:
+        attempt.request.connection.respond(
+            HTTPStatus.SERVICE_UNAVAILABLE, header_lines=b"Srv-Declined: 1\r\n"
         )
-        if work.asked.method != b"GET" and not work.asked.body:
-            text = text[:-2] + "Content-Length: 0\r\n\r\n"
-        below, at = self.below, self.below_name
-        if below is None:
-            self._heard(work, Response())
+        self._end(attempt, AttemptOutcome.REJECTED)
+
+    def _process_completions(self) -> None:
+        """Goes on with attempts whose present part is complete, and waits for the next."""
+        present_us = now_us()
+        for job in self._processors.pop_completed(present_us):
+            attempt = self._attempts[job]
+            attempt.has_run = True
+            if attempt.must_call:
+                attempt.must_call = False
+                self._call_next_tier(attempt, present_us)
+            else:
+                self._finish(attempt)
+        present_us = now_us()
+        due_us = self._processors.next_completion_us(present_us)
+        if self._completion_timer is not None:
+            self._completion_timer.cancel()
+            self._completion_timer = None
+        if due_us is not None:
+            self._completion_timer = asyncio.get_running_loop().call_later(
+                (due_us - present_us) / SECOND_US, self._process_completions
+            )
+
+    def _call_next_tier(self, attempt: Attempt, sent_us: int) -> None:
+        self._call_count += 1
+        request_id = f"{attempt.request_id}.{self.name}-{self._call_count}"
+        timeout_us = max(MIN_TIMEOUT_US, attempt.deadline_us - sent_us)
+        next_tier = self._next_tier
+        if next_tier is None:
+            self._on_next_tier_response(attempt, Response())
             return
-        began = now_us()
-
-        def heard(answer: Response) -> None:
-            self.ledger.append(
-                call=name,
-                id=name,
-                profile=work.profile.name,
-                member=fields.get(b"req-owner", b"").decode("latin-1"),
-                key=work.row["key"],
-                target=at,
-                due_us=began,
-                began_us=began,
-                sent_us=answer.sent_us,
-                again_us=answer.resent_us,
-                ended_us=answer.finished_us,
-                status=answer.status,
-                how=answer.outcome if self.up else "caller died",
-                limit_us=left_us,
-                echo=answer.body[:200].partition(b" ")[0].decode("latin-1"),
+        started_us = now_us()
+
+        def on_response(response: Response) -> None:
+            self._event_record.append(
+                call=request_id,
+                id=request_id,
+                profile=attempt.request_class.name,
+                member=attempt.request.header(b"req-owner"),
+                key=attempt.idempotency_key,
+                target=next_tier.target,
+                due_us=started_us,
+                began_us=started_us,
+                sent_us=response.sent_us,
+                again_us=response.resent_us,
+                ended_us=response.finished_us,
+                status=response.status,
+                how=response.outcome if self.is_up else "caller died",
+                limit_us=timeout_us,
+                echo=response.body[:MAX_ECHO_BYTES].partition(b" ")[0].decode("latin-1"),
             )
-            if work.job in self.works:
-                self._heard(work, answer)
+            if attempt.job in self._attempts:
+                self._on_next_tier_response(attempt, response)
 
-        # A little longer than told, so that an answer in the last moment is seen and not mistaken for none.
-        below.send(text.encode("latin-1") + work.asked.body, left_us + LAST_US, heard)
+        request = _build_request(attempt, request_id, timeout_us)
+        next_tier.client.send(request, timeout_us + EXTRA_PATIENCE_US, on_response)
 
-    def _heard(self, work: Work, answer: Response) -> None:
-        if answer.outcome == CallOutcome.ANSWERED and answer.status == 200:
-            self.machine.resume(now_us(), work.job, work.rest_us)
-            self.look()
+    def _on_next_tier_response(self, attempt: Attempt, response: Response) -> None:
+        if response.outcome == CallOutcome.ANSWERED and response.status == HTTPStatus.OK:
+            self._processors.resume(now_us(), attempt.job, attempt.remaining_work_us)
+            self._process_completions()
         else:
-            self._end(work, 500, "failed below")
-
-    def _answer(self, work: Work) -> None:
-        if self._strikes("reset"):
-            work.asked.connection.reset()
-            self._over(work, "reset")
-        elif self._strikes("err"):
-            self._end(work, 500, "error")
-        elif self._strikes("spoil"):
-            work.asked.connection.write(
-                b"HTTP/1.1 2x0 %d\r\n\x00\x01 nothing that can be read\r\n\r\n" % len(work.name)
+            self._respond(attempt, HTTPStatus.INTERNAL_SERVER_ERROR, AttemptOutcome.NEXT_TIER_FAILED)
+
+    def _finish(self, attempt: Attempt) -> None:
+        """Responds to an attempt whose work is complete, or lets a fault strike it."""
+        connection = attempt.request.connection
+        if self._is_struck_by(FaultKind.RESPONSE_RESET):
+            connection.reset()
+            self._end(attempt, AttemptOutcome.CONNECTION_RESET)
+        elif self._is_struck_by(FaultKind.RESPONSE_ERROR):
+            self._respond(attempt, HTTPStatus.INTERNAL_SERVER_ERROR, AttemptOutcome.SERVER_ERROR)
+        elif self._is_struck_by(FaultKind.RESPONSE_GARBLED):
+            connection.write(
+                b"HTTP/1.1 2x0 %d\r\n\x00\x01 nothing that can be read\r\n\r\n" % len(attempt.request_id)
             )
-            self._over(work, "spoilt")
+            self._end(attempt, AttemptOutcome.GARBLED)
         else:
-            self._end(work, 200, "committed")
-
-    def _end(self, work: Work, status: int, how: str) -> None:
-        """An answer that has the request's id up front, so that a client can tell whose it is."""
-        body = f"{work.name} {self.name} {how}\n".encode() if status == 200 else b""
-        work.asked.connection.respond(status, body)
-        self._over(work, how)
-
-    def _over(self, work: Work, how: str) -> None:
-        """The one place where a hop's work ends, slot and place given back, and its row is written."""
-        now = now_us()
-        self.machine.release(now, work.job)
-        if self.works.pop(work.job, None) is not None and self.up:
-            asyncio.get_running_loop().call_soon(self.look)  # its slot may have let another begin
-        if work.asked.connection.context is work:
-            work.asked.connection.context = None
-        row = work.row
-        row["ran"] = row["ran"] or how in ("committed", "error", "reset", "spoilt", "failed below")
-        row.setdefault("left_us", now)
-        late = now - max(work.limit_us, work.came_us)
-        row.update(how=how, ended_us=now, late_us=max(0, late) if row["ran"] else 0)
-        self.ledger.append(**row)
-
-    def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.up:
-            self.die()
+            self._respond(attempt, HTTPStatus.OK, AttemptOutcome.SUCCEEDED)
+
+    def _respond(self, attempt: Attempt, status: HTTPStatus, outcome: AttemptOutcome) -> None:
+        """Responds; the body begins with the request id, so that a client can tell whose it is."""
+        body = f"{attempt.request_id} {self.name} {outcome}\n".encode() if status == HTTPStatus.OK else b""
+        attempt.request.connection.respond(status, body)
+        self._end(attempt, outcome)
+
+    def _end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Gives back slot and queue place and records the attempt; each attempt ends here, once."""
+        ended_us = now_us()
+        self._processors.release(ended_us, attempt.job)
+        if self._attempts.pop(attempt.job, None) is not None and self.is_up:
+            asyncio.get_running_loop().call_soon(self._process_completions)  # a queued job may have begun
+        if attempt.request.connection.context is attempt:
+            attempt.request.connection.context = None
+        attempt.has_run = attempt.has_run or outcome in OUTCOMES_AFTER_WORK
+        self._event_record.append(**attempt.as_event(self.placement, outcome, ended_us))
+
+
+def _read_timeout_us(request: ReceivedRequest, request_class: RequestClass) -> int:
+    """Returns how long the caller waits: as it says, or else the deadline of the request class."""
+    text = request.header(b"req-deadline").rstrip("u")
+    return int(text) if text.isdigit() else int(request_class.limit_ms * MILLISECOND_US)
+
+
+def _build_request(attempt: Attempt, request_id: str, timeout_us: int) -> bytes:
+    received = attempt.request
+    lines = [
+        f"{received.method.decode()} {received.target.decode('latin-1')} HTTP/1.1",
+        "Host: app.svc",
+        f"Req-Id: {request_id}",
+        f"Req-Kind: {attempt.request_class.name}",
+        f"Req-Owner: {received.header(b'req-owner')}",
+        f"Req-Deadline: {timeout_us}u",
+    ]
+    if attempt.idempotency_key:
+        lines.append(f"Idempotency-Key: {attempt.idempotency_key}")
+    if received.body or received.method != b"GET":
+        lines.append(f"Content-Length: {len(received.body)}")
+    return "\r\n".join([*lines, "", ""]).encode("latin-1") + received.body
--- a/cressrail/testbed/watchers.py
+++ b/cressrail/testbed/watchers.py
@@ -14,7 +14,7 @@
 from cressrail.http_testing.client import HttpClient, Response, now_us
 from cressrail.membership import log_events
 from cressrail.testbed.event_record import EventRecord
-from cressrail.testbed.sidecars import SidecarProcess
+from cressrail.testbed.sidecar_process import SidecarProcess
 
 MEMBERSHIP_REQUEST = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
 RESPONSE_TIMEOUT_US = 1_000_000
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -18,7 +18,8 @@
 from cressrail.testbed.membership_evidence import MembershipEvidence, ProcessChange, ProcessHistory
 from cressrail.testbed.rule_checker import Break, Evidence, evidence
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
-from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_configuration import build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_process import SidecarProcess
 from tests.testbed.event_rows import INGRESS_ROW, attempt_row, call_row
 
 FILE: dict[str, Any] = {
--- a/tests/testbed/test_simulated_service.py
+++ b/tests/testbed/test_idempotency_keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys that simulated endpoints have seen."""
+"""IdempotencyKeys: how long a key is known."""
 
 from __future__ import annotations
 
-from cressrail.testbed.simulated_service import IdempotencyKeys
+from cressrail.testbed.idempotency_keys import IdempotencyKeys
 
 
 def test_key_is_known_within_its_window_only() -> None:
--- a/tests/testbed/test_sidecar_processes.py
+++ b/tests/testbed/test_sidecar_processes.py
@@ -4,7 +4,8 @@
 
 from pathlib import Path
 
-from cressrail.testbed.sidecars import SidecarManager, SidecarProcess
+from cressrail.testbed.sidecar_process import SidecarProcess
+from cressrail.testbed.sidecars import SidecarManager
 from tests.fleets import HERE, world
 
 
