--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -76,13 +76,10 @@
         row = table.row_of(status.id)
         if row < 0:
             return
-        if status.precedence > table.precedence_of(row):
+        known = table.precedence_of(row)
+        if status.precedence > known:
             self._apply(now_us, row, status)
-        elif (
-            status.precedence == table.precedence_of(row)
-            and status.state == SUSPECTED
-            and status.suspected_by
-        ):
+        elif status.precedence == known and status.state == SUSPECTED and status.suspected_by:
             self.confirm_suspicion(now_us, status.id, status.suspected_by)
 
     def _add(self, now_us: int, record: InstanceRecord) -> None:
@@ -115,7 +112,7 @@
             self.confirm_suspicion(now_us, member_id, own_id)
         suspicion = self._suspicions.get(member_id)
         if suspicion is not None:
-            suspicion.is_own = True
+            suspicion.mark_own()
             self._schedule.prioritize(member_id)
 
     def confirm_suspicion(self, now_us: int, member_id: int, suspected_by: int) -> None:
@@ -135,8 +132,7 @@
     def on_connection_refused(self, now_us: int, member_id: int) -> None:
         """Nobody listens at the address of an instance: an own suspicion of it gets the shortest time-out."""
         suspicion = self._suspicions.get(member_id)
-        if suspicion is not None and suspicion.is_own and not suspicion.is_refused:
-            suspicion.is_refused = True
+        if suspicion is not None and suspicion.refuse():
             self.set_suspicion_timer(now_us, member_id, suspicion)
 
     def expire_suspicion(self, now_us: int, member_id: int) -> None:
@@ -149,7 +145,7 @@
         row = shared.table.row_of(member_id)
         if shared.table.last_alive_us[row] > suspicion.since_us:
             # It was heard itself since: only its refutation is missing.
-            suspicion.since_us = now_us
+            suspicion.restart_timeout(now_us)
             deadline_us = suspicion.deadline_us()
         if self._isolation.since_us is not None:
             shared.timers.set(now_us + period_us, TimerKind.EXPIRE_SUSPICION, member_id)
--- a/cressrail/membership/suspicion.py
+++ b/cressrail/membership/suspicion.py
@@ -38,6 +38,25 @@
         self.suspected_by.add(suspected_by)
         return True
 
+    def mark_own(self) -> None:
+        """A ping of this instance failed too."""
+        self.is_own = True
+
+    def refuse(self) -> bool:
+        """Nobody listens at the address; returns whether that shortens the time-out (own suspicions only)."""
+        if not self.is_own or self.is_refused:
+            return False
+        self.is_refused = True
+        return True
+
+    def restart_timeout(self, now_us: int) -> None:
+        """Has the time-out begin now."""
+        self.since_us = now_us
+
+    def extend_timeout(self, now_us: int, isolated_since_us: int) -> None:
+        """Does not count the time in which this instance heard nobody."""
+        self.since_us += now_us - max(isolated_since_us, self.since_us)
+
     def deadline_us(self) -> int:
         """End of the time-out, the longest with one that suspects, the shortest with four."""
         confirmations = CONFIRMATIONS_FOR_MIN
@@ -93,12 +112,12 @@
     def restart_timeouts(self, now_us: int) -> None:
         """Has all time-outs begin now, after a pause of this process."""
         for suspicion in self._suspicions.values():
-            suspicion.since_us = now_us
+            suspicion.restart_timeout(now_us)
 
     def extend_timeouts(self, now_us: int, isolated_since_us: int) -> None:
         """Does not count the time in which this instance heard nobody and could not judge."""
         for suspicion in self._suspicions.values():
-            suspicion.since_us += now_us - max(isolated_since_us, suspicion.since_us)
+            suspicion.extend_timeout(now_us, isolated_since_us)
 
     def note_wrong(self, member_id: int, until_us: int) -> None:
         """Remembers that an instance was suspected and lives."""
