--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -55,14 +55,8 @@
         sock.connect(path)
         sock.sendall(encode_frame(FrameKind.HELLO, {LISTEN_ADDRESS: list(listen)}))
         frames = FrameReader()
-        answer = _receive_first_frame(sock, frames, descriptors)
-        if answer.kind != FrameKind.LISTENING or len(descriptors) != 1:
-            raise HandoverError("no socket came")
-        endpoint_list = parse_update(answer.fields.get(ENDPOINT_LIST))
-        listening_socket = socket.socket(fileno=descriptors.pop())
-        if listening_socket.getsockname()[:2] != listen:
-            listening_socket.close()
-            raise HandoverError("another address")
+        endpoint_list = _receive_endpoint_list(sock, frames, descriptors)
+        listening_socket = _open_listening_socket(descriptors, listen)
     except (OSError, HandoverError, MalformedEndpointListError, ValueError):
         sock.close()
         for descriptor in descriptors:
@@ -74,6 +68,24 @@
     return Predecessor(sock, frames, listening_socket, endpoint_list)
 
 
+def _receive_endpoint_list(
+    sock: socket.socket, frames: FrameReader, descriptors: list[int]
+) -> EndpointListUpdate:
+    answer = _receive_first_frame(sock, frames, descriptors)
+    if answer.kind != FrameKind.LISTENING or len(descriptors) != 1:
+        raise HandoverError("no socket came")
+    return parse_update(answer.fields.get(ENDPOINT_LIST))
+
+
+def _open_listening_socket(descriptors: list[int], listen: tuple[str, int]) -> socket.socket:
+    """Returns the socket behind the one descriptor, which it takes from the list."""
+    listening_socket = socket.socket(fileno=descriptors.pop())
+    if listening_socket.getsockname()[:2] != listen:
+        listening_socket.close()
+        raise HandoverError("another address")
+    return listening_socket
+
+
 def _receive_first_frame(sock: socket.socket, frames: FrameReader, descriptors: list[int]) -> Frame:
     """Returns the first frame, and adds the descriptors that come with it to the list."""
     while (frame := frames.next_frame()) is None:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -72,17 +72,20 @@
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             stream = cls(scheduler, pool, sock)
-            code = sock.connect_ex((host, port))
-            if code == errno.EINPROGRESS:
-                stream.wait(WRITABLE, until_us, wakes_on_message)
-                code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code:
-                raise OSError(code, os.strerror(code))
+            stream._establish(host, port, until_us, wakes_on_message)
         except BaseException:
             sock.close()
             raise
         return stream
 
+    def _establish(self, host: str, port: int, until_us: int, wakes_on_message: bool) -> None:
+        code = self.sock.connect_ex((host, port))
+        if code == errno.EINPROGRESS:
+            self.wait(WRITABLE, until_us, wakes_on_message)
+            code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            raise OSError(code, os.strerror(code))
+
     def wait(
         self,
         mask: int,
