--- a/tests/cli/test_refused_calls.py
+++ b/tests/cli/test_refused_calls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cressrail.network import listener
-from tests.helpers import CONFIG
+from tests.support.configuration import SIDECAR_CONFIGURATION
 
 # An audit hook sees each of these calls before it is made. Threads are allowed; other programs, forks, named
 # Unix sockets and files open for writing are not.
@@ -39,7 +39,7 @@
     (folder / "sitecustomize.py").write_text(REFUSES)
     with listener.bind("127.0.0.1", 0) as sock:
         port = sock.getsockname()[1]
-    config = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1"}
+    config = {**SIDECAR_CONFIGURATION, "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1"}
     (folder / "config.json").write_text(json.dumps(config))
     run = tomllib.loads(Path("deploy/balancer.toml").read_text())["run"]
     return subprocess.Popen(
--- a/tests/configuration/test_deployment_type.py
+++ b/tests/configuration/test_deployment_type.py
@@ -16,7 +16,7 @@
 from cressrail.configuration.startup import read_startup_configuration
 from cressrail.network.configuration_reload import ConfigurationReload
 from tests.configuration.support import RecordedEvents, set_path
-from tests.helpers import CONFIG, mesh
+from tests.support.configuration import SIDECAR_CONFIGURATION, mesh_configuration
 
 ROOT = Path(__file__).parents[2]
 
@@ -44,7 +44,7 @@
 def test_settings_of_the_other_deployment_type_are_refused_by_name_at_start_and_on_sighup(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], base: str, setting: str, value: Any, message: str
 ) -> None:
-    config = mesh() if base == "mesh" else copy.deepcopy(CONFIG)
+    config = mesh_configuration() if base == "mesh" else copy.deepcopy(SIDECAR_CONFIGURATION)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     before = read_startup_configuration(str(path), {})
@@ -82,11 +82,11 @@
 
 @pytest.mark.parametrize("path", ["probes", "peers", "may_cancel", "parallel_tries", "retry_after"])
 @pytest.mark.parametrize("permitted", [True, False])
-@pytest.mark.parametrize("make_config", [copy.deepcopy, mesh])
+@pytest.mark.parametrize("make_config", [copy.deepcopy, mesh_configuration])
 def test_permissions_go_with_either_deployment_type(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], make_config: Any, permitted: bool, path: str
 ) -> None:
-    config = make_config(CONFIG)
+    config = make_config(SIDECAR_CONFIGURATION)
     config["settings"]["limits"].update({"max_retry_after_us": 1_000_000, path: permitted})
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config))
@@ -97,7 +97,7 @@
     "mixture", [{"domain_type": "mesh"}, {"domain_type": "proxy", "limits.multiplex": "9"}]
 )
 def test_policy_is_built_from_any_mixture_of_deployment_types(mixture: dict[str, str]) -> None:
-    settings = {**SettingsReader.from_nested(CONFIG["settings"]).values, **mixture}
+    settings = {**SettingsReader.from_nested(SIDECAR_CONFIGURATION["settings"]).values, **mixture}
     assert policy_factory.check_policy_settings(SettingsReader(settings), 1)
 
 
@@ -105,7 +105,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(mesh()))
+    path.write_text(json.dumps(mesh_configuration()))
     assert look(str(path)) == 0
     output = capsys.readouterr().out
     assert "endpoints known, mesh" in output and "one transaction at a time here, of the 100" in output
--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -15,7 +15,7 @@
 from cressrail.configuration.startup import read_startup_configuration
 from cressrail.policy.request_class import Idempotency
 from tests.configuration.support import set_path
-from tests.helpers import CONFIG
+from tests.support.configuration import SIDECAR_CONFIGURATION
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'])
@@ -61,7 +61,7 @@
 def test_check_names_the_wrong_setting_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], setting: str, value: Any, message: str
 ) -> None:
-    config = copy.deepcopy(CONFIG)
+    config = copy.deepcopy(SIDECAR_CONFIGURATION)
     set_path(config, setting, value)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
@@ -74,7 +74,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(CONFIG))
+    path.write_text(json.dumps(SIDECAR_CONFIGURATION))
     start = read_startup_configuration(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
     assert {
--- a/tests/configuration/test_unicode_names.py
+++ b/tests/configuration/test_unicode_names.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from tests.helpers import CONFIG, Play, Script, reply
-from tests.test_sockets import asked, serving
+from tests.support.configuration import SIDECAR_CONFIGURATION
+from tests.support.http_messages import response_bytes
+from tests.support.scripted_peer import Script, answer_each_with
+from tests.support.sidecar_harness import SidecarHarness, exchange
 
 NAMES = ["histórico", "Vattenmätning två", "水位", "a,b", "ünï-\U0001f41d"]
 
@@ -16,7 +18,7 @@
 def configuration_with_name(name: str) -> Any:
     """Returns a maker of the usual configuration with this name for a class, a tenant and a zone."""
 
-    def make(config: dict[str, Any] = CONFIG) -> dict[str, Any]:
+    def make(config: dict[str, Any] = SIDECAR_CONFIGURATION) -> dict[str, Any]:
         config = copy.deepcopy(config)
         settings = config["settings"]
         settings["profiles"][0]["name"] = settings["tenants"][0]["name"] = settings["zone"] = name
@@ -28,12 +30,13 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_request_of_class_and_tenant_with_unicode_name_is_served(name: str) -> None:
-    endpoint: Script = serving(reply(b"hello"))
-    play = Play([endpoint], shaped=configuration_with_name(name))
+    endpoint: Script = answer_each_with(response_bytes(b"hello"))
+    harness = SidecarHarness([endpoint], configure=configuration_with_name(name))
     word = name.encode()
     text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
-    assert asked(play, text) == [b"200 hello"]
+    assert exchange(harness, text) == [b"200 hello"]
     assert (
-        play.reducer.load_balancer.quotas.tokens[0] < play.reducer.load_balancer.quotas.burst_sizes[0]
+        harness.state_machine.load_balancer.quotas.tokens[0]
+        < harness.state_machine.load_balancer.quotas.burst_sizes[0]
     )  # counted as its own
-    assert f'app_answered{{group="{name}"}} 1'.encode() in play.reducer.counters.text(0, 0, 0)
+    assert f'app_answered{{group="{name}"}} 1'.encode() in harness.state_machine.counters.text(0, 0, 0)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
-from tests.helpers import member
+from tests.support.configuration import endpoint_entry
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     ],
 )
 def test_parse_update_line_keeps_the_entries_it_can_read(change: dict[str, Any], readable: bool) -> None:
-    entries = [{**member("s1", 9001), **change}, member("s2", 9002)]
+    entries = [{**endpoint_entry("s1", 9001), **change}, endpoint_entry("s2", 9002)]
     update = parse_update_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
     assert [entry.name for entry in update.entries] == (["s1", "s2"] if readable else ["s2"])
     assert len(update.errors) == (0 if readable else 1)
--- a/tests/failover/test_configuration.py
+++ b/tests/failover/test_configuration.py
@@ -13,7 +13,7 @@
 from cressrail.configuration.startup import read_startup_configuration
 from cressrail.failover.messages import Decision, Epoch, ZoneReason, ZoneState, ZoneStatus
 from cressrail.failover.topology import Proximity, ZoneTopology
-from tests.helpers import CONFIG, SECOND
+from tests.support.configuration import SECOND, SIDECAR_CONFIGURATION
 
 SETTINGS = SettingsReader.from_nested(
     {"dcs": ["a", "b", "c"], "zone": "b", "contract": {"cold_from": 0.2, "warm_within_us": 9}}
@@ -50,7 +50,7 @@
         Proximity.SAME_ZONE,
         Proximity.OTHER_REGION,
     ]
-    (tmp_path / "c.json").write_bytes(orjson.dumps({**CONFIG, "failover": {}}))
+    (tmp_path / "c.json").write_bytes(orjson.dumps({**SIDECAR_CONFIGURATION, "failover": {}}))
     with pytest.raises(ConfigurationError, match="failover needs the part membership"):
         read_startup_configuration(str(tmp_path / "c.json"), {})
     zones = (ZoneStatus(ZoneState.SERVING, ZoneReason.NONE, 0),) * 3
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -23,11 +23,11 @@
 from cressrail.policy.load_balancer import LoadBalancer
 from cressrail.policy.outcome import Outcome
 from tests.golden.neutral import stored
-from tests.helpers import CONFIG, SECOND, member, mesh
+from tests.support.configuration import SECOND, SIDECAR_CONFIGURATION, endpoint_entry, mesh_configuration
 
 FILE = "handover-frames.json"
 NAMES = {ix: f"s{ix}" for ix in range(6)}
-CONFIGS = {"chain": CONFIG, "mesh": mesh()}
+CONFIGS = {"chain": SIDECAR_CONFIGURATION, "mesh": mesh_configuration()}
 LISTEN = ("127.0.0.1", 9000)
 UNTIL = 20 * SECOND
 
@@ -81,9 +81,9 @@
 
 def rows() -> dict[str, Any]:
     told = [
-        member("s0", 9001),
-        member("s1", 9002, locality="b", cell=7, size=1.5, phase="draining", up_since_ms=1234),
-        member("s2", 9003, host_port="[2001:db8::7]:9003"),
+        endpoint_entry("s0", 9001),
+        endpoint_entry("s1", 9002, locality="b", cell=7, size=1.5, phase="draining", up_since_ms=1234),
+        endpoint_entry("s2", 9003, host_port="[2001:db8::7]:9003"),
     ]
     return {"revision": 41, "complete": True, "members": told}
 
--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.helpers import CONFIG, member
+from tests.support.configuration import SIDECAR_CONFIGURATION, endpoint_entry
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -24,8 +24,8 @@
 
 def configured(**more: Any) -> dict[str, Any]:
     """The tests' configuration, on free ports, with one endpoint that nobody asks and a silent discovery."""
-    config = copy.deepcopy(CONFIG)
-    config["known"]["members"] = [member("s0", free_port())]
+    config = copy.deepcopy(SIDECAR_CONFIGURATION)
+    config["known"]["members"] = [endpoint_entry("s0", free_port())]
     config |= {name: f"127.0.0.1:{free_port()}" for name in ("listen", "ops", "discovery")}
     return {**config, **more}
 
--- a/tests/golden_edges/test_check_messages.py
+++ b/tests/golden_edges/test_check_messages.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.golden_edges.stored import DATA
-from tests.helpers import CONFIG, mesh
+from tests.support.configuration import SIDECAR_CONFIGURATION, mesh_configuration
 
 HERE = Path(__file__).resolve().parents[2]
 GONE = object()
@@ -35,18 +35,18 @@
     return config
 
 
-def changed(at: str, value: Any, base: dict[str, Any] = CONFIG) -> dict[str, Any]:
+def changed(at: str, value: Any, base: dict[str, Any] = SIDECAR_CONFIGURATION) -> dict[str, Any]:
     return put(copy.deepcopy(base), at, value)
 
 
 def talking(at: str = "", value: Any = None, **parts: Any) -> dict[str, Any]:
-    config = copy.deepcopy(CONFIG) | {"membership": copy.deepcopy(TALK)} | copy.deepcopy(parts)
+    config = copy.deepcopy(SIDECAR_CONFIGURATION) | {"membership": copy.deepcopy(TALK)} | copy.deepcopy(parts)
     return put(config, at, value) if at else config
 
 
 CASES: dict[str, Any] = {
-    "good": CONFIG,
-    "good mesh": mesh(),
+    "good": SIDECAR_CONFIGURATION,
+    "good mesh": mesh_configuration(),
     "good, talks": talking(),
     "good, zones": talking(failover=ZONES),
     "not JSON": "{",
@@ -62,7 +62,7 @@
     "no seed": changed("seed", GONE),
     "seed": changed("seed", "xyz"),
     "ops": changed("ops", "here"),
-    "ops is listen": changed("ops", CONFIG["listen"]),
+    "ops is listen": changed("ops", SIDECAR_CONFIGURATION["listen"]),
     "sockets": changed("limits.sockets", "many"),
     "few sockets": changed("limits.sockets", 3),
     "memory": changed("limits.memory_mb", 1),
@@ -96,10 +96,10 @@
     "probes": changed("settings.limits.probes", 7),
     "type": changed("settings.domain_type", "ring"),
     "chain with multiplex": changed("settings.limits.multiplex", 100),
-    "mesh without multiplex": changed("settings.limits.multiplex", GONE, mesh()),
-    "mesh of one stream": changed("settings.limits.multiplex", 1, mesh()),
-    "mesh of two tiers": changed("settings.tiers", ["x", "y"], mesh()),
-    "mesh with a stage": changed("settings.stage", 1, mesh()),
+    "mesh without multiplex": changed("settings.limits.multiplex", GONE, mesh_configuration()),
+    "mesh of one stream": changed("settings.limits.multiplex", 1, mesh_configuration()),
+    "mesh of two tiers": changed("settings.tiers", ["x", "y"], mesh_configuration()),
+    "mesh with a stage": changed("settings.stage", 1, mesh_configuration()),
     "membership": talking(membership=7),
     "membership, no file": talking(membership="none.toml"),
     "membership, listen": talking("membership.listen", "here:1"),
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -12,8 +12,15 @@
 from cressrail.http1.request import RequestReader
 from cressrail.http1.response import REASON_PHRASES, Response
 from tests.golden_edges.stored import hold
-from tests.helpers import Peer, Play, Script, ask, chunk, reply
-from tests.test_sockets import AWAY, CUT, serving
+from tests.support.http_messages import (
+    DECLINED_HEADER,
+    TRUNCATED_RESPONSE,
+    chunk_bytes,
+    request_bytes,
+    response_bytes,
+)
+from tests.support.scripted_peer import Script, ScriptedPeer, answer_each_with
+from tests.support.sidecar_harness import SidecarHarness
 
 LARGE = bytes(range(251)) * 400
 FIELDS = (
@@ -101,9 +108,9 @@
 # A sidecar on loopback
 
 
-def neutral(heard: bytes, play: Play) -> str:
+def neutral(heard: bytes, harness: SidecarHarness) -> str:
     """Without what differs from run to run: ports and the time that is left."""
-    for port in play.ports:
+    for port in harness.ports:
         heard = heard.replace(b"127.0.0.1:%d" % port, b"127.0.0.1:PORT")
     heard = re.sub(rb"(req-deadline: )\d+u", rb"\1LEFTu", heard)
     return heard.decode("latin-1")
@@ -114,59 +121,59 @@
     an endpoint hears."""
     at_client, at_endpoint = [], bytearray()
 
-    def recorded(peer: Peer) -> None:
-        hear = peer.hear
+    def recorded(peer: ScriptedPeer) -> None:
+        receive_until = peer.receive_until
 
-        def kept(end: bytes = b"\r\n\r\n") -> bytes:
-            got = hear(end)
+        def kept(terminator: bytes = b"\r\n\r\n") -> bytes:
+            got = receive_until(terminator)
             at_endpoint.extend(got)
             return got
 
-        peer.hear = kept  # type: ignore[method-assign]
+        peer.receive_until = kept  # type: ignore[method-assign]
         assert endpoint is not None
         endpoint(peer)
 
-    play = Play([recorded] if endpoint else [], **limits)
+    harness = SidecarHarness([recorded] if endpoint else [], **limits)
 
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         for text in sent:
-            peer.say(text)
-            at_client.append(peer.hear())
+            peer.send(text)
+            at_client.append(peer.receive_until())
             size = re.search(rb"content-length: (\d+)", at_client[-1])
-            at_client.append(peer.take(int(size[1])) if size else b"")
+            at_client.append(peer.receive(int(size[1])) if size else b"")
         peer.sock.shutdown(socket.SHUT_WR)
-        at_client.append(peer.hear(b"never"))
+        at_client.append(peer.receive_until(b"never"))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     return {
-        "client": neutral(b"".join(at_client), play),
-        "endpoint": neutral(bytes(at_endpoint), play),
+        "client": neutral(b"".join(at_client), harness),
+        "endpoint": neutral(bytes(at_endpoint), harness),
     }
 
 
 def answering(text: bytes) -> Script:
     """Reads requests with bodies of a stated length."""
 
-    def script(peer: Peer) -> None:
-        while head := peer.hear():
+    def script(peer: ScriptedPeer) -> None:
+        while head := peer.receive_until():
             size = re.search(rb"content-length: (\d+)", head)
             if size and int(size[1]):
-                peer.hear(b"hello")
-            peer.say(text)
+                peer.receive_until(b"hello")
+            peer.send(text)
 
     return script
 
 
 def asking(*change: tuple[bytes, bytes], kind: str = "read", body: bytes = b"", **fields: str) -> bytes:
-    text = ask(kind, body, **{"Req_Id": "r1", **fields})
+    text = request_bytes(kind, body, **{"Req_Id": "r1", **fields})
     for old, new in change:
         text = text.replace(old, new)
     return text
 
 
 OLD = (b"HTTP/1.1", b"HTTP/1.0")
-HELLO = reply(b"hello", more=b"content-type: a/b\r\nx-own: c\r\n")
+HELLO = response_bytes(b"hello", header_lines=b"content-type: a/b\r\nx-own: c\r\n")
 
 
 def test_exchanges() -> None:
@@ -180,7 +187,9 @@
         "200, keyed": (own, [asking(kind="write", body=b"hello", Idempotency_Key="k 7")], {}),
         "200, endpoint chunks": (
             answering(
-                b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + chunk(b"hello") + chunk(b"")
+                b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+                + chunk_bytes(b"hello")
+                + chunk_bytes(b"")
             ),
             [asking()],
             {},
@@ -189,9 +198,9 @@
             own,
             [
                 asking(Content_Length="", Transfer_Encoding="chunked")
-                + chunk(b"hel")
-                + chunk(b"lo")
-                + chunk(b"")
+                + chunk_bytes(b"hel")
+                + chunk_bytes(b"lo")
+                + chunk_bytes(b"")
             ],
             {},
         ),
@@ -205,13 +214,13 @@
         "400": (own, [b"nonsense\r\n\r\n"], {}),
         "400, no kind": (own, [asking(kind="none")], {}),
         "400, deadline": (own, [asking(Req_Deadline="soon")], {}),
-        "400, told by endpoint": (serving(reply(status=404)), [asking()], {}),
+        "400, told by endpoint": (answer_each_with(response_bytes(status=404)), [asking()], {}),
         "413": (own, [asking(Content_Length="9999999999")], {}),
         "431": (own, [asking(X_Long="x" * 9000)], {}),
-        "502": (serving(CUT, close=True), [asking(kind="write")], {}),
-        "503": (serving(reply(status=503, more=AWAY)), [asking()], {}),
+        "502": (answer_each_with(TRUNCATED_RESPONSE, closes=True), [asking(kind="write")], {}),
+        "503": (answer_each_with(response_bytes(status=503, header_lines=DECLINED_HEADER)), [asking()], {}),
         "503, come back": (
-            serving(reply(status=503, more=AWAY)),
+            answer_each_with(response_bytes(status=503, header_lines=DECLINED_HEADER)),
             [asking()],
             {"retry_after": True, "max_retry_after_us": 2_000_000},
         ),
@@ -235,7 +244,7 @@
     ):
         for version in (b"HTTP/1.1", b"HTTP/1.0"):
             got = exchanged(
-                serving(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + LARGE, close=True),
+                answer_each_with(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + LARGE, closes=True),
                 [asking((b"HTTP/1.1", version))],
             )["client"].encode("latin-1")
             top, _, rest = got.partition(b"\r\n\r\n")
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -25,7 +25,7 @@
 from cressrail.testbed.scenario import World
 from cressrail.testbed.scenario_file import read as read_words
 from tests.golden_edges.stored import DATA, hold, text_of
-from tests.helpers import CONFIG
+from tests.support.configuration import SIDECAR_CONFIGURATION
 
 HERE = Path(__file__).resolve().parents[2]
 WORDS: dict[str, type[BaseModel]] = {
@@ -143,7 +143,10 @@
 
 def test_the_parts_in_deploy_are_taken(tmp_path: Path) -> None:
     """They name zones and a file of keys that stand beside them in service."""
-    config = json.loads(json.dumps(CONFIG)) | {"membership": "membership.toml", "failover": "failover.toml"}
+    config = json.loads(json.dumps(SIDECAR_CONFIGURATION)) | {
+        "membership": "membership.toml",
+        "failover": "failover.toml",
+    }
     config["settings"].update(dcs=["hall-a", "hall-b", "hall-c"], zone="hall-a")
     for name in ("membership.toml", "failover.toml"):
         (tmp_path / name).write_bytes((HERE / "deploy" / name).read_bytes())
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -15,7 +15,8 @@
 
 import pytest
 
-from tests.helpers import CONFIG, ask, member, reply
+from tests.support.configuration import SIDECAR_CONFIGURATION, endpoint_entry
+from tests.support.http_messages import request_bytes, response_bytes
 
 
 class Fleet:
@@ -37,8 +38,8 @@
         """Starts a process and returns it, once it is ready, with the address of its admin API."""
         with socket.create_server(("127.0.0.1", 0)) as server:
             admin = server.getsockname()[:2]
-        config = copy.deepcopy(CONFIG)
-        config["known"]["members"] = [member("s0", self.endpoint.getsockname()[1])]
+        config = copy.deepcopy(SIDECAR_CONFIGURATION)
+        config["known"]["members"] = [endpoint_entry("s0", self.endpoint.getsockname()[1])]
         config |= {"listen": f"127.0.0.1:{self.port}", "ops": f"{admin[0]}:{admin[1]}"}
         path = self.folder / f"config{len(self.started)}.json"
         path.write_text(json.dumps(config))
@@ -70,13 +71,13 @@
 
     def served(self, sock: socket.socket) -> bytes:
         """Returns the response to one request, for which the endpoint answers."""
-        sock.sendall(ask())
+        sock.sendall(request_bytes())
         connection = self.endpoint.accept()[0]
         with connection:
             received = b""
             while b"\r\n\r\n" not in received:
                 received += connection.recv(4096)
-            connection.sendall(reply(b"hello", more=b"connection: close\r\n"))
+            connection.sendall(response_bytes(b"hello", header_lines=b"connection: close\r\n"))
             response = b""
             while not response.endswith(b"hello") and (data := sock.recv(4096)):
                 response += data
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -22,9 +22,9 @@
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import admin as control
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND, member
 from tests.policy.support import send_successes
 from tests.proxy.support import ProxyDriver, admin_status, list_update
+from tests.support.configuration import SECOND, endpoint_entry
 
 
 def captured(front: ProxyDriver, now: int = SECOND) -> dict[str, Any]:
@@ -52,7 +52,7 @@
     old.state_machine.load_balancer.endpoints[1].limit = 1.25
     old.state_machine.load_balancer.on_connection_lost(SECOND, 0)
     old.commands += old.state_machine.on_endpoint_list(
-        SECOND, list_update(9, False, member("s1", 9001, phase="draining"))
+        SECOND, list_update(9, False, endpoint_entry("s1", 9001, phase="draining"))
     )
     new.state_machine.on_endpoint_list(SECOND, parse_update(old.state_machine.endpoint_list()))
     new.commands = new.state_machine.take_over(SECOND, captured(old), 1, 1)
@@ -168,7 +168,7 @@
     )
     assert not new.take_commands(do.BeginTakeover) and not new.take_commands(do.AcceptClients)
     assert admin_status(new, control.READY_PATH) == 503
-    new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, member("s0", 9000)))
+    new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, endpoint_entry("s0", 9000)))
     assert len(new.take_commands(do.BeginTakeover)) == 1 and admin_status(new, control.READY_PATH) == 503
     new.commands = new.state_machine.take_over(2, None, 0, 0)
     assert admin_status(new, control.READY_PATH) == 200 and new.take_commands(do.AcceptClients) == [
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -21,7 +21,7 @@
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 from cressrail.proxy.settings import ProxySettings
 from cressrail.proxy.state_machine import StateMachine
-from tests.helpers import CONFIG, SECOND, member
+from tests.support.configuration import SECOND, SIDECAR_CONFIGURATION, endpoint_entry
 
 
 class ProxyDriver:
@@ -36,8 +36,8 @@
         drain_notice_us: int = 2 * SECOND,
     ) -> None:
         """`has_list`: discovery has sent the list that the configuration holds."""
-        config = copy.deepcopy(CONFIG)
-        config["known"]["members"] = [member(f"s{n}", 9000 + n) for n in range(endpoints)]
+        config = copy.deepcopy(SIDECAR_CONFIGURATION)
+        config["known"]["members"] = [endpoint_entry(f"s{n}", 9000 + n) for n in range(endpoints)]
         start = parse_configuration(config, {})
         registry, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.state_machine = StateMachine(
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -9,8 +9,8 @@
 from cressrail.proxy import commands as do
 from cressrail.proxy.clients import CLIENT_STALL_US
 from cressrail.proxy.lifecycle import OUT_OF_SERVICE_IDLE_US
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver, admin_status
+from tests.support.configuration import SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -8,8 +8,8 @@
 
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
-from tests.helpers import member
 from tests.proxy.support import ProxyDriver, list_update
+from tests.support.configuration import endpoint_entry
 
 
 @pytest.mark.parametrize(
@@ -30,7 +30,7 @@
     driver.send_request(1)
     command = driver.take_attempt()
     driver.commands += driver.state_machine.on_endpoint_list(
-        1, list_update(5, False, {**member("s0", 9000), **change})
+        1, list_update(5, False, {**endpoint_entry("s0", 9000), **change})
     )
     outcome, _ = driver.state_machine.check_before_send(1, command.attempt) or (None, "")
     assert outcome is (None if wanted else Outcome.REJECTED_BY_ENDPOINT)
@@ -42,11 +42,11 @@
     driver.send_request(1)
     command = driver.take_attempt()
     driver.commands += driver.state_machine.on_endpoint_list(
-        0, list_update(5, False, member("s0", 9000, phase="removed"))
+        0, list_update(5, False, endpoint_entry("s0", 9000, phase="removed"))
     )
     assert 0 in driver.state_machine.load_balancer.endpoints
     driver.commands += driver.state_machine.on_endpoint_list(
-        0, list_update(6, False, member("t0", 9000))
+        0, list_update(6, False, endpoint_entry("t0", 9000))
     )  # its address under a new id
     driver.finish_attempt(command, Outcome.SUCCEEDED)
     assert driver.take_commands(do.CloseEndpointConnection) == [
@@ -64,8 +64,8 @@
             list_update(
                 k,
                 k % 2 == 0,
-                member(f"t{k}", 9000),
-                *([member(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
+                endpoint_entry(f"t{k}", 9000),
+                *([endpoint_entry(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
             ),
         )
         assert driver.take_commands(do.CloseEndpointConnection) == [
@@ -102,7 +102,7 @@
     driver.send_request(1)
     command = driver.take_attempt()
     driver.finish_attempt(command, Outcome.SUCCEEDED)
-    driver.state_machine.on_endpoint_list(1, list_update(5, False, {**member("s0", 9000), **change}))
+    driver.state_machine.on_endpoint_list(1, list_update(5, False, {**endpoint_entry("s0", 9000), **change}))
     driver.commands = driver.state_machine.on_idle_connection_reset(2, command.connection)
     assert [note.event for note in driver.take_commands(do.LogEvent)] == (
         ["endpoint_unavailable"] if is_reported else []
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -7,8 +7,8 @@
 from cressrail.proxy import commands as do
 from cressrail.proxy.clients import CLIENT_SILENCE_LIMIT_US, CLIENT_STALL_US
 from cressrail.proxy.commands import Command
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND
 
 
 def test_idle_client_closes_first_and_clients_over_limit_are_answered() -> None:
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -4,8 +4,8 @@
 
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
-from tests.helpers import member
 from tests.proxy.support import ProxyDriver, list_update
+from tests.support.configuration import endpoint_entry
 
 
 def test_connection_is_reused_until_endpoint_address_changes() -> None:
@@ -21,7 +21,9 @@
         True,
         False,
     ) and first.connection == second.connection
-    driver.commands += driver.state_machine.on_endpoint_list(1, list_update(5, False, member("s0", 9500)))
+    driver.commands += driver.state_machine.on_endpoint_list(
+        1, list_update(5, False, endpoint_entry("s0", 9500))
+    )
     driver.finish_attempt(second, Outcome.SUCCEEDED)
     assert [close.connection for close in driver.take_commands(do.CloseEndpointConnection)] == [
         second.connection
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver, list_update
+from tests.support.configuration import SECOND
 
 
 def test_watch_is_reopened_with_backoff_from_last_revision() -> None:
--- a/tests/proxy/test_endpoint_registry.py
+++ b/tests/proxy/test_endpoint_registry.py
@@ -5,19 +5,24 @@
 import pytest
 
 from cressrail.discovery.endpoint_list import EndpointListUpdate
-from tests.helpers import member
 from tests.proxy.support import ProxyDriver, list_update
+from tests.support.configuration import endpoint_entry
 
 
 @pytest.mark.parametrize(
     "update, entries",
     [
-        (list_update(5, False, member("s0", 9000, phase="draining")), [1]),
-        (list_update(5, True, member("s1", 9001)), [1]),
-        (list_update(5, True, {**member("s0", 9000), "phase": "asleep"}), [0]),
-        (list_update(3, False, member("s0", 9000, phase="draining")), [0, 1]),
+        (list_update(5, False, endpoint_entry("s0", 9000, phase="draining")), [1]),
+        (list_update(5, True, endpoint_entry("s1", 9001)), [1]),
+        (list_update(5, True, {**endpoint_entry("s0", 9000), "phase": "asleep"}), [0]),
+        (list_update(3, False, endpoint_entry("s0", 9000, phase="draining")), [0, 1]),
         (
-            list_update(5, False, member("s0", 9000, phase="removed"), member("s9", 9009, phase="removed")),
+            list_update(
+                5,
+                False,
+                endpoint_entry("s0", 9000, phase="removed"),
+                endpoint_entry("s9", 9009, phase="removed"),
+            ),
             [1],
         ),
         (list_update(3, True), []),
@@ -25,7 +30,9 @@
 )
 def test_endpoint_list_update_changes_endpoints(update: EndpointListUpdate, entries: list[int]) -> None:
     driver = ProxyDriver(2)
-    driver.state_machine.on_endpoint_list(0, list_update(4, True, member("s0", 9000), member("s1", 9001)))
+    driver.state_machine.on_endpoint_list(
+        0, list_update(4, True, endpoint_entry("s0", 9000), endpoint_entry("s1", 9001))
+    )
     driver.state_machine.on_endpoint_list(1, update)
     assert [
         e.index for e in driver.state_machine.load_balancer.endpoints.values() if e.accepts_requests
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -6,8 +6,8 @@
 
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -19,8 +19,8 @@
 from cressrail.http1.errors import MalformedMessageError
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy import commands as do
-from tests.helpers import CONFIG, SECOND, member
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND, SIDECAR_CONFIGURATION, endpoint_entry
 from tests.wirehost.support import BORN, LIST_UPDATE, REQUEST, replies_to
 
 SIZES = (1023, 1024, 1025, 3000)
@@ -31,7 +31,7 @@
         "revision": revision,
         "complete": complete,
         "members": [
-            member(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
+            endpoint_entry(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
             for k in range(first, first + n)
         ],
     }
@@ -140,7 +140,7 @@
     ],
 )
 def test_instance_count_is_validated(instances: float, wrong: str) -> None:
-    config = copy.deepcopy(CONFIG)
+    config = copy.deepcopy(SIDECAR_CONFIGURATION)
     config["known"] = listed(0, 1024)
     config["settings"]["n_instances"] = instances
     start = parse_configuration(config, {})
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -14,8 +14,8 @@
     Ownership,
     StopPhase,
 )
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND
 
 State = tuple[Ownership, StopPhase, bool]  # and whether it is out of service
 
--- a/tests/proxy/test_listener_control.py
+++ b/tests/proxy/test_listener_control.py
@@ -5,8 +5,8 @@
 import pytest
 
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND
 
 
 @pytest.mark.parametrize("idle", [True, False])
--- a/tests/proxy/test_request_counters.py
+++ b/tests/proxy/test_request_counters.py
@@ -6,9 +6,9 @@
 
 from cressrail.policy.outcome import Outcome
 from cressrail.proxy.request_counters import RequestCounters
-from tests.helpers import SECOND
 from tests.policy.support import make_entry, make_load_balancer
 from tests.proxy.support import ProxyDriver, counters_of
+from tests.support.configuration import SECOND
 
 
 def test_all_counters_are_zero_at_start() -> None:
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -11,8 +11,8 @@
 from cressrail.policy.request_class import Idempotency
 from cressrail.proxy import admin
 from cressrail.proxy import commands as do
-from tests.helpers import SECOND
 from tests.proxy.support import ProxyDriver
+from tests.support.configuration import SECOND
 
 
 def test_stop_answers_clients_then_closes_idle_ones_and_exits() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,8 +13,16 @@
 from cressrail.buffers.pipe import KEPT_BODY_BYTES, MAX_PIPE_BUFFERS, Pipe, StreamingBody
 from cressrail.buffers.pool import BUFFER_BYTES, BufferPool
 from cressrail.network import request_upload as client
-from tests.helpers import Peer, Play, Script, ask, chunk, reply
-from tests.test_sockets import AWAY, CHUNKED, HEAD, serving
+from tests.support.http_messages import (
+    CHUNKED_HEADER,
+    DECLINED_HEADER,
+    OK_STATUS_LINE,
+    chunk_bytes,
+    request_bytes,
+    response_bytes,
+)
+from tests.support.scripted_peer import Script, ScriptedPeer, answer_each_with
+from tests.support.sidecar_harness import SidecarHarness
 
 LARGE = bytes(range(251)) * 4000  # about a megabyte
 
@@ -57,7 +65,7 @@
 def hung_up_on(script: Script) -> Script:
     """The same, by a peer that may find its connection closed."""
 
-    def run(peer: Peer) -> None:
+    def run(peer: ScriptedPeer) -> None:
         with suppress(OSError):
             script(peer)
 
@@ -65,13 +73,13 @@
 
 
 def sized(body: bytes, more: bytes = b"") -> bytes:
-    return HEAD + more + b"content-length: %d\r\n\r\n" % len(body) + body
+    return OK_STATUS_LINE + more + b"content-length: %d\r\n\r\n" % len(body) + body
 
 
 def in_chunks(body: bytes, step: int = 30_000, ended: bool = True) -> bytes:
     return (
-        HEAD
-        + CHUNKED
+        OK_STATUS_LINE
+        + CHUNKED_HEADER
         + b"".join(
             b"%x;x=y\r\n%b\r\n" % (len(part), part)
             for part in (body[at : at + step] for at in range(0, len(body), step))
@@ -80,31 +88,31 @@
     )
 
 
-def whole(peer: Peer) -> tuple[bytes, bytes]:
+def whole(peer: ScriptedPeer) -> tuple[bytes, bytes]:
     """Status, and the body in whatever framing, for as long as it goes on."""
-    head = peer.hear().lower()
+    head = peer.receive_until().lower()
     if b"chunked" not in head:
         size = head.partition(b"content-length: ")[2].partition(b"\r\n")[0]
-        return head[9:12], peer.take(int(size)) if size else peer.hear(b"\0never\0")
+        return head[9:12], peer.receive(int(size)) if size else peer.receive_until(b"\0never\0")
     body = b""
-    while (line := peer.hear(b"\r\n")).strip():
+    while (line := peer.receive_until(b"\r\n")).strip():
         if line == b"0\r\n":
-            peer.hear(b"\r\n")
+            peer.receive_until(b"\r\n")
             return head[9:12], body
-        body += peer.take(int(line, 16) + 2)[:-2]
+        body += peer.receive(int(line, 16) + 2)[:-2]
     return head[9:12], body + b" cut"
 
 
-def heard_by_one(play: Play, sent: bytes = b"", times: int = 1) -> list[tuple[bytes, bytes]]:
+def heard_by_one(harness: SidecarHarness, sent: bytes = b"", times: int = 1) -> list[tuple[bytes, bytes]]:
     heard: list[tuple[bytes, bytes]] = []
 
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         for _ in range(times):
-            peer.say(sent or ask())
+            peer.send(sent or request_bytes())
             heard.append(whole(peer))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     return heard
 
 
@@ -113,7 +121,7 @@
     [
         (sized(LARGE), False),
         (in_chunks(LARGE), False),
-        (HEAD + b"\r\n" + LARGE, True),
+        (OK_STATUS_LINE + b"\r\n" + LARGE, True),
         (in_chunks(LARGE[: KEPT_BODY_BYTES + 1], 1000), False),
         (sized(LARGE[:KEPT_BODY_BYTES]), False),
     ],
@@ -123,77 +131,77 @@
         LARGE
         if len(text) >= len(LARGE)
         else LARGE[: KEPT_BODY_BYTES + 1]
-        if CHUNKED in text
+        if CHUNKED_HEADER in text
         else LARGE[:KEPT_BODY_BYTES]
     )
-    play = Play([serving(text, close)])
-    heard = heard_by_one(play, ask() if close else b"", 1)
+    harness = SidecarHarness([answer_each_with(text, close)])
+    heard = heard_by_one(harness, request_bytes() if close else b"", 1)
     assert heard == [(b"200", body)]
-    assert play.reducer.counters.final["read"]["answered"] == 1
+    assert harness.state_machine.counters.final["read"]["answered"] == 1
 
 
 def test_a_connection_serves_on_after_a_large_answer() -> None:
-    def endpoint(peer: Peer) -> None:
-        while peer.hear():
-            peer.say(in_chunks(LARGE))
+    def endpoint(peer: ScriptedPeer) -> None:
+        while peer.receive_until():
+            peer.send(in_chunks(LARGE))
 
-    play = Play([endpoint])
+    harness = SidecarHarness([endpoint])
     heard: list[Any] = []
 
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         for _ in range(3):
-            peer.say(ask())
+            peer.send(request_bytes())
             heard.append(whole(peer))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert heard == [(b"200", LARGE)] * 3
 
 
 def test_the_first_bytes_go_on_before_the_rest_has_come() -> None:
     got: list[bytes] = []
 
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
-        peer.say(sized(LARGE)[:1000])
-        peer.until(lambda: got)
-        peer.say(sized(LARGE)[1000:])
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.send(sized(LARGE)[:1000])
+        peer.wait_until(lambda: got)
+        peer.send(sized(LARGE)[1000:])
 
-    def script(peer: Peer) -> None:
-        peer.say(ask())
-        peer.hear()
-        got.append(peer.take(500))
-        assert got[0] + peer.take(len(LARGE) - 500) == LARGE
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes())
+        peer.receive_until()
+        got.append(peer.receive(500))
+        assert got[0] + peer.receive(len(LARGE) - 500) == LARGE
 
-    play = Play([endpoint])
-    play.client(script)
-    play.run()
+    harness = SidecarHarness([endpoint])
+    harness.add_client(script)
+    harness.run()
 
 
 @pytest.mark.parametrize("text", [sized(LARGE)[:-1], in_chunks(LARGE, ended=False), sized(LARGE)[:90_000]])
 def test_a_large_answer_that_breaks_off_ends_short_and_is_errored(text: bytes) -> None:
     seen: list[int] = []
 
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
         seen.append(1)
-        peer.say(text)
+        peer.send(text)
         peer.sock.close()
 
-    play = Play([endpoint])
+    harness = SidecarHarness([endpoint])
     heard: list[tuple[bytes, bytes]] = []
     rest: list[bytes] = []
 
-    def script(peer: Peer) -> None:
-        peer.say(ask())
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes())
         heard.append(whole(peer))
-        rest.append(peer.hear(b"\0never\0"))
+        rest.append(peer.receive_until(b"\0never\0"))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     [(status, body)] = heard
     assert status == b"200" and body != LARGE and rest == [b""]  # and nothing follows
-    assert len(seen) == 1 and play.reducer.counters.final["read"] == {
+    assert len(seen) == 1 and harness.state_machine.counters.final["read"] == {
         "answered": 0,
         "deferred": 0,
         "errored": 1,
@@ -201,11 +209,11 @@
 
 
 def test_to_an_old_client_an_answer_without_a_length_that_breaks_off_is_a_reset() -> None:
-    play = Play([serving(in_chunks(LARGE, ended=False), close=True)])
+    harness = SidecarHarness([answer_each_with(in_chunks(LARGE, ended=False), closes=True)])
     ends: list[int] = []
 
-    def script(peer: Peer) -> None:
-        peer.say(ask().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes().replace(b"HTTP/1.1", b"HTTP/1.0"))
         peer.sleep(200_000)
         while True:
             try:
@@ -218,47 +226,47 @@
                 ends.append(1)
                 return
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert ends == [1]
 
 
 def test_a_slow_reader_holds_its_own_buffers_and_delays_nobody() -> None:
-    play = Play([hung_up_on(serving(sized(LARGE * 8))) for _ in range(2)])
+    harness = SidecarHarness([hung_up_on(answer_each_with(sized(LARGE * 8))) for _ in range(2)])
     lent: list[int] = []
     done: list[bytes] = []
 
-    def slow(peer: Peer) -> None:
+    def slow(peer: ScriptedPeer) -> None:
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer.say(ask())
-        peer.until(lambda: done)
-        lent.append(play.net.pool.lent)
+        peer.send(request_bytes())
+        peer.wait_until(lambda: done)
+        lent.append(harness.dispatcher.pool.lent)
 
-    def quick(peer: Peer) -> None:
+    def quick(peer: ScriptedPeer) -> None:
         peer.sleep(50_000)
-        peer.say(ask())
+        peer.send(request_bytes())
         status, body = whole(peer)
         assert body == LARGE * 8
         done.append(status)
 
-    play.client(slow)
-    play.client(quick)
-    play.run()
+    harness.add_client(slow)
+    harness.add_client(quick)
+    harness.run()
     assert done == [b"200"] and lent[0] <= 2 * (MAX_PIPE_BUFFERS + 2)
 
 
 def uploading(body: bytes, framing: str, step: int = 40_000, pause: int = 0) -> Script:
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         if framing == "length":
-            text = ask(Content_Length=str(len(body)), body=b"") + body
+            text = request_bytes(Content_Length=str(len(body)), body=b"") + body
         else:
             text = (
-                ask(Content_Length="", Transfer_Encoding="chunked")
-                + b"".join(chunk(body[at : at + 9000]) for at in range(0, len(body), 9000))
-                + chunk(b"")
+                request_bytes(Content_Length="", Transfer_Encoding="chunked")
+                + b"".join(chunk_bytes(body[at : at + 9000]) for at in range(0, len(body), 9000))
+                + chunk_bytes(b"")
             )
         for at in range(0, len(text), step):
-            peer.say(text[at : at + step])
+            peer.send(text[at : at + step])
             if pause:
                 peer.sleep(pause)
 
@@ -268,17 +276,17 @@
 def taking(seen: list[tuple[bytes, bytes]], answer: bytes) -> Script:
     """An endpoint that reads requests of any framing, and answers each."""
 
-    def script(peer: Peer) -> None:
-        while head := peer.hear():
+    def script(peer: ScriptedPeer) -> None:
+        while head := peer.receive_until():
             if b"chunked" in head:
                 body = b""
-                while size := int(peer.hear(b"\r\n") or b"0", 16):
-                    body += peer.take(size + 2)[:-2]
-                peer.take(2)
+                while size := int(peer.receive_until(b"\r\n") or b"0", 16):
+                    body += peer.receive(size + 2)[:-2]
+                peer.receive(2)
             else:
-                body = peer.take(int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0]))
+                body = peer.receive(int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0]))
             seen.append((head, body))
-            peer.say(answer)
+            peer.send(answer)
 
     return script
 
@@ -287,37 +295,37 @@
 @pytest.mark.parametrize("size", [KEPT_BODY_BYTES, KEPT_BODY_BYTES + 1, KEPT_BODY_BYTES * 3, len(LARGE)])
 def test_a_large_request_streams_to_one_hop(framing: str, size: int) -> None:
     seen: list[tuple[bytes, bytes]] = []
-    play = Play([taking(seen, reply(b"hello"))])
+    harness = SidecarHarness([taking(seen, response_bytes(b"hello"))])
     heard: list[tuple[bytes, bytes]] = []
 
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         for _ in range(2):  # the connection serves on
             uploading(LARGE[:size], framing)(peer)
             heard.append(whole(peer))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert heard == [(b"200", b"hello")] * 2 and [body for _, body in seen] == [LARGE[:size]] * 2
 
 
 def test_time_runs_from_the_last_byte_of_a_request_that_is_long_in_coming() -> None:
     seen: list[tuple[bytes, bytes]] = []
-    play = Play([taking(seen, reply(b"hello"))])
+    harness = SidecarHarness([taking(seen, response_bytes(b"hello"))])
     heard: list[tuple[bytes, bytes]] = []
 
-    def script(peer: Peer) -> None:
-        text = ask(Content_Length=str(len(LARGE)), Req_Deadline="300m") + LARGE
+    def script(peer: ScriptedPeer) -> None:
+        text = request_bytes(Content_Length=str(len(LARGE)), Req_Deadline="300m") + LARGE
         for at in range(0, len(text), 200_000):
-            peer.say(text[at : at + 200_000])
+            peer.send(text[at : at + 200_000])
             peer.sleep(100_000)
         heard.append(whole(peer))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert heard == [(b"200", b"hello")]
 
 
-def pour(peer: Peer, text: bytes) -> None:
+def pour(peer: ScriptedPeer, text: bytes) -> None:
     """As much as the other side takes before it closes."""
     view = memoryview(text)
     while view:
@@ -331,57 +339,66 @@
 
 @pytest.mark.parametrize(
     "answer, status",
-    [(reply(status=503, more=AWAY), b"503"), (reply(status=500), b"503"), (reply(status=413), b"400")],
+    [
+        (response_bytes(status=503, header_lines=DECLINED_HEADER), b"503"),
+        (response_bytes(status=500), b"503"),
+        (response_bytes(status=413), b"400"),
+    ],
 )
 def test_an_answer_before_the_request_is_whole_is_told_and_the_rest_is_read_off(
     answer: bytes, status: bytes
 ) -> None:
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
-        peer.take(KEPT_BODY_BYTES + 1000)
-        peer.say(answer)
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(KEPT_BODY_BYTES + 1000)
+        peer.send(answer)
 
-    play = Play([endpoint])
+    harness = SidecarHarness([endpoint])
     heard: list[bytes] = []
 
-    def script(peer: Peer) -> None:
-        text = ask(Content_Length=str(len(LARGE) * 40)) + LARGE * 40
+    def script(peer: ScriptedPeer) -> None:
+        text = request_bytes(Content_Length=str(len(LARGE) * 40)) + LARGE * 40
         pour(peer, text)
-        heard.append(peer.hear()[9:12])
+        heard.append(peer.receive_until()[9:12])
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert heard == [status]
 
 
 def test_what_is_replayed_is_only_what_can_be_and_surely_never_ran() -> None:
     seen: list[tuple[bytes, bytes]] = []
 
-    def away(peer: Peer) -> None:
-        while head := peer.hear():
-            peer.take(1000)
+    def away(peer: ScriptedPeer) -> None:
+        while head := peer.receive_until():
+            peer.receive(1000)
             seen.append((head, b""))
-            peer.say(reply(status=503, more=AWAY))
+            peer.send(response_bytes(status=503, header_lines=DECLINED_HEADER))
             peer.sock.close()
             return
 
-    play = Play([away, taking(seen, reply(b"hello"))])
+    harness = SidecarHarness([away, taking(seen, response_bytes(b"hello"))])
     for _ in range(40):
-        play.reducer.load_balancer.budget.count_request(play.loop.now())  # so that there is one for a retry
+        harness.state_machine.load_balancer.budget.count_request(
+            harness.scheduler.now()
+        )  # so that there is one for a retry
     heard: list[tuple[bytes, bytes]] = []
 
-    def script(peer: Peer) -> None:
+    def script(peer: ScriptedPeer) -> None:
         for _ in range(4):
-            other = Peer(peer.loop, socket.create_connection(play.at))
+            other = ScriptedPeer(peer.scheduler, socket.create_connection(harness.address))
             with other.sock:
-                text = ask("write", Content_Length=str(KEPT_BODY_BYTES * 2)) + LARGE[: KEPT_BODY_BYTES * 2]
-                other.say(text[: KEPT_BODY_BYTES + 3000])
+                text = (
+                    request_bytes("write", Content_Length=str(KEPT_BODY_BYTES * 2))
+                    + LARGE[: KEPT_BODY_BYTES * 2]
+                )
+                other.send(text[: KEPT_BODY_BYTES + 3000])
                 other.sleep(20_000)
-                other.say(text[KEPT_BODY_BYTES + 3000 :])
+                other.send(text[KEPT_BODY_BYTES + 3000 :])
                 heard.append(whole(other))
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert {status for status, _ in heard} <= {b"200", b"503"}
     assert all(body in (b"", LARGE[: KEPT_BODY_BYTES * 2]) for _, body in seen)  # whole, or not at all
 
@@ -389,20 +406,20 @@
 def test_a_client_that_leaves_amid_a_large_request_ends_its_hop() -> None:
     ends: list[bytes] = []
 
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
-        ends.append(peer.take(len(LARGE))[:0] + peer.hear(b"\0never\0"))
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        ends.append(peer.receive(len(LARGE))[:0] + peer.receive_until(b"\0never\0"))
 
-    def script(peer: Peer) -> None:
-        peer.say(ask(Content_Length=str(len(LARGE))) + LARGE[: KEPT_BODY_BYTES + 50_000])
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes(Content_Length=str(len(LARGE))) + LARGE[: KEPT_BODY_BYTES + 50_000])
         peer.sleep(50_000)
         peer.sock.close()
-        peer.until(lambda: ends)  # before the loop is stopped: its task may still have to run
+        peer.wait_until(lambda: ends)  # before the loop is stopped: its task may still have to run
 
-    play = Play([endpoint])
-    play.client(script)
-    play.run()
-    assert ends == [b""] and not play.reducer.counters.sends
+    harness = SidecarHarness([endpoint])
+    harness.add_client(script)
+    harness.run()
+    assert ends == [b""] and not harness.state_machine.counters.sends
 
 
 @pytest.mark.parametrize("tail, status", [(b"", b"408"), (b"xyz\r\n", b"400")])
@@ -411,53 +428,55 @@
 ) -> None:
     monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 100_000)
     seen: list[tuple[bytes, bytes]] = []
-    play = Play([hung_up_on(taking(seen, reply(b"hello")))])
+    harness = SidecarHarness([hung_up_on(taking(seen, response_bytes(b"hello")))])
     heard: list[bytes] = []
 
-    def script(peer: Peer) -> None:
-        peer.say(
-            ask(Content_Length="", Transfer_Encoding="chunked") + chunk(LARGE[: KEPT_BODY_BYTES * 2]) + tail
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(
+            request_bytes(Content_Length="", Transfer_Encoding="chunked")
+            + chunk_bytes(LARGE[: KEPT_BODY_BYTES * 2])
+            + tail
         )
-        heard.append(peer.hear()[9:12])
+        heard.append(peer.receive_until()[9:12])
 
-    play.client(script)
-    play.run()
-    assert heard == [status] and not play.reducer.counters.sends
-    assert play.reducer.counters.final["read"]["errored"] == 1
+    harness.add_client(script)
+    harness.run()
+    assert heard == [status] and not harness.state_machine.counters.sends
+    assert harness.state_machine.counters.final["read"]["errored"] == 1
 
 
 def test_an_endpoint_that_dies_amid_a_large_request_is_one_that_never_ran_it() -> None:
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
-        peer.take(KEPT_BODY_BYTES + 100_000)
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(KEPT_BODY_BYTES + 100_000)
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.sock.close()
 
-    play = Play([endpoint])
+    harness = SidecarHarness([endpoint])
     heard: list[bytes] = []
 
-    def script(peer: Peer) -> None:
-        text = ask("write", Content_Length=str(len(LARGE) * 4)) + LARGE * 4
+    def script(peer: ScriptedPeer) -> None:
+        text = request_bytes("write", Content_Length=str(len(LARGE) * 4)) + LARGE * 4
         pour(peer, text)
-        heard.append(peer.hear()[9:12])
+        heard.append(peer.receive_until()[9:12])
 
-    play.client(script)
-    play.run()
+    harness.add_client(script)
+    harness.run()
     assert heard == [b"503"]  # not abandoned: its last byte was never written
 
 
 def test_a_short_pool_slows_streams_and_ends_none() -> None:
-    play = Play([serving(sized(LARGE))])
-    play.net.pool.max_lent = 12
+    harness = SidecarHarness([answer_each_with(sized(LARGE))])
+    harness.dispatcher.pool.max_lent = 12
     done: list[tuple[bytes, bytes]] = []
 
-    def script(peer: Peer) -> None:
-        peer.say(ask())
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes())
         done.append(whole(peer))
 
     for _ in range(6):
-        play.client(copy.copy(script))
-    play.run()
+        harness.add_client(copy.copy(script))
+    harness.run()
     assert all(body in (LARGE, b"") for _, body in done) and any(body == LARGE for _, body in done)
 
 
@@ -487,24 +506,24 @@
     monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 400_000)
     monkeypatch.setattr(client, "MIN_UPLOAD_BYTES_PER_S", 100_000)
     seen: list[tuple[bytes, bytes]] = []
-    play = Play([hung_up_on(taking(seen, reply(b"hello")))])
+    harness = SidecarHarness([hung_up_on(taking(seen, response_bytes(b"hello")))])
     heard: dict[int, bytes] = {}
 
     def sending(step: int, pause_us: int) -> Script:
-        def script(peer: Peer) -> None:
-            text = ask(Content_Length=str(KEPT_BODY_BYTES * 2)) + LARGE[: KEPT_BODY_BYTES * 2]
-            peer.say(text[: KEPT_BODY_BYTES + 5000])
+        def script(peer: ScriptedPeer) -> None:
+            text = request_bytes(Content_Length=str(KEPT_BODY_BYTES * 2)) + LARGE[: KEPT_BODY_BYTES * 2]
+            peer.send(text[: KEPT_BODY_BYTES + 5000])
             for at in range(KEPT_BODY_BYTES + 5000, len(text), step):
                 peer.sleep(pause_us)
                 with suppress(OSError):
-                    peer.say(text[at : at + step])
-            heard[step] = peer.hear()[9:12]
+                    peer.send(text[at : at + step])
+            heard[step] = peer.receive_until()[9:12]
 
         return script
 
-    play.client(sending(30_000, 250_000))  # 120 kB a second, and silent for most of its grace
-    play.client(sending(2_000, 50_000))  # never silent for long, and 40 kB a second
-    play.run()
+    harness.add_client(sending(30_000, 250_000))  # 120 kB a second, and silent for most of its grace
+    harness.add_client(sending(2_000, 50_000))  # never silent for long, and 40 kB a second
+    harness.run()
     assert heard == {30_000: b"200", 2_000: b"408"}
 
 
@@ -512,17 +531,19 @@
     monkeypatch.setattr(client, "MAX_UPLOAD_LAG_US", 50_000)
     heard: list[tuple[bytes, bytes]] = []
 
-    def endpoint(peer: Peer) -> None:
-        peer.hear()
-        peer.take(KEPT_BODY_BYTES * 3)
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(KEPT_BODY_BYTES * 3)
         peer.sleep(300_000)
-        peer.say(reply(b"hello"))
+        peer.send(response_bytes(b"hello"))
 
-    def script(peer: Peer) -> None:
-        peer.say(ask("write", Content_Length=str(KEPT_BODY_BYTES * 3)) + LARGE[: KEPT_BODY_BYTES * 3])
+    def script(peer: ScriptedPeer) -> None:
+        peer.send(
+            request_bytes("write", Content_Length=str(KEPT_BODY_BYTES * 3)) + LARGE[: KEPT_BODY_BYTES * 3]
+        )
         heard.append(whole(peer))
 
-    play = Play([endpoint])
-    play.client(script)
-    play.run()
+    harness = SidecarHarness([endpoint])
+    harness.add_client(script)
+    harness.run()
     assert heard == [(b"200", b"hello")]
