--- /dev/null
+++ b/tests/network/test_request_upload.py
@@ -0,0 +1,243 @@
+"""Requests too large to keep, streamed amid peers that break off, answer early or are slow."""
+
+from __future__ import annotations
+
+import socket
+from contextlib import suppress
+
+import pytest
+
+from cressrail.buffers.pipe import KEPT_BODY_BYTES
+from cressrail.network import request_upload
+from tests.support.http_messages import DECLINED_HEADER, chunk_bytes, request_bytes, response_bytes
+from tests.support.scripted_peer import Script, ScriptedPeer
+from tests.support.sidecar_harness import SidecarHarness
+from tests.support.streaming import (
+    LARGE_BODY,
+    ReceivedRequest,
+    ReceivedResponse,
+    read_response,
+    receive_requests,
+    send_until_closed,
+    send_upload,
+    tolerating_disconnect,
+)
+
+HELLO = ReceivedResponse(b"200", b"hello")
+DOUBLE_KEPT_BODY, TRIPLE_KEPT_BODY = LARGE_BODY[: KEPT_BODY_BYTES * 2], LARGE_BODY[: KEPT_BODY_BYTES * 3]
+
+
+@pytest.mark.parametrize("is_chunked", [False, True], ids=["length", "chunked"])
+@pytest.mark.parametrize(
+    "size",
+    [
+        pytest.param(KEPT_BODY_BYTES, id="kept"),
+        pytest.param(KEPT_BODY_BYTES + 1, id="one-byte-more"),
+        pytest.param(KEPT_BODY_BYTES * 3, id="triple"),
+        pytest.param(len(LARGE_BODY), id="megabyte"),
+    ],
+)
+def test_upload_arrives_whole_and_connection_serves_on(is_chunked: bool, size: int) -> None:
+    received: list[ReceivedRequest] = []
+    harness = SidecarHarness([receive_requests(received, response_bytes(b"hello"))])
+    responses: list[ReceivedResponse] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        for _ in range(2):
+            send_upload(peer, LARGE_BODY[:size], is_chunked)
+            responses.append(read_response(peer))
+
+    harness.add_client(client)
+    harness.run()
+    assert responses == [HELLO] * 2
+    assert [request.body for request in received] == [LARGE_BODY[:size]] * 2
+
+
+def test_deadline_counts_from_last_byte_of_slow_upload() -> None:
+    harness = SidecarHarness([receive_requests([], response_bytes(b"hello"))])
+    responses: list[ReceivedResponse] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        head = request_bytes(Content_Length=str(len(LARGE_BODY)), Req_Deadline="300m")
+        request = head + LARGE_BODY
+        for start in range(0, len(request), 200_000):  # half a second in all
+            peer.send(request[start : start + 200_000])
+            peer.sleep(100_000)
+        responses.append(read_response(peer))
+
+    harness.add_client(client)
+    harness.run()
+    assert responses == [HELLO]
+
+
+@pytest.mark.parametrize(
+    ("early_response", "status"),
+    [
+        pytest.param(response_bytes(status=503, header_lines=DECLINED_HEADER), b"503", id="declined"),
+        pytest.param(response_bytes(status=500), b"503", id="error"),
+        pytest.param(response_bytes(status=413), b"400", id="client-error"),
+    ],
+)
+def test_early_response_reaches_client_and_rest_of_upload_is_discarded(
+    early_response: bytes, status: bytes
+) -> None:
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(KEPT_BODY_BYTES + 1000)
+        peer.send(early_response)
+
+    harness = SidecarHarness([endpoint])
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        body = LARGE_BODY * 40
+        send_until_closed(peer, request_bytes(Content_Length=str(len(body))) + body)
+        statuses.append(peer.receive_until()[9:12])
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [status]
+
+
+def test_upload_is_retried_only_if_it_is_whole_and_surely_not_run() -> None:
+    received: list[ReceivedRequest] = []
+
+    def declining(peer: ScriptedPeer) -> None:
+        if head := peer.receive_until():
+            peer.receive(1000)
+            received.append(ReceivedRequest(head, b""))
+            peer.send(response_bytes(status=503, header_lines=DECLINED_HEADER))
+            peer.sock.close()
+
+    harness = SidecarHarness([declining, receive_requests(received, response_bytes(b"hello"))])
+    for _ in range(40):  # so that there is budget for a retry
+        harness.state_machine.load_balancer.budget.count_request(harness.scheduler.now())
+    responses: list[ReceivedResponse] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        request = request_bytes("write", Content_Length=str(len(DOUBLE_KEPT_BODY))) + DOUBLE_KEPT_BODY
+        for _ in range(4):
+            sender = ScriptedPeer(peer.scheduler, socket.create_connection(harness.address))
+            with sender.sock:
+                sender.send(request[: KEPT_BODY_BYTES + 3000])
+                sender.sleep(20_000)
+                sender.send(request[KEPT_BODY_BYTES + 3000 :])
+                responses.append(read_response(sender))
+
+    harness.add_client(client)
+    harness.run()
+    assert {response.status for response in responses} <= {b"200", b"503"}
+    assert {request.body for request in received} <= {b"", DOUBLE_KEPT_BODY}  # whole, or not at all
+
+
+def test_upload_ends_attempt_when_client_disconnects() -> None:
+    started: list[bytes] = []
+    ends: list[bytes] = []
+
+    def endpoint(peer: ScriptedPeer) -> None:
+        started.append(peer.receive_until())
+        peer.receive(len(LARGE_BODY))
+        ends.append(peer.receive_all())
+
+    def client(peer: ScriptedPeer) -> None:
+        request = request_bytes(Content_Length=str(len(LARGE_BODY))) + LARGE_BODY
+        peer.send(request[: KEPT_BODY_BYTES + 50_000])
+        peer.wait_until(lambda: started)
+        peer.sock.close()
+        peer.wait_until(lambda: ends)  # before the harness closes the endpoint's connection itself
+
+    harness = SidecarHarness([endpoint])
+    harness.add_client(client)
+    harness.run()
+    assert ends == [b""]
+    assert not harness.state_machine.counters.sends
+
+
+@pytest.mark.parametrize(
+    ("tail", "status"),
+    [pytest.param(b"", b"408", id="halted"), pytest.param(b"xyz\r\n", b"400", id="malformed-chunk")],
+)
+def test_broken_upload_is_answered_and_counted_as_errored(
+    tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(request_upload, "MAX_UPLOAD_LAG_US", 100_000)
+    harness = SidecarHarness([tolerating_disconnect(receive_requests([], response_bytes(b"hello")))])
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        head = request_bytes(Content_Length="", Transfer_Encoding="chunked")
+        peer.send(head + chunk_bytes(DOUBLE_KEPT_BODY) + tail)
+        statuses.append(peer.receive_until()[9:12])
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [status]
+    assert not harness.state_machine.counters.sends
+    assert harness.state_machine.counters.final["read"]["errored"] == 1
+
+
+def test_upload_to_endpoint_that_dies_is_rejected_as_not_run() -> None:
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(KEPT_BODY_BYTES + 100_000)
+        peer.reset()
+
+    harness = SidecarHarness([endpoint])
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        body = LARGE_BODY * 4
+        send_until_closed(peer, request_bytes("write", Content_Length=str(len(body))) + body)
+        statuses.append(peer.receive_until()[9:12])
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [b"503"]  # not 502: its last byte was never written
+
+
+def test_upload_may_pause_after_a_faster_part_but_not_be_slow_throughout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(request_upload, "MAX_UPLOAD_LAG_US", 400_000)
+    monkeypatch.setattr(request_upload, "MIN_UPLOAD_BYTES_PER_S", 100_000)
+    harness = SidecarHarness([tolerating_disconnect(receive_requests([], response_bytes(b"hello")))])
+    statuses: dict[str, bytes] = {}
+
+    def sending(name: str, piece_size: int, pause_us: int) -> Script:
+        def client(peer: ScriptedPeer) -> None:
+            request = request_bytes(Content_Length=str(len(DOUBLE_KEPT_BODY))) + DOUBLE_KEPT_BODY
+            first_size = KEPT_BODY_BYTES + 5000
+            peer.send(request[:first_size])
+            for start in range(first_size, len(request), piece_size):
+                peer.sleep(pause_us)
+                with suppress(OSError):
+                    peer.send(request[start : start + piece_size])
+            statuses[name] = peer.receive_until()[9:12]
+
+        return client
+
+    harness.add_client(sending("120 kB/s with long pauses", 30_000, 250_000))
+    harness.add_client(sending("40 kB/s without", 2_000, 50_000))
+    harness.run()
+    assert statuses == {"120 kB/s with long pauses": b"200", "40 kB/s without": b"408"}
+
+
+def test_slow_response_is_not_taken_for_a_slow_upload(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(request_upload, "MAX_UPLOAD_LAG_US", 50_000)
+    responses: list[ReceivedResponse] = []
+
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.receive(len(TRIPLE_KEPT_BODY))
+        peer.sleep(300_000)
+        peer.send(response_bytes(b"hello"))
+
+    def client(peer: ScriptedPeer) -> None:
+        head = request_bytes("write", Content_Length=str(len(TRIPLE_KEPT_BODY)))
+        peer.send(head + TRIPLE_KEPT_BODY)
+        responses.append(read_response(peer))
+
+    harness = SidecarHarness([endpoint])
+    harness.add_client(client)
+    harness.run()
+    assert responses == [HELLO]
--- a/tests/policy/test_routed_request.py
+++ b/tests/policy/test_routed_request.py
@@ -7,7 +7,16 @@
 from cressrail.policy.decision import FailRequest, RejectRequest
 from cressrail.policy.outcome import Outcome
 from cressrail.policy.request_class import Idempotency, KeyScope, RequestClass
-from tests.policy.support import SECOND, make_mesh_load_balancer, start_request, starts_in
+from tests.policy.support import (
+    NO_TENANT,
+    SECOND,
+    make_entry,
+    make_load_balancer,
+    make_mesh_load_balancer,
+    make_request_class,
+    start_request,
+    starts_in,
+)
 
 
 @pytest.mark.parametrize(
@@ -35,3 +44,22 @@
         KeyScope.ALL,
     )
     assert [type(decision) for decision in decisions] == [RejectRequest if is_harmless else FailRequest]
+
+
+def test_request_counts_as_in_flight_only_once_its_clock_runs() -> None:
+    """Slow uploads and slow readers would else use up the limits of endpoints that have nothing to do."""
+    load_balancer = make_load_balancer([make_entry(0)])
+    endpoint, subset = load_balancer.endpoints[0], load_balancer.zone_subsets[0]
+    request = load_balancer.start_request(0, make_request_class(), NO_TENANT, -1)
+    [start] = starts_in(request.route(0))
+    assert start.timeout_us > 1000 * SECOND
+    assert (endpoint.in_flight, subset.in_flight) == (0, 0)
+    request.start_clock(9 * SECOND, SECOND)
+    assert (endpoint.in_flight, subset.in_flight) == (1, 1)
+    assert request.deadline_us <= 10 * SECOND
+    request.on_attempt_finished(0, 9 * SECOND + 1000, Outcome.SUCCEEDED, 1000, True)
+    assert (endpoint.in_flight, subset.in_flight) == (0, 0)
+    unsent = load_balancer.start_request(0, make_request_class(), NO_TENANT, -1)
+    unsent.route(0)
+    unsent.on_attempt_finished(0, 1000, Outcome.CONNECT_FAILED, 1000, False)
+    assert (endpoint.in_flight, subset.in_flight) == (0, 0)
--- a/tests/support/scripted_peer.py
+++ b/tests/support/scripted_peer.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import socket
+import struct
 from collections.abc import Callable
 
 from cressrail.event_loop.scheduler import READABLE, WRITABLE, Scheduler
@@ -10,6 +11,7 @@
 
 PATIENCE_US = 20 * SECOND  # what takes longer fails the test
 POLL_US = 1000
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time of zero
 
 
 class ScriptedPeer:
@@ -23,7 +25,7 @@
     def __init__(self, scheduler: Scheduler, sock: socket.socket) -> None:
         self.scheduler = scheduler
         self.sock = sock
-        self._received = b""
+        self._received = bytearray()
         sock.setblocking(False)
 
     def send(self, data: bytes) -> None:
@@ -48,8 +50,20 @@
             pass
         return self._consume(size)
 
+    def receive_all(self) -> bytes:
+        """Returns all that comes until the connection ends."""
+        while self._receive_more():
+            pass
+        return self._consume(len(self._received))
+
+    def reset(self) -> None:
+        """Closes the connection with RST, as that of a process that dies."""
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        self.sock.close()
+
     def _consume(self, size: int) -> bytes:
-        consumed, self._received = self._received[:size], self._received[size:]
+        consumed = bytes(self._received[:size])
+        del self._received[:size]
         return consumed
 
     def _receive_more(self) -> bool:
