--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -60,8 +60,8 @@
         scheduler = self.dispatcher.scheduler
         try:
             sock, _ = self.sock.accept()
-        except OSError as fault:
-            if fault.errno in DESCRIPTORS_EXHAUSTED:  # else the waiting caller would wake this task at once
+        except OSError as error:
+            if error.errno in DESCRIPTORS_EXHAUSTED:  # else the waiting caller would wake this task at once
                 until_us = self.dispatcher.now() + NO_DESCRIPTORS_PAUSE_US
                 scheduler.wait(until_us=until_us, wakes_on_message=False)
             return
@@ -103,8 +103,8 @@
                 found = parse_head(memoryview(received))
                 if found is not None:
                     return self._respond(*parse_request_line(found[1]))
-            except MalformedMessageError as fault:
-                return AdminResponse(400, f"{fault}\n".encode())
+            except MalformedMessageError as error:
+                return AdminResponse(400, f"{error}\n".encode())
         return None
 
     def _respond(self, method: bytes, target: bytes) -> AdminResponse:
--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -113,8 +113,8 @@
             )
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
-        except (StreamTimeoutError, OSError) as fault:  # endpoints begin a request with its last byte
-            return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "not written in time")
+        except (StreamTimeoutError, OSError) as error:  # endpoints begin a request with its last byte
+            return AttemptEnd(Outcome.CONNECT_FAILED, str(error) or "not written in time")
         return None
 
     def _upload(self, stream: SocketStream) -> AttemptEnd | None:
@@ -134,12 +134,12 @@
                 end = self._wait_during_upload(stream, sender)
                 if end is not None:
                     return end
-        except (OSError, MalformedMessageError) as fault:
+        except (OSError, MalformedMessageError) as error:
             # The endpoint may have answered before it closed the connection.
             with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
                 if self.reader.is_complete or self._read_early_response(stream):
                     return self._end_of_response(is_connection_reusable=False)
-            return AttemptEnd(Outcome.CONNECT_FAILED, str(fault) or "ended")
+            return AttemptEnd(Outcome.CONNECT_FAILED, str(error) or "ended")
         except BufferPoolExhaustedError:
             return AttemptEnd(Outcome.CANCELLED, "no buffer left")
         finally:
@@ -197,8 +197,8 @@
             return AttemptEnd(Outcome.CANCELLED)
         except BufferPoolExhaustedError:
             return AttemptEnd(Outcome.CANCELLED, "no buffer left")
-        except (OSError, MalformedMessageError) as fault:
-            return AttemptEnd(Outcome.CONNECTION_RESET, str(fault))
+        except (OSError, MalformedMessageError) as error:
+            return AttemptEnd(Outcome.CONNECTION_RESET, str(error))
         if self.reader.status == OK and not self.reader.is_complete:
             return AttemptEnd(Outcome.CANCELLED)  # the client is gone
         is_reusable = self.reader.is_complete and self.reader.keep_alive and not stream.input_buffer.unread()
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -33,8 +33,8 @@
             start = reread_startup_configuration(self.path, self.start)
             with error_prefix(f"{self.path}: settings."):
                 policy_factory.check_policy_settings(start.settings, start.seed)
-        except ConfigurationError as fault:
-            dispatcher.log.write_event(events.CONFIGURATION_REJECTED, {"reason": str(fault)})
+        except ConfigurationError as error:
+            dispatcher.log.write_event(events.CONFIGURATION_REJECTED, {"reason": str(error)})
             return
         waiting = paths_needing_restart(self.start, start)
         dispatcher.log.write_event(
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -85,8 +85,8 @@
             return "silent"
         except BufferPoolExhaustedError:  # waiting for a buffer could leave a drain unnoticed
             return "no buffer left"
-        except (OSError, MalformedMessageError, MalformedEndpointListError) as fault:
-            return str(fault) or "ended"
+        except (OSError, MalformedMessageError, MalformedEndpointListError) as error:
+            return str(error) or "ended"
         finally:
             if stream is not None:
                 stream.close()
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -104,8 +104,8 @@
             stream = self._open(command)
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
-        except (StreamTimeoutError, OSError) as fault:
-            return self._connect_failure(fault)
+        except (StreamTimeoutError, OSError) as error:
+            return self._connect_failure(error)
         now_us = self.dispatcher.now()
         end = self._check_before_send(command, now_us)
         return exchange.run(stream, now_us) if end is None else end
@@ -127,15 +127,15 @@
             )
         return self.stream
 
-    def _connect_failure(self, fault: Exception) -> AttemptEnd:
-        if isinstance(fault, OSError) and fault.errno in DESCRIPTORS_EXHAUSTED:
+    def _connect_failure(self, error: Exception) -> AttemptEnd:
+        if isinstance(error, OSError) and error.errno in DESCRIPTORS_EXHAUSTED:
             dispatcher = self.dispatcher
             dispatcher.dispatch(dispatcher.state_machine.on_descriptors_exhausted(dispatcher.now()))
-            return AttemptEnd(Outcome.NOT_SENT, str(fault))
+            return AttemptEnd(Outcome.NOT_SENT, str(error))
         return AttemptEnd(
             Outcome.CONNECT_FAILED,
-            str(fault) or "no connection in time",
-            has_endpoint_refused=isinstance(fault, ConnectionRefusedError),
+            str(error) or "no connection in time",
+            has_endpoint_refused=isinstance(error, ConnectionRefusedError),
         )
 
     def _check_before_send(self, command: SendAttempt, now_us: int) -> AttemptEnd | None:
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -27,7 +27,7 @@
 
 
 class AdminAnswer(NamedTuple):
-    """An answer at the operators' address.
+    """An answer at the admin address.
 
     Attributes:
         status: HTTP status.
@@ -65,7 +65,7 @@
         self.dispatcher.dispatch(proxy.set_zone_statistics(self.dispatcher.now(), None))
 
     def on_timer(self, membership: MembershipStateMachine) -> list[membership_messages.Command]:
-        """Wakes failover, and gives the load balancer the present zone weights."""
+        """Runs failover's timer, and gives the load balancer the present zone weights."""
         now_us = self.dispatcher.now()
         load_balancer = self.dispatcher.state_machine.load_balancer
         commands = self.host.on_timer(now_us, membership, load_balancer, self.statistics)
@@ -84,7 +84,7 @@
     def on_admin_request(
         self, membership: MembershipStateMachine, method: bytes, target: bytes
     ) -> AdminAnswer:
-        """Answers a request at the operators' address whose path begins with `/zones`."""
+        """Answers a request at the admin address whose path begins with `/zones`."""
         path, _, query = target.partition(b"?")
         parameters = {name: values[0] for name, values in parse_qs(query.decode("ascii", "replace")).items()}
         if path == ZONES_PATH:
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -143,8 +143,8 @@
         try:
             self.connection.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
             frame = self.connection.receive_frame(until_us)
-        except (OSError, HandoverError, ValueError) as fault:
-            self.dispatcher.log.write_event(events.HANDOVER_STATE_LOST, {"reason": str(fault)})
+        except (OSError, HandoverError, ValueError) as error:
+            self.dispatcher.log.write_event(events.HANDOVER_STATE_LOST, {"reason": str(error)})
             return None
         return frame.fields if frame is not None and frame.kind == FrameKind.STATE else None
 
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -76,9 +76,9 @@
             sock.listen(BACKLOG)
             sock.setblocking(False)
             os.rename(own_path, self.path)
-        except OSError as fault:  # this process cannot hand over; all else goes on
+        except OSError as error:  # this process cannot hand over; all else goes on
             sock.close()
-            self.dispatcher.log.write_event(events.RENDEZVOUS_UNAVAILABLE, {"reason": str(fault)})
+            self.dispatcher.log.write_event(events.RENDEZVOUS_UNAVAILABLE, {"reason": str(error)})
             return None
         self.rendezvous_socket = sock
         return sock
@@ -98,8 +98,8 @@
                 self._hand_over(connection)
                 frame = connection.receive_frame()
                 serves_again = frame is None or frame.kind != FrameKind.EXITED
-        except (OSError, HandoverError, ValueError) as fault:
-            self.dispatcher.log.write_event(events.HANDOVER_PEER_REJECTED, {"reason": str(fault)})
+        except (OSError, HandoverError, ValueError) as error:
+            self.dispatcher.log.write_event(events.HANDOVER_PEER_REJECTED, {"reason": str(error)})
         finally:
             sock.close()
             if has_handed_over and serves_again:
@@ -127,7 +127,7 @@
         fields = {**state, HELD_RESOURCES: list(self._limit_held_resources())}
         connection.send(encode_frame(FrameKind.STATE, fields), dispatcher.now() + PEER_TIMEOUT_US)
         if self.membership is not None:
-            self.membership.notify("cede")
+            self.membership.yield_to_successor()
         self._unpublish()
 
     def _limit_held_resources(self) -> HeldResources:
@@ -143,7 +143,7 @@
         dispatcher = self.dispatcher
         dispatcher.pool.max_lent = self._buffers_before_handover
         if self.membership is not None and not dispatcher.state_machine.lifecycle.is_stopping:
-            self.membership.notify("resume")
+            self.membership.resume()
         dispatcher.dispatch(dispatcher.state_machine.on_successor_failed(dispatcher.now()))
 
 
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -37,9 +37,9 @@
     try:
         sock.bind((host, port))
         sock.listen(BACKLOG)
-    except OSError as fault:
+    except OSError as error:
         sock.close()
-        raise OSError(f"cannot listen on {host}:{port}: {fault.strerror}") from None
+        raise OSError(f"cannot listen on {host}:{port}: {error.strerror}") from None
     return sock
 
 
@@ -97,11 +97,11 @@
         except BlockingIOError:
             self.unseen_since_us = None
             return False
-        except OSError as fault:
-            self.is_out_of_descriptors = fault.errno in DESCRIPTORS_EXHAUSTED
+        except OSError as error:
+            self.is_out_of_descriptors = error.errno in DESCRIPTORS_EXHAUSTED
             if self.is_out_of_descriptors:
                 self._wait_for_descriptors()
-            return fault.errno in CONNECTION_ABORTED
+            return error.errno in CONNECTION_ABORTED
         self._start_client(sock)
         return True
 
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -1,4 +1,4 @@
-"""The socket of membership: reads datagrams, executes the state machine's commands, runs its timers.
+"""The socket of membership: reads datagrams, carries out the state machine's commands, runs its timers.
 
 It decides nothing. At a hand-over the process that yields closes the socket, and its successor opens one at
 the same address.
@@ -10,7 +10,9 @@
 import os
 import socket
 import sys
+from collections import deque
 from contextlib import suppress
+from enum import Enum, auto
 from typing import TYPE_CHECKING, Any
 
 import orjson
@@ -40,10 +42,19 @@
 RECEIVE_BUFFER_BYTES = 1 << 18  # for what waits while this process is at other work
 ANCILLARY_BYTES = 256  # for what the kernel says beside a datagram that was refused
 MIN_ERROR_BYTES = 4  # of an error number
+SEED_BYTES = 8  # of the generator
+MAX_PROCESS_ID = (1 << 32) - 1
+SEND_ATTEMPTS = 2  # the first may fail for an earlier datagram that was refused
 # IP_RECVERR, IPV6_RECVERR (ip(7), ipv6(7)): the kernel keeps refusals, with where the datagram went.
 RECEIVE_ERROR_OPTIONS = {socket.AF_INET: (socket.IPPROTO_IP, 11), socket.AF_INET6: (socket.IPPROTO_IPV6, 25)}
-# What other tasks tell this one.
-YIELD, RESUME, LEAVE = "cede", "resume", "leave"
+
+
+class _Request(Enum):
+    """What another task asks of the task that serves the socket."""
+
+    YIELD = auto()  # close the socket, which a successor opens
+    RESUME = auto()  # take part again: the successor is gone
+    LEAVE = auto()  # announce the end of this instance
 
 
 def bind_datagram_socket(configuration: MembershipConfiguration) -> socket.socket:
@@ -72,7 +83,13 @@
     def __init__(
         self, dispatcher: CommandDispatcher, configuration: MembershipConfiguration, waits: bool
     ) -> None:
-        """Starts the task; `waits` if a predecessor may still hold the address."""
+        """Starts the task.
+
+        Args:
+            dispatcher: Gives the clock, the log and the proxy.
+            configuration: Of membership.
+            waits: Whether a predecessor may still hold the address, so that the task binds it later.
+        """
         self.dispatcher, self.configuration = dispatcher, configuration
         self.sock = None if waits else bind_datagram_socket(configuration)
         self.instance = self._new_instance()
@@ -82,8 +99,8 @@
 
     def _new_instance(self) -> MembershipStateMachine:
         now_us = self.dispatcher.now()
-        random = RandomGenerator(int.from_bytes(os.urandom(8), "big"))
-        process_id = random.below(1 << 32)
+        random = RandomGenerator(int.from_bytes(os.urandom(SEED_BYTES), "big"))
+        process_id = random.below(MAX_PROCESS_ID + 1)
         return MembershipStateMachine(self.configuration.settings, random, now_us, process_id, now_us // 1000)
 
     def _new_failover_driver(self) -> FailoverDriver | None:
@@ -103,29 +120,29 @@
                 self._close()
                 while not task.messages:
                     self.dispatcher.scheduler.wait()
-                if task.messages.popleft() != RESUME:
+                if task.messages.popleft() is not _Request.RESUME:
                     return
                 # The successor took part under this name meanwhile, so this process begins anew.
                 self.instance = self._new_instance()
         finally:
             self._close()
 
-    def _take_part(self, messages: Any) -> bool:
+    def _take_part(self, requests: deque[_Request]) -> bool:
         """Takes part until told to yield; false once it has left for good."""
-        if self.sock is None and not self._open(messages):
+        if self.sock is None and not self._open(requests):
             return False
         assert self.sock is not None
         self.failover = self._new_failover_driver()
         self._execute(self.instance.start(self.dispatcher.now()))
-        has_yielded = self._serve(self.sock, messages)
+        has_yielded = self._serve(self.sock, requests)
         if self.failover is not None:
             self.failover.close()
             self.failover = None
         return has_yielded
 
-    def _open(self, messages: Any) -> bool:
-        """Tries to bind until it succeeds; false if a message came first."""
-        while not messages:
+    def _open(self, requests: deque[_Request]) -> bool:
+        """Tries to bind until it succeeds; false if a request came first."""
+        while not requests:
             try:
                 self.sock = bind_datagram_socket(self.configuration)
             except OSError:
@@ -139,14 +156,15 @@
             self.sock.close()
             self.sock = None
 
-    def _serve(self, sock: socket.socket, messages: Any) -> bool:
+    def _serve(self, sock: socket.socket, requests: deque[_Request]) -> bool:
         """Serves the socket and the timers until told to yield; false once it has left for good."""
         while True:
             reason = self.dispatcher.scheduler.wait(sock.fileno(), READABLE, self._next_timer_us())
-            if messages:
-                message = messages.popleft()
-                self._execute(self.instance.leave(self.dispatcher.now(), announces=message == LEAVE))
-                return bool(message == YIELD)
+            if requests:
+                request = requests.popleft()
+                announces = request is _Request.LEAVE
+                self._execute(self.instance.leave(self.dispatcher.now(), announces=announces))
+                return request is _Request.YIELD
             if reason != MESSAGE:
                 self._read(sock)
                 self._read_refusals(sock)
@@ -205,7 +223,7 @@
         self.instance.set_own_load_reports(now_us, reports)
 
     def _send(self, command: SendDatagram) -> None:
-        for _ in range(2):  # the first call may fail for an earlier datagram that was refused
+        for _ in range(SEND_ATTEMPTS):
             with suppress(OSError):  # the datagram counts as lost
                 if self.sock is not None:
                     self.sock.sendto(command.payload, command.destination)
@@ -225,9 +243,20 @@
 
     # Called by other tasks
 
-    def notify(self, message: str) -> None:
-        """Has the task yield, resume or leave."""
-        self.dispatcher.scheduler.post(self.task, message)
+    def yield_to_successor(self) -> None:
+        """Has the task close the socket, so that a successor can open it."""
+        self._post(_Request.YIELD)
+
+    def resume(self) -> None:
+        """Has the task take part again, under this name, after a successor that is gone."""
+        self._post(_Request.RESUME)
+
+    def leave(self) -> None:
+        """Has the task tell the others that this instance ends."""
+        self._post(_Request.LEAVE)
+
+    def _post(self, request: _Request) -> None:
+        self.dispatcher.scheduler.post(self.task, request)
 
     def set_keys(self, configuration: MembershipConfiguration) -> None:
         """Takes over the keys of a configuration that was read again."""
@@ -235,7 +264,7 @@
         self.dispatcher.log.write_event(log_events.KEYS_RELOADED, {"keys": len(configuration.settings.keys)})
 
     def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
-        """Answers an operator's request on zones with a status and what is told."""
+        """Answers an operator's request on zones with an HTTP status and a JSON value or reason."""
         if self.failover is None:
             return 404, "no part failover in the configuration"
         answer = self.failover.on_admin_request(self.instance, method, target)
--- a/cressrail/network/request_reception.py
+++ b/cressrail/network/request_reception.py
@@ -77,8 +77,8 @@
         try:
             reader = self._reader or self._start()
             self.stream.feed_to(reader.feed)
-        except MalformedMessageError as fault:
-            return self._refuse(fault.status, str(fault))
+        except MalformedMessageError as error:
+            return self._refuse(error.status, str(error))
         except BufferPoolExhaustedError:
             return self._refuse(SERVICE_UNAVAILABLE_STATUS, NO_BUFFER_REASON)
         if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
--- a/cressrail/network/request_upload.py
+++ b/cressrail/network/request_upload.py
@@ -77,8 +77,8 @@
                 count = self._receive()
             except BufferPoolExhaustedError:
                 scheduler.wait(until_us=now() + BUFFER_RETRY_US)
-            except MalformedMessageError as fault:
-                self._abort(fault)
+            except MalformedMessageError as error:
+                self._abort(error)
                 return UploadState.ABORTED
             else:
                 if count == 0:
@@ -105,11 +105,11 @@
             self.stream.feed_to(self.reader.feed)
         return count
 
-    def _abort(self, fault: MalformedMessageError) -> None:
+    def _abort(self, error: MalformedMessageError) -> None:
         dispatcher = self.dispatcher
         self.pipe.fail()
         commands = dispatcher.state_machine.on_request_aborted(
-            dispatcher.now(), self.client, fault.status, str(fault)
+            dispatcher.now(), self.client, error.status, str(error)
         )
         dispatcher.dispatch(commands)
 
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -41,7 +41,7 @@
             if signal.SIGTERM in signals or signal.SIGINT in signals:
                 dispatcher.dispatch(dispatcher.state_machine.on_stop_requested(dispatcher.now()))
                 if membership is not None:
-                    membership.notify("leave")
+                    membership.leave()
 
     signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
