--- a/cressrail/network/__init__.py
+++ b/cressrail/network/__init__.py
@@ -1,6 +1,6 @@
-"""Sockets: clients, endpoints, discovery, the admin address, the hand-over and membership's datagrams.
+"""Sockets of one process: clients, endpoints, discovery, the admin API, membership, hand-over.
 
-Called by `cli`. Each task turns what it reads into an event of `proxy`; `CommandDispatcher` carries out the
-commands that `proxy` returns. Decides nothing itself. May import all packages of a sidecar but `cli`;
-`membership` and `failover` are loaded only where they are configured.
+Each kind of connection has a task of its own. A task reads, reports events to the proxy's state machine, and
+carries out the commands that the `CommandDispatcher` passes to it; it decides nothing itself. `cli` assembles
+and runs a `Server`; this package may import all others that `serve` needs.
 """
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -10,7 +10,7 @@
 import asyncio
 import random
 import socket
-from collections import deque
+from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
@@ -18,8 +18,8 @@
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.event_record import Ledger
-from cressrail.testbed.processor_sharing import Job, Machine, draw_us
-from cressrail.testbed.scenario import Contract, Profile, Tier
+from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
+from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 
 BACKLOG = 1024
 FAULTS = ("refuse", "reset", "err", "spoil")
@@ -27,22 +27,26 @@
 CONNECTIONS = 512  # of an endpoint to its own sidecar
 
 
-class Journal:
-    """The keys that a group has seen, and when. One for the endpoints that the group holds."""
+class IdempotencyKeys:
+    """The idempotency keys that the endpoints of one key scope have seen.
+
+    Attributes:
+        first_seen_us: When each key was seen, the oldest first.
+    """
 
     def __init__(self) -> None:
-        self.seen: dict[str, int] = {}
-        self.order: deque[tuple[int, str]] = deque()
-
-    def repeat(self, key: str, now: int, window_us: int) -> bool:
-        while self.order and self.order[0][0] + window_us < now:
-            at, old = self.order.popleft()
-            if self.seen.get(old) == at:
-                del self.seen[old]
-        if key in self.seen:
+        self.first_seen_us: OrderedDict[str, int] = OrderedDict()
+
+    def is_repeat(self, key: str, now_us: int, window_us: int) -> bool:
+        """Returns whether the key was seen within the window; keeps it from now on if not."""
+        while self.first_seen_us:
+            oldest_key, oldest_us = next(iter(self.first_seen_us.items()))
+            if oldest_us + window_us >= now_us:
+                break
+            del self.first_seen_us[oldest_key]
+        if key in self.first_seen_us:
             return True
-        self.seen[key] = now
-        self.order.append((now, key))
+        self.first_seen_us[key] = now_us
         return False
 
 
@@ -52,7 +56,7 @@
 
     asked: ReceivedRequest
     name: str
-    profile: Profile
+    profile: RequestClass
     came_us: int
     limit_us: int  # when the caller's time is up
     row: dict[str, Any]
@@ -62,17 +66,17 @@
     left: bool = False  # the caller has gone
 
 
-class Endpoint:
+class SimulatedEndpoint:
     def __init__(
         self,
         name: str,
         tier_no: int,
         tier: Tier,
-        contract: Contract,
+        contract: EndpointContract,
         zone: str,
         cell: int,
-        profiles: dict[str, Profile],
-        journals: Callable[[Endpoint, Profile], Journal],
+        profiles: dict[str, RequestClass],
+        journals: Callable[[SimulatedEndpoint, RequestClass], IdempotencyKeys],
         ledger: Ledger,
         seed: int,
         hosts: dict[str, tuple[str, int]],
@@ -88,7 +92,7 @@
         )
         self.chance = random.Random(seed)
         self.hosts = hosts
-        self.machine = Machine(tier, contract)
+        self.machine = ProcessorSharingServer(tier, contract)
         self.servers: dict[str, asyncio.Server] = {}
         self.served: dict[ServerConnection, str] = {}  # and the zone from which it came
         self.cut: set[str] = set()  # zones from which nothing comes through
@@ -139,7 +143,7 @@
 
     async def start(self, started_us: int) -> None:
         """Again, with nothing: cold from `started_us` on."""
-        self.machine = Machine(self.tier, self.contract, started_us)
+        self.machine = ProcessorSharingServer(self.tier, self.contract, started_us)
         self.draining = False
         await self.listen()
 
@@ -196,7 +200,7 @@
         if work is not None:
             work.left = True
             work.row["left_us"] = now_us()
-            if self.contract.stops_on_cancel or not work.job.slot:
+            if self.contract.stops_on_cancel or not work.job.has_slot:
                 self._over(work, "left")
 
     def _asked(self, asked: ReceivedRequest) -> None:
@@ -219,7 +223,7 @@
             "came_us": now,
             "limit_us": limit_us,
             "ran": False,
-            "cold": self.machine.capacity(now),
+            "cold": self.machine.available_share(now),
             "work_us": 0,
         }
         work = Work(asked, name, profile, now, limit_us, row)
@@ -227,16 +231,18 @@
         if self.draining or self._strikes("refuse"):
             self._decline(work)
             return
-        whole = draw_us(self.tier.service, self.chance) * self.tier.weights.get(profile.name, 1.0)
+        whole = draw_work_us(self.tier.service_time, self.chance) * self.tier.work_factors.get(
+            profile.name, 1.0
+        )
         row["work_us"] = int(whole)
         if profile.repeat == "keyed" and key:
             journal = self.journals(self, profile)
-            if journal.repeat(key, now, int(profile.window_ms * 1000)):
+            if journal.is_repeat(key, now, int(profile.idempotency_window_ms * 1000)):
                 row["repeat"] = True
                 self._end(work, 200, "repeat")
                 return
         work.calls = self.below is not None
-        first = whole * self.tier.before if work.calls else whole
+        first = whole * self.tier.work_before_call if work.calls else whole
         work.rest_us = whole - first
         work.job = Job(work, first)
         asked.connection.context = work
@@ -244,7 +250,7 @@
         if not self.machine.offer(now, work.job):
             self._decline(work)
             return
-        row["ran"] = work.job.slot
+        row["ran"] = work.job.has_slot
         self.look()
 
     def _strikes(self, kind: str) -> bool:
@@ -257,7 +263,7 @@
     def look(self) -> None:
         """What has computed its part goes on; then waits for the next."""
         now = now_us()
-        for job in self.machine.ended(now):
+        for job in self.machine.pop_completed(now):
             work = self.works[job]
             work.row["ran"] = True
             if work.calls:
@@ -266,7 +272,7 @@
             else:
                 self._answer(work)
         now = now_us()
-        due = self.machine.next_us(now)
+        due = self.machine.next_completion_us(now)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -348,7 +354,7 @@
     def _over(self, work: Work, how: str) -> None:
         """The one place where a hop's work ends, slot and place given back, and its row is written."""
         now = now_us()
-        self.machine.leave(now, work.job)
+        self.machine.release(now, work.job)
         if self.works.pop(work.job, None) is not None and self.up:
             asyncio.get_running_loop().call_soon(self.look)  # its slot may have let another begin
         if work.asked.connection.context is work:
