--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -15,8 +15,9 @@
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.event_record import read_events
 from cressrail.testbed.pauses import PauseSchedule, draw_pauses, serve_with_pauses
-from cressrail.testbed.rule_checker import evidence, judge
+from cressrail.testbed.rule_checker import check_rules
 from cressrail.testbed.run import run_fleet
+from cressrail.testbed.run_evidence import collect_evidence
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
 from cressrail.testbed.sidecars import check_settings
@@ -60,11 +61,11 @@
     """Judge the four rules from a run's ledgers; exit status 3 if one is broken."""
     try:
         world = read_scenario(file, FleetScenario)
-        broken = judge(world, evidence(read_events(load), read_events(fleet)))
+        broken = check_rules(world, collect_evidence(read_events(load), read_events(fleet)))
     except (ScenarioError, OSError, orjson.JSONDecodeError) as fault:
         fail(str(fault))
     for one in broken:
-        print(f"rule {one.rule}: {one.tx or '-'}: {one.evidence}")
+        print(f"rule {one.rule}: {one.request_id or '-'}: {one.evidence}")
     print(f"{len(broken)} breaks", file=sys.stderr)
     sys.exit(3 if broken else 0)
 
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -64,11 +64,11 @@
     worth = {name: p.revenue for name, p in profiles.items()}
     offered = sum(worth[e["profile"]] for e in ends.values()) or 1.0
     by_tx: dict[str, int] = defaultdict(int)
-    for hop in played.seen.hops:
+    for hop in played.seen.attempts:
         by_tx[hop["id"]] += 1
     calls = [c for c in played.seen.calls if c["sent_us"]]
     doors = [c for c in calls if "call" not in c]
-    ran = [h for h in played.seen.hops if h["ran"]]
+    ran = [h for h in played.seen.attempts if h["ran"]]
     late = [h for h in ran if h["late_us"] > 0]
     return {
         "goodput": float(np.mean([e["good"] for e in ends.values()] or [0])),
@@ -158,7 +158,7 @@
     names = [f"{tier.name}{n}" for tier in world.fleet.tiers for n in range(tier.endpoint_count)]
     heat = {name: np.zeros(size, int) for name in names}
     seen: set[str] = set()
-    for hop in sorted(played.seen.hops, key=lambda hop: hop["came_us"]):
+    for hop in sorted(played.seen.attempts, key=lambda hop: hop["came_us"]):
         heat[hop["endpoint"]][second(hop["came_us"])] += 1
         found["retries"][second(hop["came_us"])] += hop["id"] in seen
         seen.add(hop["id"])
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -56,7 +56,7 @@
         "sidecars": len(seen.processes),
         "void": seen.invalid_reason,
         "lag_ms": round(seen.relay_lag_s * 1000, 1),
-        "broken": [f"rule {one.rule}: {one.tx}: {one.evidence}" for one in played.broken],
+        "broken": [f"rule {one.rule}: {one.request_id}: {one.evidence}" for one in played.broken],
         "false_losses": [
             f"{one.observer} of {one.subject} at {(one.at_us - start_us) / 1e6:.1f} s"
             for one in find_false_deaths(seen, bear_us, RETURN_BEARS * bear_us)
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -19,7 +19,8 @@
 from cressrail.load.run import Job, play
 from cressrail.testbed.event_record import read_events
 from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
-from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
+from cressrail.testbed.rule_checker import Rule, RuleViolation, check_rules
+from cressrail.testbed.run_evidence import RunEvidence, collect_evidence
 from cressrail.testbed.scenario import FleetScenario
 
 HERE = Path(__file__).resolve().parents[2]
@@ -30,8 +31,8 @@
 @dataclass
 class Played:
     told: dict[str, Any]  # the load's figures
-    seen: Evidence
-    broken: list[Break]
+    seen: RunEvidence
+    broken: list[RuleViolation]
 
 
 def plan_of(world: FleetScenario) -> Plan:
@@ -142,15 +143,15 @@
         told = play(
             Job(plan_of(world), doors, ledger=ledger, spool=folder / "spool", start_us=start_us, quiet=quiet)
         )
-    seen = evidence(read_events(ledger), read_events(folder / "fleet.jsonl"))
-    found = judge(world, seen)
+    seen = collect_evidence(read_events(ledger), read_events(folder / "fleet.jsonl"))
+    found = check_rules(world, seen)
     if world.fleet.membership is not None:
         away = excused(seen, collect_membership_evidence(read_events(folder / "fleet.jsonl")))
-        found = [one for one in found if one.rule != 1 or one.tx not in away]
+        found = [one for one in found if one.rule is not Rule.ONE_ANSWER or one.request_id not in away]
     return Played(told, seen, found)
 
 
-def excused(seen: Evidence, processes: MembershipEvidence) -> set[str]:
+def excused(seen: RunEvidence, processes: MembershipEvidence) -> set[str]:
     """What was sent to a process that did not run all the time it had: it has nobody to answer it."""
     names = {target: row["sidecar"] for target, row in seen.sidecars.items()}
     return {
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -5,7 +5,6 @@
 
 from collections.abc import Callable
 from contextlib import ExitStack
-from dataclasses import asdict
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
@@ -42,7 +41,7 @@
                     {
                         "seed": world.seed,
                         "figures": of,
-                        "broken": [asdict(b) for b in played.broken],
+                        "broken": [violation.report_row() for violation in played.broken],
                         "load": played.told,
                         "series": series(world, played),
                         "failed": played.seen.failed,
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -1,292 +1,313 @@
-"""Judges the four rules from ledgers: the clients', the endpoints', and the list as each sidecar was told it.
+"""Rule checker: finds violations of the rules that a sidecar must keep, from the evidence of a run.
 
-No I/O here; `evidence` gathers rows, `judge` names for each break its rule, the transaction and what shows
-it.
+It reads and writes nothing. What is not seen is not accused: an attempt that reached no endpoint, for
+example, counts nowhere.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+from enum import IntEnum
 from itertools import pairwise
 from typing import Any
 
-from cressrail.testbed.scenario import FleetScenario, RequestClass
+from cressrail.http_testing.client import CallOutcome
+from cressrail.testbed.event_record import Event
+from cressrail.testbed.run_evidence import CALLER_DIED, DUPLICATE, SUCCEEDED, RunEvidence
+from cressrail.testbed.scenario import FleetScenario, RequestClass, Tier
 
-Row = dict[str, Any]
-TOGETHER_US = 50_000  # hops that overlap by less may be a close that was under way
-SENT_US = 20_000  # a hop seen this long after the grace may have been on its way
-WINDOW_US = 10_000_000  # of the budget of retries
-BUDGET_PART = 0.1
+OVERLAP_TOLERANCE_US = 50_000  # attempts that overlap by less may be a close under way
+TRANSIT_TOLERANCE_US = 20_000  # an attempt seen this long after the grace may have been on its way
+RETRY_BUDGET_WINDOW_US = 10_000_000
+RETRY_BUDGET_SHARE = 0.1  # of the requests in the window
+IGNORED_HEAVIEST_ATTEMPTS = 3  # in a window of slow start: a little slack for chance
+HTTP_OK = 200
+HTTP_REJECTED = 503
+
+
+class Rule(IntEnum):
+    """The rules; the values stand in reports."""
+
+    RETRY_BUDGET = 0  # a bound of the design, not of the platform
+    ONE_ANSWER = 1  # each request gets exactly one final answer, in time
+    NO_REPEATED_EFFECT = 2  # no request takes effect twice
+    DRAIN = 3  # nothing is sent to an endpoint that is announced as draining or removed
+    SLOW_START = 4  # an endpoint that warms up is not overloaded
 
 
 @dataclass(frozen=True)
-class Break:
-    rule: int  # 1 to 4; 0: the design's budget of retries
-    tx: str
+class RuleViolation:
+    """One violation.
+
+    Attributes:
+        rule: The rule that was broken.
+        request_id: Of the request; empty where it is about several.
+        evidence: What shows it, for people.
+    """
+
+    rule: Rule
+    request_id: str
     evidence: str
 
+    def report_row(self) -> dict[str, Any]:
+        """By the keys of reports."""
+        return {"rule": int(self.rule), "tx": self.request_id, "evidence": self.evidence}
+
 
-@dataclass
-class Evidence:
-    calls: list[Row] = field(default_factory=list)  # a try each, of clients and of endpoints that call on
-    hops: list[Row] = field(default_factory=list)  # as endpoints saw them
-    told: list[Row] = field(default_factory=list)  # to which sidecar, of which endpoint, which phase, when
-    started: list[Row] = field(default_factory=list)
-    surplus: list[Row] = field(default_factory=list)
-    sidecars: dict[str, Row] = field(default_factory=dict)  # by the address that its clients use
-    faults: list[Row] = field(default_factory=list)
-    failed: list[Row] = field(default_factory=list)
-    start_us: int = 0
-
-
-def evidence(load: Iterable[Row], fleet: Iterable[Row]) -> Evidence:
-    found = Evidence()
-    for row in load:
-        (found.surplus if "surplus" in row else found.calls).append(row)
-    for row in fleet:
-        if "call" in row:
-            found.calls.append(row)
-        elif "came_us" in row:
-            found.hops.append(row)
-        elif "told" in row:
-            found.told.append(row)
-        elif "started" in row:
-            found.started.append(row)
-        elif "surplus" in row:
-            found.surplus.append(row)
-        elif "sidecar" in row:
-            found.sidecars[row["target"]] = row
-        elif "fault" in row:
-            found.faults.append(row)
-        elif "start_us" in row:
-            found.start_us = row["start_us"]
-        elif "failed" in row:
-            found.failed.append(row)
-    return found
-
-
-def judge(world: FleetScenario, seen: Evidence) -> list[Break]:
-    profiles = {p.name: p for p in world.request_classes}
-    by_tx: dict[str, list[Row]] = defaultdict(list)
-    for hop in seen.hops:
-        by_tx[hop["id"]].append(hop)
-    for hops in by_tx.values():
-        hops.sort(key=lambda hop: hop["came_us"])
-    broken: list[Break] = []
-    for call in seen.calls:
-        broken += _answered(world, call, by_tx.get(call["id"], []))
-        broken += _no_effect_twice(
-            world, profiles[call["profile"]], call, by_tx.get(call["id"], []), seen.faults
+def check_rules(scenario: FleetScenario, evidence: RunEvidence) -> list[RuleViolation]:
+    """Checks all rules; the violations stand in the order of the rules, those of single requests first."""
+    request_classes = {request_class.name: request_class for request_class in scenario.request_classes}
+    attempts_by_request = evidence.attempts_by_request()
+    has_zone_cut = any(fault["fault"] == "cut" for fault in evidence.faults)
+    violations: list[RuleViolation] = []
+    for call in evidence.calls:
+        attempts = attempts_by_request.get(call["id"], [])
+        request_class = request_classes[call["profile"]]
+        if (problem := _answer_problem(scenario, call, attempts)) is not None:
+            violations.append(RuleViolation(Rule.ONE_ANSWER, call["id"], problem))
+        problems = [*_effect_problems(request_class, call, attempts)]
+        if not has_zone_cut:  # a cut hides when an attempt ends
+            problems += _overlap_problems(attempts)
+        violations += [RuleViolation(Rule.NO_REPEATED_EFFECT, call["id"], problem) for problem in problems]
+    violations += [
+        RuleViolation(
+            Rule.ONE_ANSWER,
+            "",
+            f"{row['surplus']} bytes after a final answer on a connection of {row['target']}",
         )
-    broken += [
-        Break(1, "", f"{row['surplus']} bytes after a final answer on a connection of {row['target']}")
-        for row in seen.surplus
+        for row in evidence.excess_bytes
     ]
-    return broken + _drains_kept(world, seen) + _cold_kept(world, seen) + _budget_kept(seen, by_tx)
+    violations += _check_drains(scenario, evidence)
+    violations += _check_slow_start(scenario, evidence)
+    violations += _check_retry_budget(evidence, attempts_by_request)
+    return violations
 
 
-def _ms(us: int) -> str:
-    return f"{us / 1000:.1f} ms"
+def _format_ms(duration_us: float) -> str:
+    return f"{duration_us / 1000:.1f} ms"
 
 
-def _answered(world: FleetScenario, call: Row, hops: list[Row]) -> list[Break]:
-    """Rule 1. One that was never written whole was not taken; a client that gave up early had left."""
-    took = call["ended_us"] - (call["sent_us"] or call["began_us"])
-    whole = call["limit_us"] + int(world.rules.lateness_ms * 1000)
-    how = call["how"]
-    if not call["sent_us"] or how in ("no connection", "caller died"):
-        return []
+def _answer_problem(scenario: FleetScenario, call: Event, attempts: Sequence[Event]) -> str | None:
+    """What is wrong with a call's answer, if anything is.
+
+    A request that was never sent whole was not accepted; a client that gave up early had left.
+    """
+    outcome = call["how"]
+    if not call["sent_us"] or outcome in (CallOutcome.CONNECT_FAILED, CALLER_DIED):
+        return None
     # A close may cross a request that was not read, which its client then sends once more. One that an
-    # endpoint had seen by then had been read, whatever became of the second sending. Guards against a lost
-    # transaction that shows as a repeat only.
-    if again := call.get("again_us"):
-        seen = next((h for h in hops if h["came_us"] <= again), None)
+    # endpoint had seen by then had been read, whatever became of the second sending: without this check a
+    # lost request would look like a duplicate only.
+    if resent_us := call.get("again_us"):
+        seen = next((attempt for attempt in attempts if attempt["came_us"] <= resent_us), None)
         if seen is not None:
-            return [
-                Break(
-                    1,
-                    call["id"],
-                    f"closed without an answer after {seen['endpoint']} had it, at {call['target']}",
-                )
-            ]
-    if how in ("reset", "not http"):
-        return [
-            Break(1, call["id"], f"no answer: {how} after {_ms(took)}, {len(hops)} hops, at {call['target']}")
-        ]
-    if how == "gave up":
-        if world.load.client_behaviour.give_up < 1 and "call" not in call:
-            return []
-        return [
-            Break(
-                1,
-                call["id"],
-                f"no answer within {_ms(call['limit_us'])} at {call['target']}, {len(hops)} hops",
-            )
-        ]
-    if took > whole:
-        return [Break(1, call["id"], f"answered after {_ms(took)}, limit {_ms(call['limit_us'])}")]
-    if call["status"] == 200 and call["echo"] != call["id"]:
-        return [Break(1, call["id"], f"committed with an answer made for {call['echo'] or 'nobody'}")]
-    if call["status"] == 200 and not any(h["how"] in ("committed", "repeat") for h in hops):
-        return [Break(1, call["id"], "committed, but no endpoint committed it")]
-    return []
-
-
-def _no_effect_twice(
-    world: FleetScenario, profile: RequestClass, call: Row, hops: list[Row], faults: list[Row]
-) -> list[Break]:
-    """Rule 2. Hops to endpoints that a cut zone hid are not seen to end, so they prove no overlap."""
-    broken: list[Break] = []
-    ran = [h for h in hops if h["ran"] or h.get("repeat")]
-    if profile.repeat != "safe" and ran:
-        first = ran[0]
-        where = f"{first['endpoint']} at {first['came_us']}"
-        group = {"all": "", "zone": "zone", "cell": "cell"}[profile.key_scope]
-        for later in (h for h in hops if h["came_us"] > first["came_us"] and h is not first):
-            apart = later["came_us"] - first["came_us"]
-            if profile.repeat == "unsafe":
-                broken.append(
-                    Break(
-                        2,
-                        call["id"],
-                        f"non-idempotent, ran on {where} and was sent to "
-                        f"{later['endpoint']} {_ms(apart)} later",
-                    )
-                )
-            elif not call["key"]:
-                broken.append(
-                    Break(2, call["id"], f"no key, ran on {where}, sent again to {later['endpoint']}")
-                )
-            elif group and later[group] != first[group]:
-                broken.append(
-                    Break(
-                        2,
-                        call["id"],
-                        f"journalled, ran on {where} in {group} {first[group]}, sent to "
-                        f"{later['endpoint']} in {group} {later[group]}",
-                    )
-                )
-            elif apart > profile.idempotency_window_ms * 1000 + TOGETHER_US:
-                broken.append(
-                    Break(
-                        2,
-                        call["id"],
-                        f"journalled, sent again {_ms(apart)} after {where}, window "
-                        f"{profile.idempotency_window_ms:.0f} ms",
-                    )
-                )
-        if call["status"] == 503 and call["how"] == "answered" and (profile.repeat == "unsafe" or group):
-            broken.append(Break(2, call["id"], f"rolled back, but it ran on {where} ({first['how']})"))
-    cuts = any(f["fault"] == "cut" for f in faults)
-    for a, b in pairwise(hops):
-        if not cuts and b["came_us"] < a["left_us"] - TOGETHER_US:
-            broken.append(
-                Break(
-                    2,
-                    call["id"],
-                    f"two hops out: {a['endpoint']} until {a['left_us']}, "
-                    f"{b['endpoint']} from {b['came_us']}",
-                )
+            return f"closed without an answer after {seen['endpoint']} had it, at {call['target']}"
+    duration_us = call["ended_us"] - (call["sent_us"] or call["began_us"])
+    if outcome in (CallOutcome.CONNECTION_RESET, CallOutcome.MALFORMED_RESPONSE):
+        return (
+            f"no answer: {outcome} after {_format_ms(duration_us)}, {len(attempts)} attempts, "
+            f"at {call['target']}"
+        )
+    if outcome == CallOutcome.TIMED_OUT:
+        is_impatient_client = scenario.load.client_behaviour.give_up < 1 and "call" not in call
+        if is_impatient_client:
+            return None
+        return (
+            f"no answer within {_format_ms(call['limit_us'])} at {call['target']}, {len(attempts)} attempts"
+        )
+    if duration_us > call["limit_us"] + int(scenario.rules.lateness_ms * 1000):
+        return f"answered after {_format_ms(duration_us)}, limit {_format_ms(call['limit_us'])}"
+    return _success_problem(call, attempts) if call["status"] == HTTP_OK else None
+
+
+def _success_problem(call: Event, attempts: Sequence[Event]) -> str | None:
+    if call["echo"] != call["id"]:
+        return f"succeeded with an answer made for {call['echo'] or 'nobody'}"
+    if not any(attempt["how"] in (SUCCEEDED, DUPLICATE) for attempt in attempts):
+        return "succeeded, but at no endpoint"
+    return None
+
+
+def _effect_problems(request_class: RequestClass, call: Event, attempts: Sequence[Event]) -> Iterator[str]:
+    """Attempts after one that may have taken effect, and a rejection after one."""
+    executed = [attempt for attempt in attempts if attempt["ran"] or attempt.get("repeat")]
+    if request_class.repeat == "safe" or not executed:
+        return
+    first = executed[0]
+    for later in attempts:
+        if later is not first and later["came_us"] > first["came_us"]:
+            problem = _retry_problem(request_class, call, first, later)
+            if problem is not None:
+                yield problem
+    is_rejected = call["status"] == HTTP_REJECTED and call["how"] == CallOutcome.ANSWERED
+    has_narrow_scope = request_class.key_scope != "all"
+    if is_rejected and (request_class.repeat == "unsafe" or has_narrow_scope):
+        yield f"rejected, but it ran on {_where(first)} ({first['how']})"
+
+
+def _where(attempt: Event) -> str:
+    return f"{attempt['endpoint']} at {attempt['came_us']}"
+
+
+def _retry_problem(request_class: RequestClass, call: Event, first: Event, later: Event) -> str | None:
+    """Why a request that ran once must not have been sent again, if so."""
+    apart_us = later["came_us"] - first["came_us"]
+    if request_class.repeat == "unsafe":
+        return (
+            f"non-idempotent, ran on {_where(first)} and was sent to {later['endpoint']} "
+            f"{_format_ms(apart_us)} later"
+        )
+    if not call["key"]:
+        return f"no key, ran on {_where(first)}, sent again to {later['endpoint']}"
+    scope = request_class.key_scope
+    if scope != "all" and later[scope] != first[scope]:
+        return (
+            f"with a key, ran on {_where(first)} in {scope} {first[scope]}, sent to {later['endpoint']} "
+            f"in {scope} {later[scope]}"
+        )
+    if apart_us > request_class.idempotency_window_ms * 1000 + OVERLAP_TOLERANCE_US:
+        return (
+            f"with a key, sent again {_format_ms(apart_us)} after {_where(first)}, window "
+            f"{request_class.idempotency_window_ms:.0f} ms"
+        )
+    return None
+
+
+def _overlap_problems(attempts: Sequence[Event]) -> Iterator[str]:
+    for earlier, later in pairwise(attempts):
+        if later["came_us"] < earlier["left_us"] - OVERLAP_TOLERANCE_US:
+            yield (
+                f"two attempts at once: {earlier['endpoint']} until {earlier['left_us']}, "
+                f"{later['endpoint']} from {later['came_us']}"
             )
-    return broken
-
-
-def _drains_kept(world: FleetScenario, seen: Evidence) -> list[Break]:
-    """Rule 3. Which sidecar sent a hop follows from its call; what that one had been told, from discovery's
-    agent."""
-    by_call = {c["id"]: seen.sidecars.get(c["target"], {}).get("sidecar", "") for c in seen.calls}
-    told: dict[tuple[str, str], list[tuple[int, str]]] = defaultdict(list)
-    for row in seen.told:
-        told[row["told"], row["endpoint"]].append((row["at_us"], row["phase"]))
-    grace = int(world.rules.drain_grace_ms * 1000) + SENT_US
-    broken = []
-    for hop in seen.hops:
-        sidecar = by_call.get(hop["id"], "")
-        phase, since = "up", 0
-        for at, said in told.get((sidecar, hop["endpoint"]), []):
-            if at > hop["came_us"]:
-                break
-            if said != phase:
-                # draining and gone are one for this: nothing new
-                since = at if phase == "up" or said == "up" else since
-                phase = said
-        if phase != "up" and hop["came_us"] > since + grace:
-            broken.append(
-                Break(
-                    3,
-                    hop["id"],
-                    f"{sidecar} was told that {hop['endpoint']} is {phase} and sent to it "
-                    f"{_ms(hop['came_us'] - since)} later",
-                )
+
+
+def _check_drains(scenario: FleetScenario, evidence: RunEvidence) -> Iterator[RuleViolation]:
+    """The sidecar that sent an attempt follows from its call; what it had been told, from discovery."""
+    sidecar_by_request = {
+        call["id"]: evidence.sidecars.get(call["target"], {}).get("sidecar", "") for call in evidence.calls
+    }
+    announcements: dict[tuple[str, str], list[Event]] = defaultdict(list)
+    for row in evidence.announcements:
+        announcements[row["told"], row["endpoint"]].append(row)
+    grace_us = int(scenario.rules.drain_grace_ms * 1000) + TRANSIT_TOLERANCE_US
+    for attempt in evidence.attempts:
+        sidecar = sidecar_by_request.get(attempt["id"], "")
+        told = announcements.get((sidecar, attempt["endpoint"]), [])
+        phase, since_us = _announced_phase(told, attempt["came_us"])
+        if phase != "up" and attempt["came_us"] > since_us + grace_us:
+            yield RuleViolation(
+                Rule.DRAIN,
+                attempt["id"],
+                f"{sidecar} was told that {attempt['endpoint']} is {phase} and sent to it "
+                f"{_format_ms(attempt['came_us'] - since_us)} later",
             )
-    return broken
-
-
-def _cold_kept(world: FleetScenario, seen: Evidence) -> list[Break]:
-    """Rule 4. Work sent within any window, by all sidecars, against what a cold endpoint can do in it. A
-    little slack for chance: the three heaviest hops of the window do not count."""
-    contract, rules = world.fleet.contract, world.rules
-    by_endpoint: dict[str, list[Row]] = defaultdict(list)
-    for hop in seen.hops:
-        by_endpoint[hop["endpoint"]].append(hop)
-    broken = []
-    span, warm = int(rules.overload_window_ms * 1000), int(contract.warmup_ms * 1000)
-    for start in seen.started:
-        name, at = start["started"], start["at_us"]
-        cold = sorted(
-            (h for h in by_endpoint[name] if at <= h["came_us"] < at + warm), key=lambda h: h["came_us"]
-        )
-        tier = next(
-            (t for t in world.fleet.tiers if name.startswith(t.name) and name[len(t.name) :].isdigit()), None
+
+
+def _announced_phase(announcements: Sequence[Event], at_us: int) -> tuple[str, int]:
+    """The phase announced last, and since when the endpoint has not been up; removal extends a drain."""
+    phase, since_us = "up", 0
+    for row in announcements:
+        if row["at_us"] > at_us:
+            break
+        if row["phase"] != phase:
+            if phase == "up" or row["phase"] == "up":
+                since_us = row["at_us"]
+            phase = row["phase"]
+    return phase, since_us
+
+
+def _check_slow_start(scenario: FleetScenario, evidence: RunEvidence) -> Iterator[RuleViolation]:
+    """At most one violation for each start of an endpoint."""
+    attempts_by_endpoint: dict[str, list[Event]] = defaultdict(list)
+    for attempt in evidence.attempts:
+        attempts_by_endpoint[attempt["endpoint"]].append(attempt)
+    for start in evidence.endpoint_starts:
+        violation = _slow_start_violation(scenario, start, attempts_by_endpoint[start["started"]])
+        if violation is not None:
+            yield violation
+
+
+def _slow_start_violation(
+    scenario: FleetScenario, start: Event, attempts: Sequence[Event]
+) -> RuleViolation | None:
+    """Compares the work sent by all sidecars in each window with what the endpoint can do in it."""
+    endpoint, started_us = start["started"], start["at_us"]
+    window_us = int(scenario.rules.overload_window_ms * 1000)
+    warmup_us = int(scenario.fleet.contract.warmup_ms * 1000)
+    during_warmup = sorted(
+        (attempt for attempt in attempts if started_us <= attempt["came_us"] < started_us + warmup_us),
+        key=lambda attempt: attempt["came_us"],
+    )
+    tier = _tier_of(scenario, endpoint)
+    initial_share = scenario.fleet.contract.initial_share
+    for last in during_warmup:
+        age_us = last["came_us"] - started_us
+        work_us = sorted(
+            attempt["work_us"]
+            for attempt in during_warmup
+            if last["came_us"] - window_us < attempt["came_us"] <= last["came_us"]
         )
-        assert tier is not None
-        for last in cold:
-            within = [h for h in cold if last["came_us"] - span < h["came_us"] <= last["came_us"]]
-            sent = sum(sorted(h["work_us"] for h in within)[:-3])
-            age = (last["came_us"] - at) / warm
-            may = (
-                rules.overload_multiple
-                * span
-                * tier.cores
-                * (contract.initial_share + (1 - contract.initial_share) * age)
+        sent_us = sum(work_us[:-IGNORED_HEAVIEST_ATTEMPTS])
+        speed = initial_share + (1 - initial_share) * (age_us / warmup_us)
+        allowed_us = scenario.rules.overload_multiple * window_us * tier.cores * speed
+        if sent_us > allowed_us:
+            return RuleViolation(
+                Rule.SLOW_START,
+                last["id"],
+                f"{endpoint}, warming up for {_format_ms(age_us)}, was sent {_format_ms(sent_us)} of work "
+                f"within {_format_ms(window_us)}; it may get {_format_ms(int(allowed_us))}",
             )
-            if sent > may:
-                broken.append(
-                    Break(
-                        4,
-                        last["id"],
-                        f"{name}, cold for {_ms(last['came_us'] - at)}, was sent "
-                        f"{_ms(sent)} of work within {_ms(span)}; it may get {_ms(int(may))}",
-                    )
-                )
-                break
-    return broken
-
-
-def _budget_kept(seen: Evidence, by_tx: dict[str, list[Row]]) -> list[Break]:
-    """The design's own bound, by sidecar: in no window more retries seen by endpoints than a tenth of the
-    transactions. Of hops that reached no endpoint nothing is seen here, so this may miss, but does not accuse
-    wrongly."""
-    broken = []
-    by_sidecar: dict[str, list[Row]] = defaultdict(list)
-    for call in seen.calls:
+    return None
+
+
+def _tier_of(scenario: FleetScenario, endpoint: str) -> Tier:
+    """An endpoint's name is that of its tier and a number."""
+    return next(
+        tier
+        for tier in scenario.fleet.tiers
+        if endpoint.startswith(tier.name) and endpoint[len(tier.name) :].isdigit()
+    )
+
+
+def _check_retry_budget(
+    evidence: RunEvidence, attempts_by_request: dict[str, list[Event]]
+) -> Iterator[RuleViolation]:
+    """In no window more retries of a sidecar than a share of its requests; at most one violation each.
+
+    Retries that reached no endpoint are not seen, so this may miss a violation but accuses no one wrongly.
+    """
+    calls_by_sidecar: dict[str, list[Event]] = defaultdict(list)
+    for call in evidence.calls:
         if call["sent_us"]:
-            by_sidecar[call["target"]].append(call)
-    for target, calls in by_sidecar.items():
-        retries = sorted(h["came_us"] for c in calls for h in by_tx.get(c["id"], [])[1:])
-        taken = sorted(c["sent_us"] for c in calls)
-        lo = first = 0
-        for n, at in enumerate(retries, 1):
-            while retries[lo] <= at - WINDOW_US:
-                lo += 1
-            while first < len(taken) and taken[first] <= at - WINDOW_US:
-                first += 1
-            among = sum(1 for t in taken[first:] if t <= at)
-            if n - lo > BUDGET_PART * among + 1:
-                broken.append(
-                    Break(0, "", f"{n - lo} retries for {among} transactions within 10 s at {target}")
-                )
-                break
-    return broken
+            calls_by_sidecar[call["target"]].append(call)
+    for address, calls in calls_by_sidecar.items():
+        retries_us = sorted(
+            attempt["came_us"] for call in calls for attempt in attempts_by_request.get(call["id"], [])[1:]
+        )
+        requests_us = sorted(call["sent_us"] for call in calls)
+        excess = _first_budget_excess(retries_us, requests_us)
+        if excess is not None:
+            retries, requests = excess
+            yield RuleViolation(
+                Rule.RETRY_BUDGET, "", f"{retries} retries for {requests} requests within 10 s at {address}"
+            )
+
+
+def _first_budget_excess(retries_us: Sequence[int], requests_us: Sequence[int]) -> tuple[int, int] | None:
+    """Retries and requests of the first window in which there are too many retries."""
+    first_retry = first_request = 0
+    for count, at_us in enumerate(retries_us, 1):
+        while retries_us[first_retry] <= at_us - RETRY_BUDGET_WINDOW_US:
+            first_retry += 1
+        while (
+            first_request < len(requests_us) and requests_us[first_request] <= at_us - RETRY_BUDGET_WINDOW_US
+        ):
+            first_request += 1
+        requests = sum(1 for request_us in requests_us[first_request:] if request_us <= at_us)
+        retries = count - first_retry
+        if retries > RETRY_BUDGET_SHARE * requests + 1:
+            return retries, requests
+    return None
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -16,7 +16,8 @@
 from cressrail.experiment.play import Played, excused, plan_of
 from cressrail.experiment.report import page, text_table
 from cressrail.testbed.membership_evidence import MembershipEvidence, ProcessChange, ProcessHistory
-from cressrail.testbed.rule_checker import Break, Evidence, evidence
+from cressrail.testbed.rule_checker import Rule, RuleViolation
+from cressrail.testbed.run_evidence import RunEvidence, collect_evidence
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
 from tests.testbed.event_rows import INGRESS_ROW, attempt_row, call_row
@@ -56,7 +57,11 @@
 
 
 def played() -> Played:
-    return Played({"refused": None}, evidence(LOAD, FLEET), [Break(2, "5-3-1", "<twice>")])
+    return Played(
+        {"refused": None},
+        collect_evidence(LOAD, FLEET),
+        [RuleViolation(Rule.NO_REPEATED_EFFECT, "5-3-1", "<twice>")],
+    )
 
 
 def test_figures_count_a_transaction_once_and_from_when_it_was_due() -> None:
@@ -71,7 +76,9 @@
 
 
 def test_what_is_due_to_a_member_is_no_more_than_it_offered() -> None:
-    of = figures(Experiment.model_validate(FILE), Played({}, evidence(LOAD[:3], FLEET), []), {"acme": 1.0})
+    of = figures(
+        Experiment.model_validate(FILE), Played({}, collect_evidence(LOAD[:3], FLEET), []), {"acme": 1.0}
+    )
     assert of["worst_due"] == 1.0  # two offered, three due, two committed in time
 
 
@@ -194,7 +201,7 @@
 
 
 def test_only_what_was_sent_to_a_process_that_went_away_is_excused() -> None:
-    seen = Evidence(sidecars={"t": {"sidecar": "door0"}})
+    seen = RunEvidence(sidecars={"t": {"sidecar": "door0"}})
     seen.calls = [{"id": f"{at}", "target": "t", "sent_us": at, "limit_us": 10} for at in (10, 45, 80)]
     away = MembershipEvidence(
         processes={
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from cressrail.testbed.rule_checker import Evidence, evidence, judge
+from cressrail.testbed.rule_checker import Rule, check_rules
+from cressrail.testbed.run_evidence import RunEvidence, collect_evidence
 from cressrail.testbed.scenario import FleetScenario
 from tests.testbed.event_rows import INGRESS_ROW, ONE_TIER, Row, attempt_row, call_row, phase_row
 
@@ -63,91 +64,113 @@
     ],
 )
 def test_sound_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
-    assert judge(SCENARIO, evidence(load, [INGRESS_ROW, *fleet])) == []
+    assert check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet])) == []
 
 
 def test_empty_run_breaks_no_rule() -> None:
-    assert judge(SCENARIO, Evidence()) == []
+    assert check_rules(SCENARIO, RunEvidence()) == []
 
 
 @pytest.mark.parametrize(
     ("rule", "message", "load", "fleet"),
     [
-        pytest.param(1, "no answer: reset", [call_row("a", how="reset", status=0)], [], id="reset"),
-        pytest.param(1, "no answer within", [call_row("a", how="gave up", status=0)], [], id="no-response"),
         pytest.param(
-            1, "answered after 551.0 ms", [call_row("a", ended_us=551_001)], [attempt_row("a")], id="late"
+            Rule.ONE_ANSWER, "no answer: reset", [call_row("a", how="reset", status=0)], [], id="reset"
         ),
-        pytest.param(1, "made for b", [call_row("a", echo="b")], [attempt_row("a")], id="of-another-request"),
         pytest.param(
-            1, "no endpoint committed", [call_row("a")], [attempt_row("a", how="error")], id="made-up-success"
+            Rule.ONE_ANSWER,
+            "no answer within",
+            [call_row("a", how="gave up", status=0)],
+            [],
+            id="no-response",
         ),
         pytest.param(
-            1,
+            Rule.ONE_ANSWER,
+            "answered after 551.0 ms",
+            [call_row("a", ended_us=551_001)],
+            [attempt_row("a")],
+            id="late",
+        ),
+        pytest.param(
+            Rule.ONE_ANSWER,
+            "made for b",
+            [call_row("a", echo="b")],
+            [attempt_row("a")],
+            id="of-another-request",
+        ),
+        pytest.param(
+            Rule.ONE_ANSWER,
+            "succeeded, but at no endpoint",
+            [call_row("a")],
+            [attempt_row("a", how="error")],
+            id="made-up-success",
+        ),
+        pytest.param(
+            Rule.ONE_ANSWER,
             "closed without an answer after x0",
             [call_row("a", again_us=150)],
             [attempt_row("a"), attempt_row("a", "x1", 200)],
             id="closed-after-an-attempt",
         ),
         pytest.param(
-            1,
+            Rule.ONE_ANSWER,
             "7 bytes after",
             [call_row("a"), {"surplus": 7, "target": "door"}],
             [attempt_row("a")],
             id="bytes-after-the-final-response",
         ),
         pytest.param(
-            2,
+            Rule.NO_REPEATED_EFFECT,
             "non-idempotent, ran on x0",
             [call_row("a", "note")],
             [attempt_row("a", how="error"), attempt_row("a", "x1", 200)],
             id="non-idempotent-retried",
         ),
         pytest.param(
-            2,
-            "rolled back, but it ran",
+            Rule.NO_REPEATED_EFFECT,
+            "rejected, but it ran",
             [call_row("a", "note", status=503)],
             [attempt_row("a", how="error")],
             id="rejected-though-it-ran",
         ),
         pytest.param(
-            2,
+            Rule.NO_REPEATED_EFFECT,
             "in cell 1, sent to x1 in cell 2",
             [call_row("a", "keyed")],
             [attempt_row("a", how="reset"), attempt_row("a", "x1", 200, cell=2)],
             id="outside-the-key-scope",
         ),
         pytest.param(
-            2,
+            Rule.NO_REPEATED_EFFECT,
             "sent again 1100.0 ms after",
             [call_row("a", "keyed")],
             [attempt_row("a", how="reset"), attempt_row("a", "x1", 1_100_100)],
             id="outside-the-idempotency-window",
         ),
         pytest.param(
-            2,
-            "two hops out",
+            Rule.NO_REPEATED_EFFECT,
+            "two attempts at once",
             [call_row("a")],
             [attempt_row("a", left_us=400_000), attempt_row("a", "x1", 200_000)],
             id="two-attempts-at-once",
         ),
         pytest.param(
-            3,
+            Rule.DRAIN,
             "draining and sent to it 700.0 ms",
             [call_row("a")],
             [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 500_000)],
             id="sent-to-a-draining-endpoint",
         ),
         pytest.param(
-            3,
+            Rule.DRAIN,
             "removed and sent",
             [call_row("a")],
             [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 1), phase_row("removed", 900_000)],
             id="sent-to-a-removed-endpoint",
         ),
         pytest.param(
-            4,
-            "x0, cold for",
+            Rule.SLOW_START,
+            "x0, warming up for",
             [call_row(f"a{n}") for n in range(90)],
             [
                 {"started": "x0", "at_us": 0},
@@ -156,8 +179,8 @@
             id="overload-during-warmup",
         ),
         pytest.param(
-            0,
-            "2 retries for 9 transactions",
+            Rule.RETRY_BUDGET,
+            "2 retries for 9 requests",
             [call_row(f"a{n}") for n in range(9)],
             [
                 *(attempt_row(f"a{n}") for n in range(9)),
@@ -168,9 +191,9 @@
     ],
 )
 def test_violation_is_named_with_its_evidence(
-    rule: int, message: str, load: list[Row], fleet: list[Row]
+    rule: Rule, message: str, load: list[Row], fleet: list[Row]
 ) -> None:
-    violations = judge(SCENARIO, evidence(load, [INGRESS_ROW, *fleet]))
+    violations = check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet]))
 
     assert [violation.rule for violation in violations] == [rule]
     assert message in violations[0].evidence
