--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -1,4 +1,4 @@
-"""`cressrail standin`: stand-in tiers, and a server with known pauses."""
+"""`cressrail standin`: fleets with faults, the rule checker, and a server with known pauses."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 import typer
 import uvloop
 
+from cressrail.cli.command_group import command_group
 from cressrail.cli.output import fail
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.event_record import read_events
@@ -22,52 +23,56 @@
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
 from cressrail.testbed.sidecar_configuration import check_settings
 
-app = typer.Typer(
-    help="Stand-in tiers with faults, and the rule checker.",
-    no_args_is_help=True,
-    rich_markup_mode=None,
-    pretty_exceptions_enable=False,
-)
-HERE = Path(__file__).resolve().parents[2]
+STATUS_RULE_BROKEN = 3
+PAUSES_HOST = "127.0.0.1"
+MILLISECOND_US = 1000
+THIS_CHECKOUT = Path(__file__).resolve().parents[2]
+
+app = command_group("Simulated services with faults, and the rule checker.")
 
 
 @app.command()
 def run(
-    file: Annotated[Path, typer.Argument(help="A fleet's TOML file.")],
-    out: Annotated[Path, typer.Option(help="Where configurations, logs and ledgers go.")] = Path(
-        "standin-out"
-    ),
-    tree: Annotated[Path, typer.Option(help="The tree whose sidecars run.")] = HERE,
+    file: Annotated[Path, typer.Argument(help="Scenario of a fleet, TOML.")],
+    folder: Annotated[
+        Path, typer.Option("--out", help="Where configurations, logs and event records go.")
+    ] = Path("standin-out"),
+    checkout: Annotated[
+        Path, typer.Option("--tree", help="Checkout of the repository whose sidecars run.")
+    ] = THIS_CHECKOUT,
     policy: str = "own",
-    broken: Annotated[str, typer.Option("--break", help="A sidecar broken on purpose.")] = "",
-    wait: Annotated[bool, typer.Option(help="Faults wait for a line `go MICROSECONDS`.")] = False,
+    defect: Annotated[str, typer.Option("--break", help="A deliberate defect of the sidecars.")] = "",
+    waits_for_start: Annotated[
+        bool, typer.Option("--wait/--no-wait", help="Faults wait for a line `go MICROSECONDS`.")
+    ] = False,
 ) -> None:
-    """Start the fleet, print where its doors are, play its faults; until Ctrl-C or the end of the input."""
+    """Run a fleet and its faults until Ctrl-C or the end of the input; print its ingress addresses."""
     try:
-        world = read_scenario(file, FleetScenario)
+        scenario = read_scenario(file, FleetScenario)
         with errors_in_file(file):
-            check_settings(world)
-    except ScenarioError as fault:
-        fail(str(fault))
-    sys.exit(run_fleet(world, out, tree.resolve(), policy, broken, not wait))
+            check_settings(scenario)
+    except ScenarioError as error:
+        fail(str(error))
+    starts_at_once = not waits_for_start
+    sys.exit(run_fleet(scenario, folder, checkout.resolve(), policy, defect, starts_at_once))
 
 
-@app.command("judge")
-def judge_(
-    file: Path,
-    fleet: Annotated[Path, typer.Argument(help="fleet.jsonl of the run.")],
-    load: Annotated[Path, typer.Argument(help="The load's ledger.")],
+@app.command()
+def judge(
+    file: Annotated[Path, typer.Argument(help="Scenario of the fleet, TOML.")],
+    fleet: Annotated[Path, typer.Argument(help="Event record of the run, fleet.jsonl.")],
+    load: Annotated[Path, typer.Argument(help="Attempt log of the load.")],
 ) -> None:
-    """Judge the four rules from a run's ledgers; exit status 3 if one is broken."""
+    """Check the four rules against the records of a run; exit status 3 if one is broken."""
     try:
-        world = read_scenario(file, FleetScenario)
-        broken = check_rules(world, collect_evidence(read_events(load), read_events(fleet)))
-    except (ScenarioError, OSError, orjson.JSONDecodeError) as fault:
-        fail(str(fault))
-    for one in broken:
-        print(f"rule {one.rule}: {one.request_id or '-'}: {one.evidence}")
-    print(f"{len(broken)} breaks", file=sys.stderr)
-    sys.exit(3 if broken else 0)
+        scenario = read_scenario(file, FleetScenario)
+        violations = check_rules(scenario, collect_evidence(read_events(load), read_events(fleet)))
+    except (ScenarioError, OSError, orjson.JSONDecodeError) as error:
+        fail(str(error))
+    for violation in violations:
+        print(f"rule {violation.rule}: {violation.request_id or '-'}: {violation.evidence}")
+    print(f"{len(violations)} violations", file=sys.stderr)
+    sys.exit(STATUS_RULE_BROKEN if violations else 0)
 
 
 @app.command()
@@ -81,14 +86,15 @@
     mean_ms: float = 300.0,
     most_ms: float = 2000.0,
 ) -> None:
-    """A server with pauses that are known, to hold a load generator's figures against."""
+    """Serve with known pauses, which the figures of a load generator are compared with."""
 
     async def serve() -> None:
-        start = now_us()
+        started_us = now_us()
         drawn = draw_pauses(seed, seconds, every_s, mean_ms, most_ms)
-        spans = [(a + start, b + start) for a, b in drawn.spans_us]
-        out.write_bytes(orjson.dumps({"work_us": int(work_ms * 1000), "spans_us": spans}))
-        await serve_with_pauses("127.0.0.1", port, PauseSchedule(spans), int(work_ms * 1000))
+        spans_us = [(start_us + started_us, end_us + started_us) for start_us, end_us in drawn.spans_us]
+        work_us = int(work_ms * MILLISECOND_US)
+        out.write_bytes(orjson.dumps({"work_us": work_us, "spans_us": spans_us}))
+        await serve_with_pauses(PAUSES_HOST, port, PauseSchedule(spans_us), work_us)
         await asyncio.sleep(seconds)
 
     uvloop.run(serve())
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -49,7 +49,11 @@
         return [self._start_attempt(request, endpoint, now_us)]
 
     def _retry_or_give_up(
-        self, request: RoutedRequest, endpoint: Endpoint, now_us: int, outcome: Outcome
+        self,
+        request: RoutedRequest,
+        endpoint: Endpoint,  # noqa: ARG002 - of the overridden method
+        now_us: int,
+        outcome: Outcome,  # noqa: ARG002 - of the overridden method
     ) -> Decision:
         may_retry = now_us < request.deadline_us and self.retry_policy.may_retry(request, now_us)
         if self.retries_always and may_retry:
