--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -17,7 +17,7 @@
 from cressrail.testbed.event_record import read_events
 from cressrail.testbed.membership_evidence import collect_membership_evidence
 from cressrail.testbed.scenario import FleetScenario
-from tests.fleets import BEAR_MS, Play, played
+from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, run_script
 
 
 def scenario(**more: Any) -> FleetScenario:
@@ -26,7 +26,7 @@
             "fleet": {
                 "zones": ["a", "b", "c"],
                 "doors": 6,
-                "membership": {"bear_pause_ms": BEAR_MS, "look_s": 0.5},
+                "membership": {"bear_pause_ms": TOLERATED_PAUSE_MS, "look_s": 0.5},
                 "failover": {"regions": {"n": ["a", "b"], "s": ["c"]}},
                 "tiers": [{"name": "x", "endpoints": 6, "service": {"mean_ms": 4}}],
             },
@@ -89,32 +89,36 @@
 
 
 def test_operators_watch_drain_undrain_and_explain_at_any_sidecar(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         def address(sidecar: int) -> str:
-            return "{}:{}".format(*play.doors[sidecar].admin_address)
+            return "{}:{}".format(*running.sidecars[sidecar].admin_address)
 
         async def run(*arguments: str) -> Any:
             return await asyncio.to_thread(CliRunner().invoke, app, ["zones", *arguments])
 
         def state(sidecar: int, zone: str) -> str:
             changes = [
-                row["zones"][zone] for row in play.said(sidecar, DECISION_ADOPTED) if zone in row["zones"]
+                row["zones"][zone]
+                for row in running.logged(sidecar, DECISION_ADOPTED)
+                if zone in row["zones"]
             ]
             return str(changes[-1]) if changes else ""
 
-        await play.until(lambda: all(play.said(sidecar, DECISION_ADOPTED) for sidecar in range(6)))
+        await running.wait_until(
+            lambda: all(running.logged(sidecar, DECISION_ADOPTED) for sidecar in range(6))
+        )
         ran = await run("watch", address(0), "--once")
         assert ran.exit_code == 0
         assert "serving" in ran.output
         assert "stood by" in ran.output
         assert (await run("drain", address(1), "n", "--for-s", "60")).exit_code == 0
         drained = "drained: asked for"
-        await play.until(
+        await running.wait_until(
             lambda: all(state(sidecar, zone) == drained for sidecar in range(6) for zone in "ab")
         )
         assert (await run("undrain", address(2), "a")).exit_code == 0
         back = ("returning: proves itself", "serving")
-        await play.until(lambda: all(state(sidecar, "a") in back for sidecar in range(6)))
+        await running.wait_until(lambda: all(state(sidecar, "a") in back for sidecar in range(6)))
         assert state(3, "b") == "drained: asked for"
         ran = await run("explain", address(4), "c")
         assert ran.exit_code == 0
@@ -122,4 +126,4 @@
         for arguments in (("drain", address(1), "zzz", "--for-s", "9"), ("explain", address(1), "zzz")):
             assert (await run(*arguments)).exit_code == 1
 
-    played(tmp_path, 6, script, scenario())
+    run_script(tmp_path, 6, script, scenario())
--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -29,11 +29,10 @@
     ReachabilityReport,
 )
 from cressrail.membership.settings import MembershipSettings
-from cressrail.membership.simulation import MembershipSimulation
+from cressrail.membership.simulation import SECOND, MembershipSimulation
 from cressrail.membership.state_machine import MembershipStateMachine
 from cressrail.policy.random_generator import RandomGenerator
 from cressrail.proxy.endpoint_registry import EndpointRegistry
-from tests.fleets import SECOND
 
 KEY = b"k" * 32
 
--- a/tests/membership/test_instance_counter.py
+++ b/tests/membership/test_instance_counter.py
@@ -7,7 +7,7 @@
 from cressrail.membership.live_count import (
     MAX_DEVIATION_FACTOR,
 )
-from tests.fleets import SECOND
+from cressrail.membership.simulation import SECOND
 from tests.membership.support import (
     announced_counts,
     counting_fleet,
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -14,7 +14,7 @@
     LiveInstanceCount,
     ObservedInstances,
 )
-from tests.fleets import SECOND
+from cressrail.membership.simulation import SECOND
 from tests.membership.support import (
     LONG_AFTER_START_US,
     TOLERATED_PAUSE_US,
--- a/tests/membership/test_peer_reports.py
+++ b/tests/membership/test_peer_reports.py
@@ -8,7 +8,7 @@
     PeerLoadSummary,
 )
 from cressrail.membership.peer_reports import PeerReportTranslator
-from tests.fleets import SECOND
+from cressrail.membership.simulation import SECOND
 from tests.membership.support import (
     registry_of,
 )
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -8,9 +8,9 @@
     FAILING,
 )
 from cressrail.membership.peer_reports import PeerReportTranslator
+from cressrail.membership.simulation import SECOND
 from cressrail.policy.endpoint import EJECTION_US
 from cressrail.policy.tenant_quota import TenantQuotas
-from tests.fleets import SECOND
 from tests.membership.support import (
     registry_of,
 )
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -16,39 +16,39 @@
 from cressrail.experiment.play import play_world
 from cressrail.membership.messages import USES
 from cressrail.testbed.event_record import ProcessState
-from tests.fleets import SHORTEN, Play, played, world
 from tests.membership.support import (
     false_claims,
 )
+from tests.testbed.fleet_scripts import QUICK_MEMBERSHIP, RunningFleet, make_scenario, run_script
 
-USE = {**SHORTEN, "use": list(USES)}
+USE = {**QUICK_MEMBERSHIP, "use": list(USES)}
 
 
 def test_survivors_of_mass_kill_lower_the_count_and_raise_it_at_once_on_return(
     tmp_path: Path,
 ) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         def goes_by(n: int) -> float:
-            return float(play.view(n).get("goes_by", 0))
+            return float(running.view(n).get("goes_by", 0))
 
         dead, up = range(2, 6), range(2)
-        await play.fleet.sidecars.kill_all([play.doors[n] for n in dead])
+        await running.fleet.sidecars.kill_all([running.sidecars[n] for n in dead])
         for n in dead:
-            play.note(n, ProcessState.KILLED)
-        await play.all_know(2, but=tuple(dead))
+            running.record_state(n, ProcessState.KILLED)
+        await running.wait_until_all_count(2, except_for=tuple(dead))
         # Four of six are gone: no majority is left, so it is their addresses that say so.
-        await play.until(lambda: all(2.0 <= goes_by(n) < 3.0 for n in up))
-        await asyncio.gather(*(play.fleet.restart_sidecar(play.doors[n], "same") for n in dead))
+        await running.wait_until(lambda: all(2.0 <= goes_by(n) < 3.0 for n in up))
+        await asyncio.gather(*(running.fleet.restart_sidecar(running.sidecars[n], "same") for n in dead))
         for n in dead:
-            play.note(n, ProcessState.UP)
-        await play.until(lambda: all(goes_by(n) >= 5.8 for n in range(6)))
+            running.record_state(n, ProcessState.UP)
+        await running.wait_until(lambda: all(goes_by(n) >= 5.8 for n in range(6)))
 
-    played(tmp_path, 6, script, world(6, membership=USE))
+    run_script(tmp_path, 6, script, make_scenario(6, membership=USE))
 
 
 def test_lying_instance_under_load_breaks_no_rule(tmp_path: Path) -> None:
     doors = 4
-    told = world(doors, membership=USE, seconds=10, load={"rate": 60})
+    told = make_scenario(doors, membership=USE, seconds=10, load={"rate": 60})
     for attempt in range(3):
         folder, over = tmp_path / str(attempt), threading.Event()
         lying = threading.Thread(target=send_false_claims, args=(folder, over))
--- a/tests/testbed/test_example_fleets.py
+++ b/tests/testbed/test_example_fleets.py
@@ -9,11 +9,11 @@
 from cressrail.experiment.fleet_faults import main
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
-from tests.fleets import HERE
+from tests.testbed.fleet_scripts import CHECKOUT
 
 
 def test_example_scenarios_can_be_read_and_have_membership() -> None:
-    paths = sorted((HERE / "example" / "fleets").glob("*.toml"))
+    paths = sorted((CHECKOUT / "example" / "fleets").glob("*.toml"))
 
     assert len(paths) >= 9
     assert all(read_scenario(path, FleetScenario).fleet.membership is not None for path in paths)
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     "words",
     [
-        pytest.param([str(HERE / "example" / "experiments" / "zone-cut.toml")], id="without membership"),
+        pytest.param([str(CHECKOUT / "example" / "experiments" / "zone-cut.toml")], id="without membership"),
         pytest.param([], id="no file"),
     ],
 )
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -23,7 +23,7 @@
 from cressrail.experiment.play import play_world
 from cressrail.testbed.event_record import ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
-from tests.fleets import BEAR_MS, Play, played, world
+from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
 
 
 def test_death_return_takeover_and_leave_are_told_apart(
@@ -32,18 +32,18 @@
     # The rendezvous path of two processes is there, and the path of a Unix socket must be short.
     with TemporaryDirectory(prefix="cr") as short_path:
         monkeypatch.setenv("TMPDIR", short_path)
-        played(tmp_path, 5, _play_death_return_takeover_and_leave)
+        run_script(tmp_path, 5, _play_death_return_takeover_and_leave)
 
 
-async def _play_death_return_takeover_and_leave(play: Play) -> None:
-    fleet, last = play.fleet, play.doors[4]
+async def _play_death_return_takeover_and_leave(running: RunningFleet) -> None:
+    fleet, last = running.fleet, running.sidecars[4]
     fleet.sidecars.kill(last)
-    play.note(4, ProcessState.KILLED)
-    await play.all_know(4, but=(4,))
-    assert play.losses() == {"door4"}
+    running.record_state(4, ProcessState.KILLED)
+    await running.wait_until_all_count(4, except_for=(4,))
+    assert running.declared_dead() == {"door4"}
     await fleet.restart_sidecar(last, "same")
-    play.note(4, ProcessState.UP)
-    await play.all_know(5)
+    running.record_state(4, ProcessState.UP)
+    await running.wait_until_all_count(5)
     config = orjson.loads((fleet.folder / "door4.json").read_bytes())
     (fleet.folder / "successor.json").write_bytes(
         orjson.dumps({**config, "ops": f"{last.admin_address[0]}:9003"})
@@ -51,134 +51,136 @@
     words = [sys.executable, "-m", "cressrail", "serve", str(fleet.folder / "successor.json")]
     with open(fleet.folder / "successor.log", "wb") as log, subprocess.Popen(words, stdout=log) as successor:
         try:
-            await play.until(lambda: bool(play.said(4, "handed_over")))
+            await running.wait_until(lambda: bool(running.logged(4, "handed_over")))
             assert last.process is not None
             last.process.terminate()
-            await play.until(lambda: last.process is not None and last.process.poll() is not None)
-            await play.until(lambda: b'"took_over"' in (fleet.folder / "successor.log").read_bytes())
-            await asyncio.sleep(4 * BEAR_MS / 1000)
-            await play.all_know(5, but=(4,))
-            assert not any(play.said(n, "instance_left") for n in range(4))
+            await running.wait_until(lambda: last.process is not None and last.process.poll() is not None)
+            await running.wait_until(lambda: b'"took_over"' in (fleet.folder / "successor.log").read_bytes())
+            await asyncio.sleep(4 * TOLERATED_PAUSE_MS / 1000)
+            await running.wait_until_all_count(5, except_for=(4,))
+            assert not any(running.logged(n, "instance_left") for n in range(4))
             successor.terminate()
-            await play.until(lambda: all(play.view(n)["states"].get("door4") == "left" for n in range(4)))
-            await play.until(lambda: successor.poll() is not None)
+            await running.wait_until(
+                lambda: all(running.view(n)["states"].get("door4") == "left" for n in range(4))
+            )
+            await running.wait_until(lambda: successor.poll() is not None)
         finally:
             successor.kill()
-    assert play.losses() == {"door4"}
-    assert all(len(play.said(n, "instance_dead")) == 1 for n in range(4))
+    assert running.declared_dead() == {"door4"}
+    assert all(len(running.logged(n, "instance_dead")) == 1 for n in range(4))
 
 
 def test_one_way_cut_is_reported_by_all_and_makes_nobody_dead(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         def is_reported(sender: int, receiver: int) -> bool:
             return all(
-                play.view(n)["cannot_reach"].get(f"door{sender}") == [f"door{receiver}"] for n in range(5)
+                running.view(n)["cannot_reach"].get(f"door{sender}") == [f"door{receiver}"] for n in range(5)
             )
 
         for sender, receiver in ((0, 1), (4, 2)):
-            play.cut(([sender], [receiver]))
-            await play.until(partial(is_reported, sender, receiver))
-            assert play.view(3)["states"][f"door{sender}"] == "partly"
-            play.cut()
-            await play.until(lambda: all(not play.view(n)["cannot_reach"] for n in range(5)))
-        assert play.losses() == set()
-        assert not any(play.said(n, "instance_suspected") for n in range(5))
+            running.cut(([sender], [receiver]))
+            await running.wait_until(partial(is_reported, sender, receiver))
+            assert running.view(3)["states"][f"door{sender}"] == "partly"
+            running.cut()
+            await running.wait_until(lambda: all(not running.view(n)["cannot_reach"] for n in range(5)))
+        assert running.declared_dead() == set()
+        assert not any(running.logged(n, "instance_suspected") for n in range(5))
 
-    played(tmp_path, 5, script)
+    run_script(tmp_path, 5, script)
 
 
 def test_tolerated_pauses_of_a_third_and_of_all_but_one_make_nobody_dead(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         def have_noticed(paused: tuple[int, ...]) -> bool:
-            return all(play.said(n, "instance_paused") for n in paused)
+            return all(running.logged(n, "instance_paused") for n in paused)
 
         for paused in ((1, 2), (1, 2, 3, 4, 5)):
             for n in paused:
-                play.fleet.sidecars.pause(play.doors[n])
-                play.note(n, ProcessState.STALLED)
-            await asyncio.sleep(0.8 * BEAR_MS / 1000)
+                running.fleet.sidecars.pause(running.sidecars[n])
+                running.record_state(n, ProcessState.STALLED)
+            await asyncio.sleep(0.8 * TOLERATED_PAUSE_MS / 1000)
             for n in paused:
-                play.fleet.sidecars.resume(play.doors[n])
-                play.note(n, ProcessState.RUNNING)
-            await play.until(partial(have_noticed, paused))
-            await asyncio.sleep(2 * BEAR_MS / 1000)
-            await play.all_know(6)
-        assert play.losses() == set()
+                running.fleet.sidecars.resume(running.sidecars[n])
+                running.record_state(n, ProcessState.RUNNING)
+            await running.wait_until(partial(have_noticed, paused))
+            await asyncio.sleep(2 * TOLERATED_PAUSE_MS / 1000)
+            await running.wait_until_all_count(6)
+        assert running.declared_dead() == set()
 
-    played(tmp_path, 6, script)
+    run_script(tmp_path, 6, script)
 
 
 def test_halves_that_took_each_other_for_dead_rejoin_after_the_partition(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         halves = ([0, 1, 2], [3, 4, 5])
-        play.cut(halves, halves[::-1])
-        await play.all_know(3)
-        play.fleet.sidecars.kill(play.doors[5])
-        play.note(5, ProcessState.KILLED)
-        await play.until(lambda: play.view(3)["alive"] == play.view(4)["alive"] == 2)
-        play.cut()
-        await play.all_know(5, but=(5,))
+        running.cut(halves, halves[::-1])
+        await running.wait_until_all_count(3)
+        running.fleet.sidecars.kill(running.sidecars[5])
+        running.record_state(5, ProcessState.KILLED)
+        await running.wait_until(lambda: running.view(3)["alive"] == running.view(4)["alive"] == 2)
+        running.cut()
+        await running.wait_until_all_count(5, except_for=(5,))
 
-    played(tmp_path, 6, script)
+    run_script(tmp_path, 6, script)
 
 
 def test_sidecar_cut_off_from_discovery_catches_up_after_the_cut(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+    async def script(running: RunningFleet) -> None:
         def list_updates(n: int) -> int:
-            return len(play.said(n, "endpoint_list_updated"))
+            return len(running.logged(n, "endpoint_list_updated"))
 
-        await play.until(lambda: list_updates(0) > 0 and list_updates(1) > 0)
-        play.wires.rules = [
+        await running.wait_until(lambda: list_updates(0) > 0 and list_updates(1) > 0)
+        running.network.rules = [
             NetworkRule(frozenset([sender]), frozenset([receiver]), loss=1.0)
             for sender, receiver in (("door0", DISCOVERY), (DISCOVERY, "door0"))
         ]
         before = list_updates(0), list_updates(1)
-        play.fleet.announce_phase(play.fleet.tiers[0][0], "draining")
-        await play.until(lambda: list_updates(1) > before[1])
+        running.fleet.announce_phase(running.fleet.tiers[0][0], "draining")
+        await running.wait_until(lambda: list_updates(1) > before[1])
         await asyncio.sleep(0.5)
         assert list_updates(0) == before[0]
-        assert play.view(0)["alive"] == 2  # to other sidecars it is still connected
-        play.wires.rules = []
-        await play.until(lambda: list_updates(0) > before[0])
+        assert running.view(0)["alive"] == 2  # to other sidecars it is still connected
+        running.network.rules = []
+        await running.wait_until(lambda: list_updates(0) > before[0])
 
-    played(tmp_path, 2, script)
+    run_script(tmp_path, 2, script)
 
 
 def test_flood_of_malformed_datagrams_and_a_change_of_keys_make_nobody_dead(
     tmp_path: Path,
 ) -> None:
-    async def script(play: Play) -> None:
-        address = play.doors[0].membership_address
+    async def script(running: RunningFleet) -> None:
+        address = running.sidecars[0].membership_address
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             payloads = [os.urandom(size) for size in (20, 200, 1400, 2000)]
             for n in range(20_000):
                 sock.sendto(payloads[n % 4], address)
                 if n % 400 == 0:
                     await asyncio.sleep(0.02)
-        await play.until(lambda: bool(play.said(0, "malformed_datagrams")))
-        assert len(play.said(0, "malformed_datagrams")) <= 2
-        keys = play.fleet.folder / "keys"
+        await running.wait_until(lambda: bool(running.logged(0, "malformed_datagrams")))
+        assert len(running.logged(0, "malformed_datagrams")) <= 2
+        keys = running.fleet.folder / "keys"
 
         def has_read_keys(n: int, before: int) -> bool:
-            return len(play.said(n, "membership_keys")) > before
+            return len(running.logged(n, "membership_keys")) > before
 
         for text in ("5a" * 32 + "\n" + "11" * 32, "11" * 32 + "\n" + "5a" * 32, "11" * 32):
             keys.write_text(text)
-            for n, sidecar in enumerate(play.doors):
+            for n, sidecar in enumerate(running.sidecars):
                 assert sidecar.process is not None
-                before = len(play.said(n, "membership_keys"))
+                before = len(running.logged(n, "membership_keys"))
                 sidecar.process.send_signal(signal.SIGHUP)
-                await play.until(partial(has_read_keys, n, before))
-        await asyncio.sleep(2 * BEAR_MS / 1000)
-        await play.all_know(4)
-        assert play.losses() == set()
-        assert not [told for n in range(1, 4) for told in play.said(n, "malformed_datagrams")]
+                await running.wait_until(partial(has_read_keys, n, before))
+        await asyncio.sleep(2 * TOLERATED_PAUSE_MS / 1000)
+        await running.wait_until_all_count(4)
+        assert running.declared_dead() == set()
+        assert not [told for n in range(1, 4) for told in running.logged(n, "malformed_datagrams")]
 
-    played(tmp_path, 4, script)
+    run_script(tmp_path, 4, script)
 
 
 def test_all_faults_at_once_under_load_break_no_rule_and_make_no_live_instance_dead(tmp_path: Path) -> None:
-    scenario = world(
+    scenario = make_scenario(
         6,
         seconds=16,
         seed=5,
--- a/tests/testbed/test_sidecar_processes.py
+++ b/tests/testbed/test_sidecar_processes.py
@@ -6,7 +6,7 @@
 
 from cressrail.testbed.sidecar_process import SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
-from tests.fleets import HERE, world
+from tests.testbed.fleet_scripts import CHECKOUT, make_scenario
 
 
 def make_sidecar() -> SidecarProcess:
@@ -14,7 +14,7 @@
 
 
 def test_sidecar_has_one_process_however_often_it_is_started(tmp_path: Path) -> None:
-    manager = SidecarManager(world(1), tmp_path, HERE, "own", "")
+    manager = SidecarManager(make_scenario(1), tmp_path, CHECKOUT, "own", "")
     sidecar = make_sidecar()
     try:
         manager.start(sidecar, 1, 1)
