--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -59,7 +59,7 @@
 )
 def test_fault_that_affects_nobody_is_refused(change: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(ValueError, match=expected_error):
-        make_scenario(**{"doors": 2, **change})
+        make_scenario(2, **change)
 
 
 def test_network_fault_cuts_unless_another_effect_is_named() -> None:
