--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -61,7 +61,8 @@
     tasks.work(80, 1000)
     assert (len(tasks.loop.busy_masks), len(tasks.loop.full_masks)) == (0, 10)
     tasks.pairs[0][1].send(b"x")
-    assert tasks.loop.busy_poll.poll(0) == [] and len(tasks.loop.full_poll.poll(0)) == 1
+    assert tasks.loop.busy_poll.poll(0) == []
+    assert len(tasks.loop.full_poll.poll(0)) == 1
     tasks.close()
 
 
@@ -74,7 +75,8 @@
     tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
     tasks.pairs[3][1].send(b"x")
     tasks.work(8, 1000)
-    assert len(tasks.received) == 1 and tasks.received[0][0] == 3
+    assert len(tasks.received) == 1
+    assert tasks.received[0][0] == 3
     assert tasks.received[0][1] == looked  # no later than it can have come
     assert list(tasks.loop.busy_masks) == [tasks.pairs[3][0].fileno()]
     tasks.close()
@@ -105,7 +107,9 @@
         far.close()
     tasks.work(10, 1000)  # their tasks see the end and close
     tasks.work(10, 1000)
-    assert not numbers & set(tasks.loop.full_masks) and len(tasks.loop.full_masks) == 4 and not tasks.faults
+    assert not numbers & set(tasks.loop.full_masks)
+    assert len(tasks.loop.full_masks) == 4
+    assert not tasks.faults
     more = socket.socketpair()
     tasks.pairs.append(more)
     more[0].setblocking(False)
--- a/tests/failover/test_configuration.py
+++ b/tests/failover/test_configuration.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    "part, reason",
+    ("part", "reason"),
     [
         ({"regions": {"n": ["a"], "s": ["b"]}}, "regions: c is in none"),
         ({"regions": {"n": ["a", "b", "c", "d"]}}, "regions.n: no zone is d"),
--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "reports, unreachable_from, failing, unreachable",
+    ("reports", "unreachable_from", "failing", "unreachable"),
     [
         (healthy(0) + healthy(1) + healthy(2), [], [], []),
         # A zone that is cut off from another does not condemn that for all.
--- a/tests/failover/test_zone_weights.py
+++ b/tests/failover/test_zone_weights.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    "weights, freshness, least, most, rejected",
+    ("weights", "freshness", "least", "most", "rejected"),
     [
         ((0.2, 0.8), 1.0, 0.15, 0.25, 0.0),
         ((0.0, 1.0), 1.0, 0.0, 0.0, 0.0),
--- a/tests/golden/record_adapter.py
+++ b/tests/golden/record_adapter.py
@@ -122,9 +122,11 @@
                 events += self.event(what, end)
             if events:
                 self.exchange(events)
-        assert self.child.stdin is not None and self.child.stdout is not None
+        assert self.child.stdin is not None
+        assert self.child.stdout is not None
         self.child.stdin.close()
-        assert self.child.stdout.read() == b"" and self.child.wait() == 0
+        assert self.child.stdout.read() == b""
+        assert self.child.wait() == 0
         (HERE / f"adapter-{self.plan.name}.in.txt").write_text("".join(self.sent))
         (HERE / f"adapter-{self.plan.name}.out.txt").write_text("".join(self.got))
         for name, n in sorted(self.counts.items()):
@@ -139,7 +141,8 @@
             for word in words:
                 if word.startswith(("ending=", "form=")):
                     self.counts[f"{words[0]} {word}"] += 1
-        assert self.child.stdin is not None and self.child.stdout is not None
+        assert self.child.stdin is not None
+        assert self.child.stdout is not None
         self.child.stdin.write(text.encode())
         self.child.stdin.flush()
         while True:
--- a/tests/golden/record_membership.py
+++ b/tests/golden/record_membership.py
@@ -1,5 +1,6 @@
 """Writes membership-datagrams.json: `python -m tests.golden.record_membership`, by hand, only when a change
-of the datagrams is meant."""
+of the datagrams is meant.
+"""
 
 from __future__ import annotations
 
--- a/tests/golden/test_adapter.py
+++ b/tests/golden/test_adapter.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, least",
+    ("name", "least"),
     [
         ("chain", {b"ISSUE": 1000, b"NOT_NOW": 100, b"REPORT_FAILURE": 50, b"ABANDON": 20, b"LISTEN": 4}),
         ("mesh", {b"ISSUE": 800, b"NOT_NOW": 200, b"REPORT_FAILURE": 40, b"ABANDON": 20, b"LISTEN": 4}),
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -1,5 +1,6 @@
 """Every hand-over frame between two processes: a fixed state gives the stored bytes. They are read back from
-any pieces, and a sidecar that is settled from them tells the same again and goes on as stored."""
+any pieces, and a sidecar that is settled from them tells the same again and goes on as stored.
+"""
 
 from __future__ import annotations
 
@@ -128,7 +129,7 @@
     return found
 
 
-@pytest.mark.parametrize("name, data", zip(FRAMES, frames(), strict=True), ids=FRAMES)
+@pytest.mark.parametrize(("name", "data"), zip(FRAMES, frames(), strict=True), ids=FRAMES)
 def test_a_frame_has_the_stored_bytes_and_is_read_back(name: str, data: bytes) -> None:
     _, head, body = case(name)
     assert data[:14].hex() == head
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -1,5 +1,6 @@
 """Every kind of membership datagram and of field: stored values give the stored bytes, and those are read
-back as the stored values."""
+back as the stored values.
+"""
 
 from __future__ import annotations
 
--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -67,7 +67,8 @@
     def until(self, met: Callable[[], object], over_s: float = 30.0) -> None:
         until = time.monotonic() + over_s
         while not met():
-            assert self.process.poll() is None and time.monotonic() < until
+            assert self.process.poll() is None
+            assert time.monotonic() < until
             time.sleep(0.05)
 
     def ready(self) -> bool:
--- a/tests/golden_edges/test_admin_answers.py
+++ b/tests/golden_edges/test_admin_answers.py
@@ -68,8 +68,11 @@
     """An answer with a body of JSON; the length of the body goes by its figures."""
     head, _, body = heard.partition(b"\r\n\r\n")
     assert b"content-length: %d\r\n" % len(body) in head + b"\r\n"
-    assert body.endswith(b"\n") and body.count(b"\n") == 1
-    assert b'": ' not in body and b', "' not in body and b", {" not in body
+    assert body.endswith(b"\n")
+    assert body.count(b"\n") == 1
+    assert b'": ' not in body
+    assert b', "' not in body
+    assert b", {" not in body
     return {
         "head": re.sub(r"(content-length: )\d+", r"\1N", head.decode()),
         "body": outline(json.loads(body)),
@@ -131,7 +134,8 @@
     found["/zones"] = neutral(outlined(one.call("GET", "/zones")))
     explained = outlined(by.call("GET", "/zones/explain?zone=b"))
     rows = [{**row, "sidecar": "NAME", "zone": "ZONE"} for row in explained["body"]]
-    assert rows and all(list(row.items()) == list(rows[0].items()) for row in rows)
+    assert rows
+    assert all(list(row.items()) == list(rows[0].items()) for row in rows)
     found["/zones/explain"] = {**explained, "body": rows[:1]}
     for zone in ("b", "c", ""):
         for path in ("drain", "undrain", "explain", "other"):
--- a/tests/golden_edges/test_check_messages.py
+++ b/tests/golden_edges/test_check_messages.py
@@ -1,5 +1,6 @@
 """Pins of `python -m cressrail check FILE`: the exit status, and the setting that the message names. The
-words around it may improve; the stored file holds only these two."""
+words around it may improve; the stored file holds only these two.
+"""
 
 from __future__ import annotations
 
@@ -150,7 +151,8 @@
 
 
 def test_all_stored_cases_are_played() -> None:
-    assert list(STORED["faulty"]) == list(CASES) and list(STORED["examples"]) == ["config", "mesh"]
+    assert list(STORED["faulty"]) == list(CASES)
+    assert list(STORED["examples"]) == ["config", "mesh"]
 
 
 @pytest.mark.parametrize("name", CASES)
@@ -163,9 +165,13 @@
     code, out, err = checked(file)
     assert code == status
     if not status:
-        assert not err and str(file) in out and path == ""
+        assert not err
+        assert str(file) in out
+        assert path == ""
         return
-    assert not out and err.count("\n") == 1 and err.endswith("\n")
+    assert not out
+    assert err.count("\n") == 1
+    assert err.endswith("\n")
     said = err.replace(str(tmp_path), "FOLDER")
     assert names(said, path), said
 
@@ -174,6 +180,7 @@
 def test_examples(name: str) -> None:
     status, words = STORED["examples"][name]
     code, out, err = checked(HERE / "example" / f"{name}.json")
-    assert code == status and not err
+    assert code == status
+    assert not err
     for word in words:
         assert names(out, word), word
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -118,7 +118,8 @@
 
 def exchanged(endpoint: Script | None, sent: list[bytes], **limits: Any) -> dict[str, str]:
     """All bytes that a client hears until it has shut down its side and the connection ends, and those that
-    an endpoint hears."""
+    an endpoint hears.
+    """
     at_client, at_endpoint = [], bytearray()
 
     def recorded(peer: ScriptedPeer) -> None:
@@ -254,7 +255,8 @@
                 while not rest.startswith(b"0\r\n"):
                     size, _, rest = rest.partition(b"\r\n")
                     n = int(size, 16)
-                    assert size == b"%x" % n and rest[n : n + 2] == b"\r\n"
+                    assert size == b"%x" % n
+                    assert rest[n : n + 2] == b"\r\n"
                     body, rest = body + rest[:n], rest[n + 2 :]
                 end, rest = rest, body
             assert rest == LARGE
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -1,5 +1,6 @@
 """Pins of files that the present version has written (a run's ledgers, a sidecar's log, a trace) or that
-people wrote for it (scenarios): what reads them goes on to read the same values."""
+people wrote for it (scenarios): what reads them goes on to read the same values.
+"""
 
 from __future__ import annotations
 
@@ -97,7 +98,9 @@
     hold({"status": told.returncode, "rules": [list(rule) for rule in rules]}, name)
 
 
-@pytest.mark.parametrize("source, trace", [("load.jsonl", "trace.jsonl"), ("sidecar.log", "log_trace.jsonl")])
+@pytest.mark.parametrize(
+    ("source", "trace"), [("load.jsonl", "trace.jsonl"), ("sidecar.log", "log_trace.jsonl")]
+)
 def test_traces_are_recorded_to_the_byte(tmp_path: Path, source: str, trace: str) -> None:
     out = tmp_path / "t.jsonl"
     assert ran("load", "record", str(DATA / source), str(out), "--size", "9").returncode == 0
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -49,7 +49,8 @@
         self.started.append(process)
         until = time.monotonic() + 20
         while not self.call(admin, b"GET /control/ready").startswith(b"HTTP/1.1 200"):
-            assert process.poll() is None and time.monotonic() < until
+            assert process.poll() is None
+            assert time.monotonic() < until
             time.sleep(0.02)
         return process, admin
 
@@ -131,7 +132,8 @@
     assert first.poll() is None
     third, _ = fleet.start()
     first.send_signal(signal.SIGTERM)
-    assert first.wait(20) == 0 and third.poll() is None
+    assert first.wait(20) == 0
+    assert third.poll() is None
 
 
 def test_successor_serves_when_the_predecessor_is_killed(fleet: Fleet) -> None:
@@ -148,7 +150,8 @@
     first, _ = fleet.start()
     second, _ = fleet.start()
     first.send_signal(signal.SIGTERM)
-    assert first.wait(20) == 0 and second.poll() is None
+    assert first.wait(20) == 0
+    assert second.poll() is None
     with fleet.client() as sock:
         assert fleet.served(sock).startswith(b"HTTP/1.1 200")
     second.kill()
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -57,12 +57,11 @@
     new.state_machine.on_endpoint_list(SECOND, parse_update(old.state_machine.endpoint_list()))
     new.commands = new.state_machine.take_over(SECOND, captured(old), 1, 1)
     balancer = new.state_machine.load_balancer
-    assert (
-        new.state_machine.endpoint_watch.revision == 9
-        and not balancer.endpoints[1].accepts_requests
-        and balancer.endpoints[1].limit == 1.25
-    )
-    assert balancer.unavailable_endpoints(SECOND) == [0, 1] and len(balancer.budget.request_times_us) == 50
+    assert new.state_machine.endpoint_watch.revision == 9
+    assert not balancer.endpoints[1].accepts_requests
+    assert balancer.endpoints[1].limit == 1.25
+    assert balancer.unavailable_endpoints(SECOND) == [0, 1]
+    assert len(balancer.budget.request_times_us) == 50
     assert (
         balancer.slow_start.recent_successes
         == old.state_machine.load_balancer.slow_start.recent_successes
@@ -114,10 +113,8 @@
             state, new.state_machine.load_balancer, new.state_machine.registry.names(), SECOND
         )
     new.commands = new.state_machine.take_over(SECOND, state, 0, 0)
-    assert (
-        not new.state_machine.load_balancer.budget.request_times_us
-        and new.state_machine.load_balancer.endpoints[0].limit != 1.25
-    )
+    assert not new.state_machine.load_balancer.budget.request_times_us
+    assert new.state_machine.load_balancer.endpoints[0].limit != 1.25
     assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
 
 
@@ -129,13 +126,11 @@
     endpoint, own_subset = balancer.endpoints[0], balancer.zone_subsets[0]
     assert balancer.slow_start.accrue_credit(endpoint, 5 * SECOND, own_subset, True)
     captured(front)
-    assert not balancer.budget.spend(now) and not balancer.slow_start.accrue_credit(
-        endpoint, 6 * SECOND, own_subset, True
-    )
+    assert not balancer.budget.spend(now)
+    assert not balancer.slow_start.accrue_credit(endpoint, 6 * SECOND, own_subset, True)
     front.state_machine.on_successor_failed(now)
-    assert balancer.budget.spend(now) and balancer.slow_start.accrue_credit(
-        endpoint, 7 * SECOND, own_subset, True
-    )
+    assert balancer.budget.spend(now)
+    assert balancer.slow_start.accrue_credit(endpoint, 7 * SECOND, own_subset, True)
 
 
 def test_request_id_in_flight_at_the_predecessor_is_refused_by_the_successor() -> None:
@@ -155,7 +150,8 @@
     old, new = ProxyDriver(), successor()
     admin_status(old, control.OUT_OF_SERVICE_PATH)
     new.commands = new.state_machine.take_over(SECOND, captured(old), 0, 0)
-    assert not new.state_machine.is_ready(SECOND) and admin_status(new, control.READY_PATH, SECOND) == 200
+    assert not new.state_machine.is_ready(SECOND)
+    assert admin_status(new, control.READY_PATH, SECOND) == 200
     assert admin_status(old, control.IN_SERVICE_PATH, SECOND) == 503  # it would be lost with the process
     admin_status(new, control.IN_SERVICE_PATH, SECOND)
     assert new.state_machine.is_ready(SECOND)
@@ -166,14 +162,15 @@
     new.commands = new.state_machine.start(
         0, parse_update({"revision": 1, "complete": True, "members": []}), True
     )
-    assert not new.take_commands(do.BeginTakeover) and not new.take_commands(do.AcceptClients)
+    assert not new.take_commands(do.BeginTakeover)
+    assert not new.take_commands(do.AcceptClients)
     assert admin_status(new, control.READY_PATH) == 503
     new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, endpoint_entry("s0", 9000)))
-    assert len(new.take_commands(do.BeginTakeover)) == 1 and admin_status(new, control.READY_PATH) == 503
+    assert len(new.take_commands(do.BeginTakeover)) == 1
+    assert admin_status(new, control.READY_PATH) == 503
     new.commands = new.state_machine.take_over(2, None, 0, 0)
-    assert admin_status(new, control.READY_PATH) == 200 and new.take_commands(do.AcceptClients) == [
-        do.AcceptClients(True)
-    ]
+    assert admin_status(new, control.READY_PATH) == 200
+    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
 
 
 def test_predecessor_keeps_idle_clients_and_closes_each_after_its_response() -> None:
@@ -182,9 +179,8 @@
     front.connect_client(2)
     front.send_request(2)
     captured(front)
-    assert front.take_commands(do.AcceptClients)[-1] == do.AcceptClients(False) and not front.take_commands(
-        do.CloseClient
-    )
+    assert front.take_commands(do.AcceptClients)[-1] == do.AcceptClients(False)
+    assert not front.take_commands(do.CloseClient)
     front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED)
     front.send_request(1, now=SECOND)
     front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED, SECOND)
@@ -197,9 +193,8 @@
         front.commands += front.state_machine.on_response_written(2 * SECOND, client)
         front.commands += front.state_machine.on_client_closed(2 * SECOND, client)
     front.commands += front.state_machine.on_timer(2 * SECOND)
-    assert front.take_commands(do.Exit) and not any(
-        listen.closed for listen in front.take_commands(do.AcceptClients)
-    )
+    assert front.take_commands(do.Exit)
+    assert not any(listen.closed for listen in front.take_commands(do.AcceptClients))
 
 
 def test_predecessor_serves_again_when_the_successor_dies_unless_it_is_stopping() -> None:
@@ -207,10 +202,8 @@
     captured(front)
     front.take_commands(do.AcceptClients)
     front.commands = front.state_machine.on_successor_failed(SECOND)
-    assert (
-        front.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
-        and not front.state_machine.lifecycle.has_handed_over
-    )
+    assert front.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+    assert not front.state_machine.lifecycle.has_handed_over
     captured(front)
     front.commands = front.state_machine.on_stop_requested(2 * SECOND)
     front.commands += front.state_machine.on_successor_failed(2 * SECOND)
--- a/tests/http1/test_duration.py
+++ b/tests/http1/test_duration.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, us",
+    ("text", "us"),
     [
         ("480m", 480_000),
         ("480u", 480),
--- a/tests/http1/test_header_text.py
+++ b/tests/http1/test_header_text.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, text",
+    ("value", "text"),
     [
         ("histórico".encode(), "histórico"),
         (b"a-b", "a-b"),
--- a/tests/http1/test_request.py
+++ b/tests/http1/test_request.py
@@ -25,19 +25,21 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 4096, 1 << 20])
-@pytest.mark.parametrize("text, body", POSTS)
+@pytest.mark.parametrize(("text", "body"), POSTS)
 def test_request_reader_takes_requests_split_anywhere(text: bytes, body: bytes, step: int) -> None:
     pool = BufferPool(100)
     chain = BufferChain(pool)
     reader = RequestReader(chain)
     assert feed_in_steps(reader, pool, text + b"rest", step) <= 4
-    assert reader.request is not None and reader.request.keep_alive and text_of(chain) == body
+    assert reader.request is not None
+    assert reader.request.keep_alive
+    assert text_of(chain) == body
     chain.release()
     assert pool.lent == 0
 
 
 @pytest.mark.parametrize(
-    "text, status",
+    ("text", "status"),
     [
         (b"GET /api\r\n\r\n", 400),
         (b"GET /api HTTP/2.0\r\n\r\n", 400),
--- a/tests/http1/test_response.py
+++ b/tests/http1/test_response.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 4096, 1 << 20])
-@pytest.mark.parametrize("text, body, keep_alive", RESPONSES)
+@pytest.mark.parametrize(("text", "body", "keep_alive"), RESPONSES)
 def test_response_reader_takes_any_framing_split_anywhere(
     text: bytes, body: bytes, keep_alive: bool, step: int
 ) -> None:
@@ -32,13 +32,15 @@
     feed_in_steps(reader, pool, text, step)
     if not reader.is_complete:
         reader.on_connection_closed()
-    assert reader.is_complete and reader.keep_alive is keep_alive and text_of(chain) == body
+    assert reader.is_complete
+    assert reader.keep_alive is keep_alive
+    assert text_of(chain) == body
     chain.release()
     assert pool.lent == 0
 
 
 @pytest.mark.parametrize(
-    "text, body, keep_alive", [case for case in RESPONSES if case[2] and len(case[0]) < 200]
+    ("text", "body", "keep_alive"), [case for case in RESPONSES if case[2] and len(case[0]) < 200]
 )
 def test_response_cut_at_any_byte_is_incomplete(text: bytes, body: bytes, keep_alive: bool) -> None:
     for cut in range(len(text)):
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "response, keep_alive, head",
+    ("response", "keep_alive", "head"),
     [
         (
             Response(200, content_type=b"text/plain"),
--- a/tests/membership/test_authentication.py
+++ b/tests/membership/test_authentication.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "top, seen, nth, ok",
+    ("top", "seen", "nth", "ok"),
     [
         (5, 1, 6, True),
         (5, 1, 5, False),
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -25,21 +25,21 @@
         for told in ("own.toml", "own.json", {**SECTION, "seeds": ["[::1]:7"]})
     ]
     assert parts[0] == parts[1] == parts[2]
-    assert parts[0].settings.advertise == parts[0].listen and parts[0].settings.keys == (
+    assert parts[0].settings.advertise == parts[0].listen
+    assert parts[0].settings.keys == (
         bytes(32),
         b"\x11" * 32,
     )
     used = read_membership_section({**SECTION, "use": ["copies"]}, config, "n1", "a", 7)
-    assert (
-        parts[0].settings.uses == ()
-        and used.settings.uses == ("copies",)
-        and used.settings.configured_instance_count == 7
-    )
-    assert parts[0].settings.seeds == (("::1", 7),) and parts[0].settings.zone == "a"
+    assert parts[0].settings.uses == ()
+    assert used.settings.uses == ("copies",)
+    assert used.settings.configured_instance_count == 7
+    assert parts[0].settings.seeds == (("::1", 7),)
+    assert parts[0].settings.zone == "a"
 
 
 @pytest.mark.parametrize(
-    "change, why",
+    ("change", "why"),
     [
         ({"listen": "here"}, "membership.listen is no address:port: here"),
         ({"listen": "name:7946"}, "membership.listen is no address:port: name:7946"),
@@ -75,4 +75,5 @@
             "a",
             1,
         )
-    assert "\n" not in str(fault.value) and re.match(r"/.*\.(json|toml): ", str(fault.value))
+    assert "\n" not in str(fault.value)
+    assert re.match(r"/.*\.(json|toml): ", str(fault.value))
--- a/tests/membership/test_datagram_receiver.py
+++ b/tests/membership/test_datagram_receiver.py
@@ -39,11 +39,13 @@
         for n in copy.on_datagram(60 * SECOND, signed_ping(2)[:-1])
         if isinstance(n, LogEvent) and n.event == notes[0].event
     )
-    assert later.fields["count"] == 5003 and later.fields["reasons"]["replayed"] == 1
+    assert later.fields["count"] == 5003
+    assert later.fields["reasons"]["replayed"] == 1
 
 
 @pytest.mark.parametrize(
-    "first, second, both", [(KEY, b"n" * 32, True), (b"n" * 32, KEY, True), (b"o" * 32, b"n" * 32, False)]
+    ("first", "second", "both"),
+    [(KEY, b"n" * 32, True), (b"n" * 32, KEY, True), (b"o" * 32, b"n" * 32, False)],
 )
 def test_both_keys_verify_and_the_first_signs(first: bytes, second: bytes, both: bool) -> None:
     copy = single_instance()
@@ -59,4 +61,5 @@
         copy.on_datagram(0, signed_ping(n + 1, f"copy{n}"))  # much to tell
     question = signed_ping(1, "asks")
     [answer] = [e for e in copy.on_datagram(1, question) if isinstance(e, SendDatagram)]
-    assert answer.destination == ("127.0.0.2", 2) and len(answer.payload) <= len(question)
+    assert answer.destination == ("127.0.0.2", 2)
+    assert len(answer.payload) <= len(question)
--- a/tests/membership/test_instance_counter.py
+++ b/tests/membership/test_instance_counter.py
@@ -15,7 +15,7 @@
 )
 
 
-@pytest.mark.parametrize("refuses, low, high", [(True, 9.0, 11.0), (False, 22.0, 30.0)])
+@pytest.mark.parametrize(("refuses", "low", "high"), [(True, 9.0, 11.0), (False, 22.0, 30.0)])
 def test_mass_kill_lowers_the_count_only_where_datagrams_are_refused(
     refuses: bool, low: float, high: float
 ) -> None:
@@ -26,7 +26,8 @@
     for _ in range(80):
         made.clock.run_until(made.clock.now_us + SECOND // 2)
         assert min(announced_counts(made)) >= 9.0  # never fewer than there are
-    assert low <= min(announced_counts(made)) and max(announced_counts(made)) <= high
+    assert low <= min(announced_counts(made))
+    assert max(announced_counts(made)) <= high
     for n in range(21):
         made.start(n)
     made.clock.run_until(made.clock.now_us + 4 * SECOND)
@@ -37,7 +38,8 @@
     made, small = counting_fleet(20), [f"copy{n}" for n in range(6)]
     made.network.is_cut = lambda a, b: (a in small) != (b in small)
     made.clock.run_until(made.clock.now_us + 60 * SECOND)
-    assert min(announced_counts(made, small)) > 18 and 13.9 < min(announced_counts(made)) < 15
+    assert min(announced_counts(made, small)) > 18
+    assert 13.9 < min(announced_counts(made)) < 15
     made.network.is_cut = lambda _a, _b: False
     made.clock.run_until(made.clock.now_us + 60 * SECOND)
     assert min(announced_counts(made)) > 19
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -35,10 +35,8 @@
         now += span_us
         before = live.estimate
         copies = live.update(now, one)
-        assert (
-            max(1.0, figure / MAX_DEVIATION_FACTOR) <= copies.total <= figure * MAX_DEVIATION_FACTOR
-            and 0 < copies.in_zone <= copies.total
-        )
+        assert max(1.0, figure / MAX_DEVIATION_FACTOR) <= copies.total <= figure * MAX_DEVIATION_FACTOR
+        assert 0 < copies.in_zone <= copies.total
         assert copies.total >= min(one.alive, figure * MAX_DEVIATION_FACTOR)
         if (
             now < STARTUP_PAUSES * TOLERATED_PAUSE_US or not one.has_quorum_view or one.alive <= one.silent
@@ -47,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, after_us, all_",
+    ("told", "after_us", "all_"),
     [
         (observed(20), 0, 20),  # more at once
         (observed(4), DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 7),  # fewer, half of the way
--- a/tests/membership/test_load_reports.py
+++ b/tests/membership/test_load_reports.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, copies, failing, cold, weight",
+    ("said", "copies", "failing", "cold", "weight"),
     [
         ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 8000)]}, 3, (), {}, 13),
         ({n: [(TRAFFIC, 0, 4000)] for n in (2, 3, 4)}, 101, (), {}, 401),  # the mean of those heard, for all
@@ -76,12 +76,13 @@
         for one in other.next_reports(0, 1000):
             hints.apply_peer_report(0, by, 1, 1, one)
     told = hints.summarize(0, copies, said)
-    assert told.failing_endpoints == failing and told.warmup_loads == {
-        about: rate / 1e6 for about, rate in cold.items()
-    }
+    assert told.failing_endpoints == failing
+    assert told.warmup_loads == {about: rate / 1e6 for about, rate in cold.items()}
     assert told.total_traffic == pytest.approx(weight / 1e6)
     later = hints.summarize(61 * PERIOD, copies, said)
-    assert later.failing_endpoints == () and later.warmup_loads == {} and hints.stored_count == 0
+    assert later.failing_endpoints == ()
+    assert later.warmup_loads == {}
+    assert hints.stored_count == 0
 
 
 def test_each_of_many_reports_is_sent_and_storage_is_bounded() -> None:
@@ -92,12 +93,12 @@
         assert 0 < len(pieces) <= 6
         for one in pieces:
             hints.apply_peer_report(0, 2, 1, 1, one)
-    assert len(hints.peer_reports[2]) == hints.stored_count == MAX_PER_INSTANCE and set(
-        much.times_sent.values()
-    ) == {1, 2}
+    assert len(hints.peer_reports[2]) == hints.stored_count == MAX_PER_INSTANCE
+    assert set(much.times_sent.values()) == {1, 2}
     much.set_own_reports(PERIOD, [])
     assert {value for value, _, _ in much.own_reports.values()} == {0}
     much.set_own_reports(100 * PERIOD, [])
-    assert much.own_reports == {} and much.next_reports(0, 10) == []
+    assert much.own_reports == {}
+    assert much.next_reports(0, 10) == []
     hints.forget_instance(2)
     assert hints.stored_count == 0
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -38,6 +38,8 @@
     ]
     for record in told:
         table.add(record, 0)
-    assert [table.record_of(table.row_of(r.id)) for r in told] == told and table.memory_bytes() / 1000 < 200
+    assert [table.record_of(table.row_of(r.id)) for r in told] == told
+    assert table.memory_bytes() / 1000 < 200
     table.remove(told[7].id)
-    assert told[7].id not in table and table.record_of(table.row_of(told[8].id)) == told[8]
+    assert told[7].id not in table
+    assert table.record_of(table.row_of(told[8].id)) == told[8]
--- a/tests/membership/test_peer_reports.py
+++ b/tests/membership/test_peer_reports.py
@@ -23,7 +23,9 @@
     one.endpoints[1].slow_start_attempts += 4
     words = hearing.own_reports(now + 2 * SECOND, one, registry_of("xyz"))
     x, y, z = map(hearing.endpoint_number, "xyz")
-    assert (FAILING, z, 1) in first and (WARMUP_LOAD, y, 0) in first and (WARMUP_LOAD, y, 2000) in words
+    assert (FAILING, z, 1) in first
+    assert (WARMUP_LOAD, y, 0) in first
+    assert (WARMUP_LOAD, y, 2000) in words
     meant = hearing.to_endpoint_indices(
         PeerLoadSummary((z, 99), {y: 0.5, 98: 1.0}, 3.0), one, registry_of("zyx")
     )
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -26,9 +26,8 @@
     before = [(g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets]
     even = side.slow_start.even_rate_per_us
     side.update_instance_count(SECOND, 12.0, 6.0)  # just what the settings say
-    assert [
-        (g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets
-    ] == before and side.slow_start.even_rate_per_us == even
+    assert [(g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets] == before
+    assert side.slow_start.even_rate_per_us == even
     for copies, near in ((4.0, 2.0), (24.0, 12.0), (6.0, 1.0)):
         side.update_instance_count(SECOND, copies, near)
         for zone, group in enumerate(side.zone_subsets):
@@ -60,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    "others, weight, low, high",
+    ("others", "weight", "low", "high"),
     [
         (-1.0, 0.0, 17, 21),  # not told: by the settings' even part
         (0.0, 1.0, 9, 10),
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -60,8 +60,11 @@
             lying.join()
         found = figures(told, made, folder)
         if not found["void"]:
-            assert found["broken"] == [] and found["false_losses"] == [] and not made.seen.failed
-            assert found["answered"] > 300 and found["most_gone_by"] > 2 * doors
+            assert found["broken"] == []
+            assert found["false_losses"] == []
+            assert not made.seen.failed
+            assert found["answered"] > 300
+            assert found["most_gone_by"] > 2 * doors
             return
     pytest.skip(found["void"])
 
--- a/tests/membership/test_scenarios.py
+++ b/tests/membership/test_scenarios.py
@@ -17,7 +17,8 @@
     whole, less = (
         simulate(12, 5, 0.3 if without != "shrinks" else 0.0, without=words) for words in ((), (without,))
     )
-    assert whole["false_losses"] == 0 and whole["detect_s"]["all"] is not None
+    assert whole["false_losses"] == 0
+    assert whole["detect_s"]["all"] is not None
     if without == "indirect":
         assert less["suspicions"] > 1.1 * whole["suspicions"]
     if without == "shrinks":  # it has to stand for both spans: later in the usual case
@@ -26,7 +27,8 @@
 
 def test_bytes_per_second_do_not_grow_with_the_fleet() -> None:
     small, large = (simulate(size, 1)["bytes_per_s"] for size in (12, 60))
-    assert large < 1.2 * small and large < 3000
+    assert large < 1.2 * small
+    assert large < 3000
 
 
 def test_simulate_command_writes_its_figures(tmp_path: Path) -> None:
@@ -34,6 +36,8 @@
         app, ["membership", "simulate", "--size", "8", "--json", str(tmp_path / "told.json")]
     )
     told = orjson.loads((tmp_path / "told.json").read_bytes())
-    assert ran.exit_code == 0 and told["false_losses"] == 0 and told["detect_s"]["all"] < 6
+    assert ran.exit_code == 0
+    assert told["false_losses"] == 0
+    assert told["detect_s"]["all"] < 6
     ran = CliRunner().invoke(app, ["membership", "simulate", "--without", "luck"])
     assert ran.exit_code == 2
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "size, which, for_s",
+    ("size", "which", "for_s"),
     [
         (12, 1, 0.3),
         (12, 1, 1.0),
@@ -40,7 +40,8 @@
         began = fleet.clock.now_us
         fleet.pause([f"copy{n}" for n in range(1, 1 + which)], int(for_s * SECOND))
         fleet.clock.run_until(began + 15 * SECOND)
-        assert fleet.death_reports(began) == [] and fleet.all_views_agree()
+        assert fleet.death_reports(began) == []
+        assert fleet.all_views_agree()
 
 
 @pytest.mark.parametrize("which", [1, 4])
@@ -57,19 +58,20 @@
     )
 
 
-@pytest.mark.parametrize("size, seed", [(12, 1), (12, 2), (5, 3)])
+@pytest.mark.parametrize(("size", "seed"), [(12, 1), (12, 2), (5, 3)])
 def test_datagram_loss_of_30_percent_makes_no_instance_dead(size: int, seed: int) -> None:
     fleet = joined_fleet(size, seed, loss=0.3)
     began = fleet.clock.now_us
     fleet.clock.run_until(began + 60 * SECOND)
-    assert fleet.death_reports() == [] and fleet.all_views_agree()
+    assert fleet.death_reports() == []
+    assert fleet.all_views_agree()
     assert event_counts(fleet, began)["instance_partially_reachable"] <= 1
 
 
 PAIRS = [(a, b) for a in range(5) for b in range(5) if a != b]
 
 
-@pytest.mark.parametrize("a, b", PAIRS)
+@pytest.mark.parametrize(("a", "b"), PAIRS)
 def test_one_way_cut_shows_both_ends_as_partially_reachable_to_all(a: int, b: int) -> None:
     fleet = joined_fleet(5, 1 + 5 * a + b)
     began = fleet.clock.now_us
@@ -83,9 +85,8 @@
     }
     assert view == {f"copy{a}": [f"copy{b}"], f"copy{b}": [f"copy{a}"]}
     seen = event_counts(fleet, began)
-    assert (
-        set(seen) == {"instance_partially_reachable"} and seen["instance_partially_reachable"] == 2
-    )  # said once by each: no flapping
+    assert set(seen) == {"instance_partially_reachable"}
+    assert seen["instance_partially_reachable"] == 2
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(
         lambda: state_seen_by(fleet, other, a) == state_seen_by(fleet, other, b) == "alive", 20 * SECOND
@@ -106,7 +107,8 @@
 
 
 @pytest.mark.parametrize(
-    "size, cut", [(9, between_all_but_neighbours), (12, between_most_pairs), (3, between_all_but_neighbours)]
+    ("size", "cut"),
+    [(9, between_all_but_neighbours), (12, between_most_pairs), (3, between_all_but_neighbours)],
 )
 def test_instances_connected_only_through_others_stay_alive(
     size: int, cut: Callable[[str, str], bool]
@@ -118,9 +120,8 @@
         fleet.clock.run_until(began + 50 * SECOND)
         assert fleet.death_reports(began) == []
         settled = event_counts(fleet, began + 30 * SECOND)
-        assert (
-            settled["instance_dead"] == 0 and settled["instance_suspected"] <= 2
-        )  # and none of them flaps for long
+        assert settled["instance_dead"] == 0
+        assert settled["instance_suspected"] <= 2
         fleet.network.is_cut = lambda *_: False
         assert fleet.clock.run_until_met(fleet.all_views_agree, 20 * SECOND)
 
@@ -131,9 +132,8 @@
     fleet.network.is_cut = lambda _, b: b == "copy3"
     fleet.clock.run_until(began + 30 * SECOND)
     assert not [told for told in fleet.death_reports(began) if told.subject == "copy3"]
-    assert state_seen_by(fleet, 5, 3) == "partly" and {
-        told.reporter for told in fleet.death_reports(began)
-    } <= {"copy3"}
+    assert state_seen_by(fleet, 5, 3) == "partly"
+    assert {told.reporter for told in fleet.death_reports(began)} <= {"copy3"}
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(fleet.all_views_agree, 15 * SECOND)
 
@@ -173,14 +173,13 @@
     assert not [told for told in fleet.death_reports(began) if number_of(told.subject) < 15]
 
 
-@pytest.mark.parametrize("refuses, within_s", [(True, 6.0), (False, 12.0)])
+@pytest.mark.parametrize(("refuses", "within_s"), [(True, 6.0), (False, 12.0)])
 def test_refused_datagrams_make_many_deaths_known_sooner(refuses: bool, within_s: float) -> None:
     fleet = joined_fleet(50, reports_refusals=refuses)
     for n in range(35):
         fleet.kill(f"copy{n}")
-    assert fleet.clock.run_until_met(fleet.all_views_agree, int(within_s * SECOND)) and not any(
-        number_of(told.subject) >= 35 for told in fleet.death_reports()
-    )
+    assert fleet.clock.run_until_met(fleet.all_views_agree, int(within_s * SECOND))
+    assert not any(number_of(told.subject) >= 35 for told in fleet.death_reports())
 
 
 def test_process_being_replaced_is_not_declared_dead() -> None:
@@ -190,7 +189,8 @@
         fleet.clock.run_until(fleet.clock.now_us + SECOND // 5)
         fleet.start(3)
         fleet.clock.run_until(fleet.clock.now_us + 3 * SECOND)
-    assert fleet.all_views_agree() and fleet.death_reports() == []
+    assert fleet.all_views_agree()
+    assert fleet.death_reports() == []
 
 
 @pytest.mark.parametrize("counted_from", [0, 10**12])
@@ -201,7 +201,8 @@
     began = fleet.clock.now_us
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
     fleet.clock.run_until(began + 15 * SECOND)
-    assert fleet.death_reports(began) == [] and not event_counts(fleet, 0)["instance_renamed"]
+    assert fleet.death_reports(began) == []
+    assert not event_counts(fleet, 0)["instance_renamed"]
 
 
 def test_restart_every_second_leaves_one_instance() -> None:
@@ -212,10 +213,8 @@
         fleet.start(2, 10**9 * (20 - n) if n % 2 else 0)
         fleet.clock.run_until(fleet.clock.now_us + SECOND)
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
-    assert (
-        not [told for told in fleet.death_reports(began) if told.subject != "copy2"]
-        and not event_counts(fleet, 0)["instance_renamed"]
-    )
+    assert not [told for told in fleet.death_reports(began) if told.subject != "copy2"]
+    assert not event_counts(fleet, 0)["instance_renamed"]
 
 
 def test_one_of_two_instances_with_the_same_name_takes_another() -> None:
@@ -229,9 +228,8 @@
     fleet.clock.run_until(fleet.clock.now_us + 10 * SECOND)
     low = first if first.instance.self_record.process_id < second.instance.self_record.process_id else second
     assert low.instance.name == f"copy2~{low.instance.self_record.process_id:08x}"
-    assert {p.instance.live_instance_count() for p in fleet.processes.values()} == {6} and event_counts(
-        fleet, 0
-    )["instance_renamed"] == 1
+    assert {p.instance.live_instance_count() for p in fleet.processes.values()} == {6}
+    assert event_counts(fleet, 0)["instance_renamed"] == 1
 
 
 def test_leaving_instance_is_not_suspected_and_hand_over_announces_nothing() -> None:
@@ -239,13 +237,15 @@
     began = fleet.clock.now_us
     fleet.leave("copy4")
     assert fleet.clock.run_until_met(fleet.all_views_agree, SECOND)
-    assert event_counts(fleet, began) == {"instance_left": 11} and state_seen_by(fleet, 0, 4) == "left"
+    assert event_counts(fleet, began) == {"instance_left": 11}
+    assert state_seen_by(fleet, 0, 4) == "left"
     process = fleet.names["copy5"]
     assert process.instance.leave(fleet.clock.now_us, announces=False) == []
 
 
 @pytest.mark.parametrize(
-    "size, most_bytes, name", [(12, 256, "copy"), (8, 256, "n" * 62), (60, 256, "copy"), (60, 1400, "copy")]
+    ("size", "most_bytes", "name"),
+    [(12, 256, "copy"), (8, 256, "n" * 62), (60, 256, "copy"), (60, 1400, "copy")],
 )
 def test_join_and_death_detection_work_in_small_datagrams(size: int, most_bytes: int, name: str) -> None:
     def change(told: MembershipSettings) -> MembershipSettings:
@@ -253,10 +253,8 @@
 
     fleet = MembershipSimulation(size, 1, change=change)
     fleet.start_all()
-    assert (
-        fleet.clock.run_until_met(fleet.all_views_agree, 60 * SECOND)
-        and fleet.network.largest_datagram_bytes <= most_bytes
-    )
+    assert fleet.clock.run_until_met(fleet.all_views_agree, 60 * SECOND)
+    assert fleet.network.largest_datagram_bytes <= most_bytes
     fleet.clock.run_until(fleet.clock.now_us + 8 * SECOND)
     began = fleet.clock.now_us
     fleet.kill(f"{name}{size - 1}")
@@ -288,7 +286,8 @@
 
 def test_no_order_of_datagrams_makes_live_instance_dead_or_lowers_incarnation() -> None:
     """Each of the first datagrams of a suspicion comes at once, comes late or (one of them) never, and its
-    copy pauses or does not."""
+    copy pauses or does not.
+    """
     for pause, late, lost in product((0, 700_000), product((False, True), repeat=5), range(-1, 5)):
         fleet = MembershipSimulation(3, 1, seeds=2)
         fleet.start_all()
@@ -316,7 +315,8 @@
             for name, process in fleet.names.items():
                 assert process.instance.self_record.incarnation >= counted[name]
                 counted[name] = process.instance.self_record.incarnation
-        assert fleet.all_views_agree() and fleet.death_reports(began) == []
+        assert fleet.all_views_agree()
+        assert fleet.death_reports(began) == []
 
 
 def test_one_delay_degrades_local_health_once_however_many_datagrams_waited() -> None:
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -11,4 +11,6 @@
     for by in (1, 1, 2, 3, 4, 5):
         suspicion.confirm(by)
         spans.append(suspicion.deadline_us())
-    assert spans[0] == spans[1] == 200 and spans[4:] == [100, 100] and spans == sorted(spans, reverse=True)
+    assert spans[0] == spans[1] == 200
+    assert spans[4:] == [100, 100]
+    assert spans == sorted(spans, reverse=True)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "sizes, fractions",
+    ("sizes", "fractions"),
     [((3, 3), (1.0, 1.0)), ((1, 3), (0.5, 1.5)), ((1, 9), (0.2, 1.8)), ((0, 3), (0.0, 2.0))],
 )
 def test_zone_starts_with_what_it_can_take_of_an_even_load(
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    "attempts_per_s, latency_ratio, factor",
+    ("attempts_per_s", "latency_ratio", "factor"),
     [(0.0, 1, 1.0), (0.0, 0.5, 1.55), (0.0, 4, 0.5), (10.0, 0.5, 1.055), (10.0, 4, 0.889)],
 )
 def test_record_latency_moves_the_admitted_fraction_more_where_attempts_are_few(
@@ -74,7 +74,7 @@
     assert 270 < sent < 330  # three quarters: half in the own zone, and half of the rest in the other
 
 
-@pytest.mark.parametrize("attempts_per_s, size", [(0.0, 2), (4.0, 2), (10.0, 5), (100.0, 6)])
+@pytest.mark.parametrize(("attempts_per_s", "size"), [(0.0, 2), (4.0, 2), (10.0, 5), (100.0, 6)])
 def test_subset_size_follows_the_rate_of_attempts(attempts_per_s: float, size: int) -> None:
     # A connection stays open a minute, and 400 instances with twelve each filled tables of 85.
     load_balancer = make_mesh_load_balancer()
@@ -132,7 +132,9 @@
     assert endpoint.is_in_subset
 
 
-@pytest.mark.parametrize("calm, recent, surge", [(80, 10, 1.0), (80, 100, 2.78), (0, 1, 1.0), (0, 30, 5.0)])
+@pytest.mark.parametrize(
+    ("calm", "recent", "surge"), [(80, 10, 1.0), (80, 100, 2.78), (0, 1, 1.0), (0, 30, 5.0)]
+)
 def test_surge_of_own_requests_cuts_what_zones_admit_at_once(calm: int, recent: int, surge: float) -> None:
     load_balancer = make_mesh_load_balancer(slow_start=make_slow_start(now_us=-SECOND))
     for number in range(calm):
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, latency_us, change",
+    ("outcome", "latency_us", "change"),
     [
         (Outcome.SUCCEEDED, SECOND // 10, 1),
         (Outcome.SUCCEEDED, SECOND * 9 // 10, -1),
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "later_latency_us, is_cut", [(SECOND // 10, False), (SECOND * 2, True), (None, True)]
+    ("later_latency_us", "is_cut"), [(SECOND // 10, False), (SECOND * 2, True), (None, True)]
 )
 def test_lost_answer_cuts_no_limit_when_later_attempts_were_prompt(
     later_latency_us: int | None, is_cut: bool
@@ -62,7 +62,7 @@
     assert factor < 0.76 if errors == 8 else factor > 0.76
 
 
-@pytest.mark.parametrize("is_last_tier, is_cut", [(True, False), (False, True)])
+@pytest.mark.parametrize(("is_last_tier", "is_cut"), [(True, False), (False, True)])
 def test_error_cuts_the_limit_unless_the_endpoint_is_in_the_last_tier(
     is_last_tier: bool, is_cut: bool
 ) -> None:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, latency_us, limit, shared",
+    ("outcome", "latency_us", "limit", "shared"),
     [
         (Outcome.TIMED_OUT, SECOND, 2.0, 0.0),
         (Outcome.TIMED_OUT, SECOND, 1.0, 0.0),
@@ -99,7 +99,7 @@
     assert other == pytest.approx(shared * own)
 
 
-@pytest.mark.parametrize("is_ingress, floor", [(True, 1.0), (False, 6.0)])
+@pytest.mark.parametrize(("is_ingress", "floor"), [(True, 1.0), (False, 6.0)])
 def test_limits_behind_the_ingress_tier_never_go_below_the_first_ones(is_ingress: bool, floor: float) -> None:
     load_balancer = make_load_balancer([make_entry(0)], is_ingress=is_ingress)
     for _ in range(40):
@@ -109,7 +109,7 @@
     assert load_balancer.endpoints[0].limit == floor
 
 
-@pytest.mark.parametrize("outcome, cuts", [(Outcome.SUCCEEDED, 1), (Outcome.TIMED_OUT, 3)])
+@pytest.mark.parametrize(("outcome", "cuts"), [(Outcome.SUCCEEDED, 1), (Outcome.TIMED_OUT, 3)])
 def test_attempts_in_flight_together_cut_once_unless_they_time_out(outcome: Outcome, cuts: int) -> None:
     load_balancer = make_load_balancer([make_entry(0)])
     requests = [start_request(load_balancer) for _ in range(3)]
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    "usual, overloaded, threshold",
+    ("usual", "overloaded", "threshold"),
     [
         ([0.2], [], 0.2),
         ([0.1, 0.3], [], 0.4),
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    "failing, last_outcome_us, zone",
+    ("failing", "last_outcome_us", "zone"),
     [([], 0, 0), ([0], 0, 0), ([0, 1], 0, 1), ([0, 1], -60 * SECOND, 0), ([0, 1, 2, 3, 4], 0, 0)],
 )
 def test_select_leaves_own_zone_when_most_of_its_endpoints_fail(
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    "in_flight, latencies, selected",
+    ("in_flight", "latencies", "selected"),
     [((3, 0), (1.0, 1.0), 1), ((0, 3), (1.0, 1.0), 0), ((1, 1), (0.9, 0.1), 1), ((0, 1), (0.9, 0.1), 0)],
 )
 def test_select_takes_the_endpoint_with_fewer_own_attempts_in_flight(
@@ -63,7 +63,7 @@
     assert start.endpoint_index == selected
 
 
-@pytest.mark.parametrize("weight, least, most", [(1.0, 200, 200), (0.0, 70, 130)])
+@pytest.mark.parametrize(("weight", "least", "most"), [(1.0, 200, 200), (0.0, 70, 130)])
 def test_limit_below_one_is_open_to_a_part_of_the_requests_of_low_weight(
     weight: float, least: int, most: int
 ) -> None:
@@ -79,7 +79,7 @@
     assert least <= attempts <= most
 
 
-@pytest.mark.parametrize("requests, attempts", [(1, 1), (2, 1), (6, 1)])
+@pytest.mark.parametrize(("requests", "attempts"), [(1, 1), (2, 1), (6, 1)])
 def test_instance_with_nothing_in_flight_may_send_one_attempt(requests: int, attempts: int) -> None:
     load_balancer = make_load_balancer(
         [make_entry(index, index % 2) for index in range(8)], instance_count=300
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -7,7 +7,9 @@
 from tests.policy.support import make_entry, make_load_balancer
 
 
-@pytest.mark.parametrize("zone_count, own_limit, other_limit", [(1, 2.0, None), (2, 4.0, 2.0), (3, 6.0, 2.0)])
+@pytest.mark.parametrize(
+    ("zone_count", "own_limit", "other_limit"), [(1, 2.0, None), (2, 4.0, 2.0), (3, 6.0, 2.0)]
+)
 def test_first_limits_of_the_own_zone_are_shared_by_its_own_instances_only(
     zone_count: int, own_limit: float, other_limit: float | None
 ) -> None:
--- a/tests/policy/test_list_polling.py
+++ b/tests/policy/test_list_polling.py
@@ -11,7 +11,7 @@
 INTERVAL_US = 10 * SECOND
 
 
-@pytest.mark.parametrize("is_poll_answer, is_due", [(True, False), (False, True)])
+@pytest.mark.parametrize(("is_poll_answer", "is_due"), [(True, False), (False, True)])
 def test_list_held_since_the_start_does_not_postpone_the_poll(is_poll_answer: bool, is_due: bool) -> None:
     poller = EndpointListPoller(True, INTERVAL_US, RandomGenerator(3))
     load_balancer = make_load_balancer([], list_poller=poller)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-@pytest.mark.parametrize("idempotency, key_scope", REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
 def test_request_gets_exactly_one_final_answer(
     idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome
 ) -> None:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, is_last_tier, others_fail, is_owned",
+    ("outcome", "is_last_tier", "others_fail", "is_owned"),
     [
         (Outcome.REJECTED_BY_ENDPOINT, False, True, True),
         (Outcome.CONNECT_FAILED, False, True, True),
--- a/tests/policy/test_request_class.py
+++ b/tests/policy/test_request_class.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "is_value_per_work, worst_class_weight, weights",
+    ("is_value_per_work", "worst_class_weight", "weights"),
     [(False, 0.0, [1.0, 1 / 6]), (True, 0.0, [1.0, 0.25]), (False, 0.4, [1.0, 0.5]), (True, 1.0, [1.0, 1.0])],
 )
 def test_priority_weights_leave_the_least_class_its_part(
--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    "weights, is_ingress, leaves_first",
+    ("weights", "is_ingress", "leaves_first"),
     [((0.1, 1.0), True, 1), ((1.0, 0.1), True, 0), ((0.5, 0.5), True, 0), ((0.1, 1.0), False, 0)],
 )
 def test_queue_serves_the_greatest_weight_first_in_the_ingress_tier(
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -28,9 +28,9 @@
     return request
 
 
-@pytest.mark.parametrize("idempotency, key_scope", REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
 @pytest.mark.parametrize("outcome", FAILURES)
-@pytest.mark.parametrize("zone, cell", [(0, 0), (0, 1), (1, 1)])
+@pytest.mark.parametrize(("zone", "cell"), [(0, 0), (0, 1), (1, 1)])
 @pytest.mark.parametrize("now_us", [0, 5 * SECOND])
 def test_retry_is_allowed_only_without_effect_or_within_scope_and_window(
     idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome, zone: int, cell: int, now_us: int
@@ -47,7 +47,7 @@
     assert (policy.may_retry(request, now_us) and policy.may_use_endpoint(request, other)) is is_allowed
 
 
-@pytest.mark.parametrize("idempotency, key_scope", REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_reject_is_allowed_only_where_another_run_is_harmless(
     idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "may_hedge, in_flight, attempts, is_allowed",
+    ("may_hedge", "in_flight", "attempts", "is_allowed"),
     [
         (False, 0, 1, True),
         (False, 1, 1, False),
--- a/tests/policy/test_routed_request.py
+++ b/tests/policy/test_routed_request.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "idempotency, key_scope, overdue_weight, is_per_client, timeout_us",
+    ("idempotency", "key_scope", "overdue_weight", "is_per_client", "timeout_us"),
     [
         (Idempotency.IDEMPOTENT, KeyScope.ALL, 0.0, True, 980_000),
         (Idempotency.WITH_KEY, KeyScope.ALL, 0.0, True, 980_000),
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -18,7 +18,7 @@
 MILLISECOND = 1000
 
 
-@pytest.mark.parametrize("age_s, most", [(0, 8), (5, 24), (9, 38)])
+@pytest.mark.parametrize(("age_s", "most"), [(0, 8), (5, 24), (9, 38)])
 def test_starting_endpoint_gets_its_part_of_what_a_warmed_up_one_gets(age_s: int, most: int) -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1)], slow_start=make_slow_start())
     for now_us in range(0, 20 * SECOND, 50 * MILLISECOND):
@@ -35,7 +35,7 @@
     assert sent <= most
 
 
-@pytest.mark.parametrize("born_s, least, most", [(19, 1, 3), (0, 0, 1)])
+@pytest.mark.parametrize(("born_s", "least", "most"), [(19, 1, 3), (0, 0, 1)])
 def test_instance_started_among_starting_endpoints_sends_some_attempts(
     born_s: int, least: int, most: int
 ) -> None:
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "busy_s, starved_s, even_rate_per_s, least, most",
+    ("busy_s", "starved_s", "even_rate_per_s", "least", "most"),
     [
         # 10 a second at each, 0.2 to 0.6 of that for 5 s, times at most 4, which is the multiple: 80
         (20, 0, 0.0, 40, 65),
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "connect_failures, successes, is_warming_up",
+    ("connect_failures", "successes", "is_warming_up"),
     [(1, 0, True), (1, 1, True), (1, 2, False), (20, 3, True), (20, 4, False), (0, 0, False)],
 )
 def test_endpoint_is_warming_up_after_failed_connections_until_it_succeeds(
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "scenario, least",
+    ("scenario", "least"),
     [
         (Scenario(3), 0.5),
         (Scenario(33), 0.5),
--- a/tests/policy/test_tenant_quota.py
+++ b/tests/policy/test_tenant_quota.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "rate_per_s, is_sent, over_quota", [(5, True, 0), (10, True, 0), (20, True, 100), (90, False, 0)]
+    ("rate_per_s", "is_sent", "over_quota"), [(5, True, 0), (10, True, 0), (20, True, 100), (90, False, 0)]
 )
 def test_requests_beyond_the_quota_are_over_quota(rate_per_s: int, is_sent: bool, over_quota: int) -> None:
     quotas = TenantQuotas([20.0], 2, 0.1)
@@ -30,7 +30,7 @@
         quotas.on_sent(0, False)
 
 
-@pytest.mark.parametrize("is_short, least", [(False, 0), (True, 100)])
+@pytest.mark.parametrize(("is_short", "least"), [(False, 0), (True, 100)])
 def test_quota_fills_by_what_is_sent_while_capacity_is_short(is_short: bool, least: int) -> None:
     quotas = TenantQuotas([50.0, 50.0], 1, 0.1)
     found = 0
--- a/tests/policy/test_zone_spillover.py
+++ b/tests/policy/test_zone_spillover.py
@@ -7,7 +7,7 @@
 from tests.policy.support import SECOND, make_entry, make_load_balancer, make_mesh_load_balancer
 
 
-@pytest.mark.parametrize("own, other, spills", [(0.2, 0.2, False), (0.5, 0.2, True), (0.2, 0.0, False)])
+@pytest.mark.parametrize(("own", "other", "spills"), [(0.2, 0.2, False), (0.5, 0.2, True), (0.2, 0.0, False)])
 def test_spilled_fraction_rises_while_own_latency_is_above_that_of_other_zones(
     own: float, other: float, spills: bool
 ) -> None:
--- a/tests/policy/test_zone_subset.py
+++ b/tests/policy/test_zone_subset.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "restarts, after_us, is_in_use", [(False, 0, False), (False, 3 * SECOND, True), (True, 0, True)]
+    ("restarts", "after_us", "is_in_use"), [(False, 0, False), (False, 3 * SECOND, True), (True, 0, True)]
 )
 def test_lost_endpoint_is_left_out_until_it_restarts_or_for_a_while(
     restarts: bool, after_us: int, is_in_use: bool
@@ -23,7 +23,7 @@
     assert (index in [endpoint.index for endpoint in load_balancer.zone_subsets[0].in_use]) is is_in_use
 
 
-@pytest.mark.parametrize("instance_count, size", [(1, 20), (6, 20), (24, 5), (1000, 4)])
+@pytest.mark.parametrize(("instance_count", "size"), [(1, 20), (6, 20), (24, 5), (1000, 4)])
 def test_choose_fills_the_subset_up_when_an_endpoint_fails(instance_count: int, size: int) -> None:
     load_balancer = make_load_balancer(
         [make_entry(index) for index in range(20)], instance_count=instance_count
@@ -38,7 +38,7 @@
     assert len(subset.in_use) == min(size, 19)
 
 
-@pytest.mark.parametrize("instance_count, endpoint_count", [(40, 20), (150, 12), (97, 30)])
+@pytest.mark.parametrize(("instance_count", "endpoint_count"), [(40, 20), (150, 12), (97, 30)])
 def test_subsets_of_all_instances_spread_evenly_over_the_endpoints(
     instance_count: int, endpoint_count: int
 ) -> None:
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -345,6 +345,17 @@
         )
 
 
+def kit_folder(name: str) -> Path:
+    """Returns the folder of the benches.
+
+    Raises:
+        RegressionSetupError: There is none of this name.
+    """
+    if not name or not Path(name).is_dir():
+        raise RegressionSetupError(f"KIT={name}: no kit there")
+    return Path(name)
+
+
 def main(words: Sequence[str]) -> int:
     """Plays everything, prints the report and returns the exit status."""
     parser = argparse.ArgumentParser(
@@ -354,10 +365,9 @@
     parser.add_argument("--standing", action="store_true", help="of the days, only those that have a gate")
     parser.add_argument("--full", action="store_true", help="full days in place of quick ones")
     options = parser.parse_args(words)
-    kit, size = Path(options.kit), "full" if options.full else "quick"
+    size = "full" if options.full else "quick"
     try:
-        if not options.kit or not kit.is_dir():
-            raise RegressionSetupError(f"KIT={options.kit}: no kit there")
+        kit = kit_folder(options.kit)
         figures = read_figures(FIGURES_PATH)
         days = [day for day in figures["day"] if day.get("gate") or not options.standing]
         whole, panels = figures.get("whole"), figures.get("panels", [])
