--- a/tests/golden/record_failover.py
+++ b/tests/golden/record_failover.py
@@ -1,5 +1,6 @@
-"""Writes failover-datagrams.json: `python -m tests.golden.record_failover`, by hand, only when a change of
-the messages is meant.
+"""Writes failover-datagrams.json, by hand, only when a change of the messages is meant.
+
+Run as `python -m tests.golden.record_failover`.
 """
 
 from __future__ import annotations
--- a/tests/golden/record_handover.py
+++ b/tests/golden/record_handover.py
@@ -1,5 +1,6 @@
-"""Writes handover-frames.json: `python -m tests.golden.record_handover`, by hand, only when a change of the
-frames is meant.
+"""Writes handover-frames.json, by hand, only when a change of the frames is meant.
+
+Run as `python -m tests.golden.record_handover`.
 """
 
 from __future__ import annotations
--- a/tests/golden/record_membership.py
+++ b/tests/golden/record_membership.py
@@ -1,5 +1,6 @@
-"""Writes membership-datagrams.json: `python -m tests.golden.record_membership`, by hand, only when a change
-of the datagrams is meant.
+"""Writes membership-datagrams.json, by hand, only when a change of the datagrams is meant.
+
+Run as `python -m tests.golden.record_membership`.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -1,5 +1,6 @@
-"""Every kind of failover message: stored values give the stored bytes, and those are read back as the stored
-values at a later time.
+"""Every kind of failover message.
+
+Stored values give the stored bytes, and those are read back as the stored values at a later time.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -1,5 +1,7 @@
-"""Every hand-over frame between two processes: a fixed state gives the stored bytes. They are read back from
-any pieces, and a sidecar that is settled from them tells the same again and goes on as stored.
+"""Every hand-over frame between two processes.
+
+A fixed state gives the stored bytes. They are read back from any pieces, and a sidecar that restores them
+captures the same again and goes on as stored.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -1,9 +1,11 @@
-"""Every kind of membership datagram and of field: stored values give the stored bytes, and those are read
-back as the stored values.
+"""Every kind of membership datagram and of field.
+
+Stored values give the stored bytes, and those are read back as the stored values.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -19,33 +21,25 @@
 STORED = stored(FILE)
 
 
+ENCODERS: dict[str, Callable[[Any], bytes]] = {
+    "record": lambda values: codec.encode_record(InstanceRecord(*values)),
+    "brief": lambda values: codec.encode_status(InstanceStatus(*values)),
+    "self": lambda values: codec.encode_own_status(InstanceStatus(*values)),
+    "edge": lambda values: codec.encode_reachability(ReachabilityReport(*values)),
+    "call": lambda values: codec.encode_ping_reference(codec.PingReference(*values)),
+    "span": lambda values: codec.encode_id_range(IdRange(*values)),
+    "hint": lambda values: codec.encode_load_report(LoadReport(*values)),
+    "word": lambda text: codec.encode_user_message(bytes.fromhex(text)),
+    "said": lambda values: codec.encode_user_broadcast(values[0], bytes.fromhex(values[1])),
+    "digest": lambda rows: codec.encode_digest([InstanceStatus(*row) for row in rows]),
+    "pad": codec.encode_padding,
+    "raw": bytes.fromhex,
+}
+
+
 def field(name: str, value: Any) -> bytes:
     """One field from its stored name and values."""
-    told = tuples(value)
-    if name == "record":
-        return codec.encode_record(InstanceRecord(*told))
-    if name == "brief":
-        return codec.encode_status(InstanceStatus(*told))
-    if name == "self":
-        return codec.encode_own_status(InstanceStatus(*told))
-    if name == "edge":
-        return codec.encode_reachability(ReachabilityReport(*told))
-    if name == "call":
-        return codec.encode_ping_reference(codec.PingReference(*told))
-    if name == "span":
-        return codec.encode_id_range(IdRange(*told))
-    if name == "hint":
-        return codec.encode_load_report(LoadReport(*told))
-    if name == "word":
-        return codec.encode_user_message(bytes.fromhex(value))
-    if name == "said":
-        return codec.encode_user_broadcast(value[0], bytes.fromhex(value[1]))
-    if name == "digest":
-        return codec.encode_digest([InstanceStatus(*row) for row in told])
-    if name == "pad":
-        return codec.encode_padding(value)
-    assert name == "raw", name
-    return bytes.fromhex(value)
+    return ENCODERS[name](tuples(value))
 
 
 def encoded(kind: int, number: int, given: list[Any]) -> bytes:
--- a/tests/golden_edges/test_check_messages.py
+++ b/tests/golden_edges/test_check_messages.py
@@ -1,5 +1,6 @@
-"""Pins of `python -m cressrail check FILE`: the exit status, and the setting that the message names. The
-words around it may improve; the stored file holds only these two.
+"""Pins of `python -m cressrail check FILE`: the exit status, and the setting that the message names.
+
+The words around it may improve; the stored file holds only these two.
 """
 
 from __future__ import annotations
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -117,8 +117,9 @@
 
 
 def exchanged(endpoint: Script | None, sent: list[bytes], **limits: Any) -> dict[str, str]:
-    """All bytes that a client hears until it has shut down its side and the connection ends, and those that
-    an endpoint hears.
+    """All bytes that a client and an endpoint receive.
+
+    The client shuts down its side at the end and reads until the connection ends.
     """
     at_client, at_endpoint = [], bytearray()
 
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -1,5 +1,6 @@
-"""Pins of files that the present version has written (a run's ledgers, a sidecar's log, a trace) or that
-people wrote for it (scenarios): what reads them goes on to read the same values.
+"""Pins of files of an earlier version: what reads them goes on to read the same values.
+
+They are a run's ledgers, a sidecar's log and a trace, and scenarios that people wrote.
 """
 
 from __future__ import annotations
@@ -107,7 +108,7 @@
     assert out.read_bytes() == (DATA / trace).read_bytes()
 
 
-def test_traces_are_read(tmp_path: Path) -> None:
+def test_traces_are_read() -> None:
     found: dict[str, Any] = {}
     for name in ("trace.jsonl", "log_trace.jsonl", "trace.csv"):
         for scale in (1.0, 0.5):
--- a/tests/http1/test_response.py
+++ b/tests/http1/test_response.py
@@ -40,15 +40,15 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "body", "keep_alive"), [case for case in RESPONSES if case[2] and len(case[0]) < 200]
+    "text", [text for text, _body, keep_alive in RESPONSES if keep_alive and len(text) < 200]
 )
-def test_response_cut_at_any_byte_is_incomplete(text: bytes, body: bytes, keep_alive: bool) -> None:
+def test_response_cut_at_any_byte_is_incomplete(text: bytes) -> None:
     for cut in range(len(text)):
         pool = BufferPool(10)
         reader = ResponseReader(BufferChain(pool), 65536)
         feed_in_steps(reader, pool, text[:cut], 5)
+        assert not reader.is_complete
         with pytest.raises(MalformedMessageError):
-            assert not reader.is_complete
             reader.on_connection_closed()
 
 
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -285,8 +285,9 @@
 
 
 def test_no_order_of_datagrams_makes_live_instance_dead_or_lowers_incarnation() -> None:
-    """Each of the first datagrams of a suspicion comes at once, comes late or (one of them) never, and its
-    copy pauses or does not.
+    """Each of the first datagrams of a suspicion comes at once, late or never; its instance pauses or not.
+
+    At most one of them never comes.
     """
     for pause, late, lost in product((0, 700_000), product((False, True), repeat=5), range(-1, 5)):
         fleet = MembershipSimulation(3, 1, seeds=2)
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -157,10 +157,11 @@
 
 
 def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
-    sink = WatchLines()
+    lines = WatchLines()
+    for _ in range(MAX_DOCUMENT_BYTES // 1000):
+        lines.append(memoryview(b"x" * 1000))
     with pytest.raises(MalformedMessageError):
-        for _ in range(MAX_DOCUMENT_BYTES // 1000 + 1):
-            sink.append(memoryview(b"x" * 1000))
+        lines.append(memoryview(b"x" * 1000))
     driver = ProxyDriver(0)
     twice = listed(0, 1024)
     twice["members"] += twice["members"][:9]
