--- a/tests/testbed/event_rows.py
+++ b/tests/testbed/event_rows.py
@@ -4,7 +4,10 @@
 
 from typing import Any
 
+from cressrail.testbed.event_record import ProcessState
+
 Row = dict[str, Any]
+SECOND_US = 1_000_000
 
 ONE_TIER: Row = {
     "seconds": 5,
@@ -69,3 +72,39 @@
 def phase_row(phase: str, at_us: int) -> Row:
     """Discovery announces a phase of endpoint x0 to the ingress sidecar."""
     return {"told": "door0", "endpoint": "x0", "phase": phase, "at_us": at_us}
+
+
+def three_sidecars(*rows: Row) -> list[Row]:
+    """An event record in which sidecars a, b and c are up from the start."""
+    return [*(process_row(0, name, ProcessState.UP) for name in "abc"), *rows]
+
+
+def process_row(at_s: float, name: str, state: ProcessState) -> Row:
+    """A change of a sidecar's process."""
+    return {"process": name, "how": state.value, "pool": 0, "at_us": int(at_s * SECOND_US)}
+
+
+def view_row(at_s: float, observer: str, alive: int, **states: str) -> Row:
+    """What an observer's admin address showed."""
+    return {"view": observer, "at_us": int(at_s * SECOND_US), "alive": alive, "states": states}
+
+
+def cut_row(at_s: float, is_begin: bool, senders: str = "", receivers: str = "") -> Row:
+    """Begin or end of a one-way cut between sidecars with names of one letter."""
+    return {
+        "cut": 0,
+        "on": is_begin,
+        "at_us": int(at_s * SECOND_US),
+        "ways": [list(senders), list(receivers)],
+    }
+
+
+def log_row(at_s: float, observer: str, event: str, instance: str = "", paused_ms: int = 0) -> Row:
+    """A line of a sidecar's log."""
+    return {
+        "said": observer,
+        "event": event,
+        "copy": instance,
+        "for_ms": paused_ms,
+        "at_us": int(at_s * SECOND_US),
+    }
