--- a/tests/cli/test_membership_watch.py
+++ b/tests/cli/test_membership_watch.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "target, expected_message",
+    ("target", "expected_message"),
     [
         pytest.param("127.0.0.1:1", "127.0.0.1:1: ", id="nobody listens"),
         pytest.param("none.json", "none.json: No such file", id="no such file"),
--- a/tests/configuration/support.py
+++ b/tests/configuration/support.py
@@ -12,7 +12,8 @@
         self.events: list[str] = []
         self.log = self
 
-    def write_event(self, event: str, fields: dict[str, Any]) -> None:
+    def write_event(self, event: str, _fields: dict[str, Any]) -> None:
+        """Keeps the name of an event."""
         self.events.append(event)
 
 
--- a/tests/configuration/test_deployment_type.py
+++ b/tests/configuration/test_deployment_type.py
@@ -19,27 +19,33 @@
 from tests.support.configuration import SIDECAR_CONFIGURATION, mesh_configuration
 
 ROOT = Path(__file__).parents[2]
+UNUSABLE = 2  # exit status
+
+
+# Deployment type, setting, value (None: missing) and the message.
+MIXED_SETTINGS: list[tuple[str, str, Any, str]] = [
+    ("mesh", "limits.multiplex", 1, "limits.multiplex does not go with domain_type mesh: 1"),
+    ("mesh", "limits.multiplex", None, "limits.multiplex is missing, which domain_type mesh needs"),
+    ("mesh", "limits.probes", "often", "limits.probes is none of true, 1, false, 0: often"),
+    ("mesh", "limits.peers", 7, "limits.peers is none of true, 1, false, 0: 7"),
+    ("mesh", "tiers", ["x", "y"], "tiers does not go with domain_type mesh, which has one: x,y"),
+    ("mesh", "stage", 1, "stage does not go with domain_type mesh: 1"),
+    ("mesh", "domain_type", "chain", "limits.multiplex does not go with domain_type chain: 100"),
+    ("mesh", "domain_type", None, "limits.multiplex does not go with domain_type chain: 100"),
+    ("mesh", "domain_type", "ring", "domain_type is none of chain, mesh: ring"),
+    ("mesh", "profiles.0.overdue_revenue", 2, "profiles.0.overdue_revenue is not within 0 and 1: 2.0"),
+    ("chain", "domain_type", "mesh", "limits.multiplex is missing, which domain_type mesh needs"),
+    ("chain", "limits.multiplex", 100, "limits.multiplex does not go with domain_type chain: 100"),
+    ("chain", "limits.probes", 2, "limits.probes is none of true, 1, false, 0: 2"),
+    ("chain", "limits.peers", "", "limits.peers is none of true, 1, false, 0: "),
+    ("chain", "limits.parallel_tries", "no", "limits.parallel_tries is none of true, 1, false, 0: no"),
+]
 
 
 @pytest.mark.parametrize(
-    "base, setting, value, message",
-    [
-        ("mesh", "limits.multiplex", 1, "limits.multiplex does not go with domain_type mesh: 1"),
-        ("mesh", "limits.multiplex", None, "limits.multiplex is missing, which domain_type mesh needs"),
-        ("mesh", "limits.probes", "often", "limits.probes is none of true, 1, false, 0: often"),
-        ("mesh", "limits.peers", 7, "limits.peers is none of true, 1, false, 0: 7"),
-        ("mesh", "tiers", ["x", "y"], "tiers does not go with domain_type mesh, which has one: x,y"),
-        ("mesh", "stage", 1, "stage does not go with domain_type mesh: 1"),
-        ("mesh", "domain_type", "chain", "limits.multiplex does not go with domain_type chain: 100"),
-        ("mesh", "domain_type", None, "limits.multiplex does not go with domain_type chain: 100"),
-        ("mesh", "domain_type", "ring", "domain_type is none of chain, mesh: ring"),
-        ("mesh", "profiles.0.overdue_revenue", 2, "profiles.0.overdue_revenue is not within 0 and 1: 2.0"),
-        ("chain", "domain_type", "mesh", "limits.multiplex is missing, which domain_type mesh needs"),
-        ("chain", "limits.multiplex", 100, "limits.multiplex does not go with domain_type chain: 100"),
-        ("chain", "limits.probes", 2, "limits.probes is none of true, 1, false, 0: 2"),
-        ("chain", "limits.peers", "", "limits.peers is none of true, 1, false, 0: "),
-        ("chain", "limits.parallel_tries", "no", "limits.parallel_tries is none of true, 1, false, 0: no"),
-    ],
+    ("base", "setting", "value", "message"),
+    MIXED_SETTINGS,
+    ids=[f"{base}: {setting} {value}" for base, setting, value, _ in MIXED_SETTINGS],
 )
 def test_settings_of_the_other_deployment_type_are_refused_by_name_at_start_and_on_sighup(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], base: str, setting: str, value: Any, message: str
@@ -51,40 +57,46 @@
     set_path(config["settings"], setting, value)
     path.write_text(json.dumps(config))
     for command in (check_configuration, launch):
-        assert command(str(path)) == 2
+        assert command(str(path)) == UNUSABLE
         output = capsys.readouterr().err
-        assert output.startswith(f"cressrail: {path}: settings.{message}") and output.count("\n") == 1
-    reread, net = ConfigurationReload(str(path), before), RecordedEvents()
-    reread.reload(net)  # type: ignore[arg-type]
-    assert net.events == ["configuration_rejected"] and reread.start is before
+        assert output.startswith(f"cressrail: {path}: settings.{message}")
+        assert output.count("\n") == 1
+    reload, recorded = ConfigurationReload(str(path), before), RecordedEvents()
+    reload.reload(recorded)  # type: ignore[arg-type]
+    assert recorded.events == ["configuration_rejected"]
+    assert reload.start is before
 
 
 @pytest.mark.parametrize(
-    "values, name, per_client",
+    ("values", "name", "per_client"),
     [
-        ({}, "chain", False),
-        ({"domain_type": "chain", "limits.multiplex": "1", "limits.probes": "true"}, "chain", False),
-        (
+        pytest.param({}, "chain", False, id="nothing set"),
+        pytest.param(
+            {"domain_type": "chain", "limits.multiplex": "1", "limits.probes": "true"},
+            "chain",
+            False,
+            id="chain",
+        ),
+        pytest.param(
             {"domain_type": "mesh", "limits.multiplex": "9", "limits.probes": "false", "tiers": "x"},
             "mesh",
             True,
+            id="mesh",
         ),
     ],
 )
 def test_deployment_type_follows_from_the_settings_alone(
     values: dict[str, str], name: str, per_client: bool
 ) -> None:
-    assert (
-        read_deployment_type(SettingsReader(values)).name == name
-        and is_per_client(SettingsReader(values)) is per_client
-    )
+    assert read_deployment_type(SettingsReader(values)).name == name
+    assert is_per_client(SettingsReader(values)) is per_client
 
 
 @pytest.mark.parametrize("path", ["probes", "peers", "may_cancel", "parallel_tries", "retry_after"])
-@pytest.mark.parametrize("permitted", [True, False])
-@pytest.mark.parametrize("make_config", [copy.deepcopy, mesh_configuration])
+@pytest.mark.parametrize("permitted", [True, False], ids=["permitted", "forbidden"])
+@pytest.mark.parametrize("make_config", [copy.deepcopy, mesh_configuration], ids=["chain", "mesh"])
 def test_permissions_go_with_either_deployment_type(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], make_config: Any, permitted: bool, path: str
+    tmp_path: Path, make_config: Any, permitted: bool, path: str
 ) -> None:
     config = make_config(SIDECAR_CONFIGURATION)
     config["settings"]["limits"].update({"max_retry_after_us": 1_000_000, path: permitted})
@@ -94,7 +106,11 @@
 
 
 @pytest.mark.parametrize(
-    "mixture", [{"domain_type": "mesh"}, {"domain_type": "proxy", "limits.multiplex": "9"}]
+    "mixture",
+    [
+        pytest.param({"domain_type": "mesh"}, id="mesh without streams"),
+        pytest.param({"domain_type": "proxy", "limits.multiplex": "9"}, id="unknown type with streams"),
+    ],
 )
 def test_policy_is_built_from_any_mixture_of_deployment_types(mixture: dict[str, str]) -> None:
     settings = {**SettingsReader.from_nested(SIDECAR_CONFIGURATION["settings"]).values, **mixture}
@@ -108,13 +124,12 @@
     path.write_text(json.dumps(mesh_configuration()))
     assert check_configuration(str(path)) == 0
     output = capsys.readouterr().out
-    assert "endpoints known, mesh" in output and "one request at a time here, of the 100" in output
+    assert "endpoints known, mesh" in output
+    assert "one request at a time here, of the 100" in output
 
 
-@pytest.mark.parametrize("name, deployment_type", [("config", "chain"), ("mesh", "mesh")])
+@pytest.mark.parametrize(("name", "deployment_type"), [("config", "chain"), ("mesh", "mesh")])
 def test_examples_have_the_deployment_type_of_their_name(name: str, deployment_type: str) -> None:
     path = ROOT / "example" / f"{name}.json"
-    assert (
-        check_configuration(str(path)) == 0
-        and read_startup_configuration(str(path), {}).deployment_type == deployment_type
-    )
+    assert check_configuration(str(path)) == 0
+    assert read_startup_configuration(str(path), {}).deployment_type == deployment_type
--- a/tests/configuration/test_settings_reader.py
+++ b/tests/configuration/test_settings_reader.py
@@ -9,6 +9,9 @@
     settings = SettingsReader.from_nested(
         {"a": {"b": 1, "on": True, "x": None}, "list": ["p, q", "r"], "deep": [{"n": 2.5}, {}]}
     )
-    assert settings.whole_number("a.b", 0) == 1 and settings.flag("a.on") and "a.x" not in settings.values
-    assert settings.names("list") == ["p, q", "r"] and settings.number("deep.0.n", 0, 9) == 2.5
+    assert settings.whole_number("a.b", 0) == 1
+    assert settings.flag("a.on")
+    assert "a.x" not in settings.values
+    assert settings.names("list") == ["p, q", "r"]
+    assert settings.number("deep.0.n", 0, 9) == 2.5
     assert settings.whole_number("deep.count", 0) == 2
--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -17,8 +17,14 @@
 from tests.configuration.support import set_path
 from tests.support.configuration import SIDECAR_CONFIGURATION
 
+UNUSABLE = 2  # exit status
 
-@pytest.mark.parametrize("text", ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'])
+
+@pytest.mark.parametrize(
+    "text",
+    ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'],
+    ids=["empty", "cut short", "list", "no UTF-8", "text", "name that is no UTF-8"],
+)
 def test_read_startup_configuration_names_the_file_it_cannot_read(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text, encoding="latin-1")
@@ -26,37 +32,42 @@
         read_startup_configuration(str(path), {})
 
 
+# Setting, value (None: missing) and the message.
+WRONG_SETTINGS: list[tuple[str, Any, str]] = [
+    ("settings", None, "settings is missing"),
+    ("seed", "xyz", "seed is no hexadecimal number: xyz"),
+    ("seed", None, "seed is missing"),
+    ("listen", "here", "listen is no host:port: here"),
+    ("listen", "1.2.3.4:99999", "listen is no host:port"),
+    ("discovery", None, "discovery is missing"),
+    ("limits.sockets", "many", "limits.sockets is not a whole number: many"),
+    ("limits.memory_mb", 1, "limits.memory_mb is not within"),
+    ("known", {"revision": 1}, "known: no members"),
+    ("settings.profiles", [], "settings.profiles.count is below 1"),
+    ("settings.profiles.1.window_us", 0, "settings.profiles.1.window_us is below 1: 0"),
+    ("settings.profiles.1.window_us", -5, "settings.profiles.1.window_us is below 1: -5"),
+    ("settings.profiles.0.hard_limit_us", 0, "settings.profiles.0.hard_limit_us is below 1: 0"),
+    ("settings.profiles.0.service_goal_us", -1, "settings.profiles.0.service_goal_us is below 1: -1"),
+    ("settings.profiles.0.repeat", "often", "settings.profiles.0.repeat is none of safe, keyed, unsafe"),
+    ("settings.profiles.1.key_scope", "town", "settings.profiles.1.key_scope is none of all, zone, cell"),
+    ("settings.profiles.0.name", None, "settings.profiles.0.name is missing"),
+    ("known", [], "known: no members"),
+    ("known", {"revision": 4, "complete": True, "members": {}}, "known: no members"),
+    ("settings.stage", 7, "settings.stage is not below"),
+    ("settings.contract.cold_from", 7, "settings.contract.cold_from is not within 0 and 1"),
+    ("settings.contract.fall_multiple", 0, "settings.contract.fall_multiple is not within 0.1"),
+    ("settings.contract.fall_us", 0, "settings.contract.fall_us is below 1"),
+    ("settings.contract.warm_within_us", 0, "settings.contract.warm_within_us is below 1"),
+    ("settings.zone", "nowhere", "settings.zone is not one of dcs: nowhere"),
+    ("settings.tiers", None, "settings.tiers is missing"),
+    ("settings.limits.conn_idle_us", 0, "settings.limits.conn_idle_us is below 1"),
+]
+
+
 @pytest.mark.parametrize(
-    "setting, value, message",
-    [
-        ("settings", None, "settings is missing"),
-        ("seed", "xyz", "seed is no hexadecimal number: xyz"),
-        ("seed", None, "seed is missing"),
-        ("listen", "here", "listen is no host:port: here"),
-        ("listen", "1.2.3.4:99999", "listen is no host:port"),
-        ("discovery", None, "discovery is missing"),
-        ("limits.sockets", "many", "limits.sockets is not a whole number: many"),
-        ("limits.memory_mb", 1, "limits.memory_mb is not within"),
-        ("known", {"revision": 1}, "known: no members"),
-        ("settings.profiles", [], "settings.profiles.count is below 1"),
-        ("settings.profiles.1.window_us", 0, "settings.profiles.1.window_us is below 1: 0"),
-        ("settings.profiles.1.window_us", -5, "settings.profiles.1.window_us is below 1: -5"),
-        ("settings.profiles.0.hard_limit_us", 0, "settings.profiles.0.hard_limit_us is below 1: 0"),
-        ("settings.profiles.0.service_goal_us", -1, "settings.profiles.0.service_goal_us is below 1: -1"),
-        ("settings.profiles.0.repeat", "often", "settings.profiles.0.repeat is none of safe, keyed, unsafe"),
-        ("settings.profiles.1.key_scope", "town", "settings.profiles.1.key_scope is none of all, zone, cell"),
-        ("settings.profiles.0.name", None, "settings.profiles.0.name is missing"),
-        ("known", [], "known: no members"),
-        ("known", {"revision": 4, "complete": True, "members": {}}, "known: no members"),
-        ("settings.stage", 7, "settings.stage is not below"),
-        ("settings.contract.cold_from", 7, "settings.contract.cold_from is not within 0 and 1"),
-        ("settings.contract.fall_multiple", 0, "settings.contract.fall_multiple is not within 0.1"),
-        ("settings.contract.fall_us", 0, "settings.contract.fall_us is below 1"),
-        ("settings.contract.warm_within_us", 0, "settings.contract.warm_within_us is below 1"),
-        ("settings.zone", "nowhere", "settings.zone is not one of dcs: nowhere"),
-        ("settings.tiers", None, "settings.tiers is missing"),
-        ("settings.limits.conn_idle_us", 0, "settings.limits.conn_idle_us is below 1"),
-    ],
+    ("setting", "value", "message"),
+    WRONG_SETTINGS,
+    ids=[f"{setting} {value}" for setting, value, _ in WRONG_SETTINGS],
 )
 def test_check_names_the_wrong_setting_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], setting: str, value: Any, message: str
@@ -65,9 +76,10 @@
     set_path(config, setting, value)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
-    assert check_configuration(str(path)) == 2
+    assert check_configuration(str(path)) == UNUSABLE
     error = capsys.readouterr().err
-    assert error.startswith(f"cressrail: {path}: {message}") and error.count("\n") == 1
+    assert error.startswith(f"cressrail: {path}: {message}")
+    assert error.count("\n") == 1
 
 
 def test_check_accepts_a_good_configuration_and_environment_overrides_it(
@@ -77,16 +89,13 @@
     path.write_text(json.dumps(SIDECAR_CONFIGURATION))
     start = read_startup_configuration(str(path), {"BALANCER_NAME": "n9", "BALANCER_LISTEN": "127.0.0.9:1"})
     assert (start.name, start.listen, start.seed) == ("n9", ("127.0.0.9", 1), 0x5BE9)
-    assert {
-        request_class.idempotency
-        for request_class in policy_factory.read_request_classes(start.settings).values()
-    } == {
-        Idempotency.IDEMPOTENT,
-        Idempotency.WITH_KEY,
-    }
-    assert check_configuration(str(path)) == 0 and "3 profiles, 1 members" in capsys.readouterr().out
+    request_classes = policy_factory.read_request_classes(start.settings).values()
+    idempotencies = {request_class.idempotency for request_class in request_classes}
+    assert idempotencies == {Idempotency.IDEMPOTENT, Idempotency.WITH_KEY}
+    assert check_configuration(str(path)) == 0
+    assert "3 profiles, 1 members" in capsys.readouterr().out
 
 
 def test_check_reports_a_missing_file(capsys: pytest.CaptureFixture[str]) -> None:
-    assert check_configuration("/nowhere/config.json") == 2
+    assert check_configuration("/nowhere/config.json") == UNUSABLE
     assert capsys.readouterr().err == "cressrail: /nowhere/config.json: No such file or directory\n"
--- a/tests/configuration/test_unicode_names.py
+++ b/tests/configuration/test_unicode_names.py
@@ -32,11 +32,12 @@
 def test_request_of_class_and_tenant_with_unicode_name_is_served(name: str) -> None:
     endpoint: Script = answer_each_with(response_bytes(b"hello"))
     harness = SidecarHarness([endpoint], configure=configuration_with_name(name))
-    word = name.encode()
-    text = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (word, word)
-    assert exchange(harness, text) == [b"200 hello"]
-    assert (
-        harness.state_machine.load_balancer.quotas.tokens[0]
-        < harness.state_machine.load_balancer.quotas.burst_sizes[0]
-    )  # counted as its own
+    encoded = name.encode()
+    head = b"GET /api HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: %b\r\nReq-Owner: %b\r\n\r\n" % (encoded, encoded)
+
+    responses = exchange(harness, head)
+
+    assert responses == [b"200 hello"]
+    quotas = harness.state_machine.load_balancer.quotas
+    assert quotas.tokens[0] < quotas.burst_sizes[0]  # counted as the tenant's own
     assert f'app_answered{{group="{name}"}} 1'.encode() in harness.state_machine.counters.text(0, 0, 0)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -10,18 +10,20 @@
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from tests.support.configuration import endpoint_entry
 
+NUMBER_FOR_A_NAME = 5
+
 
 @pytest.mark.parametrize(
     "line",
     [
-        b"",
-        b"{",
-        b"[]",
-        b'{"members":[]}',
-        b'{"revision":1,"complete":true}',
-        b"\xff\xfe",
-        b'{"revision":"1","complete":true,"members":[]}',
-        b'{"revision":1,"complete":1,"members":[]}',
+        pytest.param(b"", id="empty"),
+        pytest.param(b"{", id="cut short"),
+        pytest.param(b"[]", id="no object"),
+        pytest.param(b'{"members":[]}', id="without revision"),
+        pytest.param(b'{"revision":1,"complete":true}', id="without members"),
+        pytest.param(b"\xff\xfe", id="no UTF-8"),
+        pytest.param(b'{"revision":"1","complete":true,"members":[]}', id="revision is text"),
+        pytest.param(b'{"revision":1,"complete":1,"members":[]}', id="complete is a number"),
     ],
 )
 def test_parse_update_line_refuses_what_is_no_list(line: bytes) -> None:
@@ -30,31 +32,30 @@
 
 
 @pytest.mark.parametrize(
-    "change, readable",
+    ("change", "is_readable"),
     [
-        ({}, True),
-        ({"size": 0}, True),
-        ({"cell": None}, True),
-        ({"phase": "draining"}, True),
-        ({"phase": "asleep"}, False),
-        ({"phase": []}, False),
-        ({"host_port": "nowhere"}, False),
-        ({"host_port": "127.0.0.1:0"}, False),
-        ({"host_port": "name:80"}, False),
-        ({"host_port": "[::1]:80"}, True),
-        ({"host_port": None}, False),
-        ({"size": -1}, False),
-        ({"size": "big"}, False),
-        ({"id": ""}, False),
-        ({"id": 5}, False),
-        ({"up_since_ms": "x"}, False),
+        pytest.param({}, True, id="unchanged"),
+        pytest.param({"size": 0}, True, id="size 0"),
+        pytest.param({"cell": None}, True, id="without cell"),
+        pytest.param({"phase": "draining"}, True, id="draining"),
+        pytest.param({"phase": "asleep"}, False, id="unknown phase"),
+        pytest.param({"phase": []}, False, id="phase is a list"),
+        pytest.param({"host_port": "nowhere"}, False, id="no port"),
+        pytest.param({"host_port": "127.0.0.1:0"}, False, id="port 0"),
+        pytest.param({"host_port": "name:80"}, False, id="host name"),
+        pytest.param({"host_port": "[::1]:80"}, True, id="IPv6"),
+        pytest.param({"host_port": None}, False, id="without address"),
+        pytest.param({"size": -1}, False, id="negative size"),
+        pytest.param({"size": "big"}, False, id="size is text"),
+        pytest.param({"id": ""}, False, id="empty id"),
+        pytest.param({"id": NUMBER_FOR_A_NAME}, False, id="id is a number"),
+        pytest.param({"up_since_ms": "x"}, False, id="start is text"),
     ],
 )
-def test_parse_update_line_keeps_the_entries_it_can_read(change: dict[str, Any], readable: bool) -> None:
+def test_parse_update_line_keeps_the_entries_it_can_read(change: dict[str, Any], is_readable: bool) -> None:
     entries = [{**endpoint_entry("s1", 9001), **change}, endpoint_entry("s2", 9002)]
     update = parse_update_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
-    assert [entry.name for entry in update.entries] == (["s1", "s2"] if readable else ["s2"])
-    assert len(update.errors) == (0 if readable else 1)
-    assert update.unreadable_names == (
-        [] if readable or change.get("id", "s1") == 5 else [change.get("id", "s1")]
-    )
+    assert [entry.name for entry in update.entries] == (["s1", "s2"] if is_readable else ["s2"])
+    assert len(update.errors) == (0 if is_readable else 1)
+    name = change.get("id", "s1")
+    assert update.unreadable_names == ([] if is_readable or name == NUMBER_FOR_A_NAME else [name])
