--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -4,6 +4,7 @@
 
 import copy
 import json
+import re
 from pathlib import Path
 from typing import Any
 
@@ -12,7 +13,7 @@
 from cressrail.cli.launch import check_configuration
 from cressrail.configuration import policy_factory
 from cressrail.configuration.settings_reader import ConfigurationError
-from cressrail.configuration.startup import read_startup_configuration
+from cressrail.configuration.startup import parse_configuration, read_startup_configuration
 from cressrail.policy.request_class import Idempotency
 from tests.configuration.support import set_path
 from tests.support.configuration import SIDECAR_CONFIGURATION
@@ -90,3 +91,27 @@
 def test_check_reports_a_missing_file(capsys: pytest.CaptureFixture[str]) -> None:
     assert check_configuration("/nowhere/config.json") == 2
     assert capsys.readouterr().err == "cressrail: /nowhere/config.json: No such file or directory\n"
+
+
+@pytest.mark.parametrize(
+    ("address", "message"),
+    [
+        pytest.param("here", "ops is no host:port: here", id="no-address"),
+        pytest.param("127.0.0.1:9000", "ops is the same as listen: 127.0.0.1:9000", id="as-listen"),
+    ],
+)
+@pytest.mark.parametrize("source", ["file", "environment"])
+def test_parse_configuration_names_an_admin_address_that_cannot_be_used(
+    address: str, message: str, source: str
+) -> None:
+    configuration, environment = copy.deepcopy(SIDECAR_CONFIGURATION), {}
+    if source == "file":
+        configuration["ops"] = address
+    else:
+        environment["BALANCER_OPS"] = address
+    with pytest.raises(ConfigurationError, match=f"^{re.escape(message)}$"):
+        parse_configuration(configuration, environment)
+
+
+def test_parse_configuration_needs_no_admin_address() -> None:
+    assert parse_configuration(copy.deepcopy(SIDECAR_CONFIGURATION), {}).admin is None
--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -1,4 +1,4 @@
-"""A scheduler with many resting descriptors: no round polls them, and their data is noticed and timed."""
+"""What wakes a task, and a scheduler with many resting descriptors that no round polls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.event_loop import scheduler
-from cressrail.event_loop.scheduler import READABLE, Scheduler
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, Scheduler
 
 
 class RestingTasks:
@@ -115,3 +115,48 @@
     tasks.work(6, 1000)
     assert [n for n, _ in tasks.received] == [99]
     tasks.close()
+
+
+def test_task_is_woken_by_message_timer_and_descriptor_and_arrivals_are_timed() -> None:
+    now = 0
+    scheduler = Scheduler(lambda: now, lambda text: None)
+    near, far = socket.socketpair()
+    results: list[object] = []
+
+    def waiting() -> None:
+        results.append(scheduler.wait(near.fileno(), READABLE, 50))
+        results.append(task.messages.popleft())
+        results.append(scheduler.wait(until_us=70))
+        results.append(scheduler.wait(near.fileno(), READABLE) & select.POLLIN)
+        results.append(scheduler.earliest_arrival_us)
+        scheduler.is_stopped = True
+
+    def driving() -> None:
+        nonlocal now
+        scheduler.post(task, "a message")
+        scheduler.wait(until_us=0)
+        now = 80
+        scheduler.wait(until_us=0)
+        far.send(b"x")
+        now = 5000  # busy for so long; the byte may have come at 80
+
+    with near, far:
+        task = scheduler.spawn(waiting)
+        scheduler.spawn(driving)
+        scheduler.run()
+    assert results == [MESSAGE, "a message", TIMED_OUT, select.POLLIN, 80]
+
+
+def test_failed_task_is_reported_and_the_others_go_on() -> None:
+    faults: list[str] = []
+    loop = Scheduler(lambda: 0, faults.append)
+
+    def failing() -> None:
+        raise ValueError("mine")
+
+    loop.spawn(failing)
+    loop.spawn(lambda: setattr(loop, "is_stopped", True))
+    loop.run()
+    [fault] = faults
+    assert "ValueError: mine" in fault
+    assert loop.task_count == 0
--- /dev/null
+++ b/tests/network/test_socket_stream.py
@@ -0,0 +1,41 @@
+"""When bytes on a stream may have come."""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections.abc import Iterator
+
+import pytest
+
+from cressrail.buffers.pool import BufferPool
+from cressrail.event_loop.scheduler import Scheduler
+from cressrail.network.socket_stream import SocketStream
+
+
+@pytest.fixture
+def connection() -> Iterator[tuple[socket.socket, socket.socket]]:
+    """Both ends of a TCP connection: the accepted one, and the one that connected."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        far = socket.create_connection(server.getsockname())
+        near, _ = server.accept()
+    with near, far:
+        yield near, far
+
+
+def test_only_bytes_that_preceded_the_stream_are_timed_from_its_creation(
+    connection: tuple[socket.socket, socket.socket],
+) -> None:
+    near, far = connection
+    scheduler = Scheduler(lambda: 100, lambda text: None)
+    stream = SocketStream(scheduler, BufferPool(10), near)
+
+    def receive_byte() -> int:
+        far.send(b"x")
+        select.select([near], [], [])
+        stream.receive()
+        return stream.arrived_us
+
+    scheduler.earliest_event_us = 900
+    assert [receive_byte(), receive_byte()] == [100, 900]
+    stream.close()
