--- a/tests/buffers/test_pool.py
+++ b/tests/buffers/test_pool.py
@@ -16,4 +16,5 @@
     kept = chain.buffers[0]
     chain.release()
     chain.release()
-    assert pool.lent == 0 and any(buffer is kept for buffer in (pool.borrow(), pool.borrow()))
+    assert pool.lent == 0
+    assert any(buffer is kept for buffer in (pool.borrow(), pool.borrow()))
--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -160,3 +160,16 @@
     [fault] = faults
     assert "ValueError: mine" in fault
     assert loop.task_count == 0
+
+
+def test_repeated_fault_ends_process_with_status() -> None:
+    scheduler = Scheduler(lambda: 5, lambda fault: faults.append(fault))
+    faults: list[str] = []
+
+    def failing() -> None:
+        raise KeyError("injected")
+
+    scheduler.spawn(failing, is_vital=True)
+    scheduler.run()
+    assert scheduler.has_failed
+    assert len(faults) == 8
--- a/tests/network/test_attempt_exchange.py
+++ b/tests/network/test_attempt_exchange.py
@@ -1,4 +1,4 @@
-"""Responses too large to keep, streamed to a client amid peers that break off or are slow."""
+"""Responses, kept or streamed to a client, amid peers that break off or are slow."""
 
 from __future__ import annotations
 
@@ -7,7 +7,14 @@
 import pytest
 
 from cressrail.buffers.pipe import KEPT_BODY_BYTES, MAX_PIPE_BUFFERS
-from tests.support.http_messages import OK_STATUS_LINE, request_bytes
+from tests.network.support import read_status
+from tests.support.http_messages import (
+    CHUNKED_HEADER,
+    OK_STATUS_LINE,
+    chunk_bytes,
+    request_bytes,
+    response_bytes,
+)
 from tests.support.scripted_peer import ScriptedPeer, answer_each_with
 from tests.support.sidecar_harness import SidecarHarness
 from tests.support.streaming import (
@@ -19,6 +26,9 @@
     tolerating_disconnect,
 )
 
+INTERIM_RESPONSE = b"HTTP/1.1 102 X\r\n\r\n"
+PART_OF_CHUNK = OK_STATUS_LINE + CHUNKED_HEADER + chunk_bytes(b"hello")[:-3]
+
 
 @pytest.mark.parametrize(
     ("response", "closes", "body"),
@@ -190,3 +200,45 @@
     assert all(response.is_complete for response in responses)
     assert {response.body for response in responses} <= {LARGE_BODY, b""}
     assert LARGE_BODY in {response.body for response in responses}
+
+
+@pytest.mark.parametrize(
+    ("response", "is_reset", "request_class", "answer"),
+    [
+        pytest.param(OK_STATUS_LINE + b"\r\nhello", True, "write", b"502", id="until-reset"),
+        pytest.param(OK_STATUS_LINE + b"\r\nhello", False, "write", b"200", id="until-close"),
+        pytest.param(OK_STATUS_LINE + b"\r\nhello", True, "read", b"503", id="read-until-reset"),
+        pytest.param(PART_OF_CHUNK, True, "write", b"502", id="part-of-chunk-then-reset"),
+        pytest.param(PART_OF_CHUNK, False, "write", b"502", id="part-of-chunk-then-close"),
+        pytest.param(
+            OK_STATUS_LINE * 2 + b"content-length: 0\r\n\r\n", False, "write", b"502", id="two-status-lines"
+        ),
+        pytest.param(OK_STATUS_LINE + b"x: " + b"a" * 20_000, False, "write", b"502", id="head-too-large"),
+        pytest.param(
+            INTERIM_RESPONSE * 3 + response_bytes(b"hello"), False, "write", b"200", id="after-interim-ones"
+        ),
+        pytest.param(INTERIM_RESPONSE, True, "write", b"502", id="interim-alone"),
+    ],
+)
+def test_answer_counts_if_complete_by_its_own_framing(
+    response: bytes, is_reset: bool, request_class: str, answer: bytes
+) -> None:
+    def endpoint(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.send(response)
+        peer.sleep(10_000)
+        if is_reset:
+            peer.reset()
+        else:
+            peer.sock.close()
+
+    harness = SidecarHarness([endpoint])
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes(request_class))
+        statuses.append(read_status(peer))
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [answer]
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -5,7 +5,11 @@
 import json
 from typing import Any
 
-from tests.support.configuration import endpoint_entry
+import pytest
+
+from cressrail.network import discovery_watch
+from tests.network.support import RecordingEndpoint, ScriptedDiscovery, read_status
+from tests.support.configuration import SECOND, endpoint_entry
 from tests.support.http_messages import (
     CHUNKED_HEADER,
     OK_STATUS_LINE,
@@ -16,6 +20,8 @@
 from tests.support.scripted_peer import ScriptedPeer, answer_each_with
 from tests.support.sidecar_harness import SidecarHarness
 
+WATCH_HEAD = OK_STATUS_LINE + CHUNKED_HEADER
+
 
 def test_watch_applies_updates_and_keeps_the_list_through_malformed_and_truncated_lines() -> None:
     polls: list[bytes] = []
@@ -76,3 +82,182 @@
 
     harness.add_client(client)
     harness.run()
+
+
+def test_watch_silence_budget_covers_all_stages() -> None:
+    """Updates count as known six seconds after a watch fell silent, four after the address has changed.
+
+    A further connection that is silent too may come between.
+    """
+    longest_first_backoff_us, margin_us = 75_000, 500_000
+    first_answer_us = discovery_watch.FIRST_ANSWER_TIMEOUT_US
+    silence_us = discovery_watch.SILENCE_TIMEOUT_US
+    assert silence_us + first_answer_us + 2 * longest_first_backoff_us <= 6 * SECOND - margin_us
+    assert 3 * first_answer_us + 2 * longest_first_backoff_us <= 4 * SECOND - margin_us
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [
+        pytest.param(b"", id="nothing"),
+        pytest.param(WATCH_HEAD, id="head-alone"),
+        pytest.param(WATCH_HEAD + chunk_bytes(b'{"revis'), id="part-of-line"),
+        pytest.param(WATCH_HEAD + chunk_bytes(b'{\n  "revision": 5,\n\n'), id="part-of-indented-object"),
+    ],
+)
+def test_watch_without_complete_line_is_reopened(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_watch, "FIRST_ANSWER_TIMEOUT_US", 30_000)
+    monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_US", 60_000)
+    polls: list[bytes] = []
+    harness = SidecarHarness([RecordingEndpoint()], lambda peer: discovery(peer))
+
+    def discovery(peer: ScriptedPeer) -> None:
+        while head := peer.receive_until():
+            polls.append(head.partition(b" HTTP")[0])
+            peer.send(answer if b"watch" in head else response_bytes(harness.endpoint_list_json))
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.wait_until(lambda: sum(b"watch" in poll for poll in polls) == 3)
+
+    harness.add_client(client)
+    harness.run()
+    assert polls[:4] == [b"GET /catalog/members", *[b"GET /catalog/members?watch=1&after=4"] * 3]
+
+
+def test_truncated_object_does_not_swallow_next_one() -> None:
+    polls: list[bytes] = []
+    harness = SidecarHarness([RecordingEndpoint()], lambda peer: discovery(peer))
+
+    def discovery(peer: ScriptedPeer) -> None:
+        while head := peer.receive_until():
+            polls.append(head.partition(b" HTTP")[0])
+            if b"watch" not in head:
+                peer.send(response_bytes(harness.endpoint_list_json))
+                continue
+            peer.send(OK_STATUS_LINE + CHUNKED_HEADER + chunk_bytes(b'{"revision": 5,\n\n'))
+            while len(polls) < 3:  # never silent
+                try:
+                    peer.send(chunk_bytes(b"\n"))
+                except OSError:
+                    return
+                peer.sleep(5_000)
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.wait_until(lambda: len(polls) > 2)
+
+    harness.add_client(client)
+    harness.run()
+    assert polls[1:3] == [b"GET /catalog/members?watch=1&after=4"] * 2
+
+
+def test_dribbled_line_counts_as_silence_and_long_list_does_not(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(discovery_watch, "MIN_LINE_BYTES_PER_S", 100_000)
+    pieces_by_watch: list[int] = []
+    harness = SidecarHarness([RecordingEndpoint()], lambda peer: discovery(peer))
+    long_list = response_bytes(harness.endpoint_list_json.replace(b'"members"', b" " * 30_000 + b'"members"'))
+
+    def discovery(peer: ScriptedPeer) -> None:
+        if b"watch" not in peer.receive_until():
+            for start in range(0, len(long_list), 3_000):  # longer in all than the silence allowed
+                peer.send(long_list[start : start + 3_000])
+                peer.sleep(15_000)
+            peer.receive_until()
+        peer.send(OK_STATUS_LINE + CHUNKED_HEADER)
+        pieces_by_watch.append(0)
+        while peer.sock.fileno() >= 0:
+            try:
+                peer.send(chunk_bytes(b" "))
+            except OSError:
+                return
+            pieces_by_watch[-1] += 1
+            peer.sleep(10_000)
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.wait_until(lambda: len(pieces_by_watch) > 1)
+
+    harness.add_client(client)
+    harness.run()
+    assert harness.state_machine.endpoint_watch.has_list
+    assert pieces_by_watch[0] >= 1
+
+
+@pytest.mark.parametrize("indent", [None, 1, 4])
+def test_updates_may_be_indented_and_share_a_read(indent: int | None) -> None:
+    harness = SidecarHarness([RecordingEndpoint()], lambda peer: discovery(peer))
+    updates = [
+        {
+            "revision": revision,
+            "complete": False,
+            "members": [endpoint_entry("s0", harness.ports[0], phase=phase)],
+        }
+        for revision, phase in ((5, "draining"), (6, "up"), (7, "draining"))
+    ]
+
+    def discovery(peer: ScriptedPeer) -> None:
+        peer.receive_until()
+        peer.send(response_bytes(json.dumps(json.loads(harness.endpoint_list_json), indent=indent).encode()))
+        peer.receive_until()
+        peer.send(
+            OK_STATUS_LINE
+            + CHUNKED_HEADER
+            + chunk_bytes(
+                b"\n"
+                + b"\n".join(json.dumps(update, indent=indent).encode() for update in updates)
+                + b'\n\n{"revision": 8, "comp'
+            )
+        )
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.wait_until(lambda: harness.state_machine.endpoint_watch.revision == 7)
+        peer.sleep(20_000)
+        assert not harness.state_machine.load_balancer.endpoints[0].accepts_requests
+        assert not harness.state_machine.endpoint_watch.consecutive_failures
+
+    harness.add_client(client)
+    harness.run()
+
+
+@pytest.mark.parametrize(
+    ("phase", "sent"), [pytest.param("draining", 0, id="draining"), pytest.param("up", 1, id="still-up")]
+)
+def test_configured_list_is_not_used_while_discovery_may_answer(phase: str, sent: int) -> None:
+    listed, other, discovery = RecordingEndpoint(), RecordingEndpoint(), ScriptedDiscovery()
+
+    def slow_discovery(peer: ScriptedPeer) -> None:
+        peer.sleep(60_000)
+        discovery(peer)
+
+    harness = SidecarHarness([listed, other], slow_discovery, known_endpoints=1)
+    discovery.endpoint_list = json.loads(harness.endpoint_list_json)
+    discovery.endpoint_list["members"][0]["phase"] = phase
+    discovery.endpoint_list["members"].append(
+        endpoint_entry("s1", harness.ports[1], phase="draining" if sent else "up")
+    )
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes())  # before discovery answers
+        statuses.append(read_status(peer))
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [b"200"]
+    assert (len(listed.heads), len(other.heads)) == (sent, 1 - sent)
+
+
+def test_configured_list_is_used_if_discovery_is_silent() -> None:
+    endpoint = RecordingEndpoint()
+    harness = SidecarHarness([endpoint], lambda peer: peer.sleep(5 * SECOND))
+    statuses: list[bytes] = []
+
+    def client(peer: ScriptedPeer) -> None:
+        peer.send(request_bytes(Req_Deadline="1000m"))
+        statuses.append(read_status(peer))
+
+    harness.add_client(client)
+    harness.run()
+    assert statuses == [b"200"]
+    assert not harness.state_machine.endpoint_watch.has_list
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "method, path, status, allow",
+    ("method", "path", "status", "allow"),
     [
         (b"GET", b"/control/ready", 200, b""),
         (b"POST", b"/control/ready", 405, b"GET"),
@@ -38,13 +38,15 @@
     assert driver.state_machine.is_ready(SECOND)
     for _ in range(2):  # a repeated call is harmless
         assert admin_status(driver, admin.OUT_OF_SERVICE_PATH, SECOND) == 200
-    assert not driver.state_machine.is_ready(SECOND) and admin_status(driver, admin.READY_PATH, SECOND) == 200
+    assert not driver.state_machine.is_ready(SECOND)
+    assert admin_status(driver, admin.READY_PATH, SECOND) == 200
     assert not driver.take_commands(
         do.CloseClient
     )  # the ingress does not know yet: who is closed would come back
     driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED, SECOND)
     [answer] = driver.take_commands(do.SendResponse)
-    assert answer.closes_connection and answer.response.status == 200
+    assert answer.closes_connection
+    assert answer.response.status == 200
     driver.commands += driver.state_machine.on_timer(SECOND + OUT_OF_SERVICE_IDLE_US)
     assert [(close.client, close.only_if_idle) for close in driver.take_commands(do.CloseClient)] == [
         (1, True)
@@ -56,9 +58,8 @@
     driver.connect_client(4, 2 * SECOND)  # one that says nothing is not held
     driver.commands += driver.state_machine.on_timer(2 * SECOND + CLIENT_STALL_US)
     assert [close.client for close in driver.take_commands(do.CloseClient)] == [4]
-    assert admin_status(driver, admin.IN_SERVICE_PATH, 2 * SECOND) == 200 and driver.state_machine.is_ready(
-        2 * SECOND
-    )
+    assert admin_status(driver, admin.IN_SERVICE_PATH, 2 * SECOND) == 200
+    assert driver.state_machine.is_ready(2 * SECOND)
     driver.connect_client(5, 3 * SECOND)
     driver.send_request(5, now=3 * SECOND)
     driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED, 3 * SECOND)
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, wanted",
+    ("change", "wanted"),
     [
         ({}, True),
         ({"phase": "draining"}, False),
@@ -51,7 +51,8 @@
     driver.finish_attempt(command, Outcome.SUCCEEDED)
     assert driver.take_commands(do.CloseEndpointConnection) == [
         do.CloseEndpointConnection(command.connection)
-    ] and not driver.state_machine.on_idle_connection_reset(0, command.connection)
+    ]
+    assert not driver.state_machine.on_idle_connection_reset(0, command.connection)
     driver.state_machine.on_connection_closed(command.connection)
     for k in range(7, 50):
         driver.connect_idle_client(k)
@@ -92,7 +93,8 @@
 
 
 @pytest.mark.parametrize(
-    "change, is_reported", [({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)]
+    ("change", "is_reported"),
+    [({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)],
 )
 def test_idle_connection_reset_reports_only_the_process_it_was_made_to(
     change: dict[str, Any], is_reported: bool
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("began", [False, True])
-@pytest.mark.parametrize("silent_us, closed", [(0, []), (SECOND, [do.CloseClient(1, True)])])
+@pytest.mark.parametrize(("silent_us", "closed"), [(0, []), (SECOND, [do.CloseClient(1, True)])])
 def test_new_client_is_not_closed_before_it_had_time_to_send(
     silent_us: int, closed: list[Command], began: bool
 ) -> None:
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -20,7 +20,8 @@
     assert (first.is_new_connection, second.is_new_connection) == (
         True,
         False,
-    ) and first.connection == second.connection
+    )
+    assert first.connection == second.connection
     driver.commands += driver.state_machine.on_endpoint_list(
         1, list_update(5, False, endpoint_entry("s0", 9500))
     )
@@ -30,7 +31,8 @@
     ]
     driver.commands += driver.state_machine.on_response_written(0, 1)
     driver.send_request(1)
-    assert (third := driver.take_attempt()).is_new_connection and third.port == 9500
+    assert (third := driver.take_attempt()).is_new_connection
+    assert third.port == 9500
 
 
 def test_longest_idle_connection_closes_at_limit_and_no_endpoint_is_blamed() -> None:
@@ -40,7 +42,8 @@
         driver.connect_client(client)
         driver.send_request(client, req_deadline="100m")
         attempts += driver.take_commands(do.SendAttempt)
-    assert len(attempts) == 2 and [write.client for write in driver.take_commands(do.SendResponse)] == [3]
+    assert len(attempts) == 2
+    assert [write.client for write in driver.take_commands(do.SendResponse)] == [3]
     assert all(e.success_rate == 1.0 for e in driver.state_machine.load_balancer.endpoints.values())
     for command in attempts:
         driver.finish_attempt(command, Outcome.SUCCEEDED)
@@ -50,9 +53,8 @@
         if (command := driver.take_attempt()).is_new_connection:
             break
         driver.finish_attempt(command, Outcome.SUCCEEDED)
-    assert [close.connection for close in driver.take_commands(do.CloseEndpointConnection)][:1] and len(
-        driver.state_machine.connections.idle
-    ) == 1
+    assert [close.connection for close in driver.take_commands(do.CloseEndpointConnection)][:1]
+    assert len(driver.state_machine.connections.idle) == 1
 
 
 def test_exhausted_descriptors_close_idle_connections() -> None:
@@ -62,7 +64,7 @@
     driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED)
     driver.commands += driver.state_machine.on_response_written(0, 1)
     driver.commands = driver.state_machine.on_descriptors_exhausted(0)
-    assert len(driver.take_commands(do.CloseEndpointConnection)) == 1 and driver.take_commands(
-        do.CloseClient
-    ) == [do.CloseClient(1, True)]
-    assert not driver.take_commands(do.CloseClient) and not driver.state_machine.connections.idle
+    assert len(driver.take_commands(do.CloseEndpointConnection)) == 1
+    assert driver.take_commands(do.CloseClient) == [do.CloseClient(1, True)]
+    assert not driver.take_commands(do.CloseClient)
+    assert not driver.state_machine.connections.idle
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -19,7 +19,8 @@
         assert watch.after_revision == 9
         waits.append(watch.at_us - SECOND)
     # No longer than so: a drain listed meanwhile must be known within two seconds.
-    assert 25_000 <= waits[0] < 100_000 and all(250_000 <= wait < 750_000 for wait in waits[4:])
+    assert 25_000 <= waits[0] < 100_000
+    assert all(250_000 <= wait < 750_000 for wait in waits[4:])
     driver.state_machine.on_endpoint_list(0, list_update(9, False))
     driver.commands = driver.state_machine.on_watch_ended(SECOND, "ended")
     assert driver.take_commands(do.WatchEndpoints)[0].at_us < SECOND + 100_000
@@ -27,6 +28,7 @@
         0, list_update(3, False)
     )  # discovery may count anew: drains must not go unheard
     [watch] = driver.take_commands(do.WatchEndpoints)
-    assert watch.after_revision == -1 and watch.at_us > 0  # and must not keep the loop busy if it goes on so
+    assert watch.after_revision == -1
+    assert watch.at_us > 0  # else the loop would be kept busy
     driver.state_machine.on_endpoint_list(0, list_update(3, True))
     assert driver.state_machine.endpoint_watch.revision == 3
--- a/tests/proxy/test_endpoint_registry.py
+++ b/tests/proxy/test_endpoint_registry.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "update, entries",
+    ("update", "entries"),
     [
         (list_update(5, False, endpoint_entry("s0", 9000, phase="draining")), [1]),
         (list_update(5, True, endpoint_entry("s1", 9001)), [1]),
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, outcome, status",
+    ("kind", "outcome", "status"),
     [
         ("read", Outcome.SUCCEEDED, 200),
         ("read", Outcome.TIMED_OUT, 503),
@@ -33,11 +33,9 @@
         status
     ]
     driver.release_buffers()
-    assert (
-        driver.pool.lent == 0
-        and not driver.state_machine.requests.pending
-        and not driver.state_machine.attempts.in_flight
-    )
+    assert driver.pool.lent == 0
+    assert not driver.state_machine.requests.pending
+    assert not driver.state_machine.attempts.in_flight
 
 
 @pytest.mark.parametrize("kind", ["read", "write"])
@@ -61,10 +59,13 @@
     driver.finish_attempt(command, Outcome.SUCCEEDED)
     assert not driver.take_commands(do.SendResponse)
     driver.release_buffers()
-    assert driver.pool.lent == 0 and not driver.state_machine.requests.pending
+    assert driver.pool.lent == 0
+    assert not driver.state_machine.requests.pending
 
 
-@pytest.mark.parametrize("waited_us, looked", [(0, False), (99_999, False), (100_000, True), (900_000, True)])
+@pytest.mark.parametrize(
+    ("waited_us", "looked"), [(0, False), (99_999, False), (100_000, True), (900_000, True)]
+)
 def test_client_is_checked_before_send_only_if_it_waited_long(waited_us: int, looked: bool) -> None:
     driver = ProxyDriver(has_list=True)
     driver.connect_client(1)
@@ -72,6 +73,5 @@
     command = driver.take_attempt()
     assert driver.state_machine.waiting_client(SECOND, command.attempt) == (1 if looked else 0)
     driver.commands += driver.state_machine.on_client_disconnected(SECOND, 1)
-    assert driver.state_machine.waiting_client(
-        SECOND, command.attempt
-    ) == 0 and driver.state_machine.check_before_send(SECOND, command.attempt)
+    assert driver.state_machine.waiting_client(SECOND, command.attempt) == 0
+    assert driver.state_machine.check_before_send(SECOND, command.attempt)
--- a/tests/proxy/test_intake.py
+++ b/tests/proxy/test_intake.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, status",
+    ("fields", "status"),
     [
         ({"path": "/"}, None),
         ({"path": "/", "req_kind": None}, 404),
@@ -48,14 +48,13 @@
     later = driver.take_attempt()
     driver.finish_attempt(command, Outcome.CANCELLED)
     driver.finish_attempt(later, Outcome.SUCCEEDED)
-    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [
-        200
-    ] and not driver.state_machine.requests.open_ids
+    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [200]
+    assert not driver.state_machine.requests.open_ids
     driver.send_request(3, req_id="same")
     assert driver.take_attempt()
 
 
-@pytest.mark.parametrize("deadline, end_us", [("500m", 500_000), ("999999999m", 3 * SECOND)])
+@pytest.mark.parametrize(("deadline", "end_us"), [("500m", 500_000), ("999999999m", 3 * SECOND)])
 def test_deadline_is_capped_by_request_class(deadline: str, end_us: int) -> None:
     driver = ProxyDriver()
     driver.connect_client(1)
@@ -64,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    "endpoints, has_list, after_us, stopping, ready",
+    ("endpoints", "has_list", "after_us", "stopping", "ready"),
     [
         (2, False, 0, False, False),
         (2, False, SECOND, False, True),
@@ -86,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "deadline, waited_us, left_us",
+    ("deadline", "waited_us", "left_us"),
     [("100m", 0, 98_438), ("100m", 60_000, 39_375), ("100m", 200_000, None), (None, 0, 2_990_000)],
 )
 def test_remaining_time_runs_from_last_byte(
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -104,7 +104,9 @@
         )
 
 
-@pytest.mark.parametrize("endpoints, connections, dearest", [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)])
+@pytest.mark.parametrize(
+    ("endpoints", "connections", "dearest"), [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)]
+)
 def test_connection_limit_below_endpoint_count_causes_no_churn(
     endpoints: int, connections: int, dearest: int
 ) -> None:
@@ -125,12 +127,13 @@
     assert not [
         note for note in driver.take_commands(do.LogEvent) if note.event == "connection_limit_reached"
     ]
-    assert not driver.take_commands(do.CloseEndpointConnection) and opened <= dearest
+    assert not driver.take_commands(do.CloseEndpointConnection)
+    assert opened <= dearest
     assert len(driver.state_machine.connections.open) <= connections
 
 
 @pytest.mark.parametrize(
-    "instances, wrong",
+    ("instances", "wrong"),
     [
         (1024, ""),
         (4096, ""),
@@ -149,7 +152,8 @@
             policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
     load_balancer = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
-    assert load_balancer.table.instance_count == instances and len(start.known_endpoints.entries) == 1024
+    assert load_balancer.table.instance_count == instances
+    assert len(start.known_endpoints.entries) == 1024
 
 
 def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
--- a/tests/proxy/test_request_counters.py
+++ b/tests/proxy/test_request_counters.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, outcome, counted",
+    ("kind", "outcome", "counted"),
     [
         ("read", Outcome.SUCCEEDED, "answered"),
         ("read", Outcome.TIMED_OUT, "deferred"),
@@ -42,7 +42,8 @@
     assert counters_of(driver)["app_current"] == 1
     driver.finish_attempt(driver.take_attempt(), outcome)
     counters = counters_of(driver)
-    assert counters["app_current"] == 0 and counters[f'app_{counted}{{group="{kind}"}}'] == 1
+    assert counters["app_current"] == 0
+    assert counters[f'app_{counted}{{group="{kind}"}}'] == 1
     assert sum(counters.values()) - counters["app_cluster_size"] == 1
 
 
@@ -52,10 +53,8 @@
         driver.connect_client(client)
         driver.send_request(client, **fields)  # type: ignore[arg-type]
     counters = counters_of(driver)
-    assert (
-        counters['app_errored{group="read"}'] == 1
-        and sum(counters.values()) == 1 + counters["app_cluster_size"]
-    )
+    assert counters['app_errored{group="read"}'] == 1
+    assert sum(counters.values()) == 1 + counters["app_cluster_size"]
 
 
 def test_request_of_disconnected_client_is_not_current() -> None:
@@ -73,6 +72,5 @@
 def test_unavailable_endpoints_are_listed() -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1), make_entry(2, accepts_requests=False)])
     load_balancer.on_connection_lost(0, 1)
-    assert load_balancer.unavailable_endpoints(0) == [1, 2] and load_balancer.unavailable_endpoints(
-        3 * SECOND
-    ) == [2]
+    assert load_balancer.unavailable_endpoints(0) == [1, 2]
+    assert load_balancer.unavailable_endpoints(3 * SECOND) == [2]
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -41,7 +41,9 @@
     assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
     driver.finish_attempt(command, Outcome.SUCCEEDED, now=1_400_000)
     [write] = driver.take_commands(do.SendResponse)
-    assert write.response.status == 200 and write.closes_connection and not driver.take_commands(do.Exit)
+    assert write.response.status == 200
+    assert write.closes_connection
+    assert not driver.take_commands(do.Exit)
     driver.commands = driver.state_machine.on_timer(SECOND * 16 // 10)  # those who never sent a request
     assert driver.take_commands(do.CloseClient) == [do.CloseClient(3, True), do.CloseClient(4, True)]
     driver.commands = [
@@ -55,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, sent, answer",
+    ("kind", "sent", "answer"),
     [
         ("read", True, 503),
         ("write", True, 502),
@@ -85,7 +87,8 @@
         driver.state_machine.load_balancer.queue.next_expiry_us = routed_request.deadline_us
     for now in (700_000, 1_200_000, 1_499_999):
         driver.commands += driver.state_machine.on_timer(now)
-    assert not driver.take_commands(do.SendResponse) and driver.state_machine.timer_us == 1_500_000
+    assert not driver.take_commands(do.SendResponse)
+    assert driver.state_machine.timer_us == 1_500_000
     driver.commands = driver.state_machine.on_timer(1_500_000)
     [write] = driver.take_commands(do.SendResponse)
     assert (write.client, write.response.status, write.closes_connection) == (1, answer, True)
@@ -99,9 +102,9 @@
         1_600_000, 1
     ) + driver.state_machine.on_client_closed(1_600_000, 1)
     driver.release_buffers()
-    assert (
-        driver.take_commands(do.Exit) and driver.pool.lent == 0 and not driver.state_machine.requests.pending
-    )
+    assert driver.take_commands(do.Exit)
+    assert driver.pool.lent == 0
+    assert not driver.state_machine.requests.pending
 
 
 def ending_events() -> dict[str, Any]:
@@ -160,9 +163,11 @@
     for now in range(apart_us + 2000, 12 * SECOND, 50_000):
         driver.commands += driver.state_machine.on_timer(now)
         follow(now)
-    assert (2, 200) in answered and [client for client, _ in answered].count(2) == 1
+    assert (2, 200) in answered
+    assert [client for client, _ in answered].count(2) == 1
     ends = "stop" in (first, second)
-    assert len(left) == ends and (not ends or not open_)  # once, and only where it was asked for
+    assert len(left) == ends  # once, and only where it was requested
+    assert not ends or not open_
 
 
 def test_stop_ends_despite_unfinished_request() -> None:
--- a/tests/wirehost/test_codec.py
+++ b/tests/wirehost/test_codec.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    "events, fault",
+    ("events", "fault"),
     [
         (["NONSENSE i=sidecar/0"], "line 2: unknown message NONSENSE"),
         ([BORN, "DEMAND i=sidecar/0 xid=t1 type=read"], "line 3: remaining_us is missing"),
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    ("text", "fault"),
     [
         ("BEGIN_BATCH clock_us=5\n", "line 2: input ends inside a batch"),
         ("", None),
--- a/tests/wirehost/test_host.py
+++ b/tests/wirehost/test_host.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "events, reply",
+    ("events", "reply"),
     [
         ([], "OK"),
         (
