--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -86,7 +86,7 @@
     assert view == {f"copy{a}": [f"copy{b}"], f"copy{b}": [f"copy{a}"]}
     seen = event_counts(fleet, began)
     assert set(seen) == {"instance_partially_reachable"}
-    assert seen["instance_partially_reachable"] == 2
+    assert seen["instance_partially_reachable"] == 2  # reported once by each: no flapping
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(
         lambda: state_seen_by(fleet, other, a) == state_seen_by(fleet, other, b) == "alive", 20 * SECOND
@@ -121,7 +121,7 @@
         assert fleet.death_reports(began) == []
         settled = event_counts(fleet, began + 30 * SECOND)
         assert settled["instance_dead"] == 0
-        assert settled["instance_suspected"] <= 2
+        assert settled["instance_suspected"] <= 2  # none of them flaps for long
         fleet.network.is_cut = lambda *_: False
         assert fleet.clock.run_until_met(fleet.all_views_agree, 20 * SECOND)
 
