--- a/tools/regress.py
+++ b/tools/regress.py
@@ -215,6 +215,18 @@
     return [Path(site) if site.startswith(REPOSITORY_SITES_PREFIX) else kit / site for site in panel["sites"]]
 
 
+def kit_folder(word: str) -> Path:
+    """The kit's folder by its name on the command line.
+
+    Raises:
+        RegressionSetupError: There is none.
+    """
+    kit = Path(word)
+    if not word or not kit.is_dir():
+        raise RegressionSetupError(f"KIT={word}: no kit there")
+    return kit
+
+
 def check_kit(kit: Path, days: Sequence[Table], panels: Sequence[Table]) -> None:
     """Checks that each bench and site is there.
 
@@ -354,10 +366,9 @@
     parser.add_argument("--standing", action="store_true", help="of the days, only those that have a gate")
     parser.add_argument("--full", action="store_true", help="full days in place of quick ones")
     options = parser.parse_args(words)
-    kit, size = Path(options.kit), "full" if options.full else "quick"
+    size = "full" if options.full else "quick"
     try:
-        if not options.kit or not kit.is_dir():
-            raise RegressionSetupError(f"KIT={options.kit}: no kit there")
+        kit = kit_folder(options.kit)
         figures = read_figures(FIGURES_PATH)
         days = [day for day in figures["day"] if day.get("gate") or not options.standing]
         whole, panels = figures.get("whole"), figures.get("panels", [])
