--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -19,7 +19,8 @@
 from cressrail.testbed.rule_checker import Rule, RuleViolation
 from cressrail.testbed.run_evidence import RunEvidence, collect_evidence
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
-from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_configuration import build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_process import SidecarProcess
 from tests.testbed.event_rows import INGRESS_ROW, attempt_row, call_row
 
 FILE: dict[str, Any] = {
