--- a/tools/regress.py
+++ b/tools/regress.py
@@ -215,6 +215,18 @@
     return [Path(site) if site.startswith(REPOSITORY_SITES_PREFIX) else kit / site for site in panel["sites"]]
 
 
+def kit_folder(word: str) -> Path:
+    """The kit's folder by its name on the command line.
+
+    Raises:
+        RegressionSetupError: There is none.
+    """
+    kit = Path(word)
+    if not word or not kit.is_dir():
+        raise RegressionSetupError(f"KIT={word}: no kit there")
+    return kit
+
+
 def check_kit(kit: Path, days: Sequence[Table], panels: Sequence[Table]) -> None:
     """Checks that each bench and site is there.
 
