--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -1,4 +1,4 @@
-"""A scheduler with many resting descriptors: no round polls them, and their data is noticed and timed."""
+"""What wakes a task, and a scheduler with many resting descriptors that no round polls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from cressrail.event_loop import scheduler
-from cressrail.event_loop.scheduler import READABLE, Scheduler
+from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, Scheduler
 
 
 class RestingTasks:
@@ -61,7 +61,8 @@
     tasks.work(80, 1000)
     assert (len(tasks.loop.busy_masks), len(tasks.loop.full_masks)) == (0, 10)
     tasks.pairs[0][1].send(b"x")
-    assert tasks.loop.busy_poll.poll(0) == [] and len(tasks.loop.full_poll.poll(0)) == 1
+    assert tasks.loop.busy_poll.poll(0) == []
+    assert len(tasks.loop.full_poll.poll(0)) == 1
     tasks.close()
 
 
@@ -74,7 +75,8 @@
     tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
     tasks.pairs[3][1].send(b"x")
     tasks.work(8, 1000)
-    assert len(tasks.received) == 1 and tasks.received[0][0] == 3
+    assert len(tasks.received) == 1
+    assert tasks.received[0][0] == 3
     assert tasks.received[0][1] == looked  # no later than it can have come
     assert list(tasks.loop.busy_masks) == [tasks.pairs[3][0].fileno()]
     tasks.close()
@@ -105,7 +107,9 @@
         far.close()
     tasks.work(10, 1000)  # their tasks see the end and close
     tasks.work(10, 1000)
-    assert not numbers & set(tasks.loop.full_masks) and len(tasks.loop.full_masks) == 4 and not tasks.faults
+    assert not numbers & set(tasks.loop.full_masks)
+    assert len(tasks.loop.full_masks) == 4
+    assert not tasks.faults
     more = socket.socketpair()
     tasks.pairs.append(more)
     more[0].setblocking(False)
@@ -115,3 +119,61 @@
     tasks.work(6, 1000)
     assert [n for n, _ in tasks.received] == [99]
     tasks.close()
+
+
+def test_task_is_woken_by_message_timer_and_descriptor_and_arrivals_are_timed() -> None:
+    now = 0
+    scheduler = Scheduler(lambda: now, lambda text: None)
+    near, far = socket.socketpair()
+    results: list[object] = []
+
+    def waiting() -> None:
+        results.append(scheduler.wait(near.fileno(), READABLE, 50))
+        results.append(task.messages.popleft())
+        results.append(scheduler.wait(until_us=70))
+        results.append(scheduler.wait(near.fileno(), READABLE) & select.POLLIN)
+        results.append(scheduler.earliest_arrival_us)
+        scheduler.is_stopped = True
+
+    def driving() -> None:
+        nonlocal now
+        scheduler.post(task, "a message")
+        scheduler.wait(until_us=0)
+        now = 80
+        scheduler.wait(until_us=0)
+        far.send(b"x")
+        now = 5000  # busy for so long; the byte may have come at 80
+
+    with near, far:
+        task = scheduler.spawn(waiting)
+        scheduler.spawn(driving)
+        scheduler.run()
+    assert results == [MESSAGE, "a message", TIMED_OUT, select.POLLIN, 80]
+
+
+def test_failed_task_is_reported_and_the_others_go_on() -> None:
+    faults: list[str] = []
+    loop = Scheduler(lambda: 0, faults.append)
+
+    def failing() -> None:
+        raise ValueError("mine")
+
+    loop.spawn(failing)
+    loop.spawn(lambda: setattr(loop, "is_stopped", True))
+    loop.run()
+    [fault] = faults
+    assert "ValueError: mine" in fault
+    assert loop.task_count == 0
+
+
+def test_repeated_fault_ends_process_with_status() -> None:
+    scheduler = Scheduler(lambda: 5, lambda fault: faults.append(fault))
+    faults: list[str] = []
+
+    def failing() -> None:
+        raise KeyError("injected")
+
+    scheduler.spawn(failing, is_vital=True)
+    scheduler.run()
+    assert scheduler.has_failed
+    assert len(faults) == 8
