--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -19,6 +19,7 @@
 from cressrail.testbed.fault_injection import FaultInjector
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
 from cressrail.testbed.loopback import loopback_host
+from cressrail.testbed.membership_watcher import MembershipWatcher
 from cressrail.testbed.network_emulation import NetworkEmulator, NetworkRule
 from cressrail.testbed.scenario import FleetScenario, MembershipSetup, RequestClass, Tier
 from cressrail.testbed.sidecar_process import RELAY_PORT, SidecarProcess
@@ -26,7 +27,6 @@
 from cressrail.testbed.simulated_service import SimulatedEndpoint
 from cressrail.testbed.tcp_relay import TcpRelay
 from cressrail.testbed.udp_relay import UdpRelay
-from cressrail.testbed.watchers import MembershipWatcher
 
 SERVICE_HOST = "127.0.0.1"  # of endpoints and discovery, on free ports
 SIDECAR_PORT = 9000
--- a/tests/testbed/test_watchers.py
+++ b/tests/testbed/test_membership_watcher.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cressrail.testbed.event_record import EventRecord, read_events
-from cressrail.testbed.watchers import MembershipWatcher
+from cressrail.testbed.membership_watcher import MembershipWatcher
 
 
 @pytest.mark.parametrize(
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -357,17 +357,6 @@
         )
 
 
-def kit_folder(name: str) -> Path:
-    """Returns the folder of the benches.
-
-    Raises:
-        RegressionSetupError: There is none of this name.
-    """
-    if not name or not Path(name).is_dir():
-        raise RegressionSetupError(f"KIT={name}: no kit there")
-    return Path(name)
-
-
 def main(words: Sequence[str]) -> int:
     """Plays everything, prints the report and returns the exit status."""
     parser = argparse.ArgumentParser(
@@ -383,13 +372,13 @@
         figures = read_figures(FIGURES_PATH)
         days = [day for day in figures["day"] if day.get("gate") or not options.standing]
         whole, panels = figures.get("whole"), figures.get("panels", [])
-        check_kit(kit, [*days, *([whole] if whole else [])], panels)
+        check_kit(kit, [*days, *([] if whole is None else [whole])], panels)
     except RegressionSetupError as error:
         print(f"regress: {error}", file=sys.stderr)
         return 2
     day_results = [play_day(kit, day, size) for day in days]
     other_results: list[WholeDayResult | PanelResult] = []
-    if whole:
+    if whole is not None:
         other_results += play_whole_days(kit, whole, size)
     for panel in panels:
         other_results += play_panel(kit, panel, size)
