--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -10,7 +10,7 @@
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.event_record import EventRecord, ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkEmulator, NetworkRule
-from cressrail.testbed.scenario import Fault, FaultSchedule
+from cressrail.testbed.scenario import Fault, FaultKind, FaultSchedule, RestartConfiguration
 from cressrail.testbed.sidecar_process import SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 
@@ -18,8 +18,8 @@
 MIN_DRAWN_DURATION_S = 0.2
 CONCURRENT_STARTS = 4  # more would take the processor from the rest of the fleet
 
-# Starts a sidecar that ended; the word says how it is configured, see `Fault.config`.
-RestartSidecar = Callable[[SidecarProcess, str], Awaitable[None]]
+# Starts a sidecar that ended.
+RestartSidecar = Callable[[SidecarProcess, RestartConfiguration], Awaitable[None]]
 
 
 class FaultInjector:
@@ -44,40 +44,40 @@
 
     async def begin(self, number: int, fault: Fault) -> list[str]:
         """Begins a fault; returns the names of those that it affects."""
-        if fault.kind == "wire":
+        if fault.kind == FaultKind.NETWORK:
             return self._begin_network_fault(number, fault)
         affected = self._select(fault.sidecars)
         if fault.share < 1.0:
             affected = self._random.sample(affected, round(fault.share * len(affected)))
         self._affected[number] = affected
-        if fault.kind in ("kill", "restart"):
+        if fault.kind in (FaultKind.SIDECAR_KILL, FaultKind.SIDECAR_RESTART):
             for sidecar in affected:
                 self.record_state(sidecar, ProcessState.KILLED)
             await self._sidecars.kill_all(affected)
         for sidecar in affected:
             self._begin_process_fault(fault, sidecar)
-        if fault.kind == "restart":
-            await self._restart_all(affected, fault.config)
+        if fault.kind == FaultKind.SIDECAR_RESTART:
+            await self._restart_all(affected, fault.restart_configuration)
         return [sidecar.name for sidecar in affected]
 
     async def end(self, number: int, fault: Fault) -> None:
         """Ends a fault that was begun under this number."""
-        if fault.kind == "wire":
+        if fault.kind == FaultKind.NETWORK:
             rule = self._rules.pop(number)
             self._network.rules = list(self._rules.values())
             if rule.is_cut:
                 self._event_record.append(cut=number, on=False, at_us=now_us())
             return
         affected = self._affected.pop(number, [])
-        if fault.kind == "stall-process":
+        if fault.kind == FaultKind.SIDECAR_PAUSE:
             for sidecar in affected:
                 self._end_pause(sidecar)
-        elif fault.kind == "flood":
+        elif fault.kind == FaultKind.DATAGRAM_FLOOD:
             for sidecar in affected:
                 self._sidecars.stop_flood(sidecar)
-        elif fault.kind in ("kill", "stop"):
+        elif fault.kind in (FaultKind.SIDECAR_KILL, FaultKind.SIDECAR_TERMINATION):
             await self._sidecars.kill_all(affected)  # also one that was terminated and has not ended yet
-            await self._restart_all(affected, fault.config)
+            await self._restart_all(affected, fault.restart_configuration)
 
     def record_state(self, sidecar: SidecarProcess, state: ProcessState) -> None:
         """Writes to the event record what became of a sidecar's process."""
@@ -120,14 +120,14 @@
         return sorted(rule.senders | rule.receivers)
 
     def _begin_process_fault(self, fault: Fault, sidecar: SidecarProcess) -> None:
-        if fault.kind == "stall-process":
+        if fault.kind == FaultKind.SIDECAR_PAUSE:
             self._pause_counts[sidecar.name] = self._pause_counts.get(sidecar.name, 0) + 1
             self._sidecars.pause(sidecar)
             self.record_state(sidecar, ProcessState.STALLED)
-        elif fault.kind == "stop" and sidecar.process is not None:
+        elif fault.kind == FaultKind.SIDECAR_TERMINATION and sidecar.process is not None:
             sidecar.process.terminate()
             self.record_state(sidecar, ProcessState.STOPPED)
-        elif fault.kind == "flood":
+        elif fault.kind == FaultKind.DATAGRAM_FLOOD:
             self._sidecars.start_flood(sidecar, fault.rate)
 
     def _end_pause(self, sidecar: SidecarProcess) -> None:
@@ -136,9 +136,11 @@
             self._sidecars.resume(sidecar)
             self.record_state(sidecar, ProcessState.RUNNING)
 
-    async def _restart_all(self, sidecars: Iterable[SidecarProcess], configuration: str) -> None:
+    async def _restart_all(
+        self, sidecars: Iterable[SidecarProcess], configuration: RestartConfiguration
+    ) -> None:
         pending = list(sidecars)
-        has_membership = configuration != "older"
+        has_membership = configuration != RestartConfiguration.OLDER
 
         async def restart_pending() -> None:
             while pending:
@@ -161,11 +163,11 @@
 def _draw_fault(
     generator: random.Random, schedule: FaultSchedule, run_duration_s: float, sidecar_names: Sequence[str]
 ) -> Fault:
-    kind = generator.choice(schedule.kinds)
+    kind = FaultKind(generator.choice(schedule.kinds))
     duration_s = generator.uniform(MIN_DRAWN_DURATION_S, schedule.max_duration_s)
     at_s = generator.uniform(0.0, max(0.0, run_duration_s * DRAWN_SHARE - duration_s))
     keys: dict[str, Any] = {"at_s": at_s, "for_s": duration_s, "kind": kind}
-    if kind == "wire":
+    if kind == FaultKind.NETWORK:
         has_one_receiver = generator.choice((True, False))
         keys["from"] = generator.sample(sidecar_names, 1)
         keys["to"] = generator.sample(sidecar_names, 1) if has_one_receiver else []
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -21,7 +21,13 @@
 from cressrail.testbed.loopback import loopback_host
 from cressrail.testbed.membership_watcher import MembershipWatcher
 from cressrail.testbed.network_emulation import NetworkEmulator, NetworkRule
-from cressrail.testbed.scenario import FleetScenario, MembershipSetup, RequestClass, Tier
+from cressrail.testbed.scenario import (
+    FleetScenario,
+    MembershipSetup,
+    RequestClass,
+    RestartConfiguration,
+    Tier,
+)
 from cressrail.testbed.sidecar_process import RELAY_PORT, SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 from cressrail.testbed.simulated_service import SimulatedEndpoint
@@ -145,11 +151,11 @@
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
-    async def restart_sidecar(self, sidecar: SidecarProcess, configuration: str) -> None:
-        """Starts a sidecar again under its name and addresses; for `configuration` see `Fault.config`."""
+    async def restart_sidecar(self, sidecar: SidecarProcess, configuration: RestartConfiguration) -> None:
+        """Starts a sidecar that ended, under the same name and addresses."""
         self._restart_count += 1
-        seed_offset = self._restart_count if configuration == "seed" else 0
-        self._launch(sidecar, seed_offset, is_older=configuration == "older")
+        seed_offset = self._restart_count if configuration == RestartConfiguration.NEW_SEED else 0
+        self._launch(sidecar, seed_offset, is_older=configuration == RestartConfiguration.OLDER)
         await self.sidecars.wait_until_ready(sidecar)
 
     def crash_endpoint(self, endpoint: SimulatedEndpoint) -> None:
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -20,11 +20,11 @@
     ENDPOINT_CRASH = "die"
     ENDPOINT_STALL = "stall"
     ENDPOINT_SLOWDOWN = "slow"
-    ENDPOINT_DRAIN = "drain"
     RESPONSE_REJECTED = "refuse"
     RESPONSE_RESET = "reset"
     RESPONSE_ERROR = "err"
     RESPONSE_GARBLED = "spoil"
+    ENDPOINT_DRAIN = "drain"
     ZONE_CUT = "cut"
     DISCOVERY_DELAY = "late"
     DISCOVERY_SILENCE = "silent"
@@ -38,6 +38,14 @@
     DATAGRAM_FLOOD = "flood"
 
 
+class RestartConfiguration(StrEnum):
+    """What a sidecar is configured with that starts again; the values stand in scenario files."""
+
+    SAME = "same"
+    NEW_SEED = "seed"  # of its random values
+    OLDER = "older"  # of an earlier version, without membership and failover
+
+
 RESPONSE_FAULTS = (
     FaultKind.RESPONSE_REJECTED,
     FaultKind.RESPONSE_RESET,
@@ -234,8 +242,7 @@
         reorder: Share of datagrams that come behind later ones.
         corrupt: Share of datagrams with a flipped bit.
         rate: Datagrams a second that come through between two sidecars; of a flood, that each one gets.
-        config: What a sidecar that starts again is configured with: `same`, another random `seed`, or an
-            `older` configuration.
+        restart_configuration: What a sidecar that starts again is configured with.
     """
 
     at_s: float = Field(ge=0)
@@ -255,7 +262,7 @@
     reorder: float = Field(0.0, ge=0, le=1)
     corrupt: float = Field(0.0, ge=0, le=1)
     rate: float = Field(0.0, ge=0)
-    config: Literal["same", "seed", "older"] = "same"
+    restart_configuration: RestartConfiguration = Field(RestartConfiguration.SAME, alias="config")
 
     @model_validator(mode="before")
     @classmethod
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -16,6 +16,7 @@
 from cressrail.experiment.play import play_world
 from cressrail.membership.messages import USES
 from cressrail.testbed.event_record import ProcessState
+from cressrail.testbed.scenario import RestartConfiguration
 from tests.membership.support import (
     false_claims,
 )
@@ -38,7 +39,9 @@
         await running.wait_until_all_count(2, except_for=tuple(dead))
         # Four of six are gone: no majority is left, so it is their addresses that say so.
         await running.wait_until(lambda: all(2.0 <= goes_by(n) < 3.0 for n in up))
-        await asyncio.gather(*(running.fleet.restart_sidecar(running.sidecars[n], "same") for n in dead))
+        await asyncio.gather(
+            *(running.fleet.restart_sidecar(running.sidecars[n], RestartConfiguration.SAME) for n in dead)
+        )
         for n in dead:
             running.record_state(n, ProcessState.UP)
         await running.wait_until(lambda: all(goes_by(n) >= 5.8 for n in range(6)))
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -23,6 +23,7 @@
 from cressrail.experiment.play import play_world
 from cressrail.testbed.event_record import ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
+from cressrail.testbed.scenario import RestartConfiguration
 from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
 
 
@@ -41,7 +42,7 @@
     running.record_state(4, ProcessState.KILLED)
     await running.wait_until_all_count(4, except_for=(4,))
     assert running.declared_dead() == {"door4"}
-    await fleet.restart_sidecar(last, "same")
+    await fleet.restart_sidecar(last, RestartConfiguration.SAME)
     running.record_state(4, ProcessState.UP)
     await running.wait_until_all_count(5)
     config = orjson.loads((fleet.folder / "door4.json").read_bytes())
