--- a/cressrail/configuration/settings_reader.py
+++ b/cressrail/configuration/settings_reader.py
@@ -6,13 +6,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from contextlib import contextmanager
 from typing import TypeVar
 
 MAX_SHOWN_CHARS = 40  # of a wrong value, in a message
 
 Choice = TypeVar("Choice")
+Number = TypeVar("Number", int, float)
 
 FLAGS = {"true": True, "1": True, "false": False, "0": False}
 
@@ -114,10 +115,7 @@
         """
         if absent is not None and path not in self.values:
             return absent
-        try:
-            value = int(self.text(path))
-        except ValueError:
-            raise ConfigurationError(path, f"is not a whole number: {shown(self.values[path])}") from None
+        value = self._convert(path, int, "a whole number")
         if value < least:
             raise ConfigurationError(path, f"is below {least}: {value}")
         return value
@@ -130,14 +128,17 @@
         """
         if absent is not None and path not in self.values:
             return absent
-        try:
-            value = float(self.text(path))
-        except ValueError:
-            raise ConfigurationError(path, f"is not a number: {shown(self.values[path])}") from None
+        value = self._convert(path, float, "a number")
         if not least <= value <= most:
             raise ConfigurationError(path, f"is not within {least} and {most}: {value}")
         return value
 
+    def _convert(self, path: str, convert: Callable[[str], Number], kind: str) -> Number:
+        try:
+            return convert(self.text(path))
+        except ValueError:
+            raise ConfigurationError(path, f"is not {kind}: {shown(self.values[path])}") from None
+
     def flag(self, path: str) -> bool:
         """Returns whether the setting is `true` or `1`.
 
