--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -55,8 +55,8 @@
     size: Annotated[int, typer.Option(min=2, max=2000)] = 50,
     seed: int = 1,
     loss: Annotated[float, typer.Option(min=0.0, max=0.9, help="Share of datagrams, each way.")] = 0.0,
-    bear_pause_ms: Annotated[int, typer.Option(min=300)] = 3000,
-    most_bytes: Annotated[int, typer.Option(min=256, max=1400)] = 1400,
+    tolerated_pause_ms: Annotated[int, typer.Option("--bear-pause-ms", min=300)] = 3000,
+    max_datagram_bytes: Annotated[int, typer.Option("--most-bytes", min=256, max=1400)] = 1400,
     without: Annotated[list[str] | None, typer.Option(help="Take out aware, indirect or shrinks.")] = None,
     json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
 ) -> None:
@@ -68,5 +68,5 @@
         if ablation not in ABLATIONS:
             shown = ablation[:MAX_SHOWN_CHARACTERS]
             fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {shown}")
-    figures = run_simulation(size, seed, loss, bear_pause_ms, most_bytes, tuple(without or ()))
+    figures = run_simulation(size, seed, loss, tolerated_pause_ms, max_datagram_bytes, tuple(without or ()))
     print_figures(figures, json)
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -42,7 +42,7 @@
         "zone",
         "region",
         "state",
-        "why",
+        "reason",
         "for s",
         *(f"from {name}" for name in names),
         title=f"epoch {view['epoch']} by {view['decided_by'] or 'nobody'}, {freshness}; {served}",
