--- a/tools/regress.py
+++ b/tools/regress.py
@@ -357,17 +357,6 @@
         )
 
 
-def kit_folder(name: str) -> Path:
-    """Returns the folder of the benches.
-
-    Raises:
-        RegressionSetupError: There is none of this name.
-    """
-    if not name or not Path(name).is_dir():
-        raise RegressionSetupError(f"KIT={name}: no kit there")
-    return Path(name)
-
-
 def main(words: Sequence[str]) -> int:
     """Plays everything, prints the report and returns the exit status."""
     parser = argparse.ArgumentParser(
