--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -1,4 +1,4 @@
-"""`cressrail load`: the generator."""
+"""`cressrail load`: sends load, finds this machine's ceiling, and records traces."""
 
 from __future__ import annotations
 
@@ -6,17 +6,22 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 from pydantic import ValidationError
 
 from cressrail.cli.output import address, fail
-from cressrail.load.plan import MemberMix, Plan, ProfileMix, reason
-from cressrail.load.record import recorded
-from cressrail.load.run import Job, play, summary, write_json
-from cressrail.load.shapes import SHAPES
-from cressrail.load.trace import BadRow, write
+from cressrail.load.plan import LoadPlan, RequestClassLoad, TenantLoad, first_validation_error
+from cressrail.load.report import summary_text, write_report
+from cressrail.load.run import LoadJob, run_load
+from cressrail.load.sender import Address
+from cressrail.load.shapes import DEFAULT_SURGE_MULTIPLE, RATE_SHAPES
+from cressrail.load.trace import MalformedTraceError, TraceScale, write_trace
+from cressrail.load.trace_recording import read_recorded_requests
+
+SHAPES_WITH_MULTIPLE = ("surge", "snowmelt", "bursts")
+US_PER_MS = 1000
 
 app = typer.Typer(
     help="Open-loop load, traces, and what a run came to.",
@@ -29,70 +34,70 @@
 @app.command()
 def run(
     target: Annotated[list[str], typer.Option(help="HOST:PORT; several share the load in turn.")],
-    rate: Annotated[float, typer.Option(help="Transactions a second.")] = 100.0,
+    rate: Annotated[float, typer.Option(help="Requests a second.")] = 100.0,
     seconds: float = 10.0,
     profile: Annotated[
-        list[str] | None, typer.Option(help="NAME, NAME:safe|keyed|unsafe, NAME:KIND:PART.")
+        list[str] | None, typer.Option(help="A request class: NAME, NAME:safe|keyed|unsafe, NAME:KIND:PART.")
     ] = None,
-    member: Annotated[list[str] | None, typer.Option(help="NAME or NAME:PART.")] = None,
+    member: Annotated[list[str] | None, typer.Option(help="A tenant: NAME or NAME:PART.")] = None,
     seed: int = 1,
-    shape: Annotated[str, typer.Option(help=", ".join(SHAPES))] = "steady",
-    times: Annotated[float, typer.Option(help="How high a surge goes.")] = 2.4,
+    shape: Annotated[str, typer.Option(help=", ".join(RATE_SHAPES))] = "steady",
+    times: Annotated[float, typer.Option(help="How high a surge goes.")] = DEFAULT_SURGE_MULTIPLE,
     size: Annotated[int, typer.Option(help="Mean bytes of a body.")] = 0,
-    limit_ms: Annotated[float, typer.Option(help="The hard limit.")] = 3000.0,
-    repeats: int = 0,
+    limit_ms: Annotated[float, typer.Option(help="The deadline.")] = 3000.0,
+    repeats: Annotated[int, typer.Option(help="Most retries of a client.")] = 0,
     backoff: Annotated[str, typer.Option(help="none, fixed or exp")] = "exp",
     honour: Annotated[float, typer.Option(help="Share that waits as Retry-After says.")] = 1.0,
-    give_up: Annotated[float, typer.Option(help="A try is waited for so much of the hard limit.")] = 1.0,
+    give_up: Annotated[
+        float, typer.Option(help="Share of the deadline that an attempt is waited for.")
+    ] = 1.0,
     keep: Annotated[bool, typer.Option(help="Keep connections.")] = True,
     connections: int = 8000,
     trace: Annotated[Path | None, typer.Option(help="Play this in place of a shape.")] = None,
     time_scale: float = 1.0,
     rate_scale: float = 1.0,
     json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
-    ledger: Annotated[Path | None, typer.Option(help="A line for each try.")] = None,
+    ledger: Annotated[Path | None, typer.Option(help="A line for each attempt.")] = None,
     histograms: Annotated[Path | None, typer.Option(help="An HdrHistogram log.")] = None,
 ) -> None:
-    """Send load and tell what became of it, timed from when each transaction was due."""
-    words = {"times": times} if shape in ("surge", "snowmelt", "bursts") and times != 2.4 else {}
+    """Send load and report what became of it, timed from when each request was due."""
+    has_multiple = shape in SHAPES_WITH_MULTIPLE and times != DEFAULT_SURGE_MULTIPLE
+    clients = {
+        "give_up": give_up,
+        "repeats": repeats,
+        "backoff": backoff,
+        "honour": honour,
+        "keep": keep,
+    }
+    settings: dict[str, Any] = {
+        "rate": rate,
+        "seconds": seconds,
+        "seed": seed,
+        "shape": shape,
+        "with": {"times": times} if has_multiple else {},
+        "connections": connections,
+        "clients": clients,
+    }
     try:
-        plan = Plan.model_validate(
-            {
-                "rate": rate,
-                "seconds": seconds,
-                "seed": seed,
-                "shape": shape,
-                "with": words,
-                "connections": connections,
-                "profiles": [_profile(text, size, limit_ms).model_dump() for text in profile or ["read"]],
-                "members": [_member(text).model_dump() for text in member or ["acme"]],
-                "clients": {
-                    "give_up": give_up,
-                    "repeats": repeats,
-                    "backoff": backoff,
-                    "honour": honour,
-                    "keep": keep,
-                },
-            }
-        )
-        told = play(
-            Job(
-                plan,
-                [address(text) for text in target],
-                trace,
-                time_scale,
-                rate_scale,
-                ledger,
-                histograms=histograms,
-            )
+        settings["profiles"] = [_request_class(text, size, limit_ms) for text in profile or ["read"]]
+        settings["members"] = [_tenant(text) for text in member or ["acme"]]
+        plan = LoadPlan.model_validate(settings)
+        job = LoadJob(
+            plan,
+            [address(text) for text in target],
+            trace=trace,
+            trace_scale=TraceScale(time_scale, rate_scale),
+            attempt_log=ledger,
+            histogram_log=histograms,
         )
-    except ValidationError as fault:
-        fail(f"load: {reason(fault)}")
-    except (BadRow, OSError, ValueError) as fault:
-        fail(str(fault))
+        report = run_load(job)
+    except ValidationError as error:
+        fail(f"load: {first_validation_error(error)}")
+    except (MalformedTraceError, OSError, ValueError) as error:
+        fail(str(error))
     if json is not None:
-        write_json(json, told)
-    print(summary(told))
+        write_report(json, report)
+    print(summary_text(report))
 
 
 @app.command()
@@ -100,25 +105,36 @@
     least: float = 1000.0, step: Annotated[float, typer.Option(min=1.05)] = 1.5, seconds: float = 3.0
 ) -> None:
     """Send to a server that answers at once, faster and faster, until this generator is late itself."""
-    words = [sys.executable, "-m", "cressrail.experiment.sink", "1", os.devnull]
-    with subprocess.Popen(words, stdout=subprocess.PIPE, text=True) as sink:
-        assert sink.stdout is not None
-        at = ("127.0.0.1", int(sink.stdout.readline().split()[0]))
-        rate, kept = least, 0.0
+    command = [sys.executable, "-m", "cressrail.experiment.sink", "1", os.devnull]
+    with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as server:
         try:
-            while True:
-                told = play(Job(Plan(rate=rate, seconds=seconds), [at], quiet=True))
-                print(
-                    f"{rate:.0f} a second: late by {told['late_sends_us']['p999'] / 1000:.2f} ms at 99.9%"
-                    f"{', refused' if told['refused'] else ''}",
-                    flush=True,
-                )
-                if told["refused"]:
-                    break
-                rate, kept = rate * step, rate
+            assert server.stdout is not None
+            port = int(server.stdout.readline().split()[0])
+            sustained_rate = _find_ceiling(("127.0.0.1", port), least, step, seconds)
         finally:
-            sink.kill()
-    print(f"ceiling: {kept:.0f} a second on one core" if kept else f"ceiling: under {least:.0f} a second")
+            server.kill()
+    if sustained_rate:
+        print(f"ceiling: {sustained_rate:.0f} a second on one core")
+    else:
+        print(f"ceiling: under {least:.0f} a second")
+
+
+def _find_ceiling(target: Address, first_rate: float, step: float, duration_s: float) -> float:
+    """Returns the highest rate at which the generator was not late, 0 where it always was."""
+    rate, sustained_rate = first_rate, 0.0
+    while True:
+        plan = LoadPlan.model_validate({"rate": rate, "seconds": duration_s})
+        report = run_load(LoadJob(plan, [target], is_quiet=True))
+        delays_us = report["late_sends_us"]
+        assert delays_us is not None
+        print(
+            f"{rate:.0f} a second: late by {delays_us['p999'] / US_PER_MS:.2f} ms at 99.9%"
+            f"{', refused' if report['refused'] else ''}",
+            flush=True,
+        )
+        if report["refused"]:
+            return sustained_rate
+        rate, sustained_rate = rate * step, rate
 
 
 @app.command()
@@ -129,21 +145,29 @@
 ) -> None:
     """Write a trace from a run's ledger or a sidecar's log."""
     try:
-        with open(out, "wb") as file:
-            n = write(file, recorded(source, size))
-    except (BadRow, OSError) as fault:
-        fail(str(fault))
-    print(f"{out}: {n} transactions", file=sys.stderr)
+        with out.open("wb") as file:
+            count = write_trace(file, read_recorded_requests(source, size))
+    except (MalformedTraceError, OSError) as error:
+        fail(str(error))
+    print(f"{out}: {count} requests", file=sys.stderr)
 
 
-def _profile(text: str, size: int, limit_ms: float) -> ProfileMix:
+def _request_class(text: str, mean_body_bytes: int, deadline_ms: float) -> RequestClassLoad:
+    """Parses NAME:KIND:PART; the last two may be missing."""
     name, _, rest = text.partition(":")
-    kind, _, part = rest.partition(":")
-    return ProfileMix.model_validate(
-        {"name": name, "repeat": kind or "safe", "part": float(part or 1), "size": size, "limit_ms": limit_ms}
+    idempotency, _, weight = rest.partition(":")
+    return RequestClassLoad.model_validate(
+        {
+            "name": name,
+            "repeat": idempotency or "safe",
+            "part": float(weight or 1),
+            "size": mean_body_bytes,
+            "limit_ms": deadline_ms,
+        }
     )
 
 
-def _member(text: str) -> MemberMix:
-    name, _, part = text.partition(":")
-    return MemberMix(name=name, part=float(part or 1))
+def _tenant(text: str) -> TenantLoad:
+    """Parses NAME:PART; the part may be missing."""
+    name, _, weight = text.partition(":")
+    return TenantLoad.model_validate({"name": name, "part": float(weight or 1)})
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -22,8 +22,8 @@
 
 from cressrail.experiment.checkouts import HERE, tree
 from cressrail.experiment.sink import ZONE
-from cressrail.load.plan import Plan
-from cressrail.load.run import Job, play
+from cressrail.load.plan import LoadPlan
+from cressrail.load.run import LoadJob, run_load
 from cressrail.testbed.fleet import loopback
 from cressrail.testbed.scenario import World
 from cressrail.testbed.sidecars import Sidecar, put, told
@@ -95,10 +95,10 @@
     ):
         folder = Path(name)
         with contender(where, folder, port, discovery, cores) as (pid, at), resting(at, case.idle):
-            plan = Plan.model_validate({"rate": RATE, "seconds": SLICE_S, "seed": 1, "connections": 64})
+            plan = LoadPlan.model_validate({"rate": RATE, "seconds": SLICE_S, "seed": 1, "connections": 64})
             try:
                 os.sched_setaffinity(0, cores[-1:])
-                play(Job(plan, [at], quiet=True))
+                run_load(LoadJob(plan, [at], is_quiet=True))
                 slices = [one_slice(plan, at, pid, n + 2) for n in range(SLICES)]
             finally:
                 os.sched_setaffinity(0, cores)
@@ -106,15 +106,16 @@
             return us, peak_mb(pid), p50
 
 
-def one_slice(plan: Plan, at: tuple[str, int], pid: int, seed: int) -> tuple[float, float]:
+def one_slice(plan: LoadPlan, at: tuple[str, int], pid: int, seed: int) -> tuple[float, float]:
     """Others on the machine only ever add to what is spent, so of several slices the least counts."""
     before = ran_ns(pid)
-    load = play(Job(plan.model_copy(update={"seed": seed}), [at], quiet=True))
+    load = run_load(LoadJob(plan.model_copy(update={"seed": seed}), [at], is_quiet=True))
     spent = ran_ns(pid) - before
     good = load["statuses"].get("200", 0)
     if good < 0.95 * load["offered"]:
         raise RuntimeError(f"only {good} of {load['offered']} were answered 200")
-    return spent / 1000 / load["offered"], (load["latency_us"] or {"p50": float("nan")})["p50"]
+    latency_us = load["latency_us"]
+    return spent / 1000 / load["offered"], latency_us["p50"] if latency_us else float("nan")
 
 
 def ran_ns(pid: int) -> int:
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -9,6 +9,7 @@
 import numpy.typing as npt
 
 from cressrail.experiment.play import Played
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import World
 
 DRAWS = 4000  # of the bootstrap
@@ -48,7 +49,7 @@
         tx = call["id"].rpartition("-")[0]
         good = (
             call["status"] == 200
-            and call["ended_us"] - call["due_us"] <= profiles[call["profile"]].goal_ms * 1000
+            and call["ended_us"] - call["due_us"] <= profiles[call["profile"]].latency_objective_ms * 1000
         )
         if call["id"].endswith("-1"):
             first[tx] = good
@@ -61,7 +62,7 @@
             "status": call["status"],
         }
     took = np.array([e["ended_us"] - e["due_us"] for e in ends.values()] or [0]) / 1000
-    worth = {name: p.revenue for name, p in profiles.items()}
+    worth = {name: p.priority_weight for name, p in profiles.items()}
     offered = sum(worth[e["profile"]] for e in ends.values()) or 1.0
     by_tx: dict[str, int] = defaultdict(int)
     for hop in played.seen.hops:
@@ -82,7 +83,9 @@
         "hops_per_tx": sum(by_tx[c["id"]] for c in doors) / max(1, len(doors)),
         "retry_share": sum(max(0, by_tx[c["id"]] - 1) for c in calls) / max(1, len(calls)),
         "late_work_share": sum(h["work_us"] for h in late) / max(1, sum(h["work_us"] for h in ran)),
-        "effects_after_end": float(sum(profiles[h["profile"]].repeat != "safe" for h in late)),
+        "effects_after_end": float(
+            sum(profiles[h["profile"]].idempotency != Idempotency.IDEMPOTENT for h in late)
+        ),
         "breaks": float(len(played.broken)),
         **_after_harm(world, series(world, played)),
     }
@@ -151,10 +154,10 @@
         profile = profiles[call["profile"]]
         if call["id"].endswith("-1"):
             found["offered"][second(call["due_us"])] += 1
-            found["worth"][second(call["due_us"])] += profile.revenue
-        if call["status"] == 200 and call["ended_us"] - call["due_us"] <= profile.goal_ms * 1000:
+            found["worth"][second(call["due_us"])] += profile.priority_weight
+        if call["status"] == 200 and call["ended_us"] - call["due_us"] <= profile.latency_objective_ms * 1000:
             found["good"][second(call["due_us"])] += 1
-            found["revenue"][second(call["due_us"])] += profile.revenue
+            found["revenue"][second(call["due_us"])] += profile.priority_weight
     names = [f"{tier.name}{n}" for tier in world.fleet.tiers for n in range(tier.endpoints)]
     heat = {name: np.zeros(size, int) for name in names}
     seen: set[str] = set()
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -6,11 +6,11 @@
 
 from pydantic import Field, model_validator
 
-from cressrail.load.plan import Strict
+from cressrail.load.plan import StrictModel
 from cressrail.testbed.scenario import Broken, Policy, World
 
 
-class Arm(Strict):
+class Arm(StrictModel):
     """A configuration, a baseline, or an earlier revision of this repository."""
 
     name: str
--- a/cressrail/experiment/play.py
+++ b/cressrail/experiment/play.py
@@ -9,14 +9,14 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import orjson
 import tomlkit
 
 from cressrail.http_testing.client import now_us
-from cressrail.load.plan import MemberMix, Plan, ProfileMix
-from cressrail.load.run import Job, play
+from cressrail.load.plan import LoadPlan, RequestClassLoad, TenantLoad
+from cressrail.load.report import LoadReport
+from cressrail.load.run import LoadJob, run_load
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import Views, views
 from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
@@ -29,13 +29,13 @@
 
 @dataclass
 class Played:
-    told: dict[str, Any]  # the load's figures
+    told: LoadReport
     seen: Evidence
     broken: list[Break]
 
 
-def plan_of(world: World) -> Plan:
-    return Plan.model_validate(
+def plan_of(world: World) -> LoadPlan:
+    return LoadPlan.model_validate(
         {
             "rate": world.load.rate,
             "seconds": world.seconds,
@@ -45,9 +45,15 @@
             "clients": world.load.clients,
             "connections": world.load.connections,
             "profiles": [
-                ProfileMix(**p.model_dump(include=set(ProfileMix.model_fields))) for p in world.profiles
+                RequestClassLoad.model_validate(
+                    p.model_dump(include=set(RequestClassLoad.model_fields), by_alias=True)
+                )
+                for p in world.profiles
+            ],
+            "members": [
+                TenantLoad.model_validate(m.model_dump(include=set(TenantLoad.model_fields), by_alias=True))
+                for m in world.members
             ],
-            "members": [MemberMix(name=m.name, part=m.part) for m in world.members],
         }
     )
 
@@ -60,7 +66,7 @@
     the fleet does not come up."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / "world.toml"
-    file.write_text(tomlkit.dumps(world.model_dump(by_alias=True, exclude_none=True)))
+    file.write_text(tomlkit.dumps(world.model_dump(mode="json", by_alias=True, exclude_none=True)))
     env = {**os.environ, "PYTHONPATH": str(HERE)}
     command = [
         sys.executable,
@@ -138,8 +144,15 @@
 ) -> Played:
     ledger = folder / "load.jsonl"
     with fleet(world, folder, tree=tree, policy=policy, broken=broken) as (doors, start_us):
-        told = play(
-            Job(plan_of(world), doors, ledger=ledger, spool=folder / "spool", start_us=start_us, quiet=quiet)
+        told = run_load(
+            LoadJob(
+                plan_of(world),
+                doors,
+                attempt_log=ledger,
+                records=folder / "spool",
+                start_us=start_us,
+                is_quiet=quiet,
+            )
         )
     seen = evidence(rows(ledger), rows(folder / "fleet.jsonl"))
     found = judge(world, seen)
--- /dev/null
+++ b/cressrail/load/attempt_log.py
@@ -0,0 +1,74 @@
+"""The log of attempts that `--ledger` names: a JSON line for each, the evidence of the rule checker.
+
+The keys of its lines stand here alone.
+"""
+
+from __future__ import annotations
+
+from typing import IO, NamedTuple
+
+import orjson
+
+from cressrail.http_testing.client import Answer
+from cressrail.load.http_messages import echoed_attempt_id
+from cressrail.load.schedule import ScheduledRequest
+
+
+class Attempt(NamedTuple):
+    """One attempt of a request; times on the steady clock.
+
+    Attributes:
+        attempt_id: Seed, request number and attempt number.
+        target: HOST:PORT.
+        timeout_us: What the client told the target.
+    """
+
+    attempt_id: str
+    target: str
+    started_us: int
+    timeout_us: int
+
+
+class AttemptLog:
+    """Writes to a file that its caller opens and closes."""
+
+    def __init__(self, file: IO[bytes]) -> None:
+        self._file = file
+
+    def write_attempt(
+        self,
+        attempt: Attempt,
+        scheduled: ScheduledRequest,
+        due_us: int,
+        answer: Answer,
+        *,
+        request_class: str,
+        tenant: str,
+    ) -> None:
+        """Writes an attempt that has ended; `due_us` is on the steady clock."""
+        self._write(
+            {
+                "id": attempt.attempt_id,
+                "profile": request_class,
+                "member": tenant,
+                "key": scheduled.idempotency_key,
+                "size": scheduled.body_bytes,
+                "target": attempt.target,
+                "due_us": due_us,
+                "began_us": attempt.started_us,
+                "sent_us": answer.sent_us,
+                "again_us": answer.again_us,
+                "ended_us": answer.ended_us,
+                "status": answer.status,
+                "how": answer.how,
+                "limit_us": attempt.timeout_us,
+                "echo": echoed_attempt_id(answer.body),
+            }
+        )
+
+    def write_surplus(self, size: int, target: str) -> None:
+        """Writes that bytes came after a final answer."""
+        self._write({"surplus": size, "target": target})
+
+    def _write(self, line: dict[str, object]) -> None:
+        self._file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -1,185 +1,177 @@
-"""What a run comes to, worked out from its spool once it is over.
+"""The figures of a run, computed from its request records once it is over.
 
-Latency counts from when a transaction was due, also for those that had no answer: they took at least as long
-as they were waited for. Quantiles come from HDR histograms (Tene; whole microseconds, three significant
-digits, up to an hour).
+Latency counts from when a request was due, also for those without an answer: they took at least as long as
+they were waited for.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
-from heapq import heappop, heappush
-from itertools import pairwise
+from collections.abc import Iterable, Iterator, Sequence
+from enum import Enum
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import numpy as np
-import numpy.typing as npt
-from hdrh.histogram import HdrHistogram
-
-from cressrail.load import spool
-
-LOWEST_US, HIGHEST_US, DIGITS = 1, 3_600_000_000, 3
-QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
-LATE_US = 5_000  # a send so late is this generator's fault
-# of the sends may be, or may have been open while it stood still, before it refuses to tell latencies
-LATE_PART = 0.001
-Int = npt.NDArray[np.int64]
-ALL = slice(None)
-
-
-def histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-
-
-def fill(into: HdrHistogram, values: Int) -> HdrHistogram:
-    into.reset()
-    for value, count in zip(
-        *np.unique(np.clip(values, LOWEST_US, HIGHEST_US), return_counts=True), strict=True
-    ):
-        into.record_value(int(value), int(count))
-    return into
-
-
-def quantiles(values: Int, work: HdrHistogram) -> dict[str, int] | None:
-    if not len(values):
-        return None
-    filled = fill(work, values)
-    found = {name: int(filled.get_value_at_percentile(q)) for name, q in QUANTILES.items()}
-    return {**found, "max": int(values.max())}
-
-
-def closed_loop(due_us: Int, sent_us: Int, ended_us: Int, workers: int) -> Int:
-    """Latencies that so many workers in a closed loop would have told of: each sends when a transaction is
-    due and it has its last answer, and times from the send. What is due while all wait is never sent, so
-    never told: coordinated omission (Tene, 'How NOT to Measure Latency')."""
-    free = [0] * workers
-    told = []
-    for k in np.argsort(due_us, kind="stable"):
-        if free[0] <= due_us[k]:
-            heappop(free)
-            heappush(free, int(ended_us[k]))
-            told.append(int(ended_us[k] - max(due_us[k], sent_us[k])))
-    return np.array(told, np.int64)
-
-
-def outcome(status: int) -> str:
-    return {200: "committed", 503: "rolled back", 429: "rolled back", 0: "unanswered"}.get(status, "failed")
-
-
-class Figures:
-    """Columns of a spool, in the order of its rows."""
-
-    def __init__(self, path: Path, profiles: list[str], members: list[str]) -> None:
-        blocks = list(spool.read(path)) or [np.empty(0, spool.ROW)]
-        rows = np.concatenate(blocks)
-        self.rows = rows[np.argsort(rows["due_us"], kind="stable")]
-        self.profiles, self.members = profiles, members
-        self.latency_us: Int = self.rows["ended_us"] - self.rows["due_us"]
-        self.late_us: Int = np.maximum(0, self.rows["taken_us"] - self.rows["due_us"])
-        self.work = histogram()
-
-    def tainted(self, pauses: Iterable[tuple[int, int]]) -> Int:
-        """Rows that were due or open while the generator stood still, so that their end may be its own doing:
-        due within a pause, or ended just after one."""
-        bad = np.zeros(len(self.rows), bool)
-        for start, end in pauses:
-            ended = self.rows["ended_us"]
-            bad |= (self.rows["due_us"] >= start) & (self.rows["due_us"] <= end)
-            bad |= (ended >= start) & (ended <= end + 20_000) & (self.rows["due_us"] <= end)
-        return np.flatnonzero(bad)
-
-    def lateness(self, pauses: list[tuple[int, int]]) -> str | None:
-        """Why latencies can't be told, in one line, or nothing."""
-        n = len(self.rows)
-        late = int((self.late_us > LATE_US).sum())
-        tainted = len(self.tainted(pauses))
-        if not n or max(late, tainted) <= LATE_PART * n:
+
+from cressrail.load.closed_loop import closed_loop_latencies, typical_worker_count
+from cressrail.load.latency_histogram import Microseconds, new_histogram, quantiles
+from cressrail.load.report import GroupFigures, LoadReport
+from cressrail.load.request_records import read_records
+
+MAX_SEND_DELAY_US = 5_000  # a later send is the generator's fault
+MAX_UNRELIABLE_SHARE = 0.001  # of the requests, before no latency is reported
+AFTER_PAUSE_US = 20_000  # an answer read this soon after a pause may have waited for its end
+MAX_STATUS = 599
+US_PER_S = 1_000_000
+US_PER_MS = 1000
+WHOLE_RUN = slice(None)
+
+
+class RequestOutcome(Enum):
+    """What the client knows of a request at its end; the values are the words of figures files."""
+
+    SUCCEEDED = "committed"
+    REJECTED = "rolled back"
+    FAILED = "failed"
+    UNANSWERED = "unanswered"
+
+
+OUTCOME_BY_STATUS = {
+    0: RequestOutcome.UNANSWERED,
+    200: RequestOutcome.SUCCEEDED,
+    429: RequestOutcome.REJECTED,
+    503: RequestOutcome.REJECTED,
+}
+
+
+def outcome_of(status: int) -> RequestOutcome:
+    """Returns the outcome of a request by the status of its last attempt, 0 without a whole answer."""
+    return OUTCOME_BY_STATUS.get(status, RequestOutcome.FAILED)
+
+
+class Pause(NamedTuple):
+    """A time in which the generator itself stood still, from the start of the run."""
+
+    start_us: int
+    end_us: int
+
+
+class RequestGroup(NamedTuple):
+    """Requests of one class, tenant and outcome; `indices` count within the stretch that was asked for."""
+
+    request_class: str
+    tenant: str
+    outcome: RequestOutcome
+    indices: Microseconds
+
+
+class LoadFigures:
+    """The records of a run, ordered by when requests were due, and what follows from them."""
+
+    def __init__(self, path: Path, class_names: Sequence[str], tenant_names: Sequence[str]) -> None:
+        records = read_records(path)
+        self.records = records[np.argsort(records["due_us"], kind="stable")]
+        self.class_names, self.tenant_names = class_names, tenant_names
+        self.latency_us: Microseconds = self.records["ended_us"] - self.records["due_us"]
+        self.send_delay_us: Microseconds = np.maximum(0, self.records["started_us"] - self.records["due_us"])
+        self.histogram = new_histogram()
+
+    def requests_in_pauses(self, pauses: Iterable[Pause]) -> Microseconds:
+        """Returns the indices of requests that were due in a pause, or ended in one or just after it."""
+        is_affected = np.zeros(len(self.records), bool)
+        due_us, ended_us = self.records["due_us"], self.records["ended_us"]
+        for start_us, end_us in pauses:
+            is_affected |= (due_us >= start_us) & (due_us <= end_us)
+            is_affected |= (ended_us >= start_us) & (ended_us <= end_us + AFTER_PAUSE_US) & (due_us <= end_us)
+        return np.flatnonzero(is_affected)
+
+    def unreliability(self, pauses: Sequence[Pause]) -> str | None:
+        """Returns one line that says why latencies can't be reported, or None where they can."""
+        count = len(self.records)
+        late_count = int((self.send_delay_us > MAX_SEND_DELAY_US).sum())
+        in_pauses = len(self.requests_in_pauses(pauses))
+        if not count or max(late_count, in_pauses) <= MAX_UNRELIABLE_SHARE * count:
             return None
-        worst = max((end - start for start, end in pauses), default=0)
-        stood = f"; it stood still {len(pauses)} times, for up to {worst // 1000} ms" if pauses else ""
+        longest_us = max((pause.end_us - pause.start_us for pause in pauses), default=0)
+        paused = (
+            f"; it stood still {len(pauses)} times, for up to {longest_us // US_PER_MS} ms" if pauses else ""
+        )
         return (
-            f"no latencies: the generator itself was late with {late} of {n} sends "
-            f"(over {LATE_US // 1000} ms, by up to {int(self.late_us.max()) // 1000} ms){stood}"
+            f"no latencies: the generator itself was late with {late_count} of {count} sends "
+            f"(over {MAX_SEND_DELAY_US // US_PER_MS} ms, "
+            f"by up to {int(self.send_delay_us.max()) // US_PER_MS} ms){paused}"
         )
 
-    def told(self, pauses: list[tuple[int, int]]) -> dict[str, Any]:
-        why = self.lateness(pauses)
-        statuses = {
-            str(s): int((self.rows["status"] == s).sum()) for s in np.unique(self.rows["status"]) if s
-        }
-        answered = int((self.rows["status"] > 0).sum())
-        told: dict[str, Any] = {
-            "offered": len(self.rows),
+    def report(self, pauses: Sequence[Pause]) -> LoadReport:
+        """Returns the figures that follow from the records alone."""
+        statuses = self.records["status"]
+        answered = int((statuses > 0).sum())
+        refused = self.unreliability(pauses)
+        report: LoadReport = {
+            "offered": len(self.records),
             "answered": answered,
-            "unanswered": len(self.rows) - answered,
-            "statuses": statuses,
-            "late_sends_us": quantiles(self.late_us, self.work),
+            "unanswered": len(self.records) - answered,
+            "statuses": {
+                str(status): int((statuses == status).sum()) for status in np.unique(statuses) if status
+            },
+            "late_sends_us": quantiles(self.send_delay_us, self.histogram),
             "latency_us": None,
             "closed_loop_us": None,
-            "tries": int(self.rows["tries"].sum()),
-            "pauses_us": [list(p) for p in pauses],
-            "refused": why,
+            "tries": int(self.records["attempts"].sum()),
+            "pauses_us": [list(pause) for pause in pauses],
+            "refused": refused,
+        }
+        if refused is None and len(self.records):
+            self._add_latencies(report)
+        report["seconds"] = self.seconds()
+        return report
+
+    def _add_latencies(self, report: LoadReport) -> None:
+        due_us = self.records["due_us"]
+        workers = typical_worker_count(due_us, self.latency_us)
+        closed_loop_us = closed_loop_latencies(
+            due_us, self.records["sent_us"], self.records["ended_us"], workers
+        )
+        report["latency_us"] = quantiles(self.latency_us, self.histogram)
+        report["closed_loop_workers"] = workers
+        report["closed_loop_us"] = quantiles(closed_loop_us, self.histogram)
+        report["by"] = [self._group_figures(group) for group in self.groups()]
+
+    def _group_figures(self, group: RequestGroup) -> GroupFigures:
+        return {
+            "profile": group.request_class,
+            "member": group.tenant,
+            "outcome": group.outcome.value,
+            "n": len(group.indices),
+            "latency_us": quantiles(self.latency_us[group.indices], self.histogram),
         }
-        if why is None and len(self.rows):
-            told["latency_us"] = quantiles(self.latency_us, self.work)
-            told["closed_loop_workers"] = self.workers()
-            told["closed_loop_us"] = quantiles(
-                closed_loop(self.rows["due_us"], self.rows["sent_us"], self.rows["ended_us"], self.workers()),
-                self.work,
+
+    def groups(self, stretch: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
+        """Yields the requests of a stretch of the records by class, tenant and status."""
+        records = self.records[stretch]
+        if not len(records):
+            return
+        keys = np.stack([records["request_class"], records["tenant"], records["status"]], 1)
+        distinct_keys, group_of_record = np.unique(keys, axis=0, return_inverse=True)
+        for number, (request_class, tenant, status) in enumerate(distinct_keys):
+            yield RequestGroup(
+                self.class_names[request_class],
+                self.tenant_names[tenant],
+                outcome_of(int(status)),
+                np.flatnonzero(group_of_record.reshape(-1) == number),
             )
-            told["by"] = [
-                {
-                    "profile": p,
-                    "member": m,
-                    "outcome": o,
-                    "n": len(ix),
-                    "latency_us": quantiles(self.latency_us[ix], self.work),
-                }
-                for (p, m, o), ix in self.groups()
-            ]
-        told["seconds"] = self.seconds()
-        return told
-
-    def workers(self) -> int:
-        """So many are in flight as a rule (Little's law, with the median)."""
-        span = max(1, int(self.rows["due_us"].max() - self.rows["due_us"].min()))
-        return max(1, round(len(self.rows) / span * float(np.median(self.latency_us))))
-
-    def groups(self, within: slice = ALL) -> Iterator[tuple[tuple[str, str, str], Int]]:
-        rows = self.rows[within]
-        names = np.stack([rows["profile"], rows["member"], rows["status"]], 1)
-        kinds, at = np.unique(names, axis=0, return_inverse=True) if len(rows) else (names, np.empty(0, int))
-        for k, (p, m, s) in enumerate(kinds):
-            yield (self.profiles[p], self.members[m], outcome(int(s))), np.flatnonzero(at.reshape(-1) == k)
 
     def seconds(self) -> list[dict[str, int]]:
-        """By the second in which transactions were due."""
-        if not len(self.rows):
+        """Returns counts by outcome for each second in which requests were due."""
+        if not len(self.records):
             return []
-        at = self.rows["due_us"] // 1_000_000
-        size = int(at.max()) + 1
-        count = {"offered": np.bincount(at, minlength=size)}
-        for name in ("committed", "rolled back", "failed", "unanswered"):
-            is_it = np.array([outcome(int(s)) == name for s in range(600)])[self.rows["status"]]
-            count[name] = np.bincount(at, is_it, size).astype(int)
-        return [{name: int(of[k]) for name, of in count.items()} for k in range(size)]
-
-    def write_log(self, path: Path, start_s: float) -> None:
-        """A histogram for each second, profile, member and outcome, as interval lines with tags in the log
-        format 1.2 of HdrHistogram. Not by the library's own writer, which knows no tags."""
-        with open(path, "w") as file:
-            file.write(
-                f"#[Histogram log format version 1.2]\n#[BaseTime: {start_s:.3f} (seconds since epoch)]\n"
-                f"#[StartTime: {start_s:.3f} (seconds since epoch)]\n"
-                '"StartTimestamp","Interval_Length","Interval_Max","Interval_Compressed_Histogram"\n'
-            )
-            edges = np.searchsorted(self.rows["due_us"], np.arange(len(self.seconds()) + 1) * 1_000_000)
-            for second, (lo, hi) in enumerate(pairwise(edges)):
-                for names, ix in self.groups(slice(lo, hi)):
-                    of = fill(self.work, self.latency_us[lo:hi][ix])
-                    tag = ".".join(names).replace(" ", "_").replace(",", "_")
-                    file.write(
-                        f"Tag={tag},{second:.3f},1.000,{of.get_max_value() / 1e6:.6f},"
-                        f"{of.encode().decode()}\n"
-                    )
+        second_due = self.records["due_us"] // US_PER_S
+        size = int(second_due.max()) + 1
+        counts = {"offered": np.bincount(second_due, minlength=size)}
+        for outcome in RequestOutcome:
+            has_outcome = np.array([outcome_of(status) is outcome for status in range(MAX_STATUS + 1)])
+            weights = has_outcome[self.records["status"]]
+            counts[outcome.value] = np.bincount(second_due, weights, size).astype(int)
+        return [
+            {name: int(by_second[second]) for name, by_second in counts.items()} for second in range(size)
+        ]
--- /dev/null
+++ b/cressrail/load/histogram_log.py
@@ -0,0 +1,41 @@
+"""Writes latencies as a histogram log, version 1.2 of the format of HdrHistogram.
+
+The library's own writer cannot write tags.
+"""
+
+from __future__ import annotations
+
+from itertools import pairwise
+from pathlib import Path
+
+import numpy as np
+
+from cressrail.load.figures import US_PER_S, LoadFigures
+from cressrail.load.latency_histogram import fill_histogram
+
+
+def write_histogram_log(path: Path, figures: LoadFigures, start_s: float) -> None:
+    """Writes one histogram for each second, request class, tenant and outcome, as tagged interval lines.
+
+    Args:
+        path: The file, overwritten.
+        figures: The run.
+        start_s: The start of the run, in seconds since the epoch.
+    """
+    second_count = len(figures.seconds())
+    edges = np.searchsorted(figures.records["due_us"], np.arange(second_count + 1) * US_PER_S)
+    with path.open("w") as file:
+        file.write(
+            f"#[Histogram log format version 1.2]\n#[BaseTime: {start_s:.3f} (seconds since epoch)]\n"
+            f"#[StartTime: {start_s:.3f} (seconds since epoch)]\n"
+            '"StartTimestamp","Interval_Length","Interval_Max","Interval_Compressed_Histogram"\n'
+        )
+        for second, (first, end) in enumerate(pairwise(edges)):
+            stretch = slice(first, end)
+            for request_class, tenant, outcome, indices in figures.groups(stretch):
+                histogram = fill_histogram(figures.histogram, figures.latency_us[stretch][indices])
+                tag = f"{request_class}.{tenant}.{outcome.value}".replace(" ", "_").replace(",", "_")
+                file.write(
+                    f"Tag={tag},{second:.3f},1.000,{histogram.get_max_value() / US_PER_S:.6f},"
+                    f"{histogram.encode().decode()}\n"
+                )
--- /dev/null
+++ b/cressrail/load/http_messages.py
@@ -0,0 +1,52 @@
+"""Requests in the platform's protocol, and what the generator reads from answers."""
+
+from __future__ import annotations
+
+from cressrail.http_testing.client import Answer
+from cressrail.load.plan import MAX_BODY_BYTES, Idempotency, RequestClassLoad
+from cressrail.load.schedule import ScheduledRequest
+
+BODY_FILLER = b"m" * MAX_BODY_BYTES
+MAX_ECHO_BYTES = 80
+US_PER_S = 1e6
+
+
+def encode_request(
+    attempt_id: str,
+    request_class: RequestClassLoad,
+    tenant: str,
+    timeout_us: int,
+    scheduled: ScheduledRequest,
+    *,
+    is_retry: bool,
+) -> bytes:
+    """Returns the bytes of one attempt; a request that is idempotent and has no body is a GET."""
+    is_get = request_class.idempotency is Idempotency.IDEMPOTENT and not scheduled.body_bytes
+    lines = [
+        f"{'GET' if is_get else 'POST'} /api HTTP/1.1",
+        "Host: app.svc",
+        f"Req-Id: {attempt_id}",
+        f"Req-Kind: {request_class.name}",
+        f"Req-Owner: {tenant}",
+        f"Req-Deadline: {timeout_us}u",
+    ]
+    if request_class.idempotency is Idempotency.WITH_KEY:
+        lines.append(f"Idempotency-Key: {scheduled.idempotency_key}")
+    if is_retry:
+        lines.append("Req-Retry: 1")
+    if not is_get:
+        lines.append(f"Content-Length: {scheduled.body_bytes}")
+    return "\r\n".join([*lines, "", ""]).encode("latin-1") + BODY_FILLER[: scheduled.body_bytes]
+
+
+def retry_after_us(answer: Answer) -> int:
+    """Returns what Retry-After asks for, 0 where it is missing or no number."""
+    try:
+        return max(0, int(float(answer.fields.get(b"retry-after", b"0")) * US_PER_S))
+    except ValueError:
+        return 0
+
+
+def echoed_attempt_id(body: bytes) -> str:
+    """Returns the id of the attempt that an endpoint answered: what stands before the first space."""
+    return body[:MAX_ECHO_BYTES].partition(b" ")[0].decode("latin-1")
--- a/cressrail/load/plan.py
+++ b/cressrail/load/plan.py
@@ -1,120 +1,117 @@
-"""What is to be sent, and how clients behave: settings, checked when read, and the transactions drawn from
-them."""
+"""The settings of a load run: arrival rate, request classes, tenants, and how clients behave.
+
+The keys of plan and scenario files stand here alone, as aliases of the fields.
+"""
 
 from __future__ import annotations
 
-import random
-from collections.abc import Iterator
-from typing import Any, Literal, NamedTuple
+from enum import StrEnum
+from typing import Any, Literal, Self
 
-import numpy as np
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from cressrail.load.shapes import SHAPES, Shape, draw_times
+from cressrail.load.shapes import RATE_SHAPES, RateShape
+
+MAX_BODY_BYTES = 65536
+ShapeName = Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"]
 
-BLOCK = 65536  # transactions drawn at a time; memory stays flat however long the run
 
+class StrictModel(BaseModel):
+    """An immutable part of a file; a key that it does not know is an error."""
 
-class Strict(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-def reason(fault: ValidationError) -> str:
-    """The first thing that is wrong, with its path."""
-    first = fault.errors()[0]
+def first_validation_error(error: ValidationError) -> str:
+    """Returns the first thing that is wrong, after the path at which it stands."""
+    first = error.errors()[0]
     path = ".".join(str(part) for part in first["loc"])
-    said = first["msg"].removeprefix("Value error, ")
-    return f"{path}: {said}" if path else said
+    message = first["msg"].removeprefix("Value error, ")
+    return f"{path}: {message}" if path else message
+
+
+class Idempotency(StrEnum):
+    """Whether a request may be sent again; the values are the words of files and options."""
+
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class ProfileMix(Strict):
-    """A part of the load: transactions of one profile."""
+class RequestClassLoad(StrictModel):
+    """A part of the load: requests of one class.
+
+    Attributes:
+        weight: Its part of the load, relative to the other classes.
+        mean_body_bytes: Of a lognormal distribution with a coefficient of variation of 0.5.
+    """
 
     name: str
-    repeat: Literal["safe", "keyed", "unsafe"] = "safe"
-    part: float = Field(1.0, gt=0)
-    limit_ms: float = Field(3000.0, gt=0)  # the hard limit
-    goal_ms: float = Field(1000.0, gt=0)  # the service goal
-    revenue: float = Field(1.0, ge=0)
-    size: int = Field(0, ge=0, le=65536)  # mean bytes of a body; drawn lognormal with cv 0.5
+    idempotency: Idempotency = Field(Idempotency.IDEMPOTENT, alias="repeat")
+    weight: float = Field(1.0, gt=0, alias="part")
+    deadline_ms: float = Field(3000.0, gt=0, alias="limit_ms")
+    latency_objective_ms: float = Field(1000.0, gt=0, alias="goal_ms")
+    priority_weight: float = Field(1.0, ge=0, alias="revenue")
+    mean_body_bytes: int = Field(0, ge=0, le=MAX_BODY_BYTES, alias="size")
+
 
+class TenantLoad(StrictModel):
+    """A tenant and its part of the load, relative to the other tenants."""
 
-class MemberMix(Strict):
     name: str
-    part: float = Field(1.0, ge=0)
+    weight: float = Field(1.0, ge=0, alias="part")
+
 
+class ClientBehaviour(StrictModel):
+    """What clients do when an answer is slow or missing.
 
-class Behaviour(Strict):
-    """What clients do when an answer is long in coming, or is none."""
+    Attributes:
+        patience_share: The part of the deadline after which a client gives an attempt up.
+        max_retries: Further attempts after the first one.
+        retry_after_share: The part of the clients that wait for as long as Retry-After asks.
+        keeps_connections: Whether a connection is used for more than one request.
+    """
 
-    give_up: float = Field(1.0, gt=0, le=1.0)  # a try is waited for so much of the hard limit
-    repeats: int = Field(0, ge=0)
+    patience_share: float = Field(1.0, gt=0, le=1.0, alias="give_up")
+    max_retries: int = Field(0, ge=0, alias="repeats")
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: float = Field(50.0, ge=0)
-    honour: float = Field(1.0, ge=0, le=1.0)  # share of clients that wait as Retry-After says
-    keep: bool = True  # connections
+    retry_after_share: float = Field(1.0, ge=0, le=1.0, alias="honour")
+    keeps_connections: bool = Field(True, alias="keep")
+
+
+class LoadPlan(StrictModel):
+    """All settings of a load run.
 
+    Attributes:
+        rate_per_s: Requests a second where the shape gives 1.
+        shape_parameters: Arguments of the shape, by name.
+        max_connections: Open at once, over all targets.
+    """
 
-class Plan(Strict):
-    rate: float = Field(100.0, gt=0, le=1e6)
-    seconds: float = Field(10.0, gt=0)
+    rate_per_s: float = Field(100.0, gt=0, le=1e6, alias="rate")
+    duration_s: float = Field(10.0, gt=0, alias="seconds")
     seed: int = 1
-    shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
-    with_: dict[str, float] = Field(default_factory=dict, alias="with")  # the shape's own figures
-    profiles: list[ProfileMix] = [ProfileMix(name="read")]
-    members: list[MemberMix] = [MemberMix(name="acme")]
-    clients: Behaviour = Behaviour()
-    connections: int = Field(8000, ge=1)  # open at once, at the most, over all targets
+    shape: ShapeName = "steady"
+    shape_parameters: dict[str, float] = Field(default_factory=dict, alias="with")
+    request_classes: list[RequestClassLoad] = Field([RequestClassLoad(name="read")], alias="profiles")
+    tenants: list[TenantLoad] = Field([TenantLoad(name="acme")], alias="members")
+    client_behaviour: ClientBehaviour = Field(ClientBehaviour(), alias="clients")
+    max_connections: int = Field(8000, ge=1, alias="connections")
 
     @model_validator(mode="after")
-    def _shape_takes(self) -> Plan:
+    def _check_consistency(self) -> Self:
         try:
-            self.drawn_shape()
-        except TypeError as fault:
-            raise ValueError(f"with: {str(fault).replace('()', '')}") from None
-        if not sum(m.part for m in self.members):
+            self.rate_shape()
+        except TypeError as error:
+            raise ValueError(f"with: {str(error).replace('()', '')}") from None
+        if not sum(tenant.weight for tenant in self.tenants):
             raise ValueError("members: no part is above 0")
         return self
 
-    def drawn_shape(self) -> Shape:
-        whole: dict[str, Any] = {k: int(v) if k == "trains" else v for k, v in self.with_.items()}
-        return SHAPES[self.shape](**whole)
-
-
-class Due(NamedTuple):
-    """One transaction, before it is sent. `due_us` counts from the start of the run."""
-
-    due_us: int
-    profile: int
-    member: int
-    size: int
-    key: str
-
-
-def drawn(plan: Plan) -> Iterator[Due]:
-    """The same plan gives the same transactions, whatever becomes of them. Keys come from the plan too, so a
-    journalled transaction's repeats carry its key."""
-    chance = np.random.Generator(np.random.PCG64(plan.seed))
-    times = draw_times(plan.drawn_shape(), plan.rate, plan.seconds, chance)
-    parts = np.array([p.part for p in plan.profiles])
-    among = np.array([m.part for m in plan.members])
-    for start in range(0, len(times), BLOCK):
-        block = times[start : start + BLOCK]
-        n = len(block)
-        which = chance.choice(len(parts), n, p=parts / parts.sum())
-        whose = chance.choice(len(among), n, p=among / among.sum())
-        spread = chance.lognormal(-0.1116, 0.4724, n)  # mean 1, coefficient of variation 0.5
-        for k in range(n):
-            profile = plan.profiles[which[k]]
-            size = min(65536, int(profile.size * spread[k]))
-            yield Due(int(block[k]), int(which[k]), int(whose[k]), size, f"k{plan.seed:x}-{start + k:x}")
-
-
-def pause_us(plan: Plan, tries: int, told_us: int, chance: random.Random) -> int:
-    """How long a client waits before it tries again, `told_us` being what the answer asked for."""
-    if told_us and chance.random() < plan.clients.honour:
-        return told_us
-    base = plan.clients.backoff_ms * 1000
-    if plan.clients.backoff == "none":
-        return 0
-    return int(base if plan.clients.backoff == "fixed" else base * 2 ** (tries - 1) * (0.5 + chance.random()))
+    def rate_shape(self) -> RateShape:
+        """Returns the arrival rate over time; raises `TypeError` for a parameter the shape does not have."""
+        parameters: dict[str, Any] = {
+            name: int(value) if name == "trains" else value for name, value in self.shape_parameters.items()
+        }
+        return RATE_SHAPES[self.shape](**parameters)
--- /dev/null
+++ b/cressrail/load/progress.py
@@ -0,0 +1,54 @@
+"""How far a run is, on standard error: a bar on a terminal, a line every few seconds elsewhere."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
+from itertools import count
+
+from cressrail.load.sender import LoadSender
+
+REPORTS_PER_LINE = 5
+US_PER_S = 1e6
+
+
+@contextmanager
+def show_progress(sender: LoadSender, duration_s: float, *, is_quiet: bool) -> Iterator[None]:
+    """Shows the progress of `sender` while the context is open."""
+    if is_quiet:
+        yield
+    elif sys.stderr.isatty():
+        with _progress_bar(sender, duration_s):
+            yield
+    else:
+        report_numbers = count(1)
+
+        def print_line() -> None:
+            if next(report_numbers) % REPORTS_PER_LINE == 0:
+                print(_progress_text(sender), file=sys.stderr, flush=True)
+
+        sender.on_report = print_line
+        yield
+
+
+@contextmanager
+def _progress_bar(sender: LoadSender, duration_s: float) -> Iterator[None]:
+    # Loaded only where there is a terminal: it takes its time.
+    from rich.console import Console
+    from rich.progress import BarColumn, Progress, TextColumn
+
+    columns = TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:>3.0f}%")
+    with Progress(*columns, console=Console(stderr=True), auto_refresh=False, transient=True) as bar:
+        task = bar.add_task("sending", total=duration_s)
+
+        def draw() -> None:
+            bar.update(task, completed=sender.last_due_us / US_PER_S, description=_progress_text(sender))
+            bar.refresh()
+
+        sender.on_report = draw
+        yield
+
+
+def _progress_text(sender: LoadSender) -> str:
+    return f"sent {sender.sent_count}, answered {sender.answered_count}, open {len(sender.pending)}"
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -1,4 +1,4 @@
-"""One run of the generator, from its settings to its figures; the front of `cressrail load run`."""
+"""One run of the generator, from its settings to its figures."""
 
 from __future__ import annotations
 
@@ -6,189 +6,143 @@
 import gc
 import resource
 import signal
-import sys
 import tempfile
 import time
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
-from dataclasses import dataclass, field
+from collections.abc import Iterator
+from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-import orjson
 import uvloop
 
-from cressrail.load.figures import Figures
-from cressrail.load.plan import Due, Plan, ProfileMix, drawn
-from cressrail.load.sender import Sender
-from cressrail.load.spool import Spool
-from cressrail.load.trace import read as read_trace
-
-SPARE_DESCRIPTORS = 64
-BUSY_US = 25_000
+from cressrail.load.attempt_log import AttemptLog
+from cressrail.load.figures import LoadFigures
+from cressrail.load.histogram_log import write_histogram_log
+from cressrail.load.plan import LoadPlan, RequestClassLoad
+from cressrail.load.progress import show_progress
+from cressrail.load.report import LoadReport
+from cressrail.load.request_records import RequestRecordWriter
+from cressrail.load.schedule import ScheduledRequest, draw_schedule
+from cressrail.load.sender import Address, LoadSender
+from cressrail.load.trace import UNSCALED, TraceScale, read_trace
+
+SPARE_DESCRIPTORS = 64  # beside those of connections
+MAX_DESCRIPTORS = 1 << 20  # where the system sets no limit
+
+
+@dataclass(frozen=True)
+class LoadJob:
+    """What to run, and where its results go.
+
+    Attributes:
+        trace: Played in place of the plan's schedule.
+        attempt_log: A JSON line for each attempt.
+        records: The request records, which otherwise go with the run.
+        histogram_log: Latencies in the format of HdrHistogram.
+        start_us: The start on the steady clock, where others are to begin at the same moment.
+        is_quiet: Whether no progress is shown.
+    """
+
+    plan: LoadPlan
+    targets: list[Address]
+    trace: Path | None = None
+    trace_scale: TraceScale = UNSCALED
+    attempt_log: Path | None = None
+    records: Path | None = None
+    histogram_log: Path | None = None
+    start_us: int | None = None
+    is_quiet: bool = False
 
 
 @dataclass
-class Job:
-    plan: Plan
-    targets: list[tuple[str, int]]
-    trace: Path | None = None
-    time_scale: float = 1.0
-    rate_scale: float = 1.0
-    ledger: Path | None = None
-    spool: Path | None = None  # kept there; otherwise gone with the run
-    histograms: Path | None = None
-    start_us: int | None = None  # of the steady clock; where others are to begin at the same moment
-    quiet: bool = False
-    profiles: list[ProfileMix] = field(default_factory=list)
-    members: list[str] = field(default_factory=list)
-
-
-def play(job: Job) -> dict[str, Any]:
-    """Figures of the run, as `--json` writes them. Raises `BadRow` where a trace can't be read."""
-    plan = room(job.plan)
-    job.profiles = list(plan.profiles)
-    job.members = [m.name for m in plan.members]
+class NameTables:
+    """Request classes and tenants by index; a trace adds those that the plan does not have."""
+
+    request_classes: list[RequestClassLoad]
+    tenant_names: list[str]
+
+    def extended_by_trace(self, path: Path, scale: TraceScale) -> Iterator[ScheduledRequest]:
+        """Yields the requests of a trace; a class it alone names has the settings of the plan's first."""
+        class_indices = {item.name: index for index, item in enumerate(self.request_classes)}
+        tenant_indices = {name: index for index, name in enumerate(self.tenant_names)}
+        for scheduled in read_trace(path, class_indices, tenant_indices, scale):
+            for name in list(class_indices)[len(self.request_classes) :]:
+                self.request_classes.append(self.request_classes[0].model_copy(update={"name": name}))
+            self.tenant_names.extend(list(tenant_indices)[len(self.tenant_names) :])
+            yield scheduled
+
+
+def run_load(job: LoadJob) -> LoadReport:
+    """Sends the load and returns its figures.
+
+    Raises:
+        MalformedTraceError: For a trace that cannot be read, once all that was sent has ended.
+    """
+    plan = fit_connections_to_descriptors(job.plan)
+    tables = NameTables(list(plan.request_classes), [tenant.name for tenant in plan.tenants])
     with tempfile.TemporaryDirectory() as folder:
-        path = job.spool or Path(folder) / "spool"
-        spool = Spool(path)
-        try:
-            sender = uvloop.run(_send(job, plan, spool))
-        finally:
-            spool.close()
-        figures = Figures(path, [p.name for p in job.profiles], job.members)
-        told = figures.told(sender.watchman.pauses)
-        if job.histograms is not None and told["refused"] is None:
-            figures.write_log(job.histograms, time.time() - job.plan.seconds)
-    told.update(
-        held_back=sender.held_back,
-        surplus_bytes=sender.surplus,
-        busy_us=sender.watchman.busy_us,
-        interrupted=sender.interrupted,
-        connections=sum(c.opened for c in sender.callers),
-        start_us=sender.start_us,
-    )
-    if sender.fault is not None:
-        raise sender.fault
-    return told
-
-
-def room(plan: Plan) -> Plan:
-    """The descriptors that the plan's connections take, as far as the process may have them."""
+        records_path = job.records or Path(folder) / "records"
+        with RequestRecordWriter(records_path) as records:
+            sender = uvloop.run(_send(job, plan, tables, records))
+        class_names = [request_class.name for request_class in tables.request_classes]
+        figures = LoadFigures(records_path, class_names, tables.tenant_names)
+        report = figures.report(sender.stall_detector.pauses)
+        if job.histogram_log is not None and report["refused"] is None:
+            write_histogram_log(job.histogram_log, figures, time.time() - job.plan.duration_s)
+    report["held_back"] = sender.waits_for_connection
+    report["surplus_bytes"] = sender.surplus_bytes
+    report["busy_us"] = sender.stall_detector.max_busy_us
+    report["interrupted"] = sender.is_interrupted
+    report["connections"] = sender.connections_opened
+    report["start_us"] = sender.start_us
+    if sender.schedule_error is not None:
+        raise sender.schedule_error
+    return report
+
+
+def fit_connections_to_descriptors(plan: LoadPlan) -> LoadPlan:
+    """Raises the limit of descriptors as far as needed and allowed, and returns the plan within it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = hard if hard != resource.RLIM_INFINITY else 1 << 20
-    wanted = min(most, max(soft, plan.connections + SPARE_DESCRIPTORS))
+    allowed = hard if hard != resource.RLIM_INFINITY else MAX_DESCRIPTORS
+    wanted = min(allowed, max(soft, plan.max_connections + SPARE_DESCRIPTORS))
     if wanted != soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-    return plan.model_copy(update={"connections": max(1, min(plan.connections, wanted - SPARE_DESCRIPTORS))})
-
-
-async def _send(job: Job, plan: Plan, spool: Spool) -> Sender:
-    dues = drawn(plan)
-    profiles, names = job.profiles, job.members
-    if job.trace is not None:
-        by_profile = {p.name: n for n, p in enumerate(profiles)}
-        by_member = {name: n for n, name in enumerate(names)}
-        dues = _grown(
-            read_trace(job.trace, by_profile, by_member, job.time_scale, job.rate_scale),
-            by_profile,
-            by_member,
-            profiles,
-            names,
+    max_connections = max(1, min(plan.max_connections, wanted - SPARE_DESCRIPTORS))
+    return plan.model_copy(update={"max_connections": max_connections})
+
+
+async def _send(job: LoadJob, plan: LoadPlan, tables: NameTables, records: RequestRecordWriter) -> LoadSender:
+    if job.trace is None:
+        schedule = draw_schedule(plan)
+    else:
+        schedule = tables.extended_by_trace(job.trace, job.trace_scale)
+    with ExitStack() as stack:
+        attempt_log = None
+        if job.attempt_log is not None:
+            attempt_log = AttemptLog(stack.enter_context(job.attempt_log.open("wb")))
+        sender = LoadSender(
+            plan, schedule, tables.request_classes, tables.tenant_names, job.targets, records, attempt_log
         )
-    ledger = open(job.ledger, "wb") if job.ledger else None  # noqa: SIM115 - closed below
-    try:
-        sender = Sender(plan, dues, profiles, names, job.targets, spool, ledger)
         if job.start_us is not None:
-            sender.start_us = sender.watchman.start_us = job.start_us
+            sender.start_us = job.start_us
         asyncio.get_running_loop().add_signal_handler(signal.SIGINT, sender.interrupt)
-        gc.collect()
-        gc.freeze()
-        # a whole collection amid a surge takes longer than a send may be late
-        # A look at the young takes longer than a send may be late once thousands are open. Nothing here
-        # leaves circles
-        # behind, so nothing is lost by not looking.
-        gc.disable()
-        with progress(job) as sender.on_second:
-            await sender.run()
-    finally:
-        gc.enable()
-        gc.unfreeze()
-        if ledger is not None:
-            ledger.close()
+        stack.enter_context(_without_garbage_collection())
+        stack.enter_context(show_progress(sender, job.plan.duration_s, is_quiet=job.is_quiet))
+        await sender.run()
     return sender
 
 
-def _grown(
-    rows: Iterator[Due],
-    by_profile: dict[str, int],
-    by_member: dict[str, int],
-    profiles: list[ProfileMix],
-    names: list[str],
-) -> Iterator[Due]:
-    """Names that only the trace knows join the tables as they come."""
-    for due in rows:
-        for name in list(by_profile)[len(profiles) :]:
-            profiles.append(profiles[0].model_copy(update={"name": name}))
-        for name in list(by_member)[len(names) :]:
-            names.append(name)
-        yield due
-
-
 @contextmanager
-def progress(job: Job) -> Iterator[Callable[[Sender], None]]:
-    """A bar on a terminal, a plain line every five seconds elsewhere, on standard error."""
-    if job.quiet:
-        yield lambda sender: None
-    elif sys.stderr.isatty():
-        from rich.console import Console
-        from rich.progress import BarColumn, Progress, TextColumn
-
-        columns = TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:>3.0f}%")
-        with Progress(*columns, console=Console(stderr=True), auto_refresh=False, transient=True) as bar:
-            task = bar.add_task("sending", total=job.plan.seconds)
-
-            def draw(sender: Sender) -> None:
-                bar.update(task, completed=sender.last_us / 1e6, description=_line(sender))
-                bar.refresh()
-
-            yield draw
-    else:
-        seconds = [0]
-
-        def say(sender: Sender) -> None:
-            seconds[0] += 1
-            if seconds[0] % 5 == 0:
-                print(_line(sender), file=sys.stderr, flush=True)
-
-        yield say
-
-
-def _line(sender: Sender) -> str:
-    return f"sent {sender.offered}, answered {sender.answered}, open {len(sender.open)}"
-
-
-def summary(told: dict[str, Any]) -> str:
-    lines = [
-        f"offered {told['offered']}, answered {told['answered']}, unanswered {told['unanswered']}, "
-        f"held back {told['held_back']}; by status "
-        + (", ".join(f"{s}: {n}" for s, n in told["statuses"].items()) or "none")
-    ]
-    for name, key in (
-        ("latency", "latency_us"),
-        ("closed loop", "closed_loop_us"),
-        ("late sends", "late_sends_us"),
-    ):
-        if told[key]:
-            lines.append(f"{name:12}" + "  ".join(f"{q} {us / 1000:.2f} ms" for q, us in told[key].items()))
-    if told["busy_us"] > BUSY_US:
-        lines.append(
-            f"busy: so much came at once that answers waited up to {told['busy_us'] // 1000} ms to be read"
-        )
-    if told["refused"]:
-        lines.append(told["refused"])
-    return "\n".join(lines)
-
-
-def write_json(path: Path, told: dict[str, Any]) -> None:
-    path.write_bytes(orjson.dumps(told, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
+def _without_garbage_collection() -> Iterator[None]:
+    """With thousands of requests open, even a young collection takes longer than a send may be late.
+
+    The generator leaves no cycles behind, so memory does not grow for it.
+    """
+    gc.collect()
+    gc.freeze()
+    gc.disable()
+    try:
+        yield
+    finally:
+        gc.enable()
+        gc.unfreeze()
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -1,296 +1,287 @@
-"""The open loop: each transaction goes when it is due, whatever became of those before it.
+"""The open loop: each request is sent when it is due, whatever became of those before it.
 
-One timer waits for the next that is due; when it fires, all that are due by then are sent. A transaction that
-finds no connection free waits for one and is timed from when it was due all the same.
+One timer waits for the next request; when it fires, all that are due by then are sent. A request that finds
+no connection free waits for one, and is timed from when it was due all the same.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
-from typing import IO
-
-import orjson
-
-from cressrail.http_testing.client import ANSWERED as WHOLE
-from cressrail.http_testing.client import GAVE_UP, Answer, Caller, now_us
-from cressrail.load.plan import Due, Plan, ProfileMix, pause_us
-from cressrail.load.spool import ANSWERED, HELD, Spool
-
-LEAD_US = 200_000  # between the end of preparing and the first that can be due
-TICK_S = 0.005
-LAST_US = 250_000  # well over what the rules allow on a limit, so that they decide and not the patience here
-PAUSE_US = 25_000  # a tick so late was no jitter: this process stood still
-FILLER = b"m" * 65536
-HARMLESS = (429, 503)  # trying again is harmless, whatever the transaction
-
-
-@dataclass
-class Watchman:
-    """Notices when this process itself stands still: stopped, swapped out, or kept from its core. While it
-    works through what came at once, as after a stall, it does not stand still; `busy_us` tells for how long,
-    at the most, an answer may have waited to be read."""
-
-    start_us: int
-    seen_us: int = 0
-    busy_us: int = 0
-    pauses: list[tuple[int, int]] = field(default_factory=list)  # from, to, on the run's clock
-
-    def alive(self, now: int) -> None:
-        if self.seen_us and now - self.seen_us > PAUSE_US + TICK_S * 1e6:
-            self.pauses.append((self.seen_us - self.start_us, now - self.start_us))
-        self.seen_us = now
-
-    async def stand(self) -> None:
-        before = now_us()
-        while True:
-            await asyncio.sleep(TICK_S)
-            now = now_us()
-            self.busy_us = max(self.busy_us, now - before - int(TICK_S * 1e6))
-            self.alive(now)
-            before = now
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
+from functools import partial
+
+from cressrail.http_testing.client import ANSWERED, GAVE_UP, Answer, Caller, now_us
+from cressrail.load.attempt_log import Attempt, AttemptLog
+from cressrail.load.backoff import retry_delay_us
+from cressrail.load.http_messages import encode_request, retry_after_us
+from cressrail.load.plan import Idempotency, LoadPlan, RequestClassLoad
+from cressrail.load.request_records import MAX_ATTEMPTS, RecordFlag, RequestRecord, RequestRecordWriter
+from cressrail.load.schedule import ScheduledRequest
+from cressrail.load.stall_detector import TICK_S, StallDetector
+
+START_DELAY_US = 200_000  # from the end of the preparations to the first request that can be due
+# Clients that wait to the end wait this much longer than they tell: over what the rules allow beyond a
+# deadline, so that an answer in the last moment is seen and judged.
+EXTRA_WAIT_US = 250_000
+MIN_TIMEOUT_US = 1000
+TIMER_RESOLUTION_US = 1000  # of the event loop
+REPORT_INTERVAL_S = 1
+US_PER_S = 1e6
+US_PER_MS = 1000
+OK = 200
+REJECTED_STATUSES = (429, 503)  # had no effect: safe to retry, whatever the request class
+
+Address = tuple[str, int]
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that has no final answer yet."""
+
+    number: int
+    scheduled: ScheduledRequest
+    request_class: RequestClassLoad
+    started_us: int
+    deadline_us: int
+    attempts: int = 0
+    has_waited_for_connection: bool = False
+
+
+class LoadSender:
+    """Sends the requests of a schedule to its targets in turn, and writes a record of each.
+
+    Attributes:
+        start_us: The start of the run on the steady clock; it may be set before `run`.
+        schedule_error: What ended the schedule early, such as a row of a trace that can't be used.
+        on_report: Called once a second.
+    """
 
+    def __init__(
+        self,
+        plan: LoadPlan,
+        schedule: Iterator[ScheduledRequest],
+        request_classes: Sequence[RequestClassLoad],
+        tenant_names: Sequence[str],
+        targets: Sequence[Address],
+        records: RequestRecordWriter,
+        attempt_log: AttemptLog | None = None,
+    ) -> None:
+        self.plan = plan
+        self.request_classes, self.tenant_names = request_classes, tenant_names
+        self.sent_count = self.answered_count = 0
+        self.last_due_us = 0
+        self.is_interrupted = False
+        self.schedule_error: Exception | None = None
+        self.on_report: Callable[[], None] = lambda: None
+        self.pending: dict[int, PendingRequest] = {}
+        self.stall_detector = StallDetector(now_us() + START_DELAY_US)
+        self._schedule, self._records, self._attempt_log = schedule, records, attempt_log
+        self._loop = asyncio.get_running_loop()
+        self._generator = random.Random(plan.seed)
+        self._next: ScheduledRequest | None = None
+        self._is_schedule_over = False
+        self._finished = asyncio.Event()
+        connections_per_target = max(1, plan.max_connections // len(targets))
+        self._target_names = [f"{host}:{port}" for host, port in targets]
+        self._callers = [
+            Caller(host, port, connections_per_target, plan.client_behaviour.keeps_connections)
+            for host, port in targets
+        ]
+        for caller, name in zip(self._callers, self._target_names, strict=True):
+            caller.on_surplus = partial(self._on_surplus, target=name)
 
-class Tx:
-    __slots__ = ("begun_us", "due", "held", "tries")
+    @property
+    def start_us(self) -> int:
+        """The start of the run on the steady clock."""
+        return self.stall_detector.start_us
 
-    def __init__(self, due: Due) -> None:
-        self.due = due
-        self.tries = 0
-        self.begun_us = 0
-        self.held = False
+    @start_us.setter
+    def start_us(self, start_us: int) -> None:
+        self.stall_detector.start_us = start_us
 
+    @property
+    def waits_for_connection(self) -> int:
+        """How many attempts found no connection free."""
+        return sum(caller.held_back for caller in self._callers)
 
-class Sender:
-    """Sends what `dues` yields to `targets` in turn."""
+    @property
+    def surplus_bytes(self) -> int:
+        """How many bytes came after final answers."""
+        return sum(caller.surplus for caller in self._callers)
 
-    def __init__(
-        self,
-        plan: Plan,
-        dues: Iterator[Due],
-        profiles: list[ProfileMix],
-        members: list[str],
-        targets: list[tuple[str, int]],
-        spool: Spool,
-        ledger: IO[bytes] | None = None,
-    ) -> None:
-        self.plan, self.dues, self.spool, self.ledger = plan, dues, spool, ledger
-        self.profiles, self.members = profiles, members
-        most = max(1, plan.connections // len(targets))
-        self.callers = [Caller(host, port, most, plan.clients.keep) for host, port in targets]
-        for caller, (host, port) in zip(self.callers, targets, strict=True):
-            caller.on_surplus = lambda n, at=f"{host}:{port}": self._surplus(n, at)  # type: ignore[misc]
-        self.names = [f"{host}:{port}" for host, port in targets]
-        self.loop = asyncio.get_running_loop()
-        self.chance = random.Random(plan.seed)
-        self.open: dict[int, Tx] = {}
-        self.number = self.offered = self.answered = 0
-        self.last_us = 0  # when the latest was due
-        self.start_us = now_us() + LEAD_US
-        self.watchman = Watchman(self.start_us)
-        self.over = asyncio.Event()
-        self.exhausted = False
-        self.interrupted = False
-        self.fault: Exception | None = None
-        self.on_second: Callable[[Sender], None] = lambda sender: None
-        self.next: Due | None = None
+    @property
+    def connections_opened(self) -> int:
+        """How many connections were opened over the run."""
+        return sum(caller.opened for caller in self._callers)
 
     async def run(self) -> None:
-        watch = self.loop.create_task(self.watchman.stand())
-        tell = self.loop.create_task(self._tell())
+        """Sends the whole schedule and returns when each request has ended."""
+        background = [
+            self._loop.create_task(self.stall_detector.run()),
+            self._loop.create_task(self._report_regularly()),
+        ]
         self._advance()
-        self._pump()
+        self._send_and_wait()
         try:
-            await self.over.wait()
-            # Guards against a pause that ended the run, unseen since the watchman has not had his turn.
+            await self._finished.wait()
+            # A pause that ended the run is unseen until the detector has had its turn.
             await asyncio.sleep(2 * TICK_S)
         finally:
-            watch.cancel()
-            tell.cancel()
-            # What is cut off here was not let down by its target, and is no line of the ledger.
-            self.ledger = None
-            for caller in self.callers:
+            for task in background:
+                task.cancel()
+            # Attempts that are cut off here were not failed by their target: they are not logged.
+            self._attempt_log = None
+            for caller in self._callers:
                 caller.close()
 
     def interrupt(self) -> None:
-        """Ends with what there is; what is open counts as unanswered."""
-        self.interrupted = self.exhausted = True
-        self.next = None
-        for number, tx in list(self.open.items()):
-            self._finish(number, tx, 0, 0, now_us())
-        self.over.set()
-
-    async def _tell(self) -> None:
+        """Ends the run; requests without an answer count as unanswered."""
+        self.is_interrupted = self._is_schedule_over = True
+        self._next = None
+        for request in list(self.pending.values()):
+            self._finish(request, 0, 0, now_us())
+        self._finished.set()
+
+    async def _report_regularly(self) -> None:
         while True:
-            await asyncio.sleep(1)
-            self.on_second(self)
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            self.on_report()
 
     def _advance(self) -> None:
         try:
-            self.next = next(self.dues, None)
-        except Exception as fault:  # a row of a trace that can't be read; told once all is in order
-            self.fault, self.next = fault, None
-        if self.next is None:
-            self.exhausted = True
-            if not self.open:
-                self.over.set()
-
-    def _send_due(self) -> int:
-        """The time on the run's clock, once all that are due by then are sent."""
+            self._next = next(self._schedule, None)
+        except Exception as error:  # raised by `run_load` once all is closed
+            self.schedule_error, self._next = error, None
+        if self._next is None:
+            self._is_schedule_over = True
+            if not self.pending:
+                self._finished.set()
+
+    def _send_due_requests(self) -> int:
+        """Returns the time from the start of the run, once all that are due by then are sent."""
         now = now_us()
-        self.watchman.alive(now)
-        now -= self.start_us
-        while self.next is not None and self.next.due_us <= now:
-            self._begin(self.next)
+        self.stall_detector.record_activity(now)
+        elapsed_us = now - self.start_us
+        while self._next is not None and self._next.due_us <= elapsed_us:
+            self._start_request(self._next)
             self._advance()
-            now = now_us() - self.start_us
-        return now
-
-    def _pump(self) -> None:
-        now = self._send_due()
-        if self.next is not None:
-            wait_us = self.next.due_us - now
-            # The loop's timers go by whole milliseconds: nearer than that, each round looks again.
-            if wait_us >= 1000:
-                self.loop.call_later(wait_us // 1000 / 1000, self._pump)
-            else:
-                self.loop.call_soon(self._pump)
-
-    def _begin(self, due: Due) -> None:
-        self.number += 1
-        self.offered += 1
-        self.last_us = due.due_us
-        tx = Tx(due)
-        tx.begun_us = now_us()
-        self.open[self.number] = tx
-        self._try(self.number, tx)
+            elapsed_us = now_us() - self.start_us
+        return elapsed_us
 
-    def _try(self, number: int, tx: Tx) -> None:
-        if number not in self.open:
+    def _send_and_wait(self) -> None:
+        elapsed_us = self._send_due_requests()
+        if self._next is None:
             return
-        tx.tries += 1
-        profile = self.profiles[tx.due.profile]
-        limit_us = int(profile.limit_ms * 1000)
-        at = (number + tx.tries) % len(self.callers)
-        caller = self.callers[at]
+        wait_us = self._next.due_us - elapsed_us
+        # Timers go by whole milliseconds; nearer than that, each round of the loop looks again.
+        if wait_us >= TIMER_RESOLUTION_US:
+            self._loop.call_later(wait_us // US_PER_MS / US_PER_MS, self._send_and_wait)
+        else:
+            self._loop.call_soon(self._send_and_wait)
+
+    def _start_request(self, scheduled: ScheduledRequest) -> None:
+        self.sent_count += 1
+        self.last_due_us = scheduled.due_us
+        request_class = self.request_classes[scheduled.request_class]
+        # The client's time runs from when the request was due, so that a late generator can't hide.
+        deadline_us = self.start_us + scheduled.due_us + int(request_class.deadline_ms * US_PER_MS)
+        request = PendingRequest(self.sent_count, scheduled, request_class, now_us(), deadline_us)
+        self.pending[request.number] = request
+        self._send_attempt(request)
+
+    def _send_attempt(self, request: PendingRequest) -> None:
+        if request.number not in self.pending:
+            return
+        request.attempts += 1
+        target_index = (request.number + request.attempts) % len(self._callers)
+        caller = self._callers[target_index]
+        patience_share = self.plan.client_behaviour.patience_share
+        patience_us = int(int(request.request_class.deadline_ms * US_PER_MS) * patience_share)
         now = now_us()
-        # The client's time runs from when the transaction was due, so a late generator can't hide behind it.
-        left_us = self.start_us + tx.due.due_us + limit_us - now
-        patience_us = max(1000, min(int(limit_us * self.plan.clients.give_up), left_us))
-        name = f"{self.plan.seed:x}-{number:x}-{tx.tries}"
-        text = request(name, profile, self.members[tx.due.member], patience_us, tx.due, tx.tries > 1)
-        held = caller.held_back
-        # Who waits to the end waits a little longer than told, so that an answer in the last moment is seen.
-        more_us = LAST_US if self.plan.clients.give_up == 1 else 0
-        caller.call(
-            text,
-            patience_us + more_us,
-            lambda answer: self._heard(number, tx, answer, name, at, now, patience_us),
+        attempt = Attempt(
+            f"{self.plan.seed:x}-{request.number:x}-{request.attempts}",
+            self._target_names[target_index],
+            now,
+            max(MIN_TIMEOUT_US, min(patience_us, request.deadline_us - now)),
         )
-        tx.held = tx.held or caller.held_back > held
-
-    def _heard(
-        self, number: int, tx: Tx, answer: Answer, name: str, at: int, began_us: int, patience_us: int
-    ) -> None:
-        self.watchman.alive(answer.ended_us)
-        # Guards against sends that are late behind thousands of answers, when a stall ends: the loop hands
-        # out all that it has found before it looks at its timers.
-        if self.next is not None and self.start_us + self.next.due_us <= answer.ended_us:
-            self._send_due()
-        profile = self.profiles[tx.due.profile]
-        if self.ledger is not None:
-            echo = _echo(answer.body)
-            self.ledger.write(
-                orjson.dumps(
-                    {
-                        "id": name,
-                        "profile": profile.name,
-                        "member": self.members[tx.due.member],
-                        "key": tx.due.key,
-                        "size": tx.due.size,
-                        "target": self.names[at],
-                        "due_us": self.start_us + tx.due.due_us,
-                        "began_us": began_us,
-                        "sent_us": answer.sent_us,
-                        "again_us": answer.again_us,
-                        "ended_us": answer.ended_us,
-                        "status": answer.status,
-                        "how": answer.how,
-                        "limit_us": patience_us,
-                        "echo": echo,
-                    },
-                    option=orjson.OPT_APPEND_NEWLINE,
-                )
+        message = encode_request(
+            attempt.attempt_id,
+            request.request_class,
+            self.tenant_names[request.scheduled.tenant],
+            attempt.timeout_us,
+            request.scheduled,
+            is_retry=request.attempts > 1,
+        )
+        waits_before = caller.held_back
+        extra_wait_us = EXTRA_WAIT_US if patience_share == 1 else 0
+        caller.call(message, attempt.timeout_us + extra_wait_us, partial(self._on_answer, request, attempt))
+        if caller.held_back > waits_before:
+            request.has_waited_for_connection = True
+
+    def _on_answer(self, request: PendingRequest, attempt: Attempt, answer: Answer) -> None:
+        self.stall_detector.record_activity(answer.ended_us)
+        # When a stall ends, thousands of answers come before the loop looks at its timers: requests that
+        # are due meanwhile must not wait for that.
+        if self._next is not None and self.start_us + self._next.due_us <= answer.ended_us:
+            self._send_due_requests()
+        if self._attempt_log is not None:
+            self._attempt_log.write_attempt(
+                attempt,
+                request.scheduled,
+                self.start_us + request.scheduled.due_us,
+                answer,
+                request_class=request.request_class.name,
+                tenant=self.tenant_names[request.scheduled.tenant],
             )
-        if number not in self.open:
-            return
-        limit_us = self.start_us + tx.due.due_us + int(profile.limit_ms * 1000)
-        again = tx.tries <= self.plan.clients.repeats and answer.status != 200 and not self.interrupted
-        if again and (answer.status in HARMLESS or profile.repeat != "unsafe"):
-            wait_us = pause_us(self.plan, tx.tries, _come_back_us(answer), self.chance)
-            if answer.how == GAVE_UP:
-                wait_us = 0  # it has waited long enough
-            if now_us() + wait_us < limit_us:
-                self.loop.call_later(wait_us / 1e6, self._try, number, tx)
-                return
-        self._finish(number, tx, answer.status if answer.how == WHOLE else 0, answer.sent_us, answer.ended_us)
-
-    def _finish(self, number: int, tx: Tx, status: int, sent_us: int, ended_us: int) -> None:
-        """The one place where a transaction ends."""
-        del self.open[number]
-        self.answered += status > 0
-        self.spool.add(
-            (
-                tx.due.due_us,
-                tx.begun_us - self.start_us,
-                sent_us and sent_us - self.start_us,
-                ended_us - self.start_us,
-                number,
-                tx.due.profile,
-                tx.due.member,
-                status,
-                min(tx.tries, 255),
-                (ANSWERED if status else 0) | (HELD if tx.held else 0),
-                tx.due.size,
+        if request.number in self.pending and not self._schedule_retry(request, answer):
+            status = answer.status if answer.how == ANSWERED else 0
+            self._finish(request, status, answer.sent_us, answer.ended_us)
+
+    def _schedule_retry(self, request: PendingRequest, answer: Answer) -> bool:
+        """Returns whether a further attempt will be made."""
+        behaviour = self.plan.client_behaviour
+        if request.attempts > behaviour.max_retries or answer.status == OK or self.is_interrupted:
+            return False
+        is_safe = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+        if not is_safe and answer.status not in REJECTED_STATUSES:
+            return False
+        delay_us = retry_delay_us(behaviour, request.attempts, retry_after_us(answer), self._generator)
+        if answer.how == GAVE_UP:
+            delay_us = 0  # it has waited long enough
+        if now_us() + delay_us >= request.deadline_us:
+            return False
+        self._loop.call_later(delay_us / US_PER_S, self._send_attempt, request)
+        return True
+
+    def _finish(self, request: PendingRequest, status: int, sent_us: int, ended_us: int) -> None:
+        """Ends a request; nothing else does."""
+        del self.pending[request.number]
+        is_answered = status > 0
+        self.answered_count += is_answered
+        flags = RecordFlag.ANSWERED if is_answered else RecordFlag(0)
+        if request.has_waited_for_connection:
+            flags |= RecordFlag.WAITED_FOR_CONNECTION
+        scheduled = request.scheduled
+        self._records.add(
+            RequestRecord(
+                due_us=scheduled.due_us,
+                started_us=request.started_us - self.start_us,
+                sent_us=sent_us and sent_us - self.start_us,
+                ended_us=ended_us - self.start_us,
+                number=request.number,
+                request_class=scheduled.request_class,
+                tenant=scheduled.tenant,
+                status=status,
+                attempts=min(request.attempts, MAX_ATTEMPTS),
+                flags=flags.value,
+                body_bytes=scheduled.body_bytes,
             )
         )
-        if self.exhausted and not self.open:
-            self.over.set()
-
-    def _surplus(self, n: int, at: str) -> None:
-        if self.ledger is not None:
-            self.ledger.write(orjson.dumps({"surplus": n, "target": at}, option=orjson.OPT_APPEND_NEWLINE))
-
-    @property
-    def held_back(self) -> int:
-        return sum(caller.held_back for caller in self.callers)
-
-    @property
-    def surplus(self) -> int:
-        return sum(caller.surplus for caller in self.callers)
-
-
-def request(name: str, profile: ProfileMix, member: str, patience_us: int, due: Due, again: bool) -> bytes:
-    safe = profile.repeat == "safe" and not due.size
-    key = f"Idempotency-Key: {due.key}\r\n" if profile.repeat == "keyed" else ""
-    head = (
-        f"{'GET' if safe else 'POST'} /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {name}\r\n"
-        f"Req-Kind: {profile.name}\r\nReq-Owner: {member}\r\nReq-Deadline: {patience_us}u\r\n{key}"
-        f"{'Req-Retry: 1' + chr(13) + chr(10) if again else ''}"
-        f"{'' if safe else f'Content-Length: {due.size}' + chr(13) + chr(10)}\r\n"
-    )
-    return head.encode("latin-1") + FILLER[: due.size]
-
-
-def _come_back_us(answer: Answer) -> int:
-    try:
-        return max(0, int(float(answer.fields.get(b"retry-after", b"0")) * 1e6))
-    except ValueError:
-        return 0
-
+        if self._is_schedule_over and not self.pending:
+            self._finished.set()
 
-def _echo(body: bytes) -> str:
-    """The id of the request that an endpoint's answer was made for: up to the first space of its body."""
-    return body[:80].partition(b" ")[0].decode("latin-1")
+    def _on_surplus(self, size: int, target: str) -> None:
+        if self._attempt_log is not None:
+            self._attempt_log.write_surplus(size, target)
--- a/cressrail/load/trace.py
+++ b/cressrail/load/trace.py
@@ -1,89 +1,140 @@
-"""Traces: transactions as they were recorded, a row each, read and written a row at a time."""
+"""Traces: recorded requests, one a row, read and written a row at a time.
+
+The names of columns stand here alone.
+"""
 
 from __future__ import annotations
 
 import csv
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator, Mapping
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, NamedTuple
 
 import orjson
 
-from cressrail.load.plan import Due
+from cressrail.load.plan import MAX_BODY_BYTES
+from cressrail.load.schedule import ScheduledRequest
+
+TIME, REQUEST_CLASS, TENANT, SIZE, KEY = "time_us", "profile", "member", "size", "key"
+NO_TIME_YET = -1
+REQUIRED_COLUMNS = (TIME, REQUEST_CLASS, TENANT, SIZE)
+
+
+class MalformedTraceError(Exception):
+    """A row that cannot be used; the text names the file, the row's number and the reason."""
+
+
+class TraceRow(NamedTuple):
+    """One request of a trace.
+
+    Attributes:
+        time_us: When it was sent, on any clock that does not go back.
+        idempotency_key: Empty where none is known.
+    """
+
+    time_us: int
+    request_class: str
+    tenant: str
+    body_bytes: int
+    idempotency_key: str
+
+
+class TraceScale(NamedTuple):
+    """How a trace is played.
+
+    Attributes:
+        time: Factor for the times.
+        rate: How many requests are sent for each row; of a fraction, the same rows are kept each time.
+    """
+
+    time: float = 1.0
+    rate: float = 1.0
+
 
-FIELDS = ("time_us", "profile", "member", "size", "key")  # the key may be missing
+UNSCALED = TraceScale()
 
 
-class BadRow(Exception):
-    """The text names the file, the row's number and the reason."""
+def read_trace(
+    path: Path, class_indices: dict[str, int], tenant_indices: dict[str, int], scale: TraceScale = UNSCALED
+) -> Iterator[ScheduledRequest]:
+    """Yields the requests of a trace, with times from its first row on.
 
+    Args:
+        path: CSV with a header line, or JSON lines where the name ends in .jsonl.
+        class_indices: Request classes by name; a name that is missing gets the next index.
+        tenant_indices: Tenants by name, extended in the same way.
+        scale: Factors for times and rate.
 
-def rows(path: Path) -> Iterator[tuple[int, dict[str, Any]]]:
-    """(number of the row, its fields); CSV with a header line, or JSON lines where the name ends in
-    .jsonl."""
-    with open(path, "rb" if path.suffix == ".jsonl" else "r", newline=None) as file:
-        if path.suffix != ".jsonl":
-            table = csv.DictReader(file)
-            missing = [f for f in FIELDS[:4] if f not in (table.fieldnames or [])]
-            if missing:
-                raise BadRow(f"{path}: row 1: no column {missing[0]}")
-            yield from ((table.line_num, row) for row in table)
-            return
-        for n, line in enumerate(file, 1):
+    Raises:
+        MalformedTraceError: At the first row that cannot be used.
+    """
+    first_us = latest_us = NO_TIME_YET
+    outstanding = 0.0  # requests to send for the rows so far, less those sent
+    for number, fields in _numbered_rows(path):
+        try:
+            row = _parse_row(fields, latest_us)
+        except KeyError as error:
+            raise MalformedTraceError(f"{path}: row {number}: no {error.args[0]}") from None
+        except (TypeError, ValueError) as error:
+            raise MalformedTraceError(f"{path}: row {number}: {error}") from None
+        first_us = row.time_us if first_us <= NO_TIME_YET else first_us
+        latest_us = row.time_us
+        outstanding += scale.rate
+        for repetition in range(int(outstanding)):
+            key = row.idempotency_key or f"t{number:x}"
+            yield ScheduledRequest(
+                int((row.time_us - first_us) * scale.time),
+                class_indices.setdefault(row.request_class, len(class_indices)),
+                tenant_indices.setdefault(row.tenant, len(tenant_indices)),
+                row.body_bytes,
+                f"{key}.{repetition}" if repetition else key,
+            )
+        outstanding -= int(outstanding)
+
+
+def write_trace(file: IO[bytes], rows: Iterable[TraceRow]) -> int:
+    """Writes rows as JSON lines and returns how many there were."""
+    count = 0
+    for row in rows:
+        fields = dict(zip((*REQUIRED_COLUMNS, KEY), row, strict=True))
+        file.write(orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE))
+        count += 1
+    return count
+
+
+def _numbered_rows(path: Path) -> Iterator[tuple[int, Mapping[str, Any]]]:
+    return _json_rows(path) if path.suffix == ".jsonl" else _csv_rows(path)
+
+
+def _csv_rows(path: Path) -> Iterator[tuple[int, Mapping[str, Any]]]:
+    with path.open() as file:
+        table = csv.DictReader(file)
+        for column in REQUIRED_COLUMNS:
+            if column not in (table.fieldnames or []):
+                raise MalformedTraceError(f"{path}: row 1: no column {column}")
+        yield from ((table.line_num, row) for row in table)
+
+
+def _json_rows(path: Path) -> Iterator[tuple[int, Mapping[str, Any]]]:
+    with path.open("rb") as file:
+        for number, line in enumerate(file, 1):
             try:
                 row = orjson.loads(line)
-            except orjson.JSONDecodeError as fault:
-                raise BadRow(f"{path}: row {n}: not JSON: {fault}") from None
+            except orjson.JSONDecodeError as error:
+                raise MalformedTraceError(f"{path}: row {number}: not JSON: {error}") from None
             if not isinstance(row, dict):
-                raise BadRow(f"{path}: row {n}: no JSON object")
-            yield n, row
-
-
-def read(
-    path: Path,
-    profiles: dict[str, int],
-    members: dict[str, int],
-    time_scale: float = 1.0,
-    rate_scale: float = 1.0,
-) -> Iterator[Due]:
-    """Transactions with their times from the first row on. Times stretch by `time_scale`; of every row
-    `rate_scale` copies are sent, a fraction kept by running sum so that the same rows stay. Names that are
-    not in the tables get the next index, so tables grow as names come. Raises `BadRow`."""
-    first = latest = -1
-    owed = 0.0
-    for n, row in rows(path):
-        try:
-            time_us, size = int(row["time_us"]), int(row["size"])
-            profile, member = row["profile"], row["member"]
-            if not (isinstance(profile, str) and profile and isinstance(member, str)):
-                raise ValueError("profile or member is no name")
-            if not 0 <= size <= 65536:
-                raise ValueError(f"size is not within 0 and 65536: {size}")
-            if time_us < latest:
-                raise ValueError(f"time_us goes back: {time_us} after {latest}")
-        except KeyError as fault:
-            raise BadRow(f"{path}: row {n}: no {fault.args[0]}") from None
-        except (TypeError, ValueError) as fault:
-            raise BadRow(f"{path}: row {n}: {fault}") from None
-        first = time_us if first < 0 else first
-        latest = time_us
-        owed += rate_scale
-        for copy in range(int(owed)):
-            key = str(row.get("key") or f"t{n:x}")
-            yield Due(
-                int((time_us - first) * time_scale),
-                profiles.setdefault(profile, len(profiles)),
-                members.setdefault(member, len(members)),
-                size,
-                key if not copy else f"{key}.{copy}",
-            )
-        owed -= int(owed)
+                raise MalformedTraceError(f"{path}: row {number}: no JSON object")
+            yield number, row
 
 
-def write(file: IO[bytes], found: Iterator[tuple[int, str, str, int, str]]) -> int:
-    """JSON lines; how many. Each row as (time_us, profile, member, size, key)."""
-    n = 0
-    for row in found:
-        file.write(orjson.dumps(dict(zip(FIELDS, row, strict=True)), option=orjson.OPT_APPEND_NEWLINE))
-        n += 1
-    return n
+def _parse_row(fields: Mapping[str, Any], latest_us: int) -> TraceRow:
+    """Raises `KeyError` for a column that is missing, `TypeError` or `ValueError` for a value."""
+    time_us, body_bytes = int(fields[TIME]), int(fields[SIZE])
+    request_class, tenant = fields[REQUEST_CLASS], fields[TENANT]
+    if not (isinstance(request_class, str) and request_class and isinstance(tenant, str)):
+        raise ValueError("profile or member is no name")
+    if not 0 <= body_bytes <= MAX_BODY_BYTES:
+        raise ValueError(f"size is not within 0 and {MAX_BODY_BYTES}: {body_bytes}")
+    if time_us < latest_us:
+        raise ValueError(f"time_us goes back: {time_us} after {latest_us}")
+    return TraceRow(time_us, request_class, tenant, body_bytes, str(fields.get(KEY) or ""))
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -12,6 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import Profile, World
 
 Row = dict[str, Any]
@@ -116,7 +117,7 @@
             Break(1, call["id"], f"no answer: {how} after {_ms(took)}, {len(hops)} hops, at {call['target']}")
         ]
     if how == "gave up":
-        if world.load.clients.give_up < 1 and "call" not in call:
+        if world.load.clients.patience_share < 1 and "call" not in call:
             return []
         return [
             Break(
@@ -140,13 +141,13 @@
     """Rule 2. Hops to endpoints that a cut zone hid are not seen to end, so they prove no overlap."""
     broken: list[Break] = []
     ran = [h for h in hops if h["ran"] or h.get("repeat")]
-    if profile.repeat != "safe" and ran:
+    if profile.idempotency != Idempotency.IDEMPOTENT and ran:
         first = ran[0]
         where = f"{first['endpoint']} at {first['came_us']}"
         group = {"all": "", "zone": "zone", "cell": "cell"}[profile.key_scope]
         for later in (h for h in hops if h["came_us"] > first["came_us"] and h is not first):
             apart = later["came_us"] - first["came_us"]
-            if profile.repeat == "unsafe":
+            if profile.idempotency == Idempotency.NON_IDEMPOTENT:
                 broken.append(
                     Break(
                         2,
@@ -177,7 +178,11 @@
                         f"{profile.window_ms:.0f} ms",
                     )
                 )
-        if call["status"] == 503 and call["how"] == "answered" and (profile.repeat == "unsafe" or group):
+        if (
+            call["status"] == 503
+            and call["how"] == "answered"
+            and (profile.idempotency == Idempotency.NON_IDEMPOTENT or group)
+        ):
             broken.append(Break(2, call["id"], f"rolled back, but it ran on {where} ({first['how']})"))
     cuts = any(f["fault"] == "cut" for f in faults)
     for a, b in pairwise(hops):
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field, model_validator
 
-from cressrail.load.plan import Behaviour, MemberMix, ProfileMix, Strict
+from cressrail.load.plan import ClientBehaviour, RequestClassLoad, StrictModel, TenantLoad
 
 FaultKind = Literal[
     "die",
@@ -38,7 +38,7 @@
 Broken = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
 
 
-class Service(Strict):
+class Service(StrictModel):
     """Work of one transaction on a core. Pareto's shape is `cv` too: smaller tails for larger figures."""
 
     kind: Literal["fixed", "lognormal", "pareto"] = "lognormal"
@@ -52,7 +52,7 @@
         return self
 
 
-class Tier(Strict):
+class Tier(StrictModel):
     name: str
     endpoints: int = Field(4, ge=1, le=2048)
     cores: float = Field(2.0, gt=0)
@@ -67,14 +67,14 @@
     weights: dict[str, float] = Field(default_factory=dict)  # work by profile, 1 where none is named
 
 
-class Contract(Strict):
+class Contract(StrictModel):
     cold_from: float = Field(0.2, gt=0, le=1)
     warm_ms: float = Field(6000.0, gt=0)
     notice_ms: float = Field(1500.0, ge=0)  # until discovery tells of a death
     stops_on_cancel: bool = False  # work that nobody waits for any more
 
 
-class Membership(Strict):
+class Membership(StrictModel):
     """What each sidecar's part `membership` holds, beside its addresses."""
 
     bear_pause_ms: int = Field(3000, ge=300)
@@ -86,14 +86,14 @@
     look_s: float = Field(0.2, gt=0)  # between two looks at each one's view
 
 
-class Failover(Strict):
+class Failover(StrictModel):
     """The part `failover` of each sidecar."""
 
     regions: dict[str, list[str]] = Field(default_factory=dict)  # none: all zones are one
     way_ms: int = Field(0, ge=0)
 
 
-class Fleet(Strict):
+class Fleet(StrictModel):
     zones: list[str] = Field(["a", "b"], min_length=1, max_length=8)
     doors: int = Field(2, ge=1, le=700)  # sidecars before the first tier
     tiers: list[Tier] = Field(min_length=1, max_length=4)
@@ -104,16 +104,16 @@
     membership: Membership | None = None  # talk between the sidecars of a tier; none: it is off
 
 
-class Profile(ProfileMix):
+class Profile(RequestClassLoad):
     key_scope: Literal["all", "zone", "cell"] = "cell"
     window_ms: float = Field(2000.0, ge=0)
 
 
-class Member(MemberMix):
+class Member(TenantLoad):
     allowance_per_s: float = Field(0.0, ge=0)  # 0: no share is set
 
 
-class Fault(Strict):
+class Fault(StrictModel):
     at_s: float = Field(ge=0)
     for_s: float = Field(2.0, gt=0)
     kind: FaultKind
@@ -147,7 +147,7 @@
         return told
 
 
-class Schedule(Strict):
+class Schedule(StrictModel):
     """Faults of sidecars that are drawn, beside those that are listed."""
 
     seed: int = 1
@@ -158,22 +158,22 @@
     )
 
 
-class Rules(Strict):
+class Rules(StrictModel):
     drain_grace_ms: float = 500.0
     late_ms: float = 50.0  # on top of each limit
     fall_multiple: float = 3.0
     fall_ms: float = 2000.0
 
 
-class Load(Strict):
+class Load(StrictModel):
     rate: float = Field(100.0, gt=0)
     shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
     with_: dict[str, float] = Field(default_factory=dict, alias="with")
-    clients: Behaviour = Behaviour()
+    clients: ClientBehaviour = ClientBehaviour()
     connections: int = Field(4000, ge=1)
 
 
-class World(Strict):
+class World(StrictModel):
     """One file: a fleet, its load and what befalls it."""
 
     name: str = "world"
--- a/cressrail/testbed/scenario_file.py
+++ b/cressrail/testbed/scenario_file.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from cressrail.load.plan import reason
+from cressrail.load.plan import first_validation_error
 
 Model = TypeVar("Model", bound=BaseModel)
 
@@ -36,4 +36,4 @@
     except tomllib.TOMLDecodeError as fault:
         raise Unusable(f"{path}: not TOML: {fault}") from None
     except ValidationError as fault:
-        raise Unusable(f"{path}: {reason(fault)}") from None
+        raise Unusable(f"{path}: {first_validation_error(fault)}") from None
--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -14,6 +14,7 @@
 import orjson
 
 from cressrail.http_testing.client import Answer, Caller
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import World
 from cressrail.testbed.scenario_file import Unusable
 
@@ -79,20 +80,20 @@
             "profiles": [
                 {
                     "name": p.name,
-                    "repeat": p.repeat,
-                    "service_goal_us": int(p.goal_ms * 1000),
-                    "hard_limit_us": int(p.limit_ms * 1000),
-                    "revenue": p.revenue,
+                    "repeat": p.idempotency.value,
+                    "service_goal_us": int(p.latency_objective_ms * 1000),
+                    "hard_limit_us": int(p.deadline_ms * 1000),
+                    "revenue": p.priority_weight,
                     **(
                         {"key_scope": p.key_scope, "window_us": int(p.window_ms * 1000)}
-                        if p.repeat == "keyed"
+                        if p.idempotency == Idempotency.WITH_KEY
                         else {}
                     ),
                 }
                 for p in world.profiles
             ],
             "tenants": [
-                {"name": m.name, "allowance_per_s": m.allowance_per_s, "share": m.part}
+                {"name": m.name, "allowance_per_s": m.allowance_per_s, "share": m.weight}
                 for m in world.members
                 if m.allowance_per_s
             ],
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -17,6 +17,7 @@
 
 from cressrail.http_testing.client import ANSWERED, Answer, Caller, now_us
 from cressrail.http_testing.server import Asked, Served
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.event_record import Ledger
 from cressrail.testbed.processor_sharing import Job, Machine, draw_us
 from cressrail.testbed.scenario import Contract, Profile, Tier
@@ -206,7 +207,7 @@
             asked.server.answer(404 if not name else 400)
             return
         span = asked.text(b"req-deadline").rstrip("u")
-        limit_us = now + (int(span) if span.isdigit() else int(profile.limit_ms * 1000))
+        limit_us = now + (int(span) if span.isdigit() else int(profile.deadline_ms * 1000))
         key = asked.text(b"idempotency-key")
         row = {
             "endpoint": self.name,
@@ -229,7 +230,7 @@
             return
         whole = draw_us(self.tier.service, self.chance) * self.tier.weights.get(profile.name, 1.0)
         row["work_us"] = int(whole)
-        if profile.repeat == "keyed" and key:
+        if profile.idempotency == Idempotency.WITH_KEY and key:
             journal = self.journals(self, profile)
             if journal.repeat(key, now, int(profile.window_ms * 1000)):
                 row["repeat"] = True
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -19,7 +19,7 @@
 
 from cressrail.experiment.plan import Experiment
 from cressrail.failover.simulation.scenario import Scenario
-from cressrail.load.trace import read as read_trace
+from cressrail.load.trace import TraceScale, read_trace
 from cressrail.testbed.event_record import Ledger, rows
 from cressrail.testbed.membership_verdicts import views
 from cressrail.testbed.scenario import World
@@ -108,7 +108,7 @@
         for scale in (1.0, 0.5):
             profiles: dict[str, int] = {}
             members: dict[str, int] = {}
-            read = [list(due) for due in read_trace(DATA / name, profiles, members, 2.0, scale)]
+            read = [list(due) for due in read_trace(DATA / name, profiles, members, TraceScale(2.0, scale))]
             found[f"{name}, {scale}"] = {
                 "profiles": profiles,
                 "members": members,
--- /dev/null
+++ b/tests/load/support.py
@@ -0,0 +1,185 @@
+"""Request records written by hand, targets that misbehave as told, and load that is sent to them."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+import threading
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from cressrail.http_testing.server import Asked, Served
+from cressrail.load.figures import LoadFigures
+from cressrail.load.plan import LoadPlan
+from cressrail.load.request_records import RequestRecord, RequestRecordWriter
+from cressrail.load.run import LoadJob, run_load
+from cressrail.load.sender import Address
+
+REPOSITORY = Path(__file__).resolve().parents[2]
+LISTEN_BACKLOG = 1000
+LATE_ANSWER_S = 0.05
+
+Respond = Callable[[Asked], None]
+
+
+@dataclass(frozen=True)
+class EndedRequest:
+    """A request that was sent when the generator turned to it; times in milliseconds."""
+
+    due: int
+    started: int
+    ended: int
+    status: int = 200
+
+    def record(self, number: int) -> RequestRecord:
+        """Of the class 0, by the tenants 0 and 1 in turn."""
+        return RequestRecord(
+            due_us=self.due * 1000,
+            started_us=self.started * 1000,
+            sent_us=self.started * 1000,
+            ended_us=self.ended * 1000,
+            number=number,
+            request_class=0,
+            tenant=number % 2,
+            status=self.status,
+            attempts=1,
+            flags=0,
+            body_bytes=0,
+        )
+
+
+# A server that stalls for a second, from 500 ms on, and answers within 5 ms otherwise.
+STALL = [
+    EndedRequest(number * 10, number * 10, number * 10 + 5 if number < 50 or number >= 150 else 1505)
+    for number in range(200)
+]
+
+
+def figures_of(path: Path, requests: Iterable[EndedRequest]) -> LoadFigures:
+    """Writes records of the requests and reads them as a run's."""
+    with RequestRecordWriter(path) as records:
+        for number, request in enumerate(requests):
+            records.add(request.record(number))
+    return LoadFigures(path, ["read"], ["a", "b"])
+
+
+def answer_at_once(asked: Asked) -> None:
+    """Answers 200 with the request's id."""
+    asked.server.answer(200, asked.fields[b"req-id"])
+
+
+def answer_late(asked: Asked) -> None:
+    """Answers 200 after a while."""
+    asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_at_once, asked)
+
+
+def answer_a_byte_a_second(asked: Asked) -> None:
+    """Sends an answer so slowly that no client waits for its end."""
+    for delay_s, byte in enumerate(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"):
+        asyncio.get_running_loop().call_later(delay_s, asked.server.raw, bytes([byte]))
+
+
+def answer_half(asked: Asked) -> None:
+    """Sends an answer that ends before its body does, and keeps the connection open."""
+    asked.server.raw(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
+
+
+def answer_no_http(asked: Asked) -> None:
+    """Sends a line that is no status line."""
+    asked.server.raw(b"what?\r\n\r\n")
+
+
+def close_without_answer(asked: Asked) -> None:
+    """Closes the connection."""
+    asked.server.close()
+
+
+@dataclass
+class Target:
+    """A server on a loop of its own; without `respond` one that accepts connections and never reads."""
+
+    respond: Respond | None
+    address: Address = ("", 0)
+    is_listening: threading.Event = field(default_factory=threading.Event)
+    # A connection that is not read from would be collected, and so closed, unless somebody holds it.
+    connections: list[Served] = field(default_factory=list)
+    loop: asyncio.AbstractEventLoop | None = None
+    stopped: asyncio.Event | None = None
+
+    async def serve(self) -> None:
+        """Accepts connections until it is stopped."""
+        self.loop, self.stopped = asyncio.get_running_loop(), asyncio.Event()
+        server = await self.loop.create_server(
+            lambda: Served(self.respond or (lambda asked: None), lambda served: None, self._accepted),
+            "127.0.0.1",
+            0,
+            backlog=LISTEN_BACKLOG,
+        )
+        self.address = server.sockets[0].getsockname()[:2]
+        self.is_listening.set()
+        await self.stopped.wait()
+        server.close()
+
+    def stop(self) -> None:
+        """Ends `serve`; called from another thread."""
+        assert self.loop is not None
+        assert self.stopped is not None
+        self.loop.call_soon_threadsafe(self.stopped.set)
+
+    def _accepted(self, connection: Served) -> None:
+        self.connections.append(connection)
+        if self.respond is None:
+            connection.hush()
+
+
+@contextmanager
+def running_target(respond: Respond | None) -> Iterator[Address]:
+    """Runs a target on a thread and gives its address."""
+    target = Target(respond)
+    thread = threading.Thread(target=lambda: asyncio.run(target.serve()))
+    thread.start()
+    target.is_listening.wait()
+    try:
+        yield target.address
+    finally:
+        target.stop()
+        thread.join()
+
+
+@dataclass(frozen=True)
+class LoadResult:
+    """The figures of a run, and its log of attempts."""
+
+    report: Any
+    attempts: list[dict[str, Any]]
+
+
+def send_load(target: Address, folder: Path, **settings: Any) -> LoadResult:
+    """Sends a short load; `settings` by the keys of a plan file."""
+    plan = {"rate": 100, "seconds": 0.5, "profiles": [{"name": "read", "limit_ms": 400}], **settings}
+    attempt_log = folder / "ledger"
+    job = LoadJob(LoadPlan.model_validate(plan), [target], attempt_log=attempt_log, is_quiet=True)
+    report = run_load(job)
+    return LoadResult(report, [orjson.loads(line) for line in attempt_log.read_bytes().splitlines()])
+
+
+@contextmanager
+def load_command(target: Address, report_file: Path, *options: str) -> Iterator[subprocess.Popen[bytes]]:
+    """Runs `cressrail load run` as a process, which is killed where the test does not wait for its end."""
+    command = [sys.executable, "-m", "cressrail", "load", "run", "--target", "{}:{}".format(*target)]
+    with subprocess.Popen(
+        [*command, "--json", str(report_file), *options],
+        cwd=REPOSITORY,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    ) as process:
+        try:
+            yield process
+        finally:
+            process.kill()
--- /dev/null
+++ b/tests/load/test_sender.py
@@ -0,0 +1,103 @@
+"""The open loop against targets that answer, and that fail in each way."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+import pytest
+
+from cressrail.http_testing.server import Asked
+from tests.load.support import (
+    Respond,
+    answer_a_byte_a_second,
+    answer_at_once,
+    answer_half,
+    answer_late,
+    answer_no_http,
+    close_without_answer,
+    running_target,
+    send_load,
+)
+
+
+@pytest.mark.parametrize(
+    ("respond", "ending"),
+    [
+        pytest.param(None, "gave up", id="never reads"),
+        pytest.param(answer_half, "gave up", id="half an answer"),
+        pytest.param(answer_a_byte_a_second, "gave up", id="a byte a second"),
+        pytest.param(close_without_answer, "reset", id="closes"),
+        pytest.param(answer_no_http, "not http", id="no http"),
+    ],
+)
+def test_request_without_answer_is_counted_and_its_ending_logged(
+    tmp_path: Path, respond: Respond | None, ending: str
+) -> None:
+    with running_target(respond) as target:
+        result = send_load(target, tmp_path)
+
+    assert result.report["unanswered"] == result.report["offered"] == len(result.attempts) > 20
+    assert {attempt["how"] for attempt in result.attempts} == {ending}
+
+
+def test_refused_connection_is_counted_and_logged(tmp_path: Path) -> None:
+    with running_target(None) as target:
+        pass  # from here on nobody listens there
+
+    result = send_load(target, tmp_path)
+
+    assert result.report["unanswered"] == result.report["offered"]
+    assert {attempt["how"] for attempt in result.attempts} == {"no connection"}
+
+
+def test_clients_retry_only_what_is_safe(tmp_path: Path) -> None:
+    retry_fields: list[str] = []
+
+    def reject(asked: Asked) -> None:
+        retry_fields.append(asked.text(b"req-retry"))
+        status = 502 if asked.text(b"req-kind") == "number" else 503
+        asked.server.answer(status, more=b"Retry-After: 0.01\r\n")
+
+    with running_target(reject) as target:
+        result = send_load(
+            target,
+            tmp_path,
+            clients={"repeats": 2},
+            profiles=[
+                {"name": "read", "limit_ms": 400},
+                {"name": "number", "repeat": "unsafe", "limit_ms": 400},
+            ],
+        )
+
+    statuses = result.report["statuses"]
+    non_idempotent = sum(attempt["profile"] == "number" for attempt in result.attempts)
+    assert statuses["502"] == non_idempotent
+    assert len(result.attempts) - non_idempotent == 3 * statuses["503"]
+    assert retry_fields.count("1") == 2 * statuses["503"]
+
+
+def test_connections_are_bounded_and_waits_for_one_counted(tmp_path: Path) -> None:
+    with running_target(answer_late) as target:
+        result = send_load(
+            target, tmp_path, connections=2, rate=200, profiles=[{"name": "read", "limit_ms": 5000}]
+        )
+
+    report = result.report
+    assert report["held_back"] > 20
+    assert report["connections"] == 2
+    assert report["answered"] == report["offered"]
+    # Timed from when they were due, so the wait for a connection shows.
+    assert report["latency_us"] is None or report["latency_us"]["p90"] > 400_000
+
+
+def test_steps_of_the_wall_clock_change_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    steps = iter(range(10**9, 10**18, 10**7))
+    monkeypatch.setattr(time, "time", lambda: float(next(steps)))
+    monkeypatch.setattr(time, "time_ns", lambda: next(steps))
+
+    with running_target(answer_at_once) as target:
+        result = send_load(target, tmp_path)
+
+    assert result.report["answered"] == result.report["offered"]
+    assert result.report["late_sends_us"]["max"] < 10_000_000
