--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`cressrail experiment`: arms side by side, with a report; and what a transaction costs."""
+"""`cressrail experiment`: variants side by side, with a report; and what a request costs."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from rich.table import Table
 
 from cressrail.cli.output import fail
-from cressrail.experiment.checkouts import NoRevision
-from cressrail.experiment.cost import cost, table
+from cressrail.experiment.checkouts import RevisionError
+from cressrail.experiment.cost import compare_costs, cost_table
 from cressrail.experiment.plan import Experiment
-from cressrail.experiment.run import run as play
+from cressrail.experiment.run import REPORT_FILE, run_experiment
 from cressrail.testbed.scenario_file import Unusable, named, read
 from cressrail.testbed.sidecars import check
 
 app = typer.Typer(
-    help="Experiments on real sidecars amid stand-ins.",
+    help="Experiments on real sidecars amid simulated services.",
     no_args_is_help=True,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
@@ -31,28 +31,29 @@
 def run(
     file: Annotated[Path, typer.Argument(help="An experiment's TOML file.")],
     out: Annotated[Path, typer.Option(help="Where result.json and report.html go.")] = Path("experiment-out"),
-    keep: Annotated[bool, typer.Option(help="Keep ledgers and logs of each run.")] = False,
+    keep: Annotated[bool, typer.Option(help="Keep records and logs of each run.")] = False,
 ) -> None:
-    """Play the arms in turns, compare them in pairs, write the report."""
+    """Run the variants in turns, compare them in pairs, write the report."""
     try:
         experiment = read(file, Experiment)
         with named(file):
-            for arm in experiment.arms:
-                check(experiment.world(arm, 0))
-        result = play(experiment, out, lambda text: print(text, file=sys.stderr, flush=True), keep)
-    except (Unusable, NoRevision) as fault:
-        fail(str(fault))
-    except RuntimeError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
+            for variant in experiment.variants:
+                check(experiment.scenario(variant, 0))
+        result = run_experiment(experiment, out, _print_progress, keeps_runs=keep)
+    except (Unusable, RevisionError) as error:
+        fail(str(error))
+    except RuntimeError as error:
+        print(f"cressrail: {error}", file=sys.stderr)
         sys.exit(1)
-    from cressrail.experiment.report import text_table
+    # Loaded only now: plotting takes its time to load.
+    from cressrail.experiment.html_report import figures_table
 
-    show(text_table(result))
-    print(f"report: {out / 'report.html'}")
+    _print_table(figures_table(result))
+    print(f"report: {out / REPORT_FILE}")
 
 
-@app.command("cost")
-def cost_(
+@app.command()
+def cost(
     against: Annotated[str, typer.Option(help="An earlier revision to set beside; none if empty.")] = "HEAD",
     rounds: int = 3,
     quick: Annotated[bool, typer.Option(help="The first rows only, once.")] = False,
@@ -60,19 +61,21 @@
 ) -> None:
     """CPU and memory of one sidecar, beside a bare relay and an earlier revision."""
     try:
-        found = cost(
-            against, 1 if quick else rounds, quick, lambda text: print(text, file=sys.stderr, flush=True)
-        )
-    except NoRevision as fault:
-        fail(str(fault))
+        figures = compare_costs(against, 1 if quick else rounds, _print_progress, is_quick=quick)
+    except RevisionError as error:
+        fail(str(error))
     if json is not None:
-        json.write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-    show(table(found))
+        json.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2))
+    _print_table(cost_table(figures))
+
+
+def _print_progress(text: str) -> None:
+    print(text, file=sys.stderr, flush=True)
 
 
-def show(rows: list[list[str]]) -> None:
-    head, *rest = rows
-    drawn = Table(*head)
-    for row in rest:
-        drawn.add_row(*row)
-    Console().print(drawn)
+def _print_table(rows: list[list[str]]) -> None:
+    header, *lines = rows
+    table = Table(*header)
+    for line in lines:
+        table.add_row(*line)
+    Console().print(table)
--- a/cressrail/experiment/checkouts.py
+++ b/cressrail/experiment/checkouts.py
@@ -1,4 +1,4 @@
-"""Earlier revisions of this repository, laid out beside it for as long as they are needed."""
+"""Checkouts of earlier revisions of this repository, beside it for as long as they are needed."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-HERE = Path(__file__).resolve().parents[2]
+REPOSITORY = Path(__file__).resolve().parents[2]
+PACKAGE = "cressrail"
 
 
-class NoRevision(Exception):
-    pass
+class RevisionError(Exception):
+    """A revision that git cannot give; the text names it and says why."""
 
 
 @contextmanager
-def tree(revision: str) -> Iterator[Path]:
-    """The repository's files as of a revision; the tree as it stands for an empty one. Raises
-    `NoRevision`."""
+def checkout(revision: str) -> Iterator[Path]:
+    """Gives the folder with the package as of a revision; this repository itself for an empty one.
+
+    Raises:
+        RevisionError: If git does not know the revision.
+    """
     if not revision:
-        yield HERE
+        yield REPOSITORY
         return
-    done = subprocess.run(
-        ["git", "archive", revision, "cressrail"], cwd=HERE, capture_output=True, check=False
+    archived = subprocess.run(
+        ["git", "archive", revision, PACKAGE], cwd=REPOSITORY, capture_output=True, check=False
     )
-    if done.returncode:
-        raise NoRevision(f"revision {revision}: {done.stderr.decode().strip().splitlines()[-1]}")
+    if archived.returncode:
+        raise RevisionError(f"revision {revision}: {archived.stderr.decode().strip().splitlines()[-1]}")
     with TemporaryDirectory(prefix="cressrail-") as folder:
-        with tarfile.open(fileobj=BytesIO(done.stdout)) as archive:
+        with tarfile.open(fileobj=BytesIO(archived.stdout)) as archive:
             archive.extractall(folder, filter="data")
         yield Path(folder)
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -1,202 +1,212 @@
-"""What a played world comes to, in figures that arms are compared by; and pairs of them, with intervals."""
+"""The figures of a run, by which variants are compared."""
 
 from __future__ import annotations
 
-from collections import defaultdict
-from typing import Any
+from collections import Counter, defaultdict
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from dataclasses import dataclass
+from enum import IntEnum
 
 import numpy as np
-import numpy.typing as npt
 
-from cressrail.experiment.play import Played
+from cressrail.experiment.evidence_rows import Row, is_client_call, is_first_attempt, is_in_time, request_id
+from cressrail.experiment.scenario_run import ScenarioRun
+from cressrail.experiment.time_series import TimeSeries, time_series
 from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import World
 
-DRAWS = 4000  # of the bootstrap
-# Which way is better: 1 more, -1 less.
-BETTER = {
-    "goodput": 1,
-    "goodput_first": 1,
-    "revenue": 1,
-    "worst_member": 1,
-    "worst_due": 1,
-    "worst_profile": 1,
-    "p50_ms": -1,
-    "p99_ms": -1,
-    "hops_per_tx": -1,
-    "retry_share": -1,
-    "late_work_share": -1,
-    "effects_after_end": -1,
-    "breaks": -1,
-    "goodput_harmed": 1,
-    "recovery_s": -1,
+Figures = dict[str, float]  # by the names in `FIGURE_DIRECTIONS`
+US_PER_MS = 1000
+
+
+class Direction(IntEnum):
+    """Which way a figure is better."""
+
+    HIGHER_IS_BETTER = 1
+    LOWER_IS_BETTER = -1
+
+
+# In the order of reports; the names are keys of report files, which stay as they are.
+FIGURE_DIRECTIONS = {
+    "goodput": Direction.HIGHER_IS_BETTER,
+    "goodput_first": Direction.HIGHER_IS_BETTER,
+    "revenue": Direction.HIGHER_IS_BETTER,
+    "worst_member": Direction.HIGHER_IS_BETTER,
+    "worst_due": Direction.HIGHER_IS_BETTER,
+    "worst_profile": Direction.HIGHER_IS_BETTER,
+    "p50_ms": Direction.LOWER_IS_BETTER,
+    "p99_ms": Direction.LOWER_IS_BETTER,
+    "hops_per_tx": Direction.LOWER_IS_BETTER,
+    "retry_share": Direction.LOWER_IS_BETTER,
+    "late_work_share": Direction.LOWER_IS_BETTER,
+    "effects_after_end": Direction.LOWER_IS_BETTER,
+    "breaks": Direction.LOWER_IS_BETTER,
+    "goodput_harmed": Direction.HIGHER_IS_BETTER,
+    "recovery_s": Direction.LOWER_IS_BETTER,
 }
-HARMFUL = ("kill", "die", "err", "slow", "stall", "cut")  # faults that take away what is there
-BACK, STAYS_S = 0.9, 3  # of the goodput before, held for so long: recovered
-
-
-def figures(world: World, played: Played, due: dict[str, float] | None = None) -> dict[str, float]:
-    """`goodput`: share of transactions committed within the service goal, counted from when they were due;
-    `goodput_first`: by their first try. `revenue`: the same weighted. `worst_member`, `worst_profile`: the
-    least goodput of one. `hops_per_tx`: hops that reached endpoints of the first tier for each try a door
-    took; `retry_share`: those beyond the first, at all tiers, over all calls. `late_work_share`: work that
-    ended after the caller's time was up, of all work that ran; `effects_after_end`: how many non-idempotent
-    or journalled hops ran on after that."""
-    profiles = {p.name: p for p in world.profiles}
-    ends: dict[str, dict[str, Any]] = {}
-    first: dict[str, bool] = {}
-    for call in (c for c in played.seen.calls if "call" not in c):
-        tx = call["id"].rpartition("-")[0]
-        good = (
-            call["status"] == 200
-            and call["ended_us"] - call["due_us"] <= profiles[call["profile"]].latency_objective_ms * 1000
+CAPACITY_FAULTS = ("kill", "die", "err", "slow", "stall", "cut")  # that take processes or endpoints away
+RECOVERED_SHARE = 0.9  # of the goodput before a fault
+RECOVERED_FOR_S = 3  # for which it has to stay
+
+
+@dataclass(frozen=True)
+class FinishedRequest:
+    """A client's request, by its last attempt."""
+
+    request_class: str
+    tenant: str
+    latency_us: int
+    is_in_time: bool
+
+
+def run_figures(
+    scenario: World, run: ScenarioRun, quotas_per_s: Mapping[str, float] | None = None
+) -> Figures:
+    """Returns the figures of a run.
+
+    The names of figures:
+        goodput: Share of requests that met their latency objective, from when they were due.
+        goodput_first: The same by their first attempt.
+        revenue: The same by priority weight.
+        worst_member, worst_profile: The lowest goodput of a tenant and of a request class.
+        worst_due: The lowest share that a tenant got of its quota or, if less, of what it offered.
+        hops_per_tx: Attempts at endpoints of the first tier for each of the clients' attempts.
+        retry_share: Retries over calls, at all tiers.
+        late_work_share: Work that ended after the caller's time was up, of all work.
+        effects_after_end: Attempts that are not idempotent and ran on after that.
+        breaks: Violations of rules.
+
+    Args:
+        scenario: What was run.
+        run: What came of it.
+        quotas_per_s: Of tenants; those without a quota do not count for `worst_due`.
+    """
+    requests = _finished_requests(scenario, run)
+    weights = {item.name: item.priority_weight for item in scenario.profiles}
+    offered_weight = sum(weights[request.request_class] for request in requests) or 1.0
+    earned_weight = sum(weights[request.request_class] for request in requests if request.is_in_time)
+    latencies_ms = np.array([request.latency_us for request in requests] or [0]) / US_PER_MS
+    return {
+        "goodput": _share([request.is_in_time for request in requests]),
+        "goodput_first": _share(_first_attempts_in_time(scenario, run)),
+        "revenue": earned_weight / offered_weight,
+        "worst_member": _worst_goodput(requests, lambda request: request.tenant),
+        "worst_due": _worst_quota_share(scenario, requests, quotas_per_s or {}),
+        "worst_profile": _worst_goodput(requests, lambda request: request.request_class),
+        "p50_ms": float(np.percentile(latencies_ms, 50)),
+        "p99_ms": float(np.percentile(latencies_ms, 99)),
+        **_attempt_figures(run),
+        **_late_work_figures(scenario, run),
+        "breaks": float(len(run.violations)),
+        **_recovery_figures(scenario, time_series(scenario, run)),
+    }
+
+
+def _finished_requests(scenario: World, run: ScenarioRun) -> list[FinishedRequest]:
+    classes = {item.name: item for item in scenario.profiles}
+    requests = {
+        request_id(call): FinishedRequest(
+            call["profile"],
+            call["member"],
+            call["ended_us"] - call["due_us"],
+            is_in_time(call, classes[call["profile"]]),
         )
-        if call["id"].endswith("-1"):
-            first[tx] = good
-        ends[tx] = {
-            "good": good,
-            "profile": call["profile"],
-            "member": call["member"],
-            "ended_us": call["ended_us"],
-            "due_us": call["due_us"],
-            "status": call["status"],
-        }
-    took = np.array([e["ended_us"] - e["due_us"] for e in ends.values()] or [0]) / 1000
-    worth = {name: p.priority_weight for name, p in profiles.items()}
-    offered = sum(worth[e["profile"]] for e in ends.values()) or 1.0
-    by_tx: dict[str, int] = defaultdict(int)
-    for hop in played.seen.hops:
-        by_tx[hop["id"]] += 1
-    calls = [c for c in played.seen.calls if c["sent_us"]]
-    doors = [c for c in calls if "call" not in c]
-    ran = [h for h in played.seen.hops if h["ran"]]
-    late = [h for h in ran if h["late_us"] > 0]
+        for call in run.evidence.calls
+        if is_client_call(call)
+    }
+    return list(requests.values())
+
+
+def _first_attempts_in_time(scenario: World, run: ScenarioRun) -> list[bool]:
+    classes = {item.name: item for item in scenario.profiles}
+    return [
+        is_in_time(call, classes[call["profile"]])
+        for call in run.evidence.calls
+        if is_client_call(call) and is_first_attempt(call)
+    ]
+
+
+def _attempt_figures(run: ScenarioRun) -> Figures:
+    attempts_by_call = Counter(attempt["id"] for attempt in run.evidence.hops)
+    sent_calls = [call for call in run.evidence.calls if call["sent_us"]]
+    client_calls = [call for call in sent_calls if is_client_call(call)]
+    retries = sum(max(0, attempts_by_call[call["id"]] - 1) for call in sent_calls)
     return {
-        "goodput": float(np.mean([e["good"] for e in ends.values()] or [0])),
-        "goodput_first": float(np.mean(list(first.values()) or [False])),
-        "revenue": sum(worth[e["profile"]] for e in ends.values() if e["good"]) / offered,
-        "worst_member": _worst(ends, "member"),
-        "worst_due": _worst_due(world, ends, due or {}),
-        "worst_profile": _worst(ends, "profile"),
-        "p50_ms": float(np.percentile(took, 50)),
-        "p99_ms": float(np.percentile(took, 99)),
-        "hops_per_tx": sum(by_tx[c["id"]] for c in doors) / max(1, len(doors)),
-        "retry_share": sum(max(0, by_tx[c["id"]] - 1) for c in calls) / max(1, len(calls)),
-        "late_work_share": sum(h["work_us"] for h in late) / max(1, sum(h["work_us"] for h in ran)),
-        "effects_after_end": float(
-            sum(profiles[h["profile"]].idempotency != Idempotency.IDEMPOTENT for h in late)
-        ),
-        "breaks": float(len(played.broken)),
-        **_after_harm(world, series(world, played)),
+        "hops_per_tx": sum(attempts_by_call[call["id"]] for call in client_calls) / max(1, len(client_calls)),
+        "retry_share": retries / max(1, len(sent_calls)),
     }
 
 
-def _after_harm(world: World, of: dict[str, Any]) -> dict[str, float]:
-    """`goodput_harmed`: share committed in time while the first of the faults lasts that take processes or
-    endpoints away; `recovery_s`: from its begin until goodput has come to nine tenths of what it was, and
-    stayed; the rest of the run if it does not. Both 0 where there is none."""
-    harm = [fault for fault in world.faults if fault.kind in HARMFUL]
-    if not harm:
-        return {"goodput_harmed": 0.0, "recovery_s": 0.0}
-    at, end = int(harm[0].at_s), int(min(world.seconds, harm[0].at_s + harm[0].for_s))
-    good = [g / max(1, o) for g, o in zip(of["good"], of["offered"], strict=True)]
+def _late_work_figures(scenario: World, run: ScenarioRun) -> Figures:
+    classes = {item.name: item for item in scenario.profiles}
+    executed = [attempt for attempt in run.evidence.hops if attempt["ran"]]
+    late = [attempt for attempt in executed if attempt["late_us"] > 0]
+    late_effects = [
+        attempt for attempt in late if classes[attempt["profile"]].idempotency is not Idempotency.IDEMPOTENT
+    ]
     return {
-        "goodput_harmed": sum(of["good"][at:end]) / max(1, sum(of["offered"][at:end])),
-        "recovery_s": float(recovered(good, at, int(world.seconds))),
+        "late_work_share": _work_us(late) / max(1, _work_us(executed)),
+        "effects_after_end": float(len(late_effects)),
     }
 
 
-def recovered(good: list[float], at: int, end: int) -> int:
-    """Seconds from `at` until `good` is back for good enough; its own worth before `at` is the measure."""
-    before = sum(good[at // 2 : at]) / max(1, at - at // 2)
-    for second in range(at, end - STAYS_S + 1):
-        if all(g >= BACK * before for g in good[second : second + STAYS_S]):
-            return second - at
-    return end - at
+def _work_us(attempts: Iterable[Row]) -> int:
+    return sum(attempt["work_us"] for attempt in attempts)
 
 
-def _worst(ends: dict[str, dict[str, Any]], by: str) -> float:
-    found: dict[str, list[bool]] = defaultdict(list)
-    for e in ends.values():
-        found[e[by]].append(e["good"])
-    return min((float(np.mean(good)) for good in found.values()), default=0.0)
+def _share(is_good: Sequence[bool]) -> float:
+    return float(np.mean(is_good or [False]))
 
 
-def _worst_due(world: World, ends: dict[str, dict[str, Any]], due: dict[str, float]) -> float:
-    found: dict[str, list[bool]] = defaultdict(list)
-    for e in ends.values():
-        found[e["member"]].append(e["good"])
+def _worst_goodput(requests: Iterable[FinishedRequest], key: Callable[[FinishedRequest], str]) -> float:
+    by_key: dict[str, list[bool]] = defaultdict(list)
+    for request in requests:
+        by_key[key(request)].append(request.is_in_time)
+    return min((_share(is_in_time) for is_in_time in by_key.values()), default=0.0)
+
+
+def _worst_quota_share(
+    scenario: World, requests: Iterable[FinishedRequest], quotas_per_s: Mapping[str, float]
+) -> float:
+    by_tenant: dict[str, list[bool]] = defaultdict(list)
+    for request in requests:
+        by_tenant[request.tenant].append(request.is_in_time)
     return min(
         (
-            sum(good) / min(len(good), due[member] * world.seconds)
-            for member, good in found.items()
-            if due.get(member)
+            sum(is_in_time) / min(len(is_in_time), quotas_per_s[tenant] * scenario.seconds)
+            for tenant, is_in_time in by_tenant.items()
+            if quotas_per_s.get(tenant)
         ),
         default=0.0,
     )
 
 
-def series(world: World, played: Played) -> dict[str, Any]:
-    """By second of the run, for the plots: offered, committed in time, revenue, retries; and hops by
-    endpoint."""
-    start, size = played.seen.start_us, int(world.seconds) + 3
-    profiles = {p.name: p for p in world.profiles}
-    found = {name: np.zeros(size) for name in ("offered", "good", "revenue", "worth", "retries", "calls")}
-
-    def second(us: int) -> int:
-        return min(size - 1, max(0, (us - start) // 1_000_000))
-
-    calls = {c["id"]: c for c in played.seen.calls}
-    for call in calls.values():
-        found["calls"][second(call["began_us"])] += 1
-        if "call" in call:
-            continue
-        profile = profiles[call["profile"]]
-        if call["id"].endswith("-1"):
-            found["offered"][second(call["due_us"])] += 1
-            found["worth"][second(call["due_us"])] += profile.priority_weight
-        if call["status"] == 200 and call["ended_us"] - call["due_us"] <= profile.latency_objective_ms * 1000:
-            found["good"][second(call["due_us"])] += 1
-            found["revenue"][second(call["due_us"])] += profile.priority_weight
-    names = [f"{tier.name}{n}" for tier in world.fleet.tiers for n in range(tier.endpoints)]
-    heat = {name: np.zeros(size, int) for name in names}
-    seen: set[str] = set()
-    for hop in sorted(played.seen.hops, key=lambda hop: hop["came_us"]):
-        heat[hop["endpoint"]][second(hop["came_us"])] += 1
-        found["retries"][second(hop["came_us"])] += hop["id"] in seen
-        seen.add(hop["id"])
+def _recovery_figures(scenario: World, series: TimeSeries) -> Figures:
+    """Returns how the first fault that takes capacity away was felt.
+
+    `goodput_harmed`: goodput while it lasts. `recovery_s`: from its start until goodput is back; the rest of
+    the run if it does not come back. Both 0 without such a fault.
+    """
+    fault = next((fault for fault in scenario.faults if fault.kind in CAPACITY_FAULTS), None)
+    if fault is None:
+        return {"goodput_harmed": 0.0, "recovery_s": 0.0}
+    start_s = int(fault.at_s)
+    end_s = int(min(scenario.seconds, fault.at_s + fault.for_s))
+    goodput = [
+        good / max(1, offered) for good, offered in zip(series["good"], series["offered"], strict=True)
+    ]
+    offered_meanwhile = sum(series["offered"][start_s:end_s])
     return {
-        **{name: of.tolist() for name, of in found.items()},
-        "heat": {k: v.tolist() for k, v in heat.items()},
-        "latency_ms": _quantiles(played),
+        "goodput_harmed": sum(series["good"][start_s:end_s]) / max(1, offered_meanwhile),
+        "recovery_s": float(seconds_to_recover(goodput, start_s, int(scenario.seconds))),
     }
 
 
-def _quantiles(played: Played) -> list[tuple[float, float]]:
-    """(quantile, milliseconds) of the tries of clients, from when their transaction was due."""
-    took = [c["ended_us"] - c["due_us"] for c in played.seen.calls if "call" not in c]
-    if not took:
-        return []
-    at = [0.0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100]
-    return list(zip(at, (np.percentile(took, at) / 1000).tolist(), strict=True))
-
-
-def paired(mine: list[float], other: list[float], seed: int = 1) -> dict[str, float]:
-    """Mean of the differences of pairs (mine less other), with the 95% interval of a bootstrap over pairs
-    (Efron 1979). With one pair the interval is that pair: nothing is known of its spread."""
-    apart: npt.NDArray[np.float64] = np.array(mine) - np.array(other)
-    chance = np.random.Generator(np.random.PCG64(seed))
-    means = apart[chance.integers(0, len(apart), (DRAWS, len(apart)))].mean(axis=1)
-    low, high = np.percentile(means, [2.5, 97.5])
-    return {"mean": float(apart.mean()), "low": float(low), "high": float(high), "pairs": len(apart)}
-
-
-def compared(by_arm: dict[str, list[dict[str, float]]]) -> dict[str, dict[str, dict[str, float]]]:
-    """Each arm after the first against the first, figure by figure."""
-    first, *others = by_arm
-    return {
-        arm: {
-            name: paired([r[name] for r in by_arm[arm]], [r[name] for r in by_arm[first]]) for name in BETTER
-        }
-        for arm in others
-    }
+def seconds_to_recover(goodput: Sequence[float], start_s: int, end_s: int) -> int:
+    """Returns how long after `start_s` goodput is back for good enough, compared with that just before."""
+    before = sum(goodput[start_s // 2 : start_s]) / max(1, start_s - start_s // 2)
+    for second in range(start_s, end_s - RECOVERED_FOR_S + 1):
+        following = goodput[second : second + RECOVERED_FOR_S]
+        if all(value >= RECOVERED_SHARE * before for value in following):
+            return second - start_s
+    return end_s - start_s
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -1,102 +1,163 @@
-"""python -m cressrail.experiment.fleet_faults FILE ... [--out DIR]: fleets with harm between their sidecars,
-with load on, and what became of the sidecars' views of each other.
+"""Fleets with faults between their sidecars, and what became of the sidecars' views of each other.
 
-Exits 3 where a rule broke or a living copy was told to be lost, 4 where the machine lagged and the run says
-nothing."""
+    python -m cressrail.experiment.fleet_faults FILE ... [--out DIR]
+
+Exits with 3 where a rule was broken or a living instance was declared dead, with 4 where the machine lagged
+and the run says nothing.
+"""
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Sequence
+from enum import IntEnum
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
 
 import orjson
 
-from cressrail.experiment.play import Played, play_world
+from cressrail.experiment.scenario_run import FLEET_RECORD, ScenarioRun, run_scenario
 from cressrail.testbed.event_record import rows
-from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
+from cressrail.testbed.membership_verdicts import (
+    Known,
+    Views,
+    agreed,
+    false_losses,
+    joined,
+    known,
+    live_error,
+    views,
+)
 from cressrail.testbed.scenario import World
 from cressrail.testbed.scenario_file import Unusable, read
 
-RETURN_BEARS = 3  # in which a return has got round, in units of the pause that is borne
-
-
-def figures(world: World, played: Played, folder: Path) -> dict[str, Any]:
-    """Of one play. Seconds; `bytes_per_s` and `cpu` are a second of one sidecar, the latter all its work
-    included."""
-    ledger = list(rows(folder / "fleet.jsonl"))
-    seen = views(ledger)
-    talk = world.fleet.membership
-    assert talk is not None
-    bear_us = talk.bear_pause_ms * 1000
-    start_us = next(row["start_us"] for row in ledger if "start_us" in row)
-    spent = [row for row in ledger if "spent_s" in row]
-    span_s = max(1e-9, (spent[-1]["at_us"] - spent[0]["at_us"]) / 1e6)
-    bytes_ = spent[-1]["wires"].get("bytes", 0) - spent[0]["wires"].get("bytes", 0)
-    cpu = [
-        spent[-1]["spent_s"][name] - before
-        for name, before in spent[0]["spent_s"].items()
-        if spent[-1]["spent_s"][name] >= before
-    ]
+RETURN_PAUSES = 3  # tolerated pauses within which all have heard of a return
+OUT_OPTION = "--out"
+US_PER_S = 1e6
+US_PER_MS = 1000
+Row = dict[str, Any]
+
+
+class ExitStatus(IntEnum):
+    """What the command ends with; the highest of its files."""
+
+    OK = 0
+    FLEET_FAILED = 1
+    UNUSABLE = 2
+    VIOLATION = 3
+    VOID = 4
+
+
+def fleet_figures(scenario: World, run: ScenarioRun, folder: Path) -> dict[str, Any]:
+    """Returns the figures of a run, by the keys that its output has.
+
+    Times are in seconds unless the key says otherwise; `bytes_per_s` and `cpu` are for one sidecar and
+    second, the latter with all of its work.
+    """
+    membership = scenario.fleet.membership
+    assert membership is not None
+    tolerated_pause_us = membership.bear_pause_ms * US_PER_MS
+    records = list(rows(folder / FLEET_RECORD))
+    seen = views(records)
+    start_us = next(row["start_us"] for row in records if "start_us" in row)
+    usage = [row for row in records if "spent_s" in row]
     deaths = known(seen)
-    worst = {
-        part: max((getattr(one, part) for one in deaths if getattr(one, part) is not None), default=None)
-        for part in ("first_s", "half_s", "all_s")
-    }
     return {
-        "name": world.name,
+        "name": scenario.name,
         "sidecars": len(seen.lives),
         "void": seen.void,
         "lag_ms": round(seen.lag_s * 1000, 1),
-        "broken": [f"rule {one.rule}: {one.tx}: {one.evidence}" for one in played.broken],
-        "false_losses": [
-            f"{one.by} of {one.of} at {(one.at_us - start_us) / 1e6:.1f} s"
-            for one in false_losses(seen, bear_us, RETURN_BEARS * bear_us)
+        "broken": [
+            f"rule {violation.rule}: {violation.tx}: {violation.evidence}" for violation in run.violations
         ],
+        "false_losses": _false_death_texts(seen, tolerated_pause_us, start_us),
         "joined_s": joined(seen),
         "deaths": len(deaths),
-        "known_to_all": sum(1 for one in deaths if one.all_s is not None),
-        "slowest": worst,
+        "known_to_all": sum(1 for death in deaths if death.all_s is not None),
+        "slowest": {part: _slowest(deaths, part) for part in ("first_s", "half_s", "all_s")},
         "live_error": round(live_error(seen, start_us, seen.end_us), 4),
         "most_gone_by": max((row.get("goes_by", 0) for row in seen.rows), default=0),
         "agree_at_end": agreed(seen, seen.end_us),
-        "bytes_per_s": round(bytes_ / span_s / max(1, len(seen.lives))),
-        "cpu": round(sum(cpu) / max(1, len(cpu)) / span_s, 5),
-        "wires": spent[-1]["wires"],
-        "tries": played.told["tries"],
-        "answered": played.told["answered"],
+        "bytes_per_s": _bytes_per_second(usage, len(seen.lives)),
+        "cpu": _cpu_share(usage),
+        "wires": usage[-1]["wires"],
+        "tries": run.load_report["tries"],
+        "answered": run.load_report["answered"],
     }
 
 
-def play(file: Path, folder: Path) -> dict[str, Any]:
-    world = read(file, World)
-    if world.fleet.membership is None:
+def _false_death_texts(seen: Views, tolerated_pause_us: int, start_us: int) -> list[str]:
+    found = false_losses(seen, tolerated_pause_us, RETURN_PAUSES * tolerated_pause_us)
+    return [f"{death.by} of {death.of} at {(death.at_us - start_us) / US_PER_S:.1f} s" for death in found]
+
+
+def _slowest(deaths: Sequence[Known], part: str) -> float | None:
+    """Returns the longest time until a part of the others knew of a death, None where none ever did."""
+    times_s: list[float | None] = [getattr(death, part) for death in deaths]
+    return max((time_s for time_s in times_s if time_s is not None), default=None)
+
+
+def _usage_span_s(usage: Sequence[Row]) -> float:
+    return float(max(1e-9, (usage[-1]["at_us"] - usage[0]["at_us"]) / US_PER_S))
+
+
+def _bytes_per_second(usage: Sequence[Row], sidecars: int) -> int:
+    sent_bytes = usage[-1]["wires"].get("bytes", 0) - usage[0]["wires"].get("bytes", 0)
+    return int(round(sent_bytes / _usage_span_s(usage) / max(1, sidecars)))
+
+
+def _cpu_share(usage: Sequence[Row]) -> float:
+    """Returns the mean over the sidecars that were not restarted meanwhile."""
+    first, last = usage[0]["spent_s"], usage[-1]["spent_s"]
+    spent_s = [last[name] - before_s for name, before_s in first.items() if last[name] >= before_s]
+    return float(round(sum(spent_s) / max(1, len(spent_s)) / _usage_span_s(usage), 5))
+
+
+def _run_file(file: Path, folder: Path) -> dict[str, Any]:
+    scenario = read(file, World)
+    if scenario.fleet.membership is None:
         raise Unusable(f"{file}: fleet.membership is missing")
-    return figures(world, play_world(world, folder), folder)
+    return fleet_figures(scenario, run_scenario(scenario, folder), folder)
+
 
+def _run_files(files: Sequence[Path], out: Path | None) -> ExitStatus:
+    if not files:
+        raise Unusable("no file is named")
+    worst = ExitStatus.OK
+    for file in files:
+        with TemporaryDirectory(prefix="cressrail-") as discarded:
+            figures = _run_file(file, out / file.stem if out is not None else Path(discarded))
+        print(orjson.dumps(figures, option=orjson.OPT_INDENT_2).decode(), flush=True)
+        if figures["void"]:
+            worst = ExitStatus.VOID
+        elif figures["broken"] or figures["false_losses"]:
+            worst = max(worst, ExitStatus.VIOLATION)
+    return worst
 
-def main(words: list[str]) -> int:
-    out = Path(words[words.index("--out") + 1]) if "--out" in words[:-1] else None
+
+def main(arguments: Sequence[str]) -> int:
+    """Runs the files that are named and returns the exit status."""
+    files, out = _parse_arguments(arguments)
+    try:
+        return _run_files(files, out)
+    except Unusable as error:
+        print(f"cressrail: {error}", file=sys.stderr)
+        return ExitStatus.UNUSABLE
+    except RuntimeError as error:
+        print(f"cressrail: {error}", file=sys.stderr)
+        return ExitStatus.FLEET_FAILED
+
+
+def _parse_arguments(arguments: Sequence[str]) -> tuple[list[Path], Path | None]:
+    """Returns the files, and the folder after the first `--out`; one without a folder is left out."""
+    out = Path(arguments[arguments.index(OUT_OPTION) + 1]) if OUT_OPTION in arguments[:-1] else None
     files = [
-        Path(word) for n, word in enumerate(words) if word != "--out" and (n == 0 or words[n - 1] != "--out")
+        Path(argument)
+        for index, argument in enumerate(arguments)
+        if argument != OUT_OPTION and (index == 0 or arguments[index - 1] != OUT_OPTION)
     ]
-    worst = 0
-    try:
-        if not files:
-            raise Unusable("no file is named")
-        for file in files:
-            with TemporaryDirectory(prefix="cressrail-") as passing:
-                told = play(file, (out / file.stem) if out is not None else Path(passing))
-            print(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode(), flush=True)
-            worst = max(worst, 4 if told["void"] else 3 if told["broken"] or told["false_losses"] else 0)
-    except Unusable as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        return 2
-    except RuntimeError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        return 1
-    return worst
+    return files, out
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/cressrail/experiment/fleet_process.py
@@ -0,0 +1,129 @@
+"""The fleet of a scenario as a process of its own, on cores apart from the load generator's."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
+from dataclasses import dataclass
+from pathlib import Path
+
+import orjson
+import tomlkit
+
+from cressrail.experiment.checkouts import REPOSITORY
+from cressrail.http_testing.client import now_us
+from cressrail.load.sender import Address
+from cressrail.testbed.scenario import World
+
+START_DELAY_US = 400_000  # from the order to begin to the first request that can be due
+MIN_CORES_TO_SPLIT = 4  # with fewer, the generator gets none to itself
+EXIT_TIMEOUT_S = 10
+SCENARIO_FILE, FLEET_LOG = "world.toml", "standin.log"
+
+
+@dataclass(frozen=True)
+class SidecarVersion:
+    """What the sidecars of a fleet run: a checkout, and the policy or defect that replaces their own."""
+
+    checkout: Path = REPOSITORY
+    policy: str = "own"
+    defect: str = ""
+
+
+@dataclass(frozen=True)
+class RunningFleet:
+    """A fleet that is up.
+
+    Attributes:
+        ingress_addresses: Where clients send their requests.
+        start_us: When the time of the faults begins, on the steady clock.
+    """
+
+    ingress_addresses: list[Address]
+    start_us: int
+
+
+@contextmanager
+def running_fleet(scenario: World, folder: Path, version: SidecarVersion) -> Iterator[RunningFleet]:
+    """Starts a fleet and ends it with the context; its files are left in `folder`.
+
+    Raises:
+        RuntimeError: If the fleet does not come up.
+    """
+    folder.mkdir(parents=True, exist_ok=True)
+    scenario_file = folder / SCENARIO_FILE
+    fields = scenario.model_dump(mode="json", by_alias=True, exclude_none=True)
+    scenario_file.write_text(tomlkit.dumps(fields))
+    with (folder / FLEET_LOG).open("wb") as log:
+        process = subprocess.Popen(
+            _fleet_command(scenario_file, folder, version),
+            cwd=REPOSITORY,
+            env={**os.environ, "PYTHONPATH": str(REPOSITORY)},
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=log,
+        )
+    try:
+        with core_of_its_own(process.pid):
+            yield _begin(process, folder / FLEET_LOG)
+    finally:
+        _end(process)
+
+
+def _fleet_command(scenario_file: Path, folder: Path, version: SidecarVersion) -> list[str]:
+    options = {
+        "--out": str(folder),
+        "--tree": str(version.checkout),
+        "--policy": version.policy,
+        "--break": version.defect,
+    }
+    words = [word for option in options.items() for word in option]
+    return [sys.executable, "-m", "cressrail", "standin", "run", str(scenario_file), "--wait", *words]
+
+
+def _begin(process: subprocess.Popen[bytes], log: Path) -> RunningFleet:
+    """Waits until the fleet is up and tells it when to begin."""
+    assert process.stdin is not None
+    assert process.stdout is not None
+    line = process.stdout.readline()
+    if not line:
+        raise RuntimeError(f"the fleet did not come up: {log.read_text().strip()}")
+    start_us = now_us() + START_DELAY_US
+    process.stdin.write(b"go %d\n" % start_us)
+    process.stdin.flush()
+    names = [address.rpartition(":") for address in orjson.loads(line)["doors"]]
+    return RunningFleet([(host, int(port)) for host, _, port in names], start_us)
+
+
+def _end(process: subprocess.Popen[bytes]) -> None:
+    """Ends the fleet by the end of its input, and by a signal where that does not do."""
+    assert process.stdin is not None
+    assert process.stdout is not None
+    process.stdin.close()
+    with suppress(subprocess.TimeoutExpired):
+        process.wait(EXIT_TIMEOUT_S)
+    if process.returncode is None:
+        process.terminate()
+        process.wait()
+    process.stdout.close()
+
+
+@contextmanager
+def core_of_its_own(other_pid: int) -> Iterator[None]:
+    """Gives this process a core, and the other one, with the children that it starts, the rest.
+
+    A generator that its fleet crowds out would be late.
+    """
+    cores = sorted(os.sched_getaffinity(0))
+    if len(cores) < MIN_CORES_TO_SPLIT:
+        yield
+        return
+    os.sched_setaffinity(other_pid, cores[1:])
+    os.sched_setaffinity(0, cores[:1])
+    try:
+        yield
+    finally:
+        os.sched_setaffinity(0, cores)
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -1,8 +1,11 @@
-"""The words of an experiment's file: a world, and the arms to play it with."""
+"""An experiment's file: a scenario, and the variants to run it with.
+
+The keys of the file stand here alone, as aliases of the fields.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Self
 
 from pydantic import Field, model_validator
 
@@ -10,41 +13,57 @@
 from cressrail.testbed.scenario import Broken, Policy, World
 
 
-class Arm(StrictModel):
-    """A configuration, a baseline, or an earlier revision of this repository."""
+class Variant(StrictModel):
+    """A configuration, a baseline policy, or an earlier revision of this repository.
+
+    Attributes:
+        policy: The sidecars' own policy, or a baseline.
+        defect: With which sidecars are broken on purpose; empty for none.
+        revision: A commit that is checked out for the run; empty for this repository as it stands.
+        setting_overrides: Values by their path in each sidecar's configuration.
+        has_tenant_quotas: Whether tenants have the quotas of the scenario.
+        has_common_failover: Whether sidecars decide on zones in common, where the scenario says so.
+    """
 
     name: str
     policy: Policy = "own"
-    broken: Broken = ""
-    revision: str = ""  # a commit, checked out beside the tree; empty: the tree as it stands
-    settings: dict[str, Any] = Field(default_factory=dict)  # paths in each sidecar's configuration
-    members_shares: bool = True  # false: no member has an allowance
-    failover: bool = True  # false: each sidecar judges zones for itself
+    defect: Broken = Field("", alias="broken")
+    revision: str = ""
+    setting_overrides: dict[str, Any] = Field(default_factory=dict, alias="settings")
+    has_tenant_quotas: bool = Field(True, alias="members_shares")
+    has_common_failover: bool = Field(True, alias="failover")
 
 
 class Experiment(World):
-    rounds: int = Field(3, ge=1, le=50)  # each arm is played so often, with seeds of its round
-    arms: list[Arm] = Field(min_length=1)
+    """A scenario, how often to run it, and with which variants.
+
+    Attributes:
+        rounds: Each variant is run so often, each round with a seed of its own.
+    """
+
+    rounds: int = Field(3, ge=1, le=50)
+    variants: list[Variant] = Field(min_length=1, alias="arms")
 
     @model_validator(mode="after")
-    def _arms_make_sense(self) -> Experiment:
-        names = [arm.name for arm in self.arms]
+    def _check_variants(self) -> Self:
+        names = [variant.name for variant in self.variants]
         if len(set(names)) < len(names):
             raise ValueError("arms: two of the same name")
-        for n, arm in enumerate(self.arms):
-            if arm.revision and (arm.policy != "own" or arm.broken):
+        for index, variant in enumerate(self.variants):
+            if variant.revision and (variant.policy != "own" or variant.defect):
                 raise ValueError(
-                    f"arms.{n}.revision: a revision is played as it was, without policy or break"
+                    f"arms.{index}.revision: a revision is played as it was, without policy or break"
                 )
         return self
 
-    def world(self, arm: Arm, round_no: int) -> World:
-        told = self.model_dump(exclude={"rounds", "arms"}, by_alias=True)
-        told["seed"] = self.seed + round_no
-        told["fleet"]["settings"] = {**self.fleet.settings, **arm.settings}
-        if not arm.failover:
-            told["fleet"]["failover"] = None
-        if not arm.members_shares:
-            for member in told["members"]:
-                member["allowance_per_s"] = 0.0
-        return World.model_validate(told)
+    def scenario(self, variant: Variant, round_index: int) -> World:
+        """Returns what a variant runs in a round; rounds differ in their seeds, variants do not."""
+        fields = self.model_dump(exclude={"rounds", "variants"}, by_alias=True)
+        fields["seed"] = self.seed + round_index
+        fields["fleet"]["settings"] |= variant.setting_overrides
+        if not variant.has_common_failover:
+            fields["fleet"]["failover"] = None
+        if not variant.has_tenant_quotas:
+            for tenant in fields["members"]:
+                tenant["allowance_per_s"] = 0.0
+        return World.model_validate(fields)
--- a/cressrail/experiment/relay.py
+++ b/cressrail/experiment/relay.py
@@ -1,57 +1,60 @@
-"""A bare relay on the sidecar's scheduler: bytes from a client to one endpoint and back, nothing read,
-nothing decided. What it costs is the floor under a sidecar that is built on the same loop.
+"""A bare relay on the sidecar's scheduler: bytes from a client to one endpoint and back.
 
-python -m cressrail.experiment.relay LISTEN_PORT ENDPOINT_PORT
+It reads and decides nothing, so its cost is the floor under a sidecar that is built on the same loop.
+
+    python -m cressrail.experiment.relay LISTEN_PORT ENDPOINT_PORT
 """
 
 from __future__ import annotations
 
 import socket
 import sys
+from contextlib import suppress
+from functools import partial
 
 from cressrail.event_loop.clock import Clock
 from cressrail.event_loop.scheduler import READABLE, Scheduler
 from cressrail.network.listener import bind
 
-MOST = 65536
+MAX_READ_BYTES = 65536
+HOST = "127.0.0.1"
 
 
-def pump(loop: Scheduler, source: socket.socket, sink: socket.socket) -> None:
-    """Until the source ends; what the kernel does not take at once is small here and is waited for."""
+def relay_bytes(scheduler: Scheduler, source: socket.socket, destination: socket.socket) -> None:
+    """Copies until the source ends; what the kernel does not take at once is small here and is waited for."""
     try:
-        while True:
-            loop.wait(source.fileno(), READABLE)
-            data = source.recv(MOST)
-            if not data:
-                break
-            sink.sendall(data)
-    except OSError:
-        pass
+        with suppress(OSError):
+            while True:
+                scheduler.wait(source.fileno(), READABLE)
+                data = source.recv(MAX_READ_BYTES)
+                if not data:
+                    break
+                destination.sendall(data)
     finally:
-        for sock in (source, sink):
-            try:
-                sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                continue
-
-
-def main(listen: int, endpoint: int) -> None:
-    loop = Scheduler(Clock().now_us, lambda text: print(text, file=sys.stderr))
-    door = bind("127.0.0.1", listen)
+        for connection in (source, destination):
+            with suppress(OSError):
+                connection.shutdown(socket.SHUT_RDWR)
+
+
+def accept_clients(scheduler: Scheduler, listener: socket.socket, endpoint_port: int) -> None:
+    """Gives each client a connection to the endpoint, with a task for each direction."""
+    while True:
+        scheduler.wait(listener.fileno(), READABLE)
+        client, _ = listener.accept()
+        endpoint = socket.create_connection((HOST, endpoint_port))
+        for connection in (client, endpoint):
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        scheduler.spawn(partial(relay_bytes, scheduler, client, endpoint))
+        scheduler.spawn(partial(relay_bytes, scheduler, endpoint, client))
+
+
+def main(listen_port: int, endpoint_port: int) -> None:
+    """Relays until it is killed."""
+    scheduler = Scheduler(Clock().now_us, lambda text: print(text, file=sys.stderr))
+    listener = bind(HOST, listen_port)
     print("ready", flush=True)
-
-    def accept() -> None:
-        while True:
-            loop.wait(door.fileno(), READABLE)
-            client, _ = door.accept()
-            onward = socket.create_connection(("127.0.0.1", endpoint))
-            for sock in (client, onward):
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            loop.spawn(lambda a=client, b=onward: pump(loop, a, b))  # type: ignore[misc]
-            loop.spawn(lambda a=onward, b=client: pump(loop, a, b))  # type: ignore[misc]
-
-    loop.spawn(accept)
-    loop.run()
+    scheduler.spawn(partial(accept_clients, scheduler, listener, endpoint_port))
+    scheduler.run()
 
 
 if __name__ == "__main__":
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -1,5 +1,4 @@
-"""Plays an experiment: each round, each arm in turn with that round's seed; the order turns with the
-rounds."""
+"""Runs an experiment: each round, each variant in turn with that round's seed; the order rotates."""
 
 from __future__ import annotations
 
@@ -8,66 +7,114 @@
 from dataclasses import asdict
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any
+from typing import Any, cast
 
 import orjson
 
-from cressrail.experiment.checkouts import tree
-from cressrail.experiment.figures import compared, figures, series
-from cressrail.experiment.plan import Experiment
-from cressrail.experiment.play import play_world
+from cressrail.experiment.checkouts import checkout
+from cressrail.experiment.comparison import compare_variants
+from cressrail.experiment.figures import run_figures
+from cressrail.experiment.fleet_process import SidecarVersion
+from cressrail.experiment.plan import Experiment, Variant
+from cressrail.experiment.result import ExperimentResult, RoundResult, VariantResult
+from cressrail.experiment.scenario_run import run_scenario
+from cressrail.experiment.time_series import time_series
+from cressrail.testbed.scenario import World
 
+RESULT_FILE, REPORT_FILE = "result.json", "report.html"
+Say = Callable[[str], None]
 
-def run(experiment: Experiment, out: Path, say: Callable[[str], None], keep: bool = False) -> dict[str, Any]:
-    """Leaves result.json and report.html in `out`; with `keep`, ledgers and logs of each run too. Raises
-    `NoRevision`, and `RuntimeError` where a fleet does not come up."""
+
+def run_experiment(
+    experiment: Experiment, out: Path, say: Say, *, keeps_runs: bool = False
+) -> ExperimentResult:
+    """Runs all rounds and leaves result.json and report.html in `out`.
+
+    Args:
+        experiment: What to run.
+        out: The folder, made where it is missing.
+        say: Is told of each run.
+        keeps_runs: Whether records and logs of each run are kept there too.
+
+    Raises:
+        RevisionError: If a variant's revision does not exist.
+        RuntimeError: If a fleet does not come up.
+    """
     out.mkdir(parents=True, exist_ok=True)
-    due = {m.name: m.allowance_per_s for m in experiment.members}
-    arms: dict[str, dict[str, Any]] = {
-        arm.name: {**arm.model_dump(), "rounds": []} for arm in experiment.arms
-    }
     with ExitStack() as stack:
-        trees = {arm.name: stack.enter_context(tree(arm.revision)) for arm in experiment.arms}
-        for n in range(experiment.rounds):
-            turn = n % len(experiment.arms)
-            for arm in experiment.arms[turn:] + experiment.arms[:turn]:
-                world = experiment.world(arm, n)
-                with TemporaryDirectory(prefix="cressrail-") as passing:  # a run's ledgers end with it
-                    folder = out / "runs" / f"{n}-{arm.name}" if keep else Path(passing)
-                    played = play_world(
-                        world, folder, tree=trees[arm.name], policy=arm.policy, broken=arm.broken
-                    )
-                of = figures(world, played, due)
-                arms[arm.name]["rounds"].append(
-                    {
-                        "seed": world.seed,
-                        "figures": of,
-                        "broken": [asdict(b) for b in played.broken],
-                        "load": played.told,
-                        "series": series(world, played),
-                        "failed": played.seen.failed,
-                    }
-                )
-                late = f"; {played.told['refused']}" if played.told["refused"] else ""
-                say(
-                    f"round {n + 1} of {experiment.rounds}, {arm.name}: goodput {of['goodput']:.3f}, "
-                    f"worst member {of['worst_member']:.3f}, p99 {of['p99_ms']:.0f} ms, "
-                    f"{len(played.broken)} breaks{late}"
-                )
-    result = {
+        versions = {
+            variant.name: SidecarVersion(
+                stack.enter_context(checkout(variant.revision)), variant.policy, variant.defect
+            )
+            for variant in experiment.variants
+        }
+        rounds: dict[str, list[RoundResult]] = {variant.name: [] for variant in experiment.variants}
+        for round_index in range(experiment.rounds):
+            for variant in _in_turn(experiment.variants, round_index):
+                scenario = experiment.scenario(variant, round_index)
+                with TemporaryDirectory(prefix="cressrail-") as discarded:
+                    kept = out / "runs" / f"{round_index}-{variant.name}"
+                    folder = kept if keeps_runs else Path(discarded)
+                    result = _run_round(experiment, scenario, folder, versions[variant.name])
+                rounds[variant.name].append(result)
+                title = f"round {round_index + 1} of {experiment.rounds}, {variant.name}"
+                say(f"{title}: {_round_text(result)}")
+    return _write_result(experiment, rounds, out)
+
+
+def _in_turn(variants: list[Variant], round_index: int) -> list[Variant]:
+    first = round_index % len(variants)
+    return variants[first:] + variants[:first]
+
+
+def _run_round(experiment: Experiment, scenario: World, folder: Path, version: SidecarVersion) -> RoundResult:
+    quotas_per_s = {tenant.name: tenant.allowance_per_s for tenant in experiment.members}
+    run = run_scenario(scenario, folder, version)
+    return {
+        "seed": scenario.seed,
+        "figures": run_figures(scenario, run, quotas_per_s),
+        "broken": [asdict(violation) for violation in run.violations],
+        "load": run.load_report,
+        "series": time_series(scenario, run),
+        "failed": run.evidence.failed,
+    }
+
+
+def _round_text(result: RoundResult) -> str:
+    figures, refused = result["figures"], result["load"]["refused"]
+    text = (
+        f"goodput {figures['goodput']:.3f}, worst tenant {figures['worst_member']:.3f}, "
+        f"p99 {figures['p99_ms']:.0f} ms, {len(result['broken'])} violations"
+    )
+    return f"{text}; {refused}" if refused else text
+
+
+def _write_result(
+    experiment: Experiment, rounds: dict[str, list[RoundResult]], out: Path
+) -> ExperimentResult:
+    result: ExperimentResult = {
         "name": experiment.name,
         "seconds": experiment.seconds,
         "rounds": experiment.rounds,
         "seed": experiment.seed,
-        "faults": [f.model_dump() for f in experiment.faults],
-        "arms": arms,
-        "differences": compared({name: [r["figures"] for r in arm["rounds"]] for name, arm in arms.items()}),
+        "faults": [fault.model_dump() for fault in experiment.faults],
+        "arms": {
+            variant.name: _variant_result(variant, rounds[variant.name]) for variant in experiment.variants
+        },
+        "differences": compare_variants(
+            {name: [result["figures"] for result in results] for name, results in rounds.items()}
+        ),
     }
-    (out / "result.json").write_bytes(
+    (out / RESULT_FILE).write_bytes(
         orjson.dumps(result, option=orjson.OPT_INDENT_2 | orjson.OPT_SERIALIZE_NUMPY)
     )
-    # plotting takes its time to load, and cores that a run needs
-    from cressrail.experiment.report import page
+    # Loaded only now: plotting takes its time to load, and cores that a run needs.
+    from cressrail.experiment.html_report import html_report
 
-    (out / "report.html").write_text(page(result))
+    (out / REPORT_FILE).write_text(html_report(result))
     return result
+
+
+def _variant_result(variant: Variant, rounds: list[RoundResult]) -> VariantResult:
+    fields: dict[str, Any] = {**variant.model_dump(by_alias=True), "rounds": rounds}
+    return cast(VariantResult, fields)
--- /dev/null
+++ b/cressrail/experiment/scenario_run.py
@@ -0,0 +1,102 @@
+"""One scenario, once: the fleet, load on its ingress sidecars, and the rules checked by the evidence."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TypeVar
+
+from cressrail.experiment.fleet_process import SidecarVersion, running_fleet
+from cressrail.load.plan import LoadPlan, RequestClassLoad, StrictModel, TenantLoad
+from cressrail.load.report import LoadReport
+from cressrail.load.run import LoadJob, run_load
+from cressrail.testbed.event_record import rows
+from cressrail.testbed.membership_verdicts import Views, views
+from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
+from cressrail.testbed.scenario import World
+
+ATTEMPT_LOG, REQUEST_RECORDS, FLEET_RECORD = "load.jsonl", "spool", "fleet.jsonl"
+OWN_VERSION = SidecarVersion()
+Model = TypeVar("Model", bound=StrictModel)
+ANSWER_RULE = 1  # each request gets one final answer in time
+
+
+@dataclass
+class ScenarioRun:
+    """What came of a run.
+
+    Attributes:
+        evidence: What clients, endpoints and discovery recorded.
+        violations: Where a rule was broken.
+    """
+
+    load_report: LoadReport
+    evidence: Evidence
+    violations: list[Break]
+
+
+def run_scenario(
+    scenario: World, folder: Path, version: SidecarVersion = OWN_VERSION, *, is_quiet: bool = True
+) -> ScenarioRun:
+    """Runs a scenario and checks the rules; records and logs are left in `folder`.
+
+    Raises:
+        RuntimeError: If the fleet does not come up.
+    """
+    attempt_log, fleet_record = folder / ATTEMPT_LOG, folder / FLEET_RECORD
+    with running_fleet(scenario, folder, version) as fleet:
+        job = LoadJob(
+            load_plan(scenario),
+            fleet.ingress_addresses,
+            attempt_log=attempt_log,
+            records=folder / REQUEST_RECORDS,
+            start_us=fleet.start_us,
+            is_quiet=is_quiet,
+        )
+        load_report = run_load(job)
+    collected = evidence(rows(attempt_log), rows(fleet_record))
+    violations = judge(scenario, collected)
+    if scenario.fleet.membership is not None:
+        excused_ids = calls_to_stopped_processes(collected, views(rows(fleet_record)))
+        violations = [
+            violation
+            for violation in violations
+            if violation.rule != ANSWER_RULE or violation.tx not in excused_ids
+        ]
+    return ScenarioRun(load_report, collected, violations)
+
+
+def load_plan(scenario: World) -> LoadPlan:
+    """Returns the load that a scenario asks for."""
+    return LoadPlan.model_validate(
+        {
+            "rate": scenario.load.rate,
+            "seconds": scenario.seconds,
+            "seed": scenario.seed,
+            "shape": scenario.load.shape,
+            "with": scenario.load.with_,
+            "clients": scenario.load.clients,
+            "connections": scenario.load.connections,
+            "profiles": [_as(RequestClassLoad, item) for item in scenario.profiles],
+            "members": [_as(TenantLoad, item) for item in scenario.members],
+        }
+    )
+
+
+def _as(model: type[Model], extended: Model) -> Model:
+    """Returns the fields of `extended` that `model` has."""
+    fields = extended.model_dump(include=set(model.model_fields), by_alias=True)
+    return model.model_validate(fields)
+
+
+def calls_to_stopped_processes(collected: Evidence, processes: Views) -> set[str]:
+    """Returns the ids of calls to a process that did not run for all of their time: nobody could answer."""
+    names = {target: row["sidecar"] for target, row in collected.sidecars.items()}
+    return {
+        call["id"]
+        for call in collected.calls
+        if call["target"] in names
+        and not processes.lives[names[call["target"]]].ran_since(
+            call["sent_us"] + call["limit_us"], call["limit_us"]
+        )
+    }
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -1,6 +1,8 @@
-"""Endpoints that answer at once, and discovery that lists them: what a sidecar's own cost is measured before.
+"""Endpoints that answer at once, and discovery that lists them: in front of them a sidecar is measured.
 
-python -m cressrail.experiment.sink NUMBER OUT: prints the first endpoint's port and discovery's.
+    python -m cressrail.experiment.sink NUMBER OUT
+
+Prints the port of the first endpoint and that of discovery; OUT is the record of what discovery sends.
 """
 
 from __future__ import annotations
@@ -16,24 +18,34 @@
 from cressrail.testbed.event_record import Ledger
 
 ZONE = "here"
+HOST = "127.0.0.1"
+LISTEN_BACKLOG = 256
+MAX_LIFETIME_S = 600  # whoever started it kills it long before
+
+
+def answer_at_once(request: Asked) -> None:
+    """Answers 200 with the request's id."""
+    request.server.answer(200, request.fields.get(b"req-id", b"-") + b" sink committed\n")
 
 
-def asked(asked: Asked) -> None:
-    asked.server.answer(200, asked.fields.get(b"req-id", b"-") + b" sink committed\n")
+def ignore_close(_connection: Served) -> None:
+    """Does nothing: an endpoint that answers at once has nothing in hand for a client that leaves."""
 
 
-async def serve(number: int, out: Path) -> None:
+async def serve(endpoint_count: int, record: Path) -> None:
+    """Serves endpoints and discovery on ports that the system picks, and prints two of them."""
     loop = asyncio.get_running_loop()
-    listed = []
-    for n in range(number):
+    endpoints = []
+    for number in range(endpoint_count):
         server = await loop.create_server(
-            lambda: Served(asked, lambda served: None), "127.0.0.1", 0, backlog=256
+            lambda: Served(answer_at_once, ignore_close), HOST, 0, backlog=LISTEN_BACKLOG
         )
-        listed.append(Listed(f"sink{n}", {ZONE: server.sockets[0].getsockname()[:2]}, ZONE, 1))
-    agent = Agent("one", ZONE, 0, listed, Ledger(out))
-    _, port = await agent.listen("127.0.0.1")
-    print(listed[0].hosts[ZONE][1], port, flush=True)
-    await asyncio.sleep(600)
+        address = server.sockets[0].getsockname()[:2]
+        endpoints.append(Listed(f"sink{number}", {ZONE: address}, ZONE, 1))
+    discovery = Agent("one", ZONE, 0, endpoints, Ledger(record))
+    _, discovery_port = await discovery.listen(HOST)
+    print(endpoints[0].hosts[ZONE][1], discovery_port, flush=True)
+    await asyncio.sleep(MAX_LIFETIME_S)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/experiment/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `cressrail.experiment`."""
--- /dev/null
+++ b/tests/experiment/support.py
@@ -0,0 +1,61 @@
+"""An experiment's file, and the evidence of a run of it that was written by hand."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from cressrail.experiment.plan import Experiment
+from cressrail.experiment.scenario_run import ScenarioRun
+from cressrail.load.report import LoadReport
+from cressrail.testbed.rule_checker import Break, evidence
+from tests.test_standin import DOOR, call, hop
+
+EXPERIMENT_FILE: dict[str, Any] = {
+    "name": "<x>",
+    "seconds": 3,
+    "rounds": 2,
+    "seed": 5,
+    "fleet": {"tiers": [{"name": "x", "endpoints": 2}], "settings": {"limits.sockets": 500}},
+    "profiles": [
+        {"name": "read", "goal_ms": 20, "revenue": 1.0},
+        {"name": "note", "repeat": "unsafe", "goal_ms": 20, "revenue": 3.0},
+    ],
+    "members": [{"name": "acme", "allowance_per_s": 1}, {"name": "umea", "allowance_per_s": 10}],
+    "faults": [{"at_s": 1, "for_s": 1, "kind": "slow", "value": 3}],
+    "arms": [
+        {"name": "own"},
+        {"name": "other", "settings": {"limits.sockets": 300}, "members_shares": False},
+    ],
+}
+ATTEMPT_LOG: list[dict[str, Any]] = [
+    call("5-1-1"),
+    call("5-2-1", status=503),
+    call("5-2-2", ended_us=15_000),
+    call("5-3-1", "note", member="umea", ended_us=40_000),
+    call("5-4-1", member="umea", status=0, how="gave up"),
+]
+FLEET_RECORD: list[dict[str, Any]] = [
+    DOOR,
+    {"start_us": 0},
+    hop("5-1-1"),
+    hop("5-1-1", "x1", 300),
+    hop("5-2-2"),
+    hop("5-3-1", late_us=9, profile="note"),
+]
+EMPTY_LOAD_REPORT: LoadReport = {"refused": None}
+
+
+def experiment() -> Experiment:
+    """Returns the experiment of the file."""
+    return Experiment.model_validate(EXPERIMENT_FILE)
+
+
+def scenario_run() -> ScenarioRun:
+    """Returns a run with all of the evidence and one violation."""
+    violations = [Break(2, "5-3-1", "<twice>")]
+    return ScenarioRun(EMPTY_LOAD_REPORT, evidence(ATTEMPT_LOG, FLEET_RECORD), violations)
+
+
+def run_of_first_requests(count: int) -> ScenarioRun:
+    """Returns a run with the first attempts of the log alone and no violation."""
+    return ScenarioRun(EMPTY_LOAD_REPORT, evidence(ATTEMPT_LOG[:count], FLEET_RECORD), [])
--- /dev/null
+++ b/tests/experiment/test_plan.py
@@ -0,0 +1,84 @@
+"""Experiment files, and what a variant runs."""
+
+from __future__ import annotations
+
+import copy
+from pathlib import Path
+
+import pytest
+import tomlkit
+
+from cressrail.experiment.plan import Experiment
+from cressrail.experiment.scenario_run import load_plan
+from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.sidecars import Sidecar, check, put, told
+from tests.experiment.support import EXPERIMENT_FILE, experiment
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "reason"),
+    [
+        pytest.param("arms.1.name", "own", "arms: two of the same name", id="name twice"),
+        pytest.param("arms.0.policy", "best", "arms.0.policy: Input should be", id="policy"),
+        pytest.param("rounds", 0, "rounds: Input should be greater", id="rounds"),
+        pytest.param("members.0.allowance", 3, "members.0.allowance: Extra inputs", id="unknown key"),
+        pytest.param(
+            "arms.0",
+            {"name": "old", "revision": "abc", "policy": "random"},
+            "arms.0.revision: a revision is played as",
+            id="revision with policy",
+        ),
+    ],
+)
+def test_unusable_file_is_named_with_path_and_reason(
+    tmp_path: Path, path: str, value: object, reason: str
+) -> None:
+    changed = copy.deepcopy(EXPERIMENT_FILE)
+    put(changed, path, value)
+    file = tmp_path / "e.toml"
+    file.write_text(tomlkit.dumps(changed))
+
+    with pytest.raises(Unusable) as error:
+        read(file, Experiment)
+
+    assert str(error.value).startswith(f"{file}: {reason}")
+
+
+def test_setting_path_that_does_not_exist_is_named() -> None:
+    changed = Experiment.model_validate(
+        {**EXPERIMENT_FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
+    )
+
+    with pytest.raises(Unusable, match=r"settings: nothing at limit\.sockets"):
+        check(changed.scenario(changed.variants[0], 0))
+
+
+def test_variants_change_configuration_and_rounds_the_seed() -> None:
+    own, other = (experiment().scenario(variant, 1) for variant in experiment().variants)
+    sidecar = Sidecar("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
+
+    own_configuration = told(own, sidecar, 2, 1)
+    other_configuration = told(other, sidecar, 2, 1)
+
+    assert (own.seed, other.seed) == (6, 6)
+    assert load_plan(own) == load_plan(other)
+    assert own_configuration["limits"]["sockets"] == 500
+    assert other_configuration["limits"]["sockets"] == 300
+    assert len(own_configuration["settings"]["tenants"]) == 2
+    assert other_configuration["settings"]["tenants"] == []
+
+
+def test_variant_may_go_without_common_failover() -> None:
+    shared = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
+    changed = Experiment.model_validate(
+        {
+            "fleet": shared,
+            "profiles": [{"name": "read"}],
+            "members": [{"name": "m"}],
+            "arms": [{"name": "one", "failover": False}, {"name": "two"}],
+        }
+    )
+
+    scenarios = [changed.scenario(variant, 0) for variant in changed.variants]
+
+    assert [scenario.fleet.failover is None for scenario in scenarios] == [True, False]
--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from cressrail.cli.commands import app
-from cressrail.experiment.play import play_world
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.failover.log_events import DECISION_ADOPTED
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import views
@@ -66,12 +66,12 @@
     world = scenario(seconds=14, faults=[fault, *process_faults])
     for attempt in range(3):
         folder = tmp_path / str(attempt)
-        result = play_world(world, folder)
+        result = run_scenario(world, folder)
         verdicts = views(rows(folder / "fleet.jsonl"))
         if verdicts.void:
             continue
-        assert result.broken == []
-        assert not result.seen.failed
+        assert result.violations == []
+        assert not result.evidence.failed
         found = list(adopted_decisions(folder))
         for name in {row["sidecar"] for row in found}:
             epochs = [row["epoch"] for row in found if row["sidecar"] == name]
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -12,8 +12,8 @@
 import orjson
 import pytest
 
-from cressrail.experiment.fleet_faults import figures
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_faults import fleet_figures
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.membership.messages import USES
 from tests.fleets import SHORTEN, Play, played, world
 from tests.membership.support import (
@@ -53,13 +53,13 @@
         lying = threading.Thread(target=send_false_claims, args=(folder, over))
         lying.start()
         try:
-            made = play_world(told, folder)
+            made = run_scenario(told, folder)
         finally:
             over.set()
             lying.join()
-        found = figures(told, made, folder)
+        found = fleet_figures(told, made, folder)
         if not found["void"]:
-            assert found["broken"] == [] and found["false_losses"] == [] and not made.seen.failed
+            assert found["broken"] == [] and found["false_losses"] == [] and not made.evidence.failed
             assert found["answered"] > 300 and found["most_gone_by"] > 2 * doors
             return
     pytest.skip(found["void"])
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -23,8 +23,8 @@
 from typer.testing import CliRunner
 
 from cressrail.cli.commands import app
-from cressrail.experiment.fleet_faults import figures, main
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_faults import fleet_figures, main
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.fault_injection import drawn
 from cressrail.testbed.membership_verdicts import agreed, false_losses, joined, known, live_error, views
 from cressrail.testbed.network_emulation import Rule, Wires
@@ -202,10 +202,10 @@
     )
     for n in range(3):
         folder = tmp_path / str(n)
-        made = play_world(told, folder)
-        found = figures(told, made, folder)
+        made = run_scenario(told, folder)
+        found = fleet_figures(told, made, folder)
         if not found["void"]:
-            assert found["broken"] == [] and found["false_losses"] == [] and not made.seen.failed
+            assert found["broken"] == [] and found["false_losses"] == [] and not made.evidence.failed
             assert found["answered"] > 300 and found["deaths"] == 2 and found["wires"]["dropped"] > 100
             return
     pytest.skip(found["void"])
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_process import SidecarVersion
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.discovery import Agent, Listed
 from cressrail.testbed.event_record import Ledger, rows
 from cressrail.testbed.pauses import Pauses, draw
@@ -376,9 +377,9 @@
             **ONE_TIER["fleet"],
             "contract": {"warm_ms": 9000, "cold_from": 0.05, "notice_ms": 200},
         }
-    played = play_world(World.model_validate(told), tmp_path, broken=broken)
-    assert played.told["answered"] > 100 and not played.seen.failed
-    assert ({RULE[broken]} if broken else set()) <= {b.rule for b in played.broken}
+    played = run_scenario(World.model_validate(told), tmp_path, SidecarVersion(defect=broken))
+    assert played.load_report["answered"] > 100 and not played.evidence.failed
+    assert ({RULE[broken]} if broken else set()) <= {b.rule for b in played.violations}
     if not broken:
-        assert played.broken == []
-        assert {row["fault"] for row in played.seen.faults} == {f["kind"] for f in FAULTS[""]}
+        assert played.violations == []
+        assert {row["fault"] for row in played.evidence.faults} == {f["kind"] for f in FAULTS[""]}
