--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from cressrail.cli.output import fail
+from cressrail.cli.output import STATUS_FAILED, fail
 from cressrail.experiment.checkouts import RevisionError
 from cressrail.experiment.cost import compare_costs, cost_table
 from cressrail.experiment.plan import Experiment
@@ -43,8 +43,7 @@
     except (Unusable, RevisionError) as error:
         fail(str(error))
     except RuntimeError as error:
-        print(f"cressrail: {error}", file=sys.stderr)
-        sys.exit(1)
+        fail(str(error), STATUS_FAILED)
     # Loaded only now: plotting takes its time to load.
     from cressrail.experiment.html_report import figures_table
 
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -11,7 +11,7 @@
 import typer
 from pydantic import ValidationError
 
-from cressrail.cli.output import address, fail
+from cressrail.cli.output import fail, parse_address
 from cressrail.load.plan import LoadPlan, RequestClassLoad, TenantLoad, first_validation_error
 from cressrail.load.report import summary_text, write_report
 from cressrail.load.run import LoadJob, run_load
@@ -84,7 +84,7 @@
         plan = LoadPlan.model_validate(settings)
         job = LoadJob(
             plan,
-            [address(text) for text in target],
+            [parse_address(text) for text in target],
             trace=trace,
             trace_scale=TraceScale(time_scale, rate_scale),
             attempt_log=ledger,
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.discovery import Agent, Listed
 from cressrail.testbed.event_record import Ledger
 
@@ -23,12 +23,12 @@
 MAX_LIFETIME_S = 600  # whoever started it kills it long before
 
 
-def answer_at_once(request: Asked) -> None:
+def answer_at_once(request: ReceivedRequest) -> None:
     """Answers 200 with the request's id."""
-    request.server.answer(200, request.fields.get(b"req-id", b"-") + b" sink committed\n")
+    request.connection.respond(200, request.headers.get(b"req-id", b"-") + b" sink committed\n")
 
 
-def ignore_close(_connection: Served) -> None:
+def ignore_close(_connection: ServerConnection) -> None:
     """Does nothing: an endpoint that answers at once has nothing in hand for a client that leaves."""
 
 
@@ -38,7 +38,7 @@
     endpoints = []
     for number in range(endpoint_count):
         server = await loop.create_server(
-            lambda: Served(answer_at_once, ignore_close), HOST, 0, backlog=LISTEN_BACKLOG
+            lambda: ServerConnection(answer_at_once, ignore_close), HOST, 0, backlog=LISTEN_BACKLOG
         )
         address = server.sockets[0].getsockname()[:2]
         endpoints.append(Listed(f"sink{number}", {ZONE: address}, ZONE, 1))
--- a/cressrail/load/attempt_log.py
+++ b/cressrail/load/attempt_log.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from cressrail.http_testing.client import Answer
+from cressrail.http_testing.client import Response
 from cressrail.load.http_messages import echoed_attempt_id
 from cressrail.load.schedule import ScheduledRequest
 
@@ -40,7 +40,7 @@
         attempt: Attempt,
         scheduled: ScheduledRequest,
         due_us: int,
-        answer: Answer,
+        response: Response,
         *,
         request_class: str,
         tenant: str,
@@ -56,18 +56,18 @@
                 "target": attempt.target,
                 "due_us": due_us,
                 "began_us": attempt.started_us,
-                "sent_us": answer.sent_us,
-                "again_us": answer.again_us,
-                "ended_us": answer.ended_us,
-                "status": answer.status,
-                "how": answer.how,
+                "sent_us": response.sent_us,
+                "again_us": response.resent_us,
+                "ended_us": response.finished_us,
+                "status": response.status,
+                "how": response.outcome,
                 "limit_us": attempt.timeout_us,
-                "echo": echoed_attempt_id(answer.body),
+                "echo": echoed_attempt_id(response.body),
             }
         )
 
     def write_surplus(self, size: int, target: str) -> None:
-        """Writes that bytes came after a final answer."""
+        """Writes that bytes came after a final response."""
         self._write({"surplus": size, "target": target})
 
     def _write(self, line: dict[str, object]) -> None:
--- a/cressrail/load/http_messages.py
+++ b/cressrail/load/http_messages.py
@@ -1,8 +1,8 @@
-"""Requests in the platform's protocol, and what the generator reads from answers."""
+"""Requests in the platform's protocol, and what the generator reads from responses."""
 
 from __future__ import annotations
 
-from cressrail.http_testing.client import Answer
+from cressrail.http_testing.client import Response
 from cressrail.load.plan import MAX_BODY_BYTES, Idempotency, RequestClassLoad
 from cressrail.load.schedule import ScheduledRequest
 
@@ -39,10 +39,10 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + BODY_FILLER[: scheduled.body_bytes]
 
 
-def retry_after_us(answer: Answer) -> int:
+def retry_after_us(response: Response) -> int:
     """Returns what Retry-After asks for, 0 where it is missing or no number."""
     try:
-        return max(0, int(float(answer.fields.get(b"retry-after", b"0")) * US_PER_S))
+        return max(0, int(float(response.headers.get(b"retry-after", b"0")) * US_PER_S))
     except ValueError:
         return 0
 
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from cressrail.http_testing.client import ANSWERED, GAVE_UP, Answer, Caller, now_us
+from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.load.attempt_log import Attempt, AttemptLog
 from cressrail.load.backoff import retry_delay_us
 from cressrail.load.http_messages import encode_request, retry_after_us
@@ -85,12 +85,12 @@
         self._finished = asyncio.Event()
         connections_per_target = max(1, plan.max_connections // len(targets))
         self._target_names = [f"{host}:{port}" for host, port in targets]
-        self._callers = [
-            Caller(host, port, connections_per_target, plan.client_behaviour.keeps_connections)
+        self._clients = [
+            HttpClient(host, port, connections_per_target, plan.client_behaviour.keeps_connections)
             for host, port in targets
         ]
-        for caller, name in zip(self._callers, self._target_names, strict=True):
-            caller.on_surplus = partial(self._on_surplus, target=name)
+        for client, name in zip(self._clients, self._target_names, strict=True):
+            client.on_excess_bytes = partial(self._on_surplus, target=name)
 
     @property
     def start_us(self) -> int:
@@ -104,17 +104,17 @@
     @property
     def waits_for_connection(self) -> int:
         """How many attempts found no connection free."""
-        return sum(caller.held_back for caller in self._callers)
+        return sum(client.queued_calls for client in self._clients)
 
     @property
     def surplus_bytes(self) -> int:
         """How many bytes came after final answers."""
-        return sum(caller.surplus for caller in self._callers)
+        return sum(client.excess_bytes for client in self._clients)
 
     @property
     def connections_opened(self) -> int:
         """How many connections were opened over the run."""
-        return sum(caller.opened for caller in self._callers)
+        return sum(client.connections_opened for client in self._clients)
 
     async def run(self) -> None:
         """Sends the whole schedule and returns when each request has ended."""
@@ -133,8 +133,8 @@
                 task.cancel()
             # Attempts that are cut off here were not failed by their target: they are not logged.
             self._attempt_log = None
-            for caller in self._callers:
-                caller.close()
+            for client in self._clients:
+                client.close()
 
     def interrupt(self) -> None:
         """Ends the run; requests without an answer count as unanswered."""
@@ -195,8 +195,8 @@
         if request.number not in self.pending:
             return
         request.attempts += 1
-        target_index = (request.number + request.attempts) % len(self._callers)
-        caller = self._callers[target_index]
+        target_index = (request.number + request.attempts) % len(self._clients)
+        client = self._clients[target_index]
         patience_share = self.plan.client_behaviour.patience_share
         patience_us = int(int(request.request_class.deadline_ms * US_PER_MS) * patience_share)
         now = now_us()
@@ -214,41 +214,41 @@
             request.scheduled,
             is_retry=request.attempts > 1,
         )
-        waits_before = caller.held_back
+        waits_before = client.queued_calls
         extra_wait_us = EXTRA_WAIT_US if patience_share == 1 else 0
-        caller.call(message, attempt.timeout_us + extra_wait_us, partial(self._on_answer, request, attempt))
-        if caller.held_back > waits_before:
+        client.send(message, attempt.timeout_us + extra_wait_us, partial(self._on_response, request, attempt))
+        if client.queued_calls > waits_before:
             request.has_waited_for_connection = True
 
-    def _on_answer(self, request: PendingRequest, attempt: Attempt, answer: Answer) -> None:
-        self.stall_detector.record_activity(answer.ended_us)
-        # When a stall ends, thousands of answers come before the loop looks at its timers: requests that
+    def _on_response(self, request: PendingRequest, attempt: Attempt, response: Response) -> None:
+        self.stall_detector.record_activity(response.finished_us)
+        # When a stall ends, thousands of responses come before the loop looks at its timers: requests that
         # are due meanwhile must not wait for that.
-        if self._next is not None and self.start_us + self._next.due_us <= answer.ended_us:
+        if self._next is not None and self.start_us + self._next.due_us <= response.finished_us:
             self._send_due_requests()
         if self._attempt_log is not None:
             self._attempt_log.write_attempt(
                 attempt,
                 request.scheduled,
                 self.start_us + request.scheduled.due_us,
-                answer,
+                response,
                 request_class=request.request_class.name,
                 tenant=self.tenant_names[request.scheduled.tenant],
             )
-        if request.number in self.pending and not self._schedule_retry(request, answer):
-            status = answer.status if answer.how == ANSWERED else 0
-            self._finish(request, status, answer.sent_us, answer.ended_us)
+        if request.number in self.pending and not self._schedule_retry(request, response):
+            status = response.status if response.outcome is CallOutcome.ANSWERED else 0
+            self._finish(request, status, response.sent_us, response.finished_us)
 
-    def _schedule_retry(self, request: PendingRequest, answer: Answer) -> bool:
+    def _schedule_retry(self, request: PendingRequest, response: Response) -> bool:
         """Returns whether a further attempt will be made."""
         behaviour = self.plan.client_behaviour
-        if request.attempts > behaviour.max_retries or answer.status == OK or self.is_interrupted:
+        if request.attempts > behaviour.max_retries or response.status == OK or self.is_interrupted:
             return False
         is_safe = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
-        if not is_safe and answer.status not in REJECTED_STATUSES:
+        if not is_safe and response.status not in REJECTED_STATUSES:
             return False
-        delay_us = retry_delay_us(behaviour, request.attempts, retry_after_us(answer), self._generator)
-        if answer.how == GAVE_UP:
+        delay_us = retry_delay_us(behaviour, request.attempts, retry_after_us(response), self._generator)
+        if response.outcome is CallOutcome.TIMED_OUT:
             delay_us = 0  # it has waited long enough
         if now_us() + delay_us >= request.deadline_us:
             return False
--- a/tests/load/support.py
+++ b/tests/load/support.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from cressrail.http_testing.server import Asked, Served
+from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.load.figures import LoadFigures
 from cressrail.load.plan import LoadPlan
 from cressrail.load.request_records import RequestRecord, RequestRecordWriter
@@ -25,7 +25,7 @@
 LISTEN_BACKLOG = 1000
 LATE_ANSWER_S = 0.05
 
-Respond = Callable[[Asked], None]
+Respond = Callable[[ReceivedRequest], None]
 
 
 @dataclass(frozen=True)
@@ -69,35 +69,35 @@
     return LoadFigures(path, ["read"], ["a", "b"])
 
 
-def answer_at_once(asked: Asked) -> None:
+def answer_at_once(request: ReceivedRequest) -> None:
     """Answers 200 with the request's id."""
-    asked.server.answer(200, asked.fields[b"req-id"])
+    request.connection.respond(200, request.headers[b"req-id"])
 
 
-def answer_late(asked: Asked) -> None:
+def answer_late(request: ReceivedRequest) -> None:
     """Answers 200 after a while."""
-    asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_at_once, asked)
+    asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_at_once, request)
 
 
-def answer_a_byte_a_second(asked: Asked) -> None:
+def answer_a_byte_a_second(request: ReceivedRequest) -> None:
     """Sends an answer so slowly that no client waits for its end."""
     for delay_s, byte in enumerate(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"):
-        asyncio.get_running_loop().call_later(delay_s, asked.server.raw, bytes([byte]))
+        asyncio.get_running_loop().call_later(delay_s, request.connection.write, bytes([byte]))
 
 
-def answer_half(asked: Asked) -> None:
+def answer_half(request: ReceivedRequest) -> None:
     """Sends an answer that ends before its body does, and keeps the connection open."""
-    asked.server.raw(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
+    request.connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
 
 
-def answer_no_http(asked: Asked) -> None:
+def answer_no_http(request: ReceivedRequest) -> None:
     """Sends a line that is no status line."""
-    asked.server.raw(b"what?\r\n\r\n")
+    request.connection.write(b"what?\r\n\r\n")
 
 
-def close_without_answer(asked: Asked) -> None:
+def close_without_answer(request: ReceivedRequest) -> None:
     """Closes the connection."""
-    asked.server.close()
+    request.connection.close()
 
 
 @dataclass
@@ -108,7 +108,7 @@
     address: Address = ("", 0)
     is_listening: threading.Event = field(default_factory=threading.Event)
     # A connection that is not read from would be collected, and so closed, unless somebody holds it.
-    connections: list[Served] = field(default_factory=list)
+    connections: list[ServerConnection] = field(default_factory=list)
     loop: asyncio.AbstractEventLoop | None = None
     stopped: asyncio.Event | None = None
 
@@ -116,7 +116,9 @@
         """Accepts connections until it is stopped."""
         self.loop, self.stopped = asyncio.get_running_loop(), asyncio.Event()
         server = await self.loop.create_server(
-            lambda: Served(self.respond or (lambda asked: None), lambda served: None, self._accepted),
+            lambda: ServerConnection(
+                self.respond or (lambda _request: None), lambda _connection: None, self._accepted
+            ),
             "127.0.0.1",
             0,
             backlog=LISTEN_BACKLOG,
@@ -132,10 +134,10 @@
         assert self.stopped is not None
         self.loop.call_soon_threadsafe(self.stopped.set)
 
-    def _accepted(self, connection: Served) -> None:
+    def _accepted(self, connection: ServerConnection) -> None:
         self.connections.append(connection)
         if self.respond is None:
-            connection.hush()
+            connection.stop_reading()
 
 
 @contextmanager
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -14,7 +14,7 @@
 import orjson
 import pytest
 
-from cressrail.http_testing.server import Asked
+from cressrail.http_testing.server import ReceivedRequest
 from tests.load.support import REPOSITORY, answer_at_once, load_command, running_target
 
 FIRST_REQUEST_TIMEOUT_S = 20
@@ -55,9 +55,9 @@
     report_file = tmp_path / "report.json"
     has_request = threading.Event()
 
-    def respond(asked: Asked) -> None:
+    def respond(request: ReceivedRequest) -> None:
         has_request.set()
-        answer_at_once(asked)
+        answer_at_once(request)
 
     with (
         running_target(respond) as target,
@@ -82,7 +82,7 @@
     has_request = threading.Event()
 
     with (
-        running_target(lambda asked: has_request.set()) as target,
+        running_target(lambda _request: has_request.set()) as target,
         load_command(
             target, report_file, "--rate", "100", "--seconds", "60", "--ledger", str(attempt_log)
         ) as process,
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cressrail.http_testing.server import Asked
+from cressrail.http_testing.server import ReceivedRequest
 from tests.load.support import (
     Respond,
     answer_a_byte_a_second,
@@ -54,10 +54,10 @@
 def test_clients_retry_only_what_is_safe(tmp_path: Path) -> None:
     retry_fields: list[str] = []
 
-    def reject(asked: Asked) -> None:
-        retry_fields.append(asked.text(b"req-retry"))
-        status = 502 if asked.text(b"req-kind") == "number" else 503
-        asked.server.answer(status, more=b"Retry-After: 0.01\r\n")
+    def reject(request: ReceivedRequest) -> None:
+        retry_fields.append(request.header(b"req-retry"))
+        status = 502 if request.header(b"req-kind") == "number" else 503
+        request.connection.respond(status, header_lines=b"Retry-After: 0.01\r\n")
 
     with running_target(reject) as target:
         result = send_load(
