--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -16,8 +16,8 @@
 from cressrail.experiment.cost import compare_costs, cost_table
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import REPORT_FILE, run_experiment
-from cressrail.testbed.scenario_file import Unusable, named, read
-from cressrail.testbed.sidecars import check
+from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
+from cressrail.testbed.sidecars import check_settings
 
 app = typer.Typer(
     help="Experiments on real sidecars amid simulated services.",
@@ -35,12 +35,12 @@
 ) -> None:
     """Run the variants in turns, compare them in pairs, write the report."""
     try:
-        experiment = read(file, Experiment)
-        with named(file):
+        experiment = read_scenario(file, Experiment)
+        with errors_in_file(file):
             for variant in experiment.variants:
-                check(experiment.scenario(variant, 0))
+                check_settings(experiment.scenario(variant, 0))
         result = run_experiment(experiment, out, _print_progress, keeps_runs=keep)
-    except (Unusable, RevisionError) as error:
+    except (ScenarioError, RevisionError) as error:
         fail(str(error))
     except RuntimeError as error:
         fail(str(error), STATUS_FAILED)
--- a/cressrail/experiment/cost_measurement.py
+++ b/cressrail/experiment/cost_measurement.py
@@ -25,9 +25,9 @@
 from cressrail.load.plan import LoadPlan
 from cressrail.load.run import LoadJob, run_load
 from cressrail.load.sender import Address
-from cressrail.testbed.fleet import loopback
-from cressrail.testbed.scenario import World
-from cressrail.testbed.sidecars import Sidecar, put, told
+from cressrail.testbed.fleet import loopback_host
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.sidecars import SidecarProcess, build_configuration, override_setting
 
 RATE_PER_S, SLICE_S, SLICES = 1500.0, 1.0, 5
 LOAD_CONNECTIONS = 64
@@ -188,7 +188,7 @@
         address = ("127.0.0.1", _free_port())
         arguments = ["-m", "cressrail.experiment.relay", str(address[1]), str(ports.endpoint)]
     else:
-        address = (loopback(1), SIDECAR_PORT)
+        address = (loopback_host(1), SIDECAR_PORT)
         configuration_file = _write_configuration(folder, address, ports.discovery)
         arguments = ["-m", "cressrail", "serve", str(configuration_file)]
     with (
@@ -204,9 +204,9 @@
 
 
 def _write_configuration(folder: Path, address: Address, discovery_port: int) -> Path:
-    sidecar = Sidecar("one", 0, 0, ZONE, address, ("127.0.0.1", discovery_port))
-    configuration = told(World.model_validate(SCENARIO), sidecar, 1, SIDECAR_SEED)
-    put(configuration, "limits.sockets", DESCRIPTOR_LIMIT)
+    sidecar = SidecarProcess("one", 0, 0, ZONE, address, ("127.0.0.1", discovery_port))
+    configuration = build_configuration(FleetScenario.model_validate(SCENARIO), sidecar, 1, SIDECAR_SEED)
+    override_setting(configuration, "limits.sockets", DESCRIPTOR_LIMIT)
     path = folder / "config.json"
     path.write_bytes(orjson.dumps(configuration))
     return path
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -13,7 +13,7 @@
 from cressrail.experiment.scenario_run import ScenarioRun
 from cressrail.experiment.time_series import TimeSeries, time_series
 from cressrail.load.plan import Idempotency
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 Figures = dict[str, float]  # by the names in `FIGURE_DIRECTIONS`
 US_PER_MS = 1000
@@ -60,7 +60,7 @@
 
 
 def run_figures(
-    scenario: World, run: ScenarioRun, quotas_per_s: Mapping[str, float] | None = None
+    scenario: FleetScenario, run: ScenarioRun, quotas_per_s: Mapping[str, float] | None = None
 ) -> Figures:
     """Returns the figures of a run.
 
@@ -82,7 +82,7 @@
         quotas_per_s: Of tenants; those without a quota do not count for `worst_due`.
     """
     requests = _finished_requests(scenario, run)
-    weights = {item.name: item.priority_weight for item in scenario.profiles}
+    weights = {item.name: item.priority_weight for item in scenario.request_classes}
     offered_weight = sum(weights[request.request_class] for request in requests) or 1.0
     earned_weight = sum(weights[request.request_class] for request in requests if request.is_in_time)
     latencies_ms = np.array([request.latency_us for request in requests] or [0]) / US_PER_MS
@@ -102,8 +102,8 @@
     }
 
 
-def _finished_requests(scenario: World, run: ScenarioRun) -> list[FinishedRequest]:
-    classes = {item.name: item for item in scenario.profiles}
+def _finished_requests(scenario: FleetScenario, run: ScenarioRun) -> list[FinishedRequest]:
+    classes = {item.name: item for item in scenario.request_classes}
     requests = {
         request_id(call): FinishedRequest(
             call["profile"],
@@ -117,8 +117,8 @@
     return list(requests.values())
 
 
-def _first_attempts_in_time(scenario: World, run: ScenarioRun) -> list[bool]:
-    classes = {item.name: item for item in scenario.profiles}
+def _first_attempts_in_time(scenario: FleetScenario, run: ScenarioRun) -> list[bool]:
+    classes = {item.name: item for item in scenario.request_classes}
     return [
         is_in_time(call, classes[call["profile"]])
         for call in run.evidence.calls
@@ -137,8 +137,8 @@
     }
 
 
-def _late_work_figures(scenario: World, run: ScenarioRun) -> Figures:
-    classes = {item.name: item for item in scenario.profiles}
+def _late_work_figures(scenario: FleetScenario, run: ScenarioRun) -> Figures:
+    classes = {item.name: item for item in scenario.request_classes}
     executed = [attempt for attempt in run.evidence.hops if attempt["ran"]]
     late = [attempt for attempt in executed if attempt["late_us"] > 0]
     late_effects = [
@@ -166,14 +166,14 @@
 
 
 def _worst_quota_share(
-    scenario: World, requests: Iterable[FinishedRequest], quotas_per_s: Mapping[str, float]
+    scenario: FleetScenario, requests: Iterable[FinishedRequest], quotas_per_s: Mapping[str, float]
 ) -> float:
     by_tenant: dict[str, list[bool]] = defaultdict(list)
     for request in requests:
         by_tenant[request.tenant].append(request.is_in_time)
     return min(
         (
-            sum(is_in_time) / min(len(is_in_time), quotas_per_s[tenant] * scenario.seconds)
+            sum(is_in_time) / min(len(is_in_time), quotas_per_s[tenant] * scenario.duration_s)
             for tenant, is_in_time in by_tenant.items()
             if quotas_per_s.get(tenant)
         ),
@@ -181,7 +181,7 @@
     )
 
 
-def _recovery_figures(scenario: World, series: TimeSeries) -> Figures:
+def _recovery_figures(scenario: FleetScenario, series: TimeSeries) -> Figures:
     """Returns how the first fault that takes capacity away was felt.
 
     `goodput_harmed`: goodput while it lasts. `recovery_s`: from its start until goodput is back; the rest of
@@ -191,14 +191,14 @@
     if fault is None:
         return {"goodput_harmed": 0.0, "recovery_s": 0.0}
     start_s = int(fault.at_s)
-    end_s = int(min(scenario.seconds, fault.at_s + fault.for_s))
+    end_s = int(min(scenario.duration_s, fault.at_s + fault.duration_s))
     goodput = [
         good / max(1, offered) for good, offered in zip(series["good"], series["offered"], strict=True)
     ]
     offered_meanwhile = sum(series["offered"][start_s:end_s])
     return {
         "goodput_harmed": sum(series["good"][start_s:end_s]) / max(1, offered_meanwhile),
-        "recovery_s": float(seconds_to_recover(goodput, start_s, int(scenario.seconds))),
+        "recovery_s": float(seconds_to_recover(goodput, start_s, int(scenario.duration_s))),
     }
 
 
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -29,8 +29,8 @@
     live_error,
     views,
 )
-from cressrail.testbed.scenario import World
-from cressrail.testbed.scenario_file import Unusable, read
+from cressrail.testbed.scenario import FleetScenario
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
 RETURN_PAUSES = 3  # tolerated pauses within which all have heard of a return
 OUT_OPTION = "--out"
@@ -49,7 +49,7 @@
     VOID = 4
 
 
-def fleet_figures(scenario: World, run: ScenarioRun, folder: Path) -> dict[str, Any]:
+def fleet_figures(scenario: FleetScenario, run: ScenarioRun, folder: Path) -> dict[str, Any]:
     """Returns the figures of a run, by the keys that its output has.
 
     Times are in seconds unless the key says otherwise; `bytes_per_s` and `cpu` are for one sidecar and
@@ -57,7 +57,7 @@
     """
     membership = scenario.fleet.membership
     assert membership is not None
-    tolerated_pause_us = membership.bear_pause_ms * US_PER_MS
+    tolerated_pause_us = membership.tolerated_pause_ms * US_PER_MS
     records = list(rows(folder / FLEET_RECORD))
     seen = views(records)
     start_us = next(row["start_us"] for row in records if "start_us" in row)
@@ -115,15 +115,15 @@
 
 
 def _run_file(file: Path, folder: Path) -> dict[str, Any]:
-    scenario = read(file, World)
+    scenario = read_scenario(file, FleetScenario)
     if scenario.fleet.membership is None:
-        raise Unusable(f"{file}: fleet.membership is missing")
+        raise ScenarioError(f"{file}: fleet.membership is missing")
     return fleet_figures(scenario, run_scenario(scenario, folder), folder)
 
 
 def _run_files(files: Sequence[Path], out: Path | None) -> ExitStatus:
     if not files:
-        raise Unusable("no file is named")
+        raise ScenarioError("no file is named")
     worst = ExitStatus.OK
     for file in files:
         with TemporaryDirectory(prefix="cressrail-") as discarded:
@@ -141,7 +141,7 @@
     files, out = _parse_arguments(arguments)
     try:
         return _run_files(files, out)
-    except Unusable as error:
+    except ScenarioError as error:
         print(f"cressrail: {error}", file=sys.stderr)
         return ExitStatus.UNUSABLE
     except RuntimeError as error:
--- a/cressrail/experiment/fleet_process.py
+++ b/cressrail/experiment/fleet_process.py
@@ -16,7 +16,7 @@
 from cressrail.experiment.checkouts import REPOSITORY
 from cressrail.http_testing.client import now_us
 from cressrail.load.sender import Address
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 START_DELAY_US = 400_000  # from the order to begin to the first request that can be due
 MIN_CORES_TO_SPLIT = 4  # with fewer, the generator gets none to itself
@@ -47,7 +47,7 @@
 
 
 @contextmanager
-def running_fleet(scenario: World, folder: Path, version: SidecarVersion) -> Iterator[RunningFleet]:
+def running_fleet(scenario: FleetScenario, folder: Path, version: SidecarVersion) -> Iterator[RunningFleet]:
     """Starts a fleet and ends it with the context; its files are left in `folder`.
 
     Raises:
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -10,7 +10,7 @@
 from pydantic import Field, model_validator
 
 from cressrail.load.plan import StrictModel
-from cressrail.testbed.scenario import Broken, Policy, World
+from cressrail.testbed.scenario import DefectName, FleetScenario, PolicyName
 
 
 class Variant(StrictModel):
@@ -26,15 +26,15 @@
     """
 
     name: str
-    policy: Policy = "own"
-    defect: Broken = Field("", alias="broken")
+    policy: PolicyName = "own"
+    defect: DefectName = Field("", alias="broken")
     revision: str = ""
     setting_overrides: dict[str, Any] = Field(default_factory=dict, alias="settings")
     has_tenant_quotas: bool = Field(True, alias="members_shares")
     has_common_failover: bool = Field(True, alias="failover")
 
 
-class Experiment(World):
+class Experiment(FleetScenario):
     """A scenario, how often to run it, and with which variants.
 
     Attributes:
@@ -56,7 +56,7 @@
                 )
         return self
 
-    def scenario(self, variant: Variant, round_index: int) -> World:
+    def scenario(self, variant: Variant, round_index: int) -> FleetScenario:
         """Returns what a variant runs in a round; rounds differ in their seeds, variants do not."""
         fields = self.model_dump(exclude={"rounds", "variants"}, by_alias=True)
         fields["seed"] = self.seed + round_index
@@ -66,4 +66,4 @@
         if not variant.has_tenant_quotas:
             for tenant in fields["members"]:
                 tenant["allowance_per_s"] = 0.0
-        return World.model_validate(fields)
+        return FleetScenario.model_validate(fields)
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -19,7 +19,7 @@
 from cressrail.experiment.result import ExperimentResult, RoundResult, VariantResult
 from cressrail.experiment.scenario_run import run_scenario
 from cressrail.experiment.time_series import time_series
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 RESULT_FILE, REPORT_FILE = "result.json", "report.html"
 Say = Callable[[str], None]
@@ -67,8 +67,10 @@
     return variants[first:] + variants[:first]
 
 
-def _run_round(experiment: Experiment, scenario: World, folder: Path, version: SidecarVersion) -> RoundResult:
-    quotas_per_s = {tenant.name: tenant.allowance_per_s for tenant in experiment.members}
+def _run_round(
+    experiment: Experiment, scenario: FleetScenario, folder: Path, version: SidecarVersion
+) -> RoundResult:
+    quotas_per_s = {tenant.name: tenant.quota_per_s for tenant in experiment.tenants}
     run = run_scenario(scenario, folder, version)
     return {
         "seed": scenario.seed,
@@ -94,10 +96,10 @@
 ) -> ExperimentResult:
     result: ExperimentResult = {
         "name": experiment.name,
-        "seconds": experiment.seconds,
+        "seconds": experiment.duration_s,
         "rounds": experiment.rounds,
         "seed": experiment.seed,
-        "faults": [fault.model_dump() for fault in experiment.faults],
+        "faults": [fault.report_row() for fault in experiment.faults],
         "arms": {
             variant.name: _variant_result(variant, rounds[variant.name]) for variant in experiment.variants
         },
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -13,7 +13,7 @@
 from cressrail.testbed.event_record import rows
 from cressrail.testbed.membership_verdicts import Views, views
 from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 ATTEMPT_LOG, REQUEST_RECORDS, FLEET_RECORD = "load.jsonl", "spool", "fleet.jsonl"
 OWN_VERSION = SidecarVersion()
@@ -36,7 +36,7 @@
 
 
 def run_scenario(
-    scenario: World, folder: Path, version: SidecarVersion = OWN_VERSION, *, is_quiet: bool = True
+    scenario: FleetScenario, folder: Path, version: SidecarVersion = OWN_VERSION, *, is_quiet: bool = True
 ) -> ScenarioRun:
     """Runs a scenario and checks the rules; records and logs are left in `folder`.
 
@@ -66,19 +66,19 @@
     return ScenarioRun(load_report, collected, violations)
 
 
-def load_plan(scenario: World) -> LoadPlan:
+def load_plan(scenario: FleetScenario) -> LoadPlan:
     """Returns the load that a scenario asks for."""
     return LoadPlan.model_validate(
         {
             "rate": scenario.load.rate,
-            "seconds": scenario.seconds,
+            "seconds": scenario.duration_s,
             "seed": scenario.seed,
             "shape": scenario.load.shape,
-            "with": scenario.load.with_,
-            "clients": scenario.load.clients,
-            "connections": scenario.load.connections,
-            "profiles": [_as(RequestClassLoad, item) for item in scenario.profiles],
-            "members": [_as(TenantLoad, item) for item in scenario.members],
+            "with": scenario.load.shape_parameters,
+            "clients": scenario.load.client_behaviour,
+            "connections": scenario.load.max_connections,
+            "profiles": [_as(RequestClassLoad, item) for item in scenario.request_classes],
+            "members": [_as(TenantLoad, item) for item in scenario.tenants],
         }
     )
 
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -9,7 +9,7 @@
 
 from cressrail.experiment.evidence_rows import is_client_call, is_first_attempt, is_in_time
 from cressrail.experiment.scenario_run import ScenarioRun
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 
 SECONDS_AFTER_LOAD = 3  # that are counted too
 US_PER_S = 1_000_000
@@ -54,11 +54,11 @@
         return np.zeros(self.count)
 
 
-def time_series(scenario: World, run: ScenarioRun) -> TimeSeries:
+def time_series(scenario: FleetScenario, run: ScenarioRun) -> TimeSeries:
     """Returns the series of a run."""
-    seconds = _Seconds(run.evidence.start_us, int(scenario.seconds) + SECONDS_AFTER_LOAD)
+    seconds = _Seconds(run.evidence.start_us, int(scenario.duration_s) + SECONDS_AFTER_LOAD)
     heat, retries = _attempts_by_second(scenario, run, seconds)
-    classes = {item.name: item for item in scenario.profiles}
+    classes = {item.name: item for item in scenario.request_classes}
     offered, good, revenue, worth, calls = (seconds.zeros() for _ in range(5))
     calls_by_id = {call["id"]: call for call in run.evidence.calls}
     for call in calls_by_id.values():
@@ -86,10 +86,10 @@
 
 
 def _attempts_by_second(
-    scenario: World, run: ScenarioRun, seconds: _Seconds
+    scenario: FleetScenario, run: ScenarioRun, seconds: _Seconds
 ) -> tuple[dict[str, npt.NDArray[Any]], npt.NDArray[np.float64]]:
     """Returns the attempts by endpoint, and how many were retries."""
-    names = [f"{tier.name}{number}" for tier in scenario.fleet.tiers for number in range(tier.endpoints)]
+    names = [f"{tier.name}{number}" for tier in scenario.fleet.tiers for number in range(tier.endpoint_count)]
     heat = {name: np.zeros(seconds.count, int) for name in names}
     retries = seconds.zeros()
     seen_ids: set[str] = set()
--- a/tests/experiment/test_html_report.py
+++ b/tests/experiment/test_html_report.py
@@ -33,7 +33,7 @@
         "rounds": 2,
         "seed": 5,
         "arms": variants,
-        "faults": [fault.model_dump() for fault in experiment().faults],
+        "faults": [fault.report_row() for fault in experiment().faults],
         "differences": compare_variants(figures),
     }
     return cast(ExperimentResult, fields)
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -10,8 +10,8 @@
 
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.scenario_run import load_plan
-from cressrail.testbed.scenario_file import Unusable, read
-from cressrail.testbed.sidecars import Sidecar, check, put, told
+from cressrail.testbed.scenario_file import ScenarioError, read_scenario
+from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
 from tests.experiment.support import EXPERIMENT_FILE, experiment
 
 
@@ -34,12 +34,12 @@
     tmp_path: Path, path: str, value: object, reason: str
 ) -> None:
     changed = copy.deepcopy(EXPERIMENT_FILE)
-    put(changed, path, value)
+    override_setting(changed, path, value)
     file = tmp_path / "e.toml"
     file.write_text(tomlkit.dumps(changed))
 
-    with pytest.raises(Unusable) as error:
-        read(file, Experiment)
+    with pytest.raises(ScenarioError) as error:
+        read_scenario(file, Experiment)
 
     assert str(error.value).startswith(f"{file}: {reason}")
 
@@ -49,16 +49,16 @@
         {**EXPERIMENT_FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
     )
 
-    with pytest.raises(Unusable, match=r"settings: nothing at limit\.sockets"):
-        check(changed.scenario(changed.variants[0], 0))
+    with pytest.raises(ScenarioError, match=r"settings: nothing at limit\.sockets"):
+        check_settings(changed.scenario(changed.variants[0], 0))
 
 
 def test_variants_change_configuration_and_rounds_the_seed() -> None:
     own, other = (experiment().scenario(variant, 1) for variant in experiment().variants)
-    sidecar = Sidecar("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
+    sidecar = SidecarProcess("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
 
-    own_configuration = told(own, sidecar, 2, 1)
-    other_configuration = told(other, sidecar, 2, 1)
+    own_configuration = build_configuration(own, sidecar, 2, 1)
+    other_configuration = build_configuration(other, sidecar, 2, 1)
 
     assert (own.seed, other.seed) == (6, 6)
     assert load_plan(own) == load_plan(other)
--- a/tests/experiment/test_run.py
+++ b/tests/experiment/test_run.py
@@ -11,7 +11,7 @@
 from cressrail.experiment.fleet_process import SidecarVersion
 from cressrail.experiment.run import run_experiment
 from cressrail.experiment.scenario_run import ScenarioRun
-from cressrail.testbed.scenario import World
+from cressrail.testbed.scenario import FleetScenario
 from tests.experiment.support import experiment, scenario_run
 
 
@@ -20,9 +20,9 @@
     """Replaces the runs; lists the seed of each, and whether tenants had quotas."""
     calls: list[tuple[int, bool]] = []
 
-    def run(scenario: World, folder: Path, _version: SidecarVersion) -> ScenarioRun:
+    def run(scenario: FleetScenario, folder: Path, _version: SidecarVersion) -> ScenarioRun:
         folder.mkdir(parents=True, exist_ok=True)
-        calls.append((scenario.seed, any(tenant.allowance_per_s for tenant in scenario.members)))
+        calls.append((scenario.seed, any(tenant.quota_per_s for tenant in scenario.tenants)))
         return scenario_run()
 
     monkeypatch.setattr(experiment_run, "run_scenario", run)
