--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -18,16 +18,15 @@
 import orjson
 
 from cressrail.experiment.scenario_run import FLEET_RECORD, ScenarioRun, run_scenario
-from cressrail.testbed.event_record import rows
+from cressrail.testbed.event_record import read_events
+from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
 from cressrail.testbed.membership_verdicts import (
-    Known,
-    Views,
-    agreed,
-    false_losses,
-    joined,
-    known,
-    live_error,
-    views,
+    DetectionTime,
+    detection_times,
+    do_views_agree,
+    find_false_deaths,
+    join_time_s,
+    mean_count_error,
 )
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
@@ -58,28 +57,28 @@
     membership = scenario.fleet.membership
     assert membership is not None
     tolerated_pause_us = membership.tolerated_pause_ms * US_PER_MS
-    records = list(rows(folder / FLEET_RECORD))
-    seen = views(records)
+    records = list(read_events(folder / FLEET_RECORD))
+    membership_evidence = collect_membership_evidence(records)
     start_us = next(row["start_us"] for row in records if "start_us" in row)
     usage = [row for row in records if "spent_s" in row]
-    deaths = known(seen)
+    detections = detection_times(membership_evidence)
     return {
         "name": scenario.name,
-        "sidecars": len(seen.lives),
-        "void": seen.void,
-        "lag_ms": round(seen.lag_s * 1000, 1),
+        "sidecars": len(membership_evidence.processes),
+        "void": membership_evidence.invalid_reason,
+        "lag_ms": round(membership_evidence.relay_lag_s * 1000, 1),
         "broken": [
             f"rule {violation.rule}: {violation.tx}: {violation.evidence}" for violation in run.violations
         ],
-        "false_losses": _false_death_texts(seen, tolerated_pause_us, start_us),
-        "joined_s": joined(seen),
-        "deaths": len(deaths),
-        "known_to_all": sum(1 for death in deaths if death.all_s is not None),
-        "slowest": {part: _slowest(deaths, part) for part in ("first_s", "half_s", "all_s")},
-        "live_error": round(live_error(seen, start_us, seen.end_us), 4),
-        "most_gone_by": max((row.get("goes_by", 0) for row in seen.rows), default=0),
-        "agree_at_end": agreed(seen, seen.end_us),
-        "bytes_per_s": _bytes_per_second(usage, len(seen.lives)),
+        "false_losses": _false_death_texts(membership_evidence, tolerated_pause_us, start_us),
+        "joined_s": join_time_s(membership_evidence),
+        "deaths": len(detections),
+        "known_to_all": sum(1 for detection in detections if detection.all_s is not None),
+        "slowest": {part: _slowest(detections, part) for part in ("first_s", "half_s", "all_s")},
+        "live_error": round(mean_count_error(membership_evidence, start_us, membership_evidence.end_us), 4),
+        "most_gone_by": max((view.counted_instances for view in membership_evidence.views), default=0),
+        "agree_at_end": do_views_agree(membership_evidence, membership_evidence.end_us),
+        "bytes_per_s": _bytes_per_second(usage, len(membership_evidence.processes)),
         "cpu": _cpu_share(usage),
         "wires": usage[-1]["wires"],
         "tries": run.load_report["tries"],
@@ -87,14 +86,17 @@
     }
 
 
-def _false_death_texts(seen: Views, tolerated_pause_us: int, start_us: int) -> list[str]:
-    found = false_losses(seen, tolerated_pause_us, RETURN_PAUSES * tolerated_pause_us)
-    return [f"{death.by} of {death.of} at {(death.at_us - start_us) / US_PER_S:.1f} s" for death in found]
+def _false_death_texts(evidence: MembershipEvidence, tolerated_pause_us: int, start_us: int) -> list[str]:
+    found = find_false_deaths(evidence, tolerated_pause_us, RETURN_PAUSES * tolerated_pause_us)
+    return [
+        f"{death.observer} of {death.subject} at {(death.at_us - start_us) / US_PER_S:.1f} s"
+        for death in found
+    ]
 
 
-def _slowest(deaths: Sequence[Known], part: str) -> float | None:
+def _slowest(detections: Sequence[DetectionTime], part: str) -> float | None:
     """Returns the longest time until a part of the others knew of a death, None where none ever did."""
-    times_s: list[float | None] = [getattr(death, part) for death in deaths]
+    times_s: list[float | None] = [getattr(detection, part) for detection in detections]
     return max((time_s for time_s in times_s if time_s is not None), default=None)
 
 
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -10,8 +10,8 @@
 from cressrail.load.plan import LoadPlan, RequestClassLoad, StrictModel, TenantLoad
 from cressrail.load.report import LoadReport
 from cressrail.load.run import LoadJob, run_load
-from cressrail.testbed.event_record import rows
-from cressrail.testbed.membership_verdicts import Views, views
+from cressrail.testbed.event_record import read_events
+from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
 from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
 from cressrail.testbed.scenario import FleetScenario
 
@@ -54,10 +54,12 @@
             is_quiet=is_quiet,
         )
         load_report = run_load(job)
-    collected = evidence(rows(attempt_log), rows(fleet_record))
+    collected = evidence(read_events(attempt_log), read_events(fleet_record))
     violations = judge(scenario, collected)
     if scenario.fleet.membership is not None:
-        excused_ids = calls_to_stopped_processes(collected, views(rows(fleet_record)))
+        excused_ids = calls_to_stopped_processes(
+            collected, collect_membership_evidence(read_events(fleet_record))
+        )
         violations = [
             violation
             for violation in violations
@@ -89,14 +91,14 @@
     return model.model_validate(fields)
 
 
-def calls_to_stopped_processes(collected: Evidence, processes: Views) -> set[str]:
+def calls_to_stopped_processes(collected: Evidence, membership: MembershipEvidence) -> set[str]:
     """Returns the ids of calls to a process that did not run for all of their time: nobody could answer."""
     names = {target: row["sidecar"] for target, row in collected.sidecars.items()}
     return {
         call["id"]
         for call in collected.calls
         if call["target"] in names
-        and not processes.lives[names[call["target"]]].ran_since(
+        and not membership.processes[names[call["target"]]].has_run_for(
             call["sent_us"] + call["limit_us"], call["limit_us"]
         )
     }
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -14,8 +14,8 @@
 import uvloop
 
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
-from cressrail.testbed.discovery import Agent, Listed
-from cressrail.testbed.event_record import Ledger
+from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
+from cressrail.testbed.event_record import EventRecord
 
 ZONE = "here"
 HOST = "127.0.0.1"
@@ -41,10 +41,10 @@
             lambda: ServerConnection(answer_at_once, ignore_close), HOST, 0, backlog=LISTEN_BACKLOG
         )
         address = server.sockets[0].getsockname()[:2]
-        endpoints.append(Listed(f"sink{number}", {ZONE: address}, ZONE, 1))
-    discovery = Agent("one", ZONE, 0, endpoints, Ledger(record))
+        endpoints.append(ListedEndpoint(f"sink{number}", {ZONE: address}, ZONE, 1))
+    discovery = DiscoveryAgent("one", ZONE, 0, endpoints, EventRecord(record))
     _, discovery_port = await discovery.listen(HOST)
-    print(endpoints[0].hosts[ZONE][1], discovery_port, flush=True)
+    print(endpoints[0].addresses[ZONE][1], discovery_port, flush=True)
     await asyncio.sleep(MAX_LIFETIME_S)
 
 
