--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -5,6 +5,8 @@
 import os
 import subprocess
 import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -61,29 +63,16 @@
     histograms: Annotated[Path | None, typer.Option(help="An HdrHistogram log.")] = None,
 ) -> None:
     """Send load and report what became of it, timed from when each request was due."""
-    has_multiple = shape in SHAPES_WITH_MULTIPLE and times != DEFAULT_SURGE_MULTIPLE
-    clients = {
-        "give_up": give_up,
-        "repeats": repeats,
-        "backoff": backoff,
-        "honour": honour,
-        "keep": keep,
-    }
-    settings: dict[str, Any] = {
-        "rate": rate,
-        "seconds": seconds,
-        "seed": seed,
-        "shape": shape,
-        "with": {"times": times} if has_multiple else {},
-        "connections": connections,
-        "clients": clients,
-    }
-    try:
+    clients = {"give_up": give_up, "repeats": repeats, "backoff": backoff, "honour": honour, "keep": keep}
+    settings: dict[str, Any] = {"rate": rate, "seconds": seconds, "seed": seed, "clients": clients}
+    settings |= {"shape": shape, "connections": connections}
+    if shape in SHAPES_WITH_MULTIPLE and times != DEFAULT_SURGE_MULTIPLE:
+        settings["with"] = {"times": times}
+    with _errors_as_one_line():
         settings["profiles"] = [_request_class(text, size, limit_ms) for text in profile or ["read"]]
         settings["members"] = [_tenant(text) for text in member or ["acme"]]
-        plan = LoadPlan.model_validate(settings)
         job = LoadJob(
-            plan,
+            LoadPlan.model_validate(settings),
             [parse_address(text) for text in target],
             trace=trace,
             trace_scale=TraceScale(time_scale, rate_scale),
@@ -91,13 +80,20 @@
             histogram_log=histograms,
         )
         report = run_load(job)
+    if json is not None:
+        write_report(json, report)
+    print(summary_text(report))
+
+
+@contextmanager
+def _errors_as_one_line() -> Iterator[None]:
+    """Ends the process with one line for what an option or a trace says that cannot be used."""
+    try:
+        yield
     except ValidationError as error:
         fail(f"load: {first_validation_error(error)}")
     except (MalformedTraceError, OSError, ValueError) as error:
         fail(str(error))
-    if json is not None:
-        write_report(json, report)
-    print(summary_text(report))
 
 
 @app.command()
