--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -13,7 +13,7 @@
 
 from cressrail.cli.output import STATUS_FAILED, fail
 from cressrail.experiment.checkouts import RevisionError
-from cressrail.experiment.cost import compare_costs, cost_table
+from cressrail.experiment.cost import build_cost_table, compare_costs
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import REPORT_FILE, run_experiment
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
@@ -38,16 +38,16 @@
         experiment = read_scenario(file, Experiment)
         with errors_in_file(file):
             for variant in experiment.variants:
-                check_settings(experiment.scenario(variant, 0))
+                check_settings(experiment.build_scenario(variant, 0))
         result = run_experiment(experiment, out, _print_progress, keeps_runs=keep)
     except (ScenarioError, RevisionError) as error:
         fail(str(error))
     except RuntimeError as error:
         fail(str(error), STATUS_FAILED)
     # Loaded only now: plotting takes its time to load.
-    from cressrail.experiment.html_report import figures_table
+    from cressrail.experiment.html_report import build_figures_table
 
-    _print_table(figures_table(result))
+    _print_table(build_figures_table(result))
     print(f"report: {out / REPORT_FILE}")
 
 
@@ -65,7 +65,7 @@
         fail(str(error))
     if json is not None:
         json.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2))
-    _print_table(cost_table(figures))
+    _print_table(build_cost_table(figures))
 
 
 def _print_progress(text: str) -> None:
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -44,13 +44,15 @@
     checkout: Path | None
 
 
-def compare_costs(against: str, rounds: int, say: Callable[[str], None], *, is_quick: bool) -> CostFigures:
+def compare_costs(
+    against: str, rounds: int, report_progress: Callable[[str], None], *, is_quick: bool
+) -> CostFigures:
     """Measures all contenders in all cases; the relay has no list, so it is measured in the first one.
 
     Args:
         against: An earlier revision, or empty for none.
         rounds: How often each contender is measured.
-        say: Is told of each measurement.
+        report_progress: Called with a line of text after each measurement.
         is_quick: Whether only the first case is measured.
 
     Raises:
@@ -72,7 +74,7 @@
                 figures["us"].append(cost.cpu_us)
                 figures["p50_us"].append(cost.median_latency_us)
                 figures["mb"] = max(figures["mb"], cost.peak_memory_mb)
-                say(
+                report_progress(
                     f"round {round_index + 1}, {case.name}, {contender.name}: "
                     f"{cost.cpu_us:.1f} us, {cost.peak_memory_mb:.1f} MB"
                 )
@@ -89,7 +91,7 @@
                 yield case, contender
 
 
-def cost_table(found: CostFigures) -> list[list[str]]:
+def build_cost_table(found: CostFigures) -> list[list[str]]:
     """Returns medians over rounds by case and contender; the first row is the header."""
     case_names = dict.fromkeys(name for by_case in found.values() for name in by_case)
     rows = [[name, *(_cell(by_case.get(name)) for by_case in found.values())] for name in case_names]
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -11,7 +11,7 @@
 
 from cressrail.experiment.evidence_rows import Row, is_client_call, is_first_attempt, is_in_time, request_id
 from cressrail.experiment.scenario_run import ScenarioRun
-from cressrail.experiment.time_series import TimeSeries, time_series
+from cressrail.experiment.time_series import TimeSeries, build_time_series
 from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import FleetScenario
 
@@ -59,7 +59,7 @@
     is_in_time: bool
 
 
-def run_figures(
+def compute_figures(
     scenario: FleetScenario, run: ScenarioRun, quotas_per_s: Mapping[str, float] | None = None
 ) -> Figures:
     """Returns the figures of a run.
@@ -98,7 +98,7 @@
         **_attempt_figures(run),
         **_late_work_figures(scenario, run),
         "breaks": float(len(run.violations)),
-        **_recovery_figures(scenario, time_series(scenario, run)),
+        **_recovery_figures(scenario, build_time_series(scenario, run)),
     }
 
 
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -48,7 +48,7 @@
     VOID = 4
 
 
-def fleet_figures(scenario: FleetScenario, run: ScenarioRun, folder: Path) -> dict[str, Any]:
+def compute_fleet_figures(scenario: FleetScenario, run: ScenarioRun, folder: Path) -> dict[str, Any]:
     """Returns the figures of a run, by the keys that its output has.
 
     Times are in seconds unless the key says otherwise; `bytes_per_s` and `cpu` are for one sidecar and
@@ -120,7 +120,7 @@
     scenario = read_scenario(file, FleetScenario)
     if scenario.fleet.membership is None:
         raise ScenarioError(f"{file}: fleet.membership is missing")
-    return fleet_figures(scenario, run_scenario(scenario, folder), folder)
+    return compute_fleet_figures(scenario, run_scenario(scenario, folder), folder)
 
 
 def _run_files(files: Sequence[Path], out: Path | None) -> ExitStatus:
--- a/cressrail/experiment/html_report.py
+++ b/cressrail/experiment/html_report.py
@@ -31,7 +31,7 @@
 Table = list[list[str]]  # the first row is the header
 
 
-def html_report(result: ExperimentResult) -> str:
+def render_report(result: ExperimentResult) -> str:
     """Returns the page."""
     title = escape(result["name"])
     body = [
@@ -54,7 +54,7 @@
     )
 
 
-def figures_table(result: ExperimentResult) -> Table:
+def build_figures_table(result: ExperimentResult) -> Table:
     """Returns the mean of each figure by variant, for a terminal as for the page."""
     variants = list(result["arms"])
     rows = [
@@ -80,7 +80,7 @@
 
 
 def _figures_section(result: ExperimentResult) -> str:
-    header, *rows = figures_table(result)
+    header, *rows = build_figures_table(result)
     # Names in the header are escaped here as the cells are, and once more as text of the header.
     escaped = [[escape(cell) for cell in row] for row in rows]
     return "<h2>Figures</h2>" + _table_html([escape(cell) for cell in header], escaped)
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -56,7 +56,7 @@
                 )
         return self
 
-    def scenario(self, variant: Variant, round_index: int) -> FleetScenario:
+    def build_scenario(self, variant: Variant, round_index: int) -> FleetScenario:
         """Returns what a variant runs in a round; rounds differ in their seeds, variants do not."""
         fields = self.model_dump(exclude={"rounds", "variants"}, by_alias=True)
         fields["seed"] = self.seed + round_index
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -13,27 +13,27 @@
 
 from cressrail.experiment.checkouts import checkout
 from cressrail.experiment.comparison import compare_variants
-from cressrail.experiment.figures import run_figures
+from cressrail.experiment.figures import compute_figures
 from cressrail.experiment.fleet_process import SidecarVersion
 from cressrail.experiment.plan import Experiment, Variant
 from cressrail.experiment.result import ExperimentResult, RoundResult, VariantResult
 from cressrail.experiment.scenario_run import run_scenario
-from cressrail.experiment.time_series import time_series
+from cressrail.experiment.time_series import build_time_series
 from cressrail.testbed.scenario import FleetScenario
 
 RESULT_FILE, REPORT_FILE = "result.json", "report.html"
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 def run_experiment(
-    experiment: Experiment, out: Path, say: Say, *, keeps_runs: bool = False
+    experiment: Experiment, out: Path, report_progress: ProgressCallback, *, keeps_runs: bool = False
 ) -> ExperimentResult:
     """Runs all rounds and leaves result.json and report.html in `out`.
 
     Args:
         experiment: What to run.
         out: The folder, made where it is missing.
-        say: Is told of each run.
+        report_progress: Called with a line of text after each run.
         keeps_runs: Whether records and logs of each run are kept there too.
 
     Raises:
@@ -51,14 +51,14 @@
         rounds: dict[str, list[RoundResult]] = {variant.name: [] for variant in experiment.variants}
         for round_index in range(experiment.rounds):
             for variant in _in_turn(experiment.variants, round_index):
-                scenario = experiment.scenario(variant, round_index)
+                scenario = experiment.build_scenario(variant, round_index)
                 with TemporaryDirectory(prefix="cressrail-") as discarded:
                     kept = out / "runs" / f"{round_index}-{variant.name}"
                     folder = kept if keeps_runs else Path(discarded)
                     result = _run_round(experiment, scenario, folder, versions[variant.name])
                 rounds[variant.name].append(result)
                 title = f"round {round_index + 1} of {experiment.rounds}, {variant.name}"
-                say(f"{title}: {_round_text(result)}")
+                report_progress(f"{title}: {_round_text(result)}")
     return _write_result(experiment, rounds, out)
 
 
@@ -74,10 +74,10 @@
     run = run_scenario(scenario, folder, version)
     return {
         "seed": scenario.seed,
-        "figures": run_figures(scenario, run, quotas_per_s),
+        "figures": compute_figures(scenario, run, quotas_per_s),
         "broken": [asdict(violation) for violation in run.violations],
         "load": run.load_report,
-        "series": time_series(scenario, run),
+        "series": build_time_series(scenario, run),
         "failed": run.evidence.failed,
     }
 
@@ -111,9 +111,9 @@
         orjson.dumps(result, option=orjson.OPT_INDENT_2 | orjson.OPT_SERIALIZE_NUMPY)
     )
     # Loaded only now: plotting takes its time to load, and cores that a run needs.
-    from cressrail.experiment.html_report import html_report
+    from cressrail.experiment.html_report import render_report
 
-    (out / REPORT_FILE).write_text(html_report(result))
+    (out / REPORT_FILE).write_text(render_report(result))
     return result
 
 
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -46,7 +46,7 @@
     attempt_log, fleet_record = folder / ATTEMPT_LOG, folder / FLEET_RECORD
     with running_fleet(scenario, folder, version) as fleet:
         job = LoadJob(
-            load_plan(scenario),
+            build_load_plan(scenario),
             fleet.ingress_addresses,
             attempt_log=attempt_log,
             records=folder / REQUEST_RECORDS,
@@ -68,7 +68,7 @@
     return ScenarioRun(load_report, collected, violations)
 
 
-def load_plan(scenario: FleetScenario) -> LoadPlan:
+def build_load_plan(scenario: FleetScenario) -> LoadPlan:
     """Returns the load that a scenario asks for."""
     return LoadPlan.model_validate(
         {
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -54,7 +54,7 @@
         return np.zeros(self.count)
 
 
-def time_series(scenario: FleetScenario, run: ScenarioRun) -> TimeSeries:
+def build_time_series(scenario: FleetScenario, run: ScenarioRun) -> TimeSeries:
     """Returns the series of a run."""
     seconds = _Seconds(run.evidence.start_us, int(scenario.duration_s) + SECONDS_AFTER_LOAD)
     heat, retries = _attempts_by_second(scenario, run, seconds)
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from cressrail.load.closed_loop import closed_loop_latencies, typical_worker_count
-from cressrail.load.latency_histogram import Microseconds, new_histogram, quantiles
+from cressrail.load.latency_histogram import Microseconds, compute_quantiles, new_histogram
 from cressrail.load.report import GroupFigures, LoadReport
 from cressrail.load.request_records import read_records
 
@@ -102,7 +102,7 @@
             f"by up to {int(self.send_delay_us.max()) // US_PER_MS} ms){paused}"
         )
 
-    def report(self, pauses: Sequence[Pause]) -> LoadReport:
+    def build_report(self, pauses: Sequence[Pause]) -> LoadReport:
         """Returns the figures that follow from the records alone."""
         statuses = self.records["status"]
         answered = int((statuses > 0).sum())
@@ -114,7 +114,7 @@
             "statuses": {
                 str(status): int((statuses == status).sum()) for status in np.unique(statuses) if status
             },
-            "late_sends_us": quantiles(self.send_delay_us, self.histogram),
+            "late_sends_us": compute_quantiles(self.send_delay_us, self.histogram),
             "latency_us": None,
             "closed_loop_us": None,
             "tries": int(self.records["attempts"].sum()),
@@ -123,7 +123,7 @@
         }
         if refused is None and len(self.records):
             self._add_latencies(report)
-        report["seconds"] = self.seconds()
+        report["seconds"] = self.count_by_second()
         return report
 
     def _add_latencies(self, report: LoadReport) -> None:
@@ -132,10 +132,10 @@
         closed_loop_us = closed_loop_latencies(
             due_us, self.records["sent_us"], self.records["ended_us"], workers
         )
-        report["latency_us"] = quantiles(self.latency_us, self.histogram)
+        report["latency_us"] = compute_quantiles(self.latency_us, self.histogram)
         report["closed_loop_workers"] = workers
-        report["closed_loop_us"] = quantiles(closed_loop_us, self.histogram)
-        report["by"] = [self._group_figures(group) for group in self.groups()]
+        report["closed_loop_us"] = compute_quantiles(closed_loop_us, self.histogram)
+        report["by"] = [self._group_figures(group) for group in self.split_into_groups()]
 
     def _group_figures(self, group: RequestGroup) -> GroupFigures:
         return {
@@ -143,10 +143,10 @@
             "member": group.tenant,
             "outcome": group.outcome.value,
             "n": len(group.indices),
-            "latency_us": quantiles(self.latency_us[group.indices], self.histogram),
+            "latency_us": compute_quantiles(self.latency_us[group.indices], self.histogram),
         }
 
-    def groups(self, stretch: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
+    def split_into_groups(self, stretch: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
         """Yields the requests of a stretch of the records by class, tenant and status."""
         records = self.records[stretch]
         if not len(records):
@@ -161,7 +161,7 @@
                 np.flatnonzero(group_of_record.reshape(-1) == number),
             )
 
-    def seconds(self) -> list[dict[str, int]]:
+    def count_by_second(self) -> list[dict[str, int]]:
         """Returns counts by outcome for each second in which requests were due."""
         if not len(self.records):
             return []
--- a/cressrail/load/histogram_log.py
+++ b/cressrail/load/histogram_log.py
@@ -22,7 +22,7 @@
         figures: The run.
         start_s: The start of the run, in seconds since the epoch.
     """
-    second_count = len(figures.seconds())
+    second_count = len(figures.count_by_second())
     edges = np.searchsorted(figures.records["due_us"], np.arange(second_count + 1) * US_PER_S)
     with path.open("w") as file:
         file.write(
@@ -32,7 +32,7 @@
         )
         for second, (first, end) in enumerate(pairwise(edges)):
             stretch = slice(first, end)
-            for request_class, tenant, outcome, indices in figures.groups(stretch):
+            for request_class, tenant, outcome, indices in figures.split_into_groups(stretch):
                 histogram = fill_histogram(figures.histogram, figures.latency_us[stretch][indices])
                 tag = f"{request_class}.{tenant}.{outcome.value}".replace(" ", "_").replace(",", "_")
                 file.write(
--- a/cressrail/load/latency_histogram.py
+++ b/cressrail/load/latency_histogram.py
@@ -27,7 +27,7 @@
     return histogram
 
 
-def quantiles(values_us: Microseconds, histogram: HdrHistogram) -> Quantiles | None:
+def compute_quantiles(values_us: Microseconds, histogram: HdrHistogram) -> Quantiles | None:
     """Returns the quantiles of some values, or None without any; `histogram` is overwritten."""
     if not len(values_us):
         return None
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -86,7 +86,7 @@
             sender = uvloop.run(_send(job, plan, tables, records))
         class_names = [request_class.name for request_class in tables.request_classes]
         figures = LoadFigures(records_path, class_names, tables.tenant_names)
-        report = figures.report(sender.stall_detector.pauses)
+        report = figures.build_report(sender.stall_detector.pauses)
         if job.histogram_log is not None and report["refused"] is None:
             write_histogram_log(job.histogram_log, figures, time.time() - job.plan.duration_s)
     report["held_back"] = sender.waits_for_connection
--- a/tests/experiment/test_cost.py
+++ b/tests/experiment/test_cost.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cressrail.experiment import cost
-from cressrail.experiment.cost import CASES, CostFigures, compare_costs, cost_table
+from cressrail.experiment.cost import CASES, CostFigures, build_cost_table, compare_costs
 from cressrail.experiment.cost_measurement import Cost, CostCase
 
 
@@ -51,7 +51,7 @@
         },
     }
 
-    assert cost_table(figures) == [
+    assert build_cost_table(figures) == [
         ["CPU us a request (peak MB)", "relay", "sidecar"],
         ["a", "2.0 (16.0)", "5.0 (36.5)"],
         ["b", "", "7.0 (40.0)"],
--- a/tests/experiment/test_figures.py
+++ b/tests/experiment/test_figures.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from cressrail.experiment.figures import run_figures, seconds_to_recover
+from cressrail.experiment.figures import compute_figures, seconds_to_recover
 from tests.experiment.support import experiment, run_of_first_requests, scenario_run
 
 
 def test_figures_count_a_request_once_and_from_when_it_was_due() -> None:
-    figures = run_figures(experiment(), scenario_run(), {"acme": 1.0, "umea": 10.0})
+    figures = compute_figures(experiment(), scenario_run(), {"acme": 1.0, "umea": 10.0})
 
     assert (figures["goodput"], figures["goodput_first"], figures["breaks"]) == (0.5, 0.25, 1)
     assert figures["revenue"] == pytest.approx(2 / 6)  # the late note earned nothing
@@ -21,7 +21,7 @@
 
 
 def test_quota_share_counts_no_more_than_the_tenant_offered() -> None:
-    figures = run_figures(experiment(), run_of_first_requests(3), {"acme": 1.0})
+    figures = compute_figures(experiment(), run_of_first_requests(3), {"acme": 1.0})
 
     assert figures["worst_due"] == 1.0  # two offered, a quota of three, two succeeded in time
 
--- a/tests/experiment/test_html_report.py
+++ b/tests/experiment/test_html_report.py
@@ -7,10 +7,10 @@
 import pytest
 
 from cressrail.experiment.comparison import compare_variants
-from cressrail.experiment.figures import run_figures
-from cressrail.experiment.html_report import figures_table, html_report
+from cressrail.experiment.figures import compute_figures
+from cressrail.experiment.html_report import build_figures_table, render_report
 from cressrail.experiment.result import ExperimentResult
-from cressrail.experiment.time_series import time_series
+from cressrail.experiment.time_series import build_time_series
 from tests.experiment.support import experiment, scenario_run
 
 
@@ -18,8 +18,8 @@
 def result() -> ExperimentResult:
     """Two variants with the same two runs, and a violation whose text looks like HTML."""
     run = {
-        "figures": run_figures(experiment(), scenario_run(), {}),
-        "series": time_series(experiment(), scenario_run()),
+        "figures": compute_figures(experiment(), scenario_run(), {}),
+        "series": build_time_series(experiment(), scenario_run()),
         "broken": [{"rule": 2, "tx": "5-3-1", "evidence": "<twice>"}],
     }
     variants: dict[str, Any] = {"own": {"rounds": [run, run]}, "other": {"rounds": [run, run]}}
@@ -40,7 +40,7 @@
 
 
 def test_page_holds_plots_and_violations_as_text(result: ExperimentResult) -> None:
-    page = html_report(result)
+    page = render_report(result)
 
     assert page.count("data:image/png;base64,") == 5
     assert "&lt;twice&gt;" in page
@@ -48,11 +48,11 @@
 
 
 def test_page_loads_nothing_from_elsewhere(result: ExperimentResult) -> None:
-    page = html_report(result)
+    page = render_report(result)
 
     assert "src='http" not in page
     assert "href" not in page
 
 
 def test_table_has_a_column_for_each_variant(result: ExperimentResult) -> None:
-    assert figures_table(result)[0] == ["", "own", "other"]
+    assert build_figures_table(result)[0] == ["", "own", "other"]
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -9,7 +9,7 @@
 import tomlkit
 
 from cressrail.experiment.plan import Experiment
-from cressrail.experiment.scenario_run import load_plan
+from cressrail.experiment.scenario_run import build_load_plan
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
 from tests.experiment.support import EXPERIMENT_FILE, experiment
@@ -50,18 +50,18 @@
     )
 
     with pytest.raises(ScenarioError, match=r"settings: nothing at limit\.sockets"):
-        check_settings(changed.scenario(changed.variants[0], 0))
+        check_settings(changed.build_scenario(changed.variants[0], 0))
 
 
 def test_variants_change_configuration_and_rounds_the_seed() -> None:
-    own, other = (experiment().scenario(variant, 1) for variant in experiment().variants)
+    own, other = (experiment().build_scenario(variant, 1) for variant in experiment().variants)
     sidecar = SidecarProcess("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
 
     own_configuration = build_configuration(own, sidecar, 2, 1)
     other_configuration = build_configuration(other, sidecar, 2, 1)
 
     assert (own.seed, other.seed) == (6, 6)
-    assert load_plan(own) == load_plan(other)
+    assert build_load_plan(own) == build_load_plan(other)
     assert own_configuration["limits"]["sockets"] == 500
     assert other_configuration["limits"]["sockets"] == 300
     assert len(own_configuration["settings"]["tenants"]) == 2
@@ -79,6 +79,6 @@
         }
     )
 
-    scenarios = [changed.scenario(variant, 0) for variant in changed.variants]
+    scenarios = [changed.build_scenario(variant, 0) for variant in changed.variants]
 
     assert [scenario.fleet.failover is None for scenario in scenarios] == [True, False]
--- a/tests/load/test_figures.py
+++ b/tests/load/test_figures.py
@@ -12,7 +12,7 @@
 
 
 def test_stall_shows_in_latency_and_closed_loop_hides_it(tmp_path: Path) -> None:
-    report: Any = figures_of(tmp_path / "records", STALL).report([])
+    report: Any = figures_of(tmp_path / "records", STALL).build_report([])
 
     assert report["offered"] == report["answered"] == 200
     assert report["latency_us"]["p90"] > 800_000
@@ -39,7 +39,7 @@
 ) -> None:
     requests = [EndedRequest(due, due + (late_ms if due < 2 else 0), due + 20) for due in range(1000)]
 
-    report = figures_of(tmp_path / "records", requests).report(pauses)
+    report = figures_of(tmp_path / "records", requests).build_report(pauses)
 
     assert (report["latency_us"] is None) is is_refused
     assert ("itself was late" in str(report["refused"])) is is_refused
@@ -49,13 +49,13 @@
 def test_requests_without_answers_are_timed(tmp_path: Path) -> None:
     requests = [EndedRequest(due, due, due + 3000, status=0) for due in range(10)]
 
-    report: Any = figures_of(tmp_path / "records", requests).report([])
+    report: Any = figures_of(tmp_path / "records", requests).build_report([])
 
     assert (report["answered"], report["unanswered"], report["statuses"]) == (0, 10, {})
     assert report["latency_us"]["p50"] >= 2_999_000
 
 
 def test_run_without_requests_has_no_latency(tmp_path: Path) -> None:
-    report = figures_of(tmp_path / "records", []).report([])
+    report = figures_of(tmp_path / "records", []).build_report([])
 
     assert report["latency_us"] is None
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from cressrail.experiment.fleet_faults import fleet_figures
+from cressrail.experiment.fleet_faults import compute_fleet_figures
 from cressrail.experiment.scenario_run import run_scenario
 from cressrail.membership.messages import USES
 from cressrail.testbed.event_record import ProcessState
@@ -58,7 +58,7 @@
         finally:
             over.set()
             lying.join()
-        found = fleet_figures(told, made, folder)
+        found = compute_fleet_figures(told, made, folder)
         if not found["void"]:
             assert found["broken"] == [] and found["false_losses"] == [] and not made.evidence.failed
             assert found["answered"] > 300 and found["most_gone_by"] > 2 * doors
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 
-from cressrail.experiment.fleet_faults import fleet_figures
+from cressrail.experiment.fleet_faults import compute_fleet_figures
 from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.event_record import ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
@@ -200,7 +200,7 @@
     for attempt in range(3):
         folder = tmp_path / str(attempt)
         made = run_scenario(scenario, folder)
-        found = fleet_figures(scenario, made, folder)
+        found = compute_fleet_figures(scenario, made, folder)
         if not found["void"]:
             assert found["broken"] == []
             assert found["false_losses"] == []
