--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -17,7 +17,7 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.run import REPORT_FILE, run_experiment
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
-from cressrail.testbed.sidecars import check_settings
+from cressrail.testbed.sidecar_configuration import check_settings
 
 app = typer.Typer(
     help="Experiments on real sidecars amid simulated services.",
--- a/cressrail/experiment/cost_measurement.py
+++ b/cressrail/experiment/cost_measurement.py
@@ -25,9 +25,10 @@
 from cressrail.load.plan import LoadPlan
 from cressrail.load.run import LoadJob, run_load
 from cressrail.load.sender import Address
-from cressrail.testbed.fleet import loopback_host
+from cressrail.testbed.loopback import loopback_host
 from cressrail.testbed.scenario import FleetScenario
-from cressrail.testbed.sidecars import SidecarProcess, build_configuration, override_setting
+from cressrail.testbed.sidecar_configuration import build_configuration, override_setting
+from cressrail.testbed.sidecar_process import SidecarProcess
 
 RATE_PER_S, SLICE_S, SLICES = 1500.0, 1.0, 5
 LOAD_CONNECTIONS = 64
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -127,7 +127,7 @@
 
 
 def _attempt_figures(run: ScenarioRun) -> Figures:
-    attempts_by_call = Counter(attempt["id"] for attempt in run.evidence.hops)
+    attempts_by_call = Counter(attempt["id"] for attempt in run.evidence.attempts)
     sent_calls = [call for call in run.evidence.calls if call["sent_us"]]
     client_calls = [call for call in sent_calls if is_client_call(call)]
     retries = sum(max(0, attempts_by_call[call["id"]] - 1) for call in sent_calls)
@@ -139,7 +139,7 @@
 
 def _late_work_figures(scenario: FleetScenario, run: ScenarioRun) -> Figures:
     classes = {item.name: item for item in scenario.request_classes}
-    executed = [attempt for attempt in run.evidence.hops if attempt["ran"]]
+    executed = [attempt for attempt in run.evidence.attempts if attempt["ran"]]
     late = [attempt for attempt in executed if attempt["late_us"] > 0]
     late_effects = [
         attempt for attempt in late if classes[attempt["profile"]].idempotency is not Idempotency.IDEMPOTENT
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -68,7 +68,8 @@
         "void": membership_evidence.invalid_reason,
         "lag_ms": round(membership_evidence.relay_lag_s * 1000, 1),
         "broken": [
-            f"rule {violation.rule}: {violation.tx}: {violation.evidence}" for violation in run.violations
+            f"rule {violation.rule}: {violation.request_id}: {violation.evidence}"
+            for violation in run.violations
         ],
         "false_losses": _false_death_texts(membership_evidence, tolerated_pause_us, start_us),
         "joined_s": join_time_s(membership_evidence),
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from contextlib import ExitStack
-from dataclasses import asdict
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any, cast
@@ -75,7 +74,7 @@
     return {
         "seed": scenario.seed,
         "figures": compute_figures(scenario, run, quotas_per_s),
-        "broken": [asdict(violation) for violation in run.violations],
+        "broken": [violation.report_row() for violation in run.violations],
         "load": run.load_report,
         "series": build_time_series(scenario, run),
         "failed": run.evidence.failed,
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -12,13 +12,13 @@
 from cressrail.load.run import LoadJob, run_load
 from cressrail.testbed.event_record import read_events
 from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
-from cressrail.testbed.rule_checker import Break, Evidence, evidence, judge
+from cressrail.testbed.rule_checker import Rule, RuleViolation, check_rules
+from cressrail.testbed.run_evidence import RunEvidence, collect_evidence
 from cressrail.testbed.scenario import FleetScenario
 
 ATTEMPT_LOG, REQUEST_RECORDS, FLEET_RECORD = "load.jsonl", "spool", "fleet.jsonl"
 OWN_VERSION = SidecarVersion()
 Model = TypeVar("Model", bound=StrictModel)
-ANSWER_RULE = 1  # each request gets one final answer in time
 
 
 @dataclass
@@ -31,8 +31,8 @@
     """
 
     load_report: LoadReport
-    evidence: Evidence
-    violations: list[Break]
+    evidence: RunEvidence
+    violations: list[RuleViolation]
 
 
 def run_scenario(
@@ -54,8 +54,8 @@
             is_quiet=is_quiet,
         )
         load_report = run_load(job)
-    collected = evidence(read_events(attempt_log), read_events(fleet_record))
-    violations = judge(scenario, collected)
+    collected = collect_evidence(read_events(attempt_log), read_events(fleet_record))
+    violations = check_rules(scenario, collected)
     if scenario.fleet.membership is not None:
         excused_ids = calls_to_stopped_processes(
             collected, collect_membership_evidence(read_events(fleet_record))
@@ -63,7 +63,7 @@
         violations = [
             violation
             for violation in violations
-            if violation.rule != ANSWER_RULE or violation.tx not in excused_ids
+            if violation.rule is not Rule.ONE_ANSWER or violation.request_id not in excused_ids
         ]
     return ScenarioRun(load_report, collected, violations)
 
@@ -91,7 +91,7 @@
     return model.model_validate(fields)
 
 
-def calls_to_stopped_processes(collected: Evidence, membership: MembershipEvidence) -> set[str]:
+def calls_to_stopped_processes(collected: RunEvidence, membership: MembershipEvidence) -> set[str]:
     """Returns the ids of calls to a process that did not run for all of their time: nobody could answer."""
     names = {target: row["sidecar"] for target, row in collected.sidecars.items()}
     return {
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -93,7 +93,7 @@
     heat = {name: np.zeros(seconds.count, int) for name in names}
     retries = seconds.zeros()
     seen_ids: set[str] = set()
-    for attempt in sorted(run.evidence.hops, key=lambda attempt: attempt["came_us"]):
+    for attempt in sorted(run.evidence.attempts, key=lambda attempt: attempt["came_us"]):
         second = seconds.index(attempt["came_us"])
         heat[attempt["endpoint"]][second] += 1
         retries[second] += attempt["id"] in seen_ids
--- a/tests/experiment/support.py
+++ b/tests/experiment/support.py
@@ -7,7 +7,8 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.scenario_run import ScenarioRun
 from cressrail.load.report import LoadReport
-from cressrail.testbed.rule_checker import Break, evidence
+from cressrail.testbed.rule_checker import Rule, RuleViolation
+from cressrail.testbed.run_evidence import collect_evidence
 from tests.testbed.event_rows import INGRESS_ROW, attempt_row, call_row
 
 EXPERIMENT_FILE: dict[str, Any] = {
@@ -52,10 +53,10 @@
 
 def scenario_run() -> ScenarioRun:
     """Returns a run with all of the evidence and one violation."""
-    violations = [Break(2, "5-3-1", "<twice>")]
-    return ScenarioRun(EMPTY_LOAD_REPORT, evidence(ATTEMPT_LOG, FLEET_RECORD), violations)
+    violations = [RuleViolation(Rule.NO_REPEATED_EFFECT, "5-3-1", "<twice>")]
+    return ScenarioRun(EMPTY_LOAD_REPORT, collect_evidence(ATTEMPT_LOG, FLEET_RECORD), violations)
 
 
 def run_of_first_requests(count: int) -> ScenarioRun:
     """Returns a run with the first attempts of the log alone and no violation."""
-    return ScenarioRun(EMPTY_LOAD_REPORT, evidence(ATTEMPT_LOG[:count], FLEET_RECORD), [])
+    return ScenarioRun(EMPTY_LOAD_REPORT, collect_evidence(ATTEMPT_LOG[:count], FLEET_RECORD), [])
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -11,7 +11,8 @@
 from cressrail.experiment.plan import Experiment
 from cressrail.experiment.scenario_run import build_load_plan
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
-from cressrail.testbed.sidecars import SidecarProcess, build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_configuration import build_configuration, check_settings, override_setting
+from cressrail.testbed.sidecar_process import SidecarProcess
 from tests.experiment.support import EXPERIMENT_FILE, experiment
 
 
--- a/tests/experiment/test_scenario_run.py
+++ b/tests/experiment/test_scenario_run.py
@@ -4,11 +4,11 @@
 
 from cressrail.experiment.scenario_run import calls_to_stopped_processes
 from cressrail.testbed.membership_evidence import MembershipEvidence, ProcessChange, ProcessHistory
-from cressrail.testbed.rule_checker import Evidence
+from cressrail.testbed.run_evidence import RunEvidence
 
 
 def test_only_calls_to_a_process_that_stopped_meanwhile_are_excused() -> None:
-    collected = Evidence(sidecars={"t": {"sidecar": "door0"}})
+    collected = RunEvidence(sidecars={"t": {"sidecar": "door0"}})
     collected.calls = [
         {"id": f"{sent_us}", "target": "t", "sent_us": sent_us, "limit_us": 10} for sent_us in (10, 45, 80)
     ]
