--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -21,9 +21,9 @@
 from cressrail.load.shapes import DEFAULT_SURGE_MULTIPLE, RATE_SHAPES
 from cressrail.load.trace import MalformedTraceError, TraceScale, write_trace
 from cressrail.load.trace_recording import read_recorded_requests
+from cressrail.load.units import US_PER_MS
 
 SHAPES_WITH_MULTIPLE = ("surge", "snowmelt", "bursts")
-US_PER_MS = 1000
 
 app = typer.Typer(
     help="Open-loop load, traces, and what a run came to.",
--- a/cressrail/experiment/evidence_rows.py
+++ b/cressrail/experiment/evidence_rows.py
@@ -6,10 +6,9 @@
 from typing import Any
 
 from cressrail.load.plan import RequestClassLoad
+from cressrail.load.units import US_PER_MS
 
-FIRST_ATTEMPT_SUFFIX = "-1"  # of a call's id
 SUCCEEDED_STATUS = 200
-US_PER_MS = 1000
 
 Row = Mapping[str, Any]
 
@@ -19,16 +18,6 @@
     return "call" not in call
 
 
-def is_first_attempt(call: Row) -> bool:
-    """Whether a client sent its request for the first time."""
-    return bool(call["id"].endswith(FIRST_ATTEMPT_SUFFIX))
-
-
-def request_id(call: Row) -> str:
-    """Returns what the attempts of one request have in common."""
-    return str(call["id"].rpartition("-")[0])
-
-
 def is_in_time(call: Row, request_class: RequestClassLoad) -> bool:
     """Whether the call succeeded within the latency objective, from when the request was due."""
     latency_us = call["ended_us"] - call["due_us"]
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -9,14 +9,15 @@
 
 import numpy as np
 
-from cressrail.experiment.evidence_rows import Row, is_client_call, is_first_attempt, is_in_time, request_id
+from cressrail.experiment.evidence_rows import Row, is_client_call, is_in_time
 from cressrail.experiment.scenario_run import ScenarioRun
 from cressrail.experiment.time_series import TimeSeries, build_time_series
+from cressrail.load.attempt_id import is_first_attempt, request_id_of
 from cressrail.load.plan import Idempotency
+from cressrail.load.units import US_PER_MS
 from cressrail.testbed.scenario import FleetScenario
 
 Figures = dict[str, float]  # by the names in `FIGURE_DIRECTIONS`
-US_PER_MS = 1000
 
 
 class Direction(IntEnum):
@@ -105,7 +106,7 @@
 def _finished_requests(scenario: FleetScenario, run: ScenarioRun) -> list[FinishedRequest]:
     classes = {item.name: item for item in scenario.request_classes}
     requests = {
-        request_id(call): FinishedRequest(
+        request_id_of(call["id"]): FinishedRequest(
             call["profile"],
             call["member"],
             call["ended_us"] - call["due_us"],
@@ -122,7 +123,7 @@
     return [
         is_in_time(call, classes[call["profile"]])
         for call in run.evidence.calls
-        if is_client_call(call) and is_first_attempt(call)
+        if is_client_call(call) and is_first_attempt(call["id"])
     ]
 
 
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -18,6 +18,7 @@
 import orjson
 
 from cressrail.experiment.scenario_run import FLEET_RECORD, ScenarioRun, run_scenario
+from cressrail.load.units import MS_PER_S, US_PER_MS, US_PER_S
 from cressrail.testbed.event_record import read_events
 from cressrail.testbed.membership_evidence import MembershipEvidence, collect_membership_evidence
 from cressrail.testbed.membership_verdicts import (
@@ -33,8 +34,6 @@
 
 RETURN_PAUSES = 3  # tolerated pauses within which all have heard of a return
 OUT_OPTION = "--out"
-US_PER_S = 1e6
-US_PER_MS = 1000
 Row = dict[str, Any]
 
 
@@ -66,7 +65,7 @@
         "name": scenario.name,
         "sidecars": len(membership_evidence.processes),
         "void": membership_evidence.invalid_reason,
-        "lag_ms": round(membership_evidence.relay_lag_s * 1000, 1),
+        "lag_ms": round(membership_evidence.relay_lag_s * MS_PER_S, 1),
         "broken": [
             f"rule {violation.rule}: {violation.request_id}: {violation.evidence}"
             for violation in run.violations
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -79,13 +79,13 @@
             "with": scenario.load.shape_parameters,
             "clients": scenario.load.client_behaviour,
             "connections": scenario.load.max_connections,
-            "profiles": [_as(RequestClassLoad, item) for item in scenario.request_classes],
-            "members": [_as(TenantLoad, item) for item in scenario.tenants],
+            "profiles": [_reduce_to(RequestClassLoad, item) for item in scenario.request_classes],
+            "members": [_reduce_to(TenantLoad, item) for item in scenario.tenants],
         }
     )
 
 
-def _as(model: type[Model], extended: Model) -> Model:
+def _reduce_to(model: type[Model], extended: Model) -> Model:
     """Returns the fields of `extended` that `model` has."""
     fields = extended.model_dump(include=set(model.model_fields), by_alias=True)
     return model.model_validate(fields)
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -7,13 +7,13 @@
 import numpy as np
 import numpy.typing as npt
 
-from cressrail.experiment.evidence_rows import is_client_call, is_first_attempt, is_in_time
+from cressrail.experiment.evidence_rows import is_client_call, is_in_time
 from cressrail.experiment.scenario_run import ScenarioRun
+from cressrail.load.attempt_id import is_first_attempt
+from cressrail.load.units import US_PER_MS, US_PER_S
 from cressrail.testbed.scenario import FleetScenario
 
 SECONDS_AFTER_LOAD = 3  # that are counted too
-US_PER_S = 1_000_000
-US_PER_MS = 1000
 PLOTTED_PERCENTILES = [0.0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100]
 
 
@@ -67,7 +67,7 @@
             continue
         request_class = classes[call["profile"]]
         second_due = seconds.index(call["due_us"])
-        if is_first_attempt(call):
+        if is_first_attempt(call["id"]):
             offered[second_due] += 1
             worth[second_due] += request_class.priority_weight
         if is_in_time(call, request_class):
--- a/cressrail/load/backoff.py
+++ b/cressrail/load/backoff.py
@@ -5,6 +5,7 @@
 import random
 
 from cressrail.load.plan import ClientBehaviour
+from cressrail.load.units import US_PER_MS
 
 
 def retry_delay_us(
@@ -20,7 +21,7 @@
     """
     if retry_after_us and generator.random() < behaviour.retry_after_share:
         return retry_after_us
-    base_us = behaviour.backoff_ms * 1000
+    base_us = behaviour.backoff_ms * US_PER_MS
     if behaviour.backoff == "none":
         return 0
     if behaviour.backoff == "fixed":
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -17,13 +17,13 @@
 from cressrail.load.latency_histogram import Microseconds, compute_quantiles, new_histogram
 from cressrail.load.report import GroupFigures, LoadReport
 from cressrail.load.request_records import read_records
+from cressrail.load.stall_detector import Pause
+from cressrail.load.units import US_PER_MS, US_PER_S
 
 MAX_SEND_DELAY_US = 5_000  # a later send is the generator's fault
 MAX_UNRELIABLE_SHARE = 0.001  # of the requests, before no latency is reported
 AFTER_PAUSE_US = 20_000  # an answer read this soon after a pause may have waited for its end
 MAX_STATUS = 599
-US_PER_S = 1_000_000
-US_PER_MS = 1000
 WHOLE_RUN = slice(None)
 
 
@@ -49,13 +49,6 @@
     return OUTCOME_BY_STATUS.get(status, RequestOutcome.FAILED)
 
 
-class Pause(NamedTuple):
-    """A time in which the generator itself stood still, from the start of the run."""
-
-    start_us: int
-    end_us: int
-
-
 class RequestGroup(NamedTuple):
     """Requests of one class, tenant and outcome; `indices` count within the stretch that was asked for."""
 
--- a/cressrail/load/histogram_log.py
+++ b/cressrail/load/histogram_log.py
@@ -10,8 +10,9 @@
 
 import numpy as np
 
-from cressrail.load.figures import US_PER_S, LoadFigures
+from cressrail.load.figures import LoadFigures
 from cressrail.load.latency_histogram import fill_histogram
+from cressrail.load.units import US_PER_S
 
 
 def write_histogram_log(path: Path, figures: LoadFigures, start_s: float) -> None:
--- a/cressrail/load/http_messages.py
+++ b/cressrail/load/http_messages.py
@@ -5,10 +5,10 @@
 from cressrail.http_testing.client import Response
 from cressrail.load.plan import MAX_BODY_BYTES, Idempotency, RequestClassLoad
 from cressrail.load.schedule import ScheduledRequest
+from cressrail.load.units import US_PER_S
 
 BODY_FILLER = b"m" * MAX_BODY_BYTES
 MAX_ECHO_BYTES = 80
-US_PER_S = 1e6
 
 
 def encode_request(
--- a/cressrail/load/progress.py
+++ b/cressrail/load/progress.py
@@ -8,9 +8,9 @@
 from itertools import count
 
 from cressrail.load.sender import LoadSender
+from cressrail.load.units import US_PER_S
 
 REPORTS_PER_LINE = 5
-US_PER_S = 1e6
 
 
 @contextmanager
--- a/cressrail/load/report.py
+++ b/cressrail/load/report.py
@@ -11,9 +11,9 @@
 import orjson
 
 from cressrail.load.latency_histogram import Quantiles
+from cressrail.load.units import US_PER_MS
 
 MAX_BUSY_US = 25_000  # a longer backlog of answers is worth a line
-US_PER_MS = 1000
 
 
 class GroupFigures(TypedDict):
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -13,6 +13,7 @@
 from functools import partial
 
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
+from cressrail.load.attempt_id import format_attempt_id
 from cressrail.load.attempt_log import Attempt, AttemptLog
 from cressrail.load.backoff import retry_delay_us
 from cressrail.load.http_messages import encode_request, retry_after_us
@@ -20,16 +21,15 @@
 from cressrail.load.request_records import MAX_ATTEMPTS, RecordFlag, RequestRecord, RequestRecordWriter
 from cressrail.load.schedule import ScheduledRequest
 from cressrail.load.stall_detector import TICK_S, StallDetector
+from cressrail.load.units import MS_PER_S, US_PER_MS, US_PER_S
 
 START_DELAY_US = 200_000  # from the end of the preparations to the first request that can be due
 # Clients that wait to the end wait this much longer than they tell: over what the rules allow beyond a
 # deadline, so that an answer in the last moment is seen and judged.
 EXTRA_WAIT_US = 250_000
 MIN_TIMEOUT_US = 1000
-TIMER_RESOLUTION_US = 1000  # of the event loop
+TIMER_RESOLUTION_US = US_PER_MS  # of the event loop
 REPORT_INTERVAL_S = 1
-US_PER_S = 1e6
-US_PER_MS = 1000
 OK = 200
 REJECTED_STATUSES = (429, 503)  # had no effect: safe to retry, whatever the request class
 
@@ -177,7 +177,7 @@
         wait_us = self._next.due_us - elapsed_us
         # Timers go by whole milliseconds; nearer than that, each round of the loop looks again.
         if wait_us >= TIMER_RESOLUTION_US:
-            self._loop.call_later(wait_us // US_PER_MS / US_PER_MS, self._send_and_wait)
+            self._loop.call_later(wait_us // US_PER_MS / MS_PER_S, self._send_and_wait)
         else:
             self._loop.call_soon(self._send_and_wait)
 
@@ -201,7 +201,7 @@
         patience_us = int(int(request.request_class.deadline_ms * US_PER_MS) * patience_share)
         now = now_us()
         attempt = Attempt(
-            f"{self.plan.seed:x}-{request.number:x}-{request.attempts}",
+            format_attempt_id(self.plan.seed, request.number, request.attempts),
             self._target_names[target_index],
             now,
             max(MIN_TIMEOUT_US, min(patience_us, request.deadline_us - now)),
--- a/cressrail/load/shapes.py
+++ b/cressrail/load/shapes.py
@@ -13,10 +13,11 @@
 import numpy as np
 import numpy.typing as npt
 
+from cressrail.load.units import US_PER_S
+
 # Maps times, as parts of the whole run from 0 to 1, to multiples of the plan's rate.
 RateFunction = Callable[[npt.NDArray[np.float64]], npt.NDArray[np.float64]]
 DEFAULT_SURGE_MULTIPLE = 2.4
-US_PER_S = 1e6
 
 
 @dataclass(frozen=True)
--- a/cressrail/load/stall_detector.py
+++ b/cressrail/load/stall_detector.py
@@ -3,15 +3,23 @@
 from __future__ import annotations
 
 import asyncio
+from typing import NamedTuple
 
 from cressrail.http_testing.client import now_us
-from cressrail.load.figures import Pause
+from cressrail.load.units import US_PER_S
 
 TICK_S = 0.005
-TICK_US = int(TICK_S * 1e6)
+TICK_US = int(TICK_S * US_PER_S)
 MIN_PAUSE_US = 25_000  # a tick that is late by more than this was no jitter
 
 
+class Pause(NamedTuple):
+    """A time in which the generator itself stood still, from the start of the run."""
+
+    start_us: int
+    end_us: int
+
+
 class StallDetector:
     """Watches for gaps between signs of life of this process.
 
--- a/cressrail/load/trace_recording.py
+++ b/cressrail/load/trace_recording.py
@@ -8,13 +8,13 @@
 
 import orjson
 
+from cressrail.load.attempt_id import is_first_attempt
 from cressrail.load.trace import MalformedTraceError, TraceRow
 from cressrail.logs import events
 
 # Events of a sidecar's log that end a request without an endpoint's answer, and those of earlier versions.
 END_EVENTS = (events.REQUEST_REJECTED, events.REQUEST_FAILED)
 OLD_END_EVENTS = (events.OLD_REQUEST_REJECTED, events.OLD_REQUEST_FAILED)
-FIRST_ATTEMPT_SUFFIX = "-1"  # of an attempt's id
 
 
 def read_recorded_requests(path: Path, default_body_bytes: int = 0) -> Iterator[TraceRow]:
@@ -51,7 +51,7 @@
 
 def _parse_attempt(fields: Mapping[str, Any], default_body_bytes: int) -> TraceRow | None:
     # The retries of a run are drawn anew when its trace is played, so only first attempts count.
-    if not str(fields["id"]).endswith(FIRST_ATTEMPT_SUFFIX):
+    if not is_first_attempt(str(fields["id"])):
         return None
     return TraceRow(
         int(str(fields["due_us"])),
--- a/tests/load/test_figures.py
+++ b/tests/load/test_figures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cressrail.load.figures import Pause
+from cressrail.load.stall_detector import Pause
 from tests.load.support import STALL, EndedRequest, figures_of
 
 
