--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from cressrail.http_testing.client import CallOutcome
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.event_record import Event
 from cressrail.testbed.run_evidence import CALLER_DIED, DUPLICATE, SUCCEEDED, RunEvidence
 from cressrail.testbed.scenario import FleetScenario, RequestClass, Tier
@@ -111,7 +112,7 @@
             f"at {call['target']}"
         )
     if outcome == CallOutcome.TIMED_OUT:
-        is_impatient_client = scenario.load.client_behaviour.give_up < 1 and "call" not in call
+        is_impatient_client = scenario.load.client_behaviour.patience_share < 1 and "call" not in call
         if is_impatient_client:
             return None
         return (
@@ -133,7 +134,7 @@
 def _effect_problems(request_class: RequestClass, call: Event, attempts: Sequence[Event]) -> Iterator[str]:
     """Attempts after one that may have taken effect, and a rejection after one."""
     executed = [attempt for attempt in attempts if attempt["ran"] or attempt.get("repeat")]
-    if request_class.repeat == "safe" or not executed:
+    if request_class.idempotency is Idempotency.IDEMPOTENT or not executed:
         return
     first = executed[0]
     for later in attempts:
@@ -143,7 +144,7 @@
                 yield problem
     is_rejected = call["status"] == HTTP_REJECTED and call["how"] == CallOutcome.ANSWERED
     has_narrow_scope = request_class.key_scope != "all"
-    if is_rejected and (request_class.repeat == "unsafe" or has_narrow_scope):
+    if is_rejected and (request_class.idempotency is Idempotency.NON_IDEMPOTENT or has_narrow_scope):
         yield f"rejected, but it ran on {_where(first)} ({first['how']})"
 
 
@@ -154,7 +155,7 @@
 def _retry_problem(request_class: RequestClass, call: Event, first: Event, later: Event) -> str | None:
     """Why a request that ran once must not have been sent again, if so."""
     apart_us = later["came_us"] - first["came_us"]
-    if request_class.repeat == "unsafe":
+    if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return (
             f"non-idempotent, ran on {_where(first)} and was sent to {later['endpoint']} "
             f"{_format_ms(apart_us)} later"
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -11,7 +11,7 @@
 
 from pydantic import Field, model_validator
 
-from cressrail.load.plan import Behaviour, MemberMix, ProfileMix, Strict
+from cressrail.load.plan import ClientBehaviour, RequestClassLoad, StrictModel, TenantLoad
 
 
 class FaultKind(StrEnum):
@@ -64,7 +64,7 @@
 DefectName = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
 
 
-class ServiceTime(Strict):
+class ServiceTime(StrictModel):
     """Distribution of the work of one request on one core.
 
     Attributes:
@@ -85,7 +85,7 @@
         return self
 
 
-class Tier(Strict):
+class Tier(StrictModel):
     """A tier of simulated services, all of the same capacity.
 
     Attributes:
@@ -118,7 +118,7 @@
     work_factors: dict[str, float] = Field(default_factory=dict, alias="weights")
 
 
-class EndpointContract(Strict):
+class EndpointContract(StrictModel):
     """What a tier's operators promise of their endpoints, and sidecars are told.
 
     Attributes:
@@ -134,7 +134,7 @@
     stops_on_cancel: bool = False
 
 
-class MembershipSetup(Strict):
+class MembershipSetup(StrictModel):
     """The section `membership` of each sidecar's configuration, but for its addresses.
 
     Attributes:
@@ -156,7 +156,7 @@
     poll_interval_s: float = Field(0.2, gt=0, alias="look_s")
 
 
-class FailoverSetup(Strict):
+class FailoverSetup(StrictModel):
     """The section `failover` of each sidecar's configuration.
 
     Attributes:
@@ -168,7 +168,7 @@
     round_trip_ms: int = Field(0, ge=0, alias="way_ms")
 
 
-class FleetLayout(Strict):
+class FleetLayout(StrictModel):
     """What a fleet is made of.
 
     Attributes:
@@ -190,7 +190,7 @@
     membership: MembershipSetup | None = None
 
 
-class RequestClass(ProfileMix):
+class RequestClass(RequestClassLoad):
     """A request class of the load, and what endpoints do with its idempotency keys.
 
     Attributes:
@@ -202,7 +202,7 @@
     idempotency_window_ms: float = Field(2000.0, ge=0, alias="window_ms")
 
 
-class Tenant(MemberMix):
+class Tenant(TenantLoad):
     """A tenant of the load.
 
     Attributes:
@@ -212,7 +212,7 @@
     quota_per_s: float = Field(0.0, ge=0, alias="allowance_per_s")
 
 
-class Fault(Strict):
+class Fault(StrictModel):
     """A fault, and when it begins and ends.
 
     Attributes:
@@ -273,7 +273,7 @@
         return row
 
 
-class FaultSchedule(Strict):
+class FaultSchedule(StrictModel):
     """Faults of sidecars that are drawn at random, beside those that are listed.
 
     Attributes:
@@ -291,7 +291,7 @@
     )
 
 
-class RuleBounds(Strict):
+class RuleBounds(StrictModel):
     """Bounds that the rule checker goes by.
 
     Attributes:
@@ -307,7 +307,7 @@
     overload_window_ms: float = Field(2000.0, alias="fall_ms")
 
 
-class LoadSetup(Strict):
+class LoadSetup(StrictModel):
     """The load on the ingress tier.
 
     Attributes:
@@ -321,11 +321,11 @@
     rate: float = Field(100.0, gt=0)
     shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
     shape_parameters: dict[str, float] = Field(default_factory=dict, alias="with")
-    client_behaviour: Behaviour = Field(Behaviour(), alias="clients")
+    client_behaviour: ClientBehaviour = Field(ClientBehaviour(), alias="clients")
     max_connections: int = Field(4000, ge=1, alias="connections")
 
 
-class FleetScenario(Strict):
+class FleetScenario(StrictModel):
     """A scenario file: a fleet, its load and the faults that it meets.
 
     Attributes:
--- a/cressrail/testbed/sidecar_configuration.py
+++ b/cressrail/testbed/sidecar_configuration.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.scenario import FleetScenario, MembershipSetup, RequestClass, Tenant
 from cressrail.testbed.scenario_file import ScenarioError
 from cressrail.testbed.sidecar_process import SidecarProcess
@@ -115,19 +116,19 @@
 def _build_request_class(request_class: RequestClass) -> Configuration:
     settings: Configuration = {
         "name": request_class.name,
-        "repeat": request_class.repeat,
-        "service_goal_us": int(request_class.goal_ms * MILLISECOND_US),
-        "hard_limit_us": int(request_class.limit_ms * MILLISECOND_US),
-        "revenue": request_class.revenue,
+        "repeat": request_class.idempotency.value,
+        "service_goal_us": int(request_class.latency_objective_ms * MILLISECOND_US),
+        "hard_limit_us": int(request_class.deadline_ms * MILLISECOND_US),
+        "revenue": request_class.priority_weight,
     }
-    if request_class.repeat == "keyed":
+    if request_class.idempotency is Idempotency.WITH_KEY:
         settings["key_scope"] = request_class.key_scope
         settings["window_us"] = int(request_class.idempotency_window_ms * MILLISECOND_US)
     return settings
 
 
 def _build_tenant(tenant: Tenant) -> Configuration:
-    return {"name": tenant.name, "allowance_per_s": tenant.quota_per_s, "share": tenant.part}
+    return {"name": tenant.name, "allowance_per_s": tenant.quota_per_s, "share": tenant.weight}
 
 
 def _build_membership(membership: MembershipSetup, sidecar: SidecarProcess) -> Configuration:
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -14,6 +14,7 @@
 
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
+from cressrail.load.plan import Idempotency
 from cressrail.testbed.attempt import OUTCOMES_AFTER_WORK, Attempt, AttemptOutcome, Placement
 from cressrail.testbed.event_record import EventRecord
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
@@ -179,7 +180,7 @@
 
     def _is_repeat(self, attempt: Attempt) -> bool:
         request_class = attempt.request_class
-        if request_class.repeat != "keyed" or not attempt.idempotency_key:
+        if request_class.idempotency is not Idempotency.WITH_KEY or not attempt.idempotency_key:
             return False
         window_us = int(request_class.idempotency_window_ms * MILLISECOND_US)
         keys = self._find_keys(self.placement, request_class)
@@ -309,7 +310,7 @@
 def _read_timeout_us(request: ReceivedRequest, request_class: RequestClass) -> int:
     """Returns how long the caller waits: as it says, or else the deadline of the request class."""
     text = request.header(b"req-deadline").rstrip("u")
-    return int(text) if text.isdigit() else int(request_class.limit_ms * MILLISECOND_US)
+    return int(text) if text.isdigit() else int(request_class.deadline_ms * MILLISECOND_US)
 
 
 def _build_request(attempt: Attempt, request_id: str, timeout_us: int) -> bytes:
--- a/tests/testbed/test_policy_variants.py
+++ b/tests/testbed/test_policy_variants.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_process import SidecarVersion
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.scenario import FleetScenario
 from tests.testbed.event_rows import ONE_TIER, Row
 
@@ -42,12 +43,12 @@
         },
     }
 
-    played = play_world(FleetScenario.model_validate(scenario), tmp_path, broken="")
+    result = run_scenario(FleetScenario.model_validate(scenario), tmp_path)
 
-    assert played.told["answered"] > 100
-    assert not played.seen.failed
-    assert played.broken == []
-    assert {row["fault"] for row in played.seen.faults} == {fault["kind"] for fault in faults}
+    assert result.load_report["answered"] > 100
+    assert not result.evidence.failed
+    assert result.violations == []
+    assert {row["fault"] for row in result.evidence.faults} == {fault["kind"] for fault in faults}
 
 
 @pytest.mark.parametrize(
@@ -85,8 +86,8 @@
 def test_defect_breaks_its_rule(tmp_path: Path, defect: str, rule: int, keys: Row) -> None:
     scenario = FleetScenario.model_validate({**LENIENT, **keys})
 
-    played = play_world(scenario, tmp_path, broken=defect)
+    result = run_scenario(scenario, tmp_path, SidecarVersion(defect=defect))
 
-    assert played.told["answered"] > 100
-    assert not played.seen.failed
-    assert rule in {violation.rule for violation in played.broken}
+    assert result.load_report["answered"] > 100
+    assert not result.evidence.failed
+    assert rule in {violation.rule for violation in result.violations}
