--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -25,6 +25,9 @@
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
 from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
 
+FLOOD_DATAGRAMS = 20_000
+FLOOD_BURST = 400  # datagrams between two pauses of the sender
+
 
 def test_death_return_takeover_and_leave_are_told_apart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -58,23 +61,24 @@
             await running.wait_until(lambda: b'"took_over"' in (fleet.folder / "successor.log").read_bytes())
             await asyncio.sleep(4 * TOLERATED_PAUSE_MS / 1000)
             await running.wait_until_all_count(5, except_for=(4,))
-            assert not any(running.logged(n, "instance_left") for n in range(4))
+            assert not any(running.logged(number, "instance_left") for number in range(4))
             successor.terminate()
             await running.wait_until(
-                lambda: all(running.view(n)["states"].get("door4") == "left" for n in range(4))
+                lambda: all(running.view(number)["states"].get("door4") == "left" for number in range(4))
             )
             await running.wait_until(lambda: successor.poll() is not None)
         finally:
             successor.kill()
     assert running.declared_dead() == {"door4"}
-    assert all(len(running.logged(n, "instance_dead")) == 1 for n in range(4))
+    assert all(len(running.logged(number, "instance_dead")) == 1 for number in range(4))
 
 
 def test_one_way_cut_is_reported_by_all_and_makes_nobody_dead(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
         def is_reported(sender: int, receiver: int) -> bool:
             return all(
-                running.view(n)["cannot_reach"].get(f"door{sender}") == [f"door{receiver}"] for n in range(5)
+                running.view(number)["cannot_reach"].get(f"door{sender}") == [f"door{receiver}"]
+                for number in range(5)
             )
 
         for sender, receiver in ((0, 1), (4, 2)):
@@ -82,9 +86,11 @@
             await running.wait_until(partial(is_reported, sender, receiver))
             assert running.view(3)["states"][f"door{sender}"] == "partly"
             running.cut()
-            await running.wait_until(lambda: all(not running.view(n)["cannot_reach"] for n in range(5)))
+            await running.wait_until(
+                lambda: all(not running.view(number)["cannot_reach"] for number in range(5))
+            )
         assert running.declared_dead() == set()
-        assert not any(running.logged(n, "instance_suspected") for n in range(5))
+        assert not any(running.logged(number, "instance_suspected") for number in range(5))
 
     run_script(tmp_path, 5, script)
 
@@ -92,16 +98,16 @@
 def test_tolerated_pauses_of_a_third_and_of_all_but_one_make_nobody_dead(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
         def have_noticed(paused: tuple[int, ...]) -> bool:
-            return all(running.logged(n, "instance_paused") for n in paused)
+            return all(running.logged(number, "instance_paused") for number in paused)
 
         for paused in ((1, 2), (1, 2, 3, 4, 5)):
-            for n in paused:
-                running.fleet.sidecars.pause(running.sidecars[n])
-                running.record_state(n, ProcessState.STALLED)
+            for number in paused:
+                running.fleet.sidecars.pause(running.sidecars[number])
+                running.record_state(number, ProcessState.STALLED)
             await asyncio.sleep(0.8 * TOLERATED_PAUSE_MS / 1000)
-            for n in paused:
-                running.fleet.sidecars.resume(running.sidecars[n])
-                running.record_state(n, ProcessState.RUNNING)
+            for number in paused:
+                running.fleet.sidecars.resume(running.sidecars[number])
+                running.record_state(number, ProcessState.RUNNING)
             await running.wait_until(partial(have_noticed, paused))
             await asyncio.sleep(2 * TOLERATED_PAUSE_MS / 1000)
             await running.wait_until_all_count(6)
@@ -126,8 +132,8 @@
 
 def test_sidecar_cut_off_from_discovery_catches_up_after_the_cut(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
-        def list_updates(n: int) -> int:
-            return len(running.logged(n, "endpoint_list_updated"))
+        def list_updates(number: int) -> int:
+            return len(running.logged(number, "endpoint_list_updated"))
 
         await running.wait_until(lambda: list_updates(0) > 0 and list_updates(1) > 0)
         running.network.rules = [
@@ -153,28 +159,28 @@
         address = running.sidecars[0].membership_address
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             payloads = [os.urandom(size) for size in (20, 200, 1400, 2000)]
-            for n in range(20_000):
-                sock.sendto(payloads[n % 4], address)
-                if n % 400 == 0:
+            for index in range(FLOOD_DATAGRAMS):
+                sock.sendto(payloads[index % len(payloads)], address)
+                if index % FLOOD_BURST == 0:
                     await asyncio.sleep(0.02)
         await running.wait_until(lambda: bool(running.logged(0, "malformed_datagrams")))
         assert len(running.logged(0, "malformed_datagrams")) <= 2
         keys = running.fleet.folder / "keys"
 
-        def has_read_keys(n: int, before: int) -> bool:
-            return len(running.logged(n, "membership_keys")) > before
+        def has_read_keys(number: int, before: int) -> bool:
+            return len(running.logged(number, "membership_keys")) > before
 
         for text in ("5a" * 32 + "\n" + "11" * 32, "11" * 32 + "\n" + "5a" * 32, "11" * 32):
             keys.write_text(text)
-            for n, sidecar in enumerate(running.sidecars):
+            for number, sidecar in enumerate(running.sidecars):
                 assert sidecar.process is not None
-                before = len(running.logged(n, "membership_keys"))
+                before = len(running.logged(number, "membership_keys"))
                 sidecar.process.send_signal(signal.SIGHUP)
-                await running.wait_until(partial(has_read_keys, n, before))
+                await running.wait_until(partial(has_read_keys, number, before))
         await asyncio.sleep(2 * TOLERATED_PAUSE_MS / 1000)
         await running.wait_until_all_count(4)
         assert running.declared_dead() == set()
-        assert not [told for n in range(1, 4) for told in running.logged(n, "malformed_datagrams")]
+        assert not [line for number in range(1, 4) for line in running.logged(number, "malformed_datagrams")]
 
     run_script(tmp_path, 4, script)
 
