--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         super().__init__([answer_each_with(response_bytes(b"hello"))])
-        self.admin_server = AdminServerTask(self.dispatcher, listener.bind("127.0.0.1", 0), None)
+        self.admin_server = AdminServerTask(self.dispatcher, listener.bind(self.host, 0), None)
         self.admin_address: tuple[str, int] = self.admin_server.sock.getsockname()
         self.scheduler.spawn(self.admin_server.run, is_first=True)
 
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -20,7 +20,7 @@
     ScriptedDiscovery,
     read_status,
 )
-from tests.support.configuration import SECOND, endpoint_entry
+from tests.support.configuration import SECOND
 from tests.support.http_messages import (
     request_bytes,
     response_bytes,
@@ -140,7 +140,7 @@
     def client(peer: ScriptedPeer) -> None:
         peer.send(request_bytes("write"))
         peer.wait_until(lambda: gate.connects)
-        discovery.updates.append({**endpoint_entry("s0", harness.ports[0]), **change})
+        discovery.updates.append(harness.endpoint_entry(0, **change))
         peer.wait_until(lambda: harness.state_machine.endpoint_watch.revision == FIRST_UPDATE_REVISION)
         gate.is_open = True
         statuses.append(read_status(peer))
@@ -182,7 +182,7 @@
             load_balancer.budget.count_request(harness.scheduler.now())
         peer.send(request_bytes(request_class))
         peer.wait_until(lambda: harness.state_machine.attempts.in_flight)
-        discovery.updates.append(endpoint_entry("s1", harness.ports[1]))
+        discovery.updates.append(harness.endpoint_entry(1))
         peer.wait_until(lambda: gate.connects)
         [pending] = harness.state_machine.requests.pending
         assert pending.fixed_endpoint is not None
@@ -215,7 +215,7 @@
         peer.send(request[: -len(BODY_64_KIB)])
         peer.wait_until(lambda: harness.state_machine.attempts.in_flight)
         peer.sleep(20_000)
-        discovery.updates.append(endpoint_entry("s0", harness.ports[0], phase="removed"))
+        discovery.updates.append(harness.endpoint_entry(0, phase="removed"))
         peer.wait_until(lambda: harness.state_machine.endpoint_watch.revision == FIRST_UPDATE_REVISION)
         peer.send(request[-len(BODY_64_KIB) :])
         statuses.append(read_status(peer))
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -9,7 +9,7 @@
 
 from cressrail.network import discovery_watch
 from tests.network.support import RecordingEndpoint, ScriptedDiscovery, read_status
-from tests.support.configuration import SECOND, endpoint_entry
+from tests.support.configuration import SECOND
 from tests.support.http_messages import (
     CHUNKED_HEADER,
     OK_STATUS_LINE,
@@ -45,7 +45,7 @@
     harness = SidecarHarness([answer_each_with(response_bytes())], discovery)
 
     def update_line(revision: int, is_complete: bool = False, **changes: Any) -> bytes:
-        entry = endpoint_entry("s0", harness.ports[0], **changes)
+        entry = harness.endpoint_entry(0, **changes)
         update = {"revision": revision, "complete": is_complete, "members": [entry]}
         return json.dumps(update).encode() + b"\n"
 
@@ -191,7 +191,7 @@
         {
             "revision": revision,
             "complete": False,
-            "members": [endpoint_entry("s0", harness.ports[0], phase=phase)],
+            "members": [harness.endpoint_entry(0, phase=phase)],
         }
         for revision, phase in ((5, "draining"), (6, "up"), (7, "draining"))
     ]
@@ -233,9 +233,7 @@
     harness = SidecarHarness([listed, other], slow_discovery, known_endpoints=1)
     discovery.endpoint_list = json.loads(harness.endpoint_list_json)
     discovery.endpoint_list["members"][0]["phase"] = phase
-    discovery.endpoint_list["members"].append(
-        endpoint_entry("s1", harness.ports[1], phase="draining" if sent else "up")
-    )
+    discovery.endpoint_list["members"].append(harness.endpoint_entry(1, phase="draining" if sent else "up"))
     statuses: list[bytes] = []
 
     def client(peer: ScriptedPeer) -> None:
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -44,7 +44,7 @@
             assert read_status(peer) == b"200"
         harness.dispatcher.dispatch(harness.state_machine.on_watch_ended(harness.scheduler.now(), "injected"))
         with socket.socket() as closed:  # nobody else can listen there meanwhile
-            closed.bind(("127.0.0.1", 0))
+            closed.bind((harness.host, 0))
             commands = harness.state_machine.on_discovery_address(
                 harness.scheduler.now(), closed.getsockname()
             )
--- a/tests/network/test_endpoint_connection.py
+++ b/tests/network/test_endpoint_connection.py
@@ -214,13 +214,13 @@
 def test_unanswered_connect_times_out_and_rejects_the_request() -> None:
     with ExitStack() as stack:
         full = stack.enter_context(socket.socket())
-        full.bind(("127.0.0.1", 0))
+        full.bind((SidecarHarness.host, 0))
         full.listen(0)
         port = full.getsockname()[1]
         for _ in range(4):  # its queue is full: nobody answers
             sock = stack.enter_context(socket.socket())
             sock.setblocking(False)
-            sock.connect_ex(("127.0.0.1", port))
+            sock.connect_ex(full.getsockname())
         harness = SidecarHarness([answer_each_with(response_bytes())], connect_timeout_us=50_000)
         harness.state_machine.registry.endpoints[0].port = port
         harness.endpoint_list_json = harness.endpoint_list_json.replace(
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -8,11 +8,11 @@
 SECOND = 1_000_000  # in microseconds
 
 
-def endpoint_entry(name: str, port: int, **changes: Any) -> dict[str, Any]:
+def endpoint_entry(name: str, port: int, host: str = "127.0.0.1", **changes: Any) -> dict[str, Any]:
     """Returns an entry in the form of discovery's protocol; `changes` replaces some of its members."""
     return {
         "id": name,
-        "host_port": f"127.0.0.1:{port}",
+        "host_port": f"{host}:{port}",
         "locality": "a",
         "flavor": "m",
         "cell": 1,
--- a/tests/support/sidecar_harness.py
+++ b/tests/support/sidecar_harness.py
@@ -23,6 +23,7 @@
     """Runs until all clients' scripts have ended, then checks that every resource was given back.
 
     Attributes:
+        host: Loopback address of the sidecar, its endpoints and discovery.
         listening_sockets: Of the endpoints in turn, and of discovery at the end.
         ports: Theirs.
         endpoint_list_json: The list that the configuration holds and discovery sends.
@@ -36,6 +37,8 @@
         stops_after_clients: The harness ends with the last client's script.
     """
 
+    host = "127.0.0.1"
+
     def __init__(
         self,
         endpoints: list[Script],
@@ -57,16 +60,15 @@
         """
         configuration = configure(SIDECAR_CONFIGURATION)
         configuration["settings"]["limits"].update(limits)
-        self.listening_sockets = [listener.bind("127.0.0.1", 0) for _ in [*endpoints, None]]
+        self.listening_sockets = [listener.bind(self.host, 0) for _ in [*endpoints, None]]
         self.ports = [sock.getsockname()[1] for sock in self.listening_sockets]
-        configuration["discovery"] = f"127.0.0.1:{self.ports[-1]}"
+        configuration["discovery"] = f"{self.host}:{self.ports[-1]}"
         configuration["known"]["members"] = [
-            endpoint_entry(f"s{number}", port)
-            for number, port in enumerate(self.ports[:-1][:known_endpoints])
+            self.endpoint_entry(number) for number in range(len(endpoints))[:known_endpoints]
         ]
         self.endpoint_list_json = json.dumps(configuration["known"]).encode()
         start = parse_configuration(configuration, {})
-        start.listen = ("127.0.0.1", 0)
+        start.listen = (self.host, 0)
         self._log_fd = os.open("/dev/null", os.O_WRONLY) if log_fd is None else log_fd
         server = assemble(start, self._log_fd)
         self.dispatcher, self.listener = server.dispatcher, server.listener
@@ -81,6 +83,10 @@
         for sock, script in zip(self.listening_sockets, scripts, strict=True):
             self.scheduler.spawn(lambda sock=sock, script=script: self._accept(sock, script))  # type: ignore[misc]
 
+    def endpoint_entry(self, number: int, **changes: Any) -> dict[str, Any]:
+        """Returns the entry of an endpoint in the list; `changes` replaces some of its members."""
+        return endpoint_entry(f"s{number}", self.ports[number], self.host, **changes)
+
     def _send_list(self, peer: ScriptedPeer) -> None:
         with suppress(OSError):  # the sidecar may have no buffer for it, or end
             peer.receive_until()
