--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -123,7 +123,7 @@
 
 def test_task_is_woken_by_message_timer_and_descriptor_and_arrivals_are_timed() -> None:
     now = 0
-    scheduler = Scheduler(lambda: now, lambda text: None)
+    scheduler = Scheduler(lambda: now, lambda _fault: None)
     near, far = socket.socketpair()
     results: list[object] = []
 
--- a/tests/network/test_socket_stream.py
+++ b/tests/network/test_socket_stream.py
@@ -27,7 +27,7 @@
     connection: tuple[socket.socket, socket.socket],
 ) -> None:
     near, far = connection
-    scheduler = Scheduler(lambda: 100, lambda text: None)
+    scheduler = Scheduler(lambda: 100, lambda _fault: None)
     stream = SocketStream(scheduler, BufferPool(10), near)
 
     def receive_byte() -> int:
