--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -37,7 +37,9 @@
     ) -> None:
         """`has_list`: discovery has sent the list that the configuration holds."""
         config = copy.deepcopy(SIDECAR_CONFIGURATION)
-        config["known"]["members"] = [endpoint_entry(f"s{n}", 9000 + n) for n in range(endpoints)]
+        config["known"]["members"] = [
+            endpoint_entry(f"s{number}", 9000 + number) for number in range(endpoints)
+        ]
         start = parse_configuration(config, {})
         registry, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.state_machine = StateMachine(
@@ -60,12 +62,14 @@
         if has_list:
             self.commands += self.state_machine.on_endpoint_list(0, start.known_endpoints)
 
-    def take_commands(self, kind: type) -> list[Any]:
-        found = [command for command in self.commands if isinstance(command, kind)]
-        self.commands = [command for command in self.commands if not isinstance(command, kind)]
+    def take_commands(self, command_type: type) -> list[Any]:
+        """Takes the commands of one type out of those returned so far."""
+        found = [command for command in self.commands if isinstance(command, command_type)]
+        self.commands = [command for command in self.commands if not isinstance(command, command_type)]
         return found
 
     def connect_client(self, client: int, now: int = 0) -> None:
+        """Connects a client that has sent nothing yet."""
         self.commands += self.state_machine.on_client_connected(now, client)
 
     def connect_idle_client(self, client: int, now: int = 0) -> None:
@@ -78,45 +82,48 @@
     def send_request(
         self,
         client: int,
-        kind: str = "read",
+        request_class: str = "read",
         now: int = 0,
         arrived_us: int | None = None,
-        began: bool = True,
-        **fields: str | None,
+        is_start_reported: bool = True,
+        **headers: str | None,
     ) -> None:
-        all_fields = {
+        """Completes a request; `headers` adds to or replaces the usual ones, None leaves one out."""
+        values = {
             "req-id": f"r{client}",
-            "req-kind": kind,
+            "req-kind": request_class,
             "idempotency-key": "k",
-            **{name.replace("_", "-"): value for name, value in fields.items()},
+            **{name.replace("_", "-"): value for name, value in headers.items()},
         }
         body = BufferChain(self.pool)
         body.append(memoryview(b"x"))
         request = Request(
             b"POST",
-            (all_fields.pop("path", None) or "/api").encode(),
-            Headers((n.encode(), v.encode()) for n, v in all_fields.items() if v),
+            (values.pop("path", None) or "/api").encode(),
+            Headers((name.encode(), value.encode()) for name, value in values.items() if value),
             body,
             True,
         )
-        if began:
+        if is_start_reported:
             self.state_machine.on_request_started(now, client)
         arrived_us = now if arrived_us is None else arrived_us
         self.commands += self.state_machine.on_request(now, client, request, arrived_us)
 
     def take_attempt(self) -> do.SendAttempt:
+        """Takes the one command to send an attempt."""
         [command] = self.take_commands(do.SendAttempt)
         assert isinstance(command, do.SendAttempt)
         return command
 
     def finish_attempt(
-        self, command: do.SendAttempt, outcome: Outcome, now: int = 1000, keep: bool = True
+        self, command: do.SendAttempt, outcome: Outcome, now: int = 1000, is_reusable: bool = True
     ) -> None:
+        """Ends an attempt; one that succeeded has a body."""
         body = BufferChain(self.pool) if outcome is Outcome.SUCCEEDED else None
         if body:
             body.append(memoryview(b"y"))
         self.commands += self.state_machine.on_attempt_finished(
-            now, command.attempt, AttemptResult(outcome, keep, body)
+            now, command.attempt, AttemptResult(outcome, is_reusable, body)
         )
 
     def release_buffers(self) -> None:
@@ -128,8 +135,8 @@
                 command.response.body.release()
 
 
-def list_update(revision: int, full: bool, *members: dict[str, Any]) -> EndpointListUpdate:
-    return parse_update({"revision": revision, "complete": full, "members": list(members)})
+def list_update(revision: int, is_complete: bool, *entries: dict[str, Any]) -> EndpointListUpdate:
+    return parse_update({"revision": revision, "complete": is_complete, "members": list(entries)})
 
 
 def counters_of(driver: ProxyDriver, now: int = 0) -> dict[str, int]:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -13,17 +13,17 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "wanted"),
+    ("change", "is_sent"),
     [
-        ({}, True),
-        ({"phase": "draining"}, False),
-        ({"phase": "removed"}, False),
-        ({"host_port": "127.0.0.1:9999"}, False),
-        ({"up_since_ms": 5}, False),
+        pytest.param({}, True, id="unchanged"),
+        pytest.param({"phase": "draining"}, False, id="draining"),
+        pytest.param({"phase": "removed"}, False, id="removed"),
+        pytest.param({"host_port": "127.0.0.1:9999"}, False, id="moved"),
+        pytest.param({"up_since_ms": 5}, False, id="restarted"),
     ],
 )
 def test_attempt_is_not_sent_if_endpoint_drains_moves_or_restarts(
-    change: dict[str, Any], wanted: bool
+    change: dict[str, Any], is_sent: bool
 ) -> None:
     driver = ProxyDriver(1)
     driver.connect_client(1)
@@ -33,7 +33,7 @@
         1, list_update(5, False, {**endpoint_entry("s0", 9000), **change})
     )
     outcome, _ = driver.state_machine.check_before_send(1, command.attempt) or (None, "")
-    assert outcome is (None if wanted else Outcome.REJECTED_BY_ENDPOINT)
+    assert outcome is (None if is_sent else Outcome.REJECTED_BY_ENDPOINT)
 
 
 def test_removed_endpoint_is_forgotten_once_no_attempt_is_in_flight() -> None:
@@ -54,25 +54,29 @@
     ]
     assert not driver.state_machine.on_idle_connection_reset(0, command.connection)
     driver.state_machine.on_connection_closed(command.connection)
-    for k in range(7, 50):
-        driver.connect_idle_client(k)
-        driver.send_request(k)
+    for number in range(7, 50):
+        driver.connect_idle_client(number)
+        driver.send_request(number)
         later = driver.take_attempt()
         assert later.is_new_connection
         driver.finish_attempt(later, Outcome.SUCCEEDED)
         driver.commands += driver.state_machine.on_endpoint_list(
             0,
             list_update(
-                k,
-                k % 2 == 0,
-                endpoint_entry(f"t{k}", 9000),
-                *([endpoint_entry(f"t{k - 1}" if k > 7 else "t0", 9000, phase="removed")] if k % 2 else []),
+                number,
+                number % 2 == 0,
+                endpoint_entry(f"t{number}", 9000),
+                *(
+                    [endpoint_entry(f"t{number - 1}" if number > 7 else "t0", 9000, phase="removed")]
+                    if number % 2
+                    else []
+                ),
             ),
         )
         assert driver.take_commands(do.CloseEndpointConnection) == [
             do.CloseEndpointConnection(later.connection)
         ]
-        driver.commands += driver.state_machine.on_client_closed(0, k)
+        driver.commands += driver.state_machine.on_client_closed(0, number)
         driver.commands += driver.state_machine.on_connection_closed(later.connection)
         driver.release_buffers()
         driver.take_commands(do.SendResponse)
@@ -94,7 +98,11 @@
 
 @pytest.mark.parametrize(
     ("change", "is_reported"),
-    [({}, True), ({"up_since_ms": 5}, False), ({"host_port": "127.0.0.1:9999"}, False)],
+    [
+        pytest.param({}, True, id="unchanged"),
+        pytest.param({"up_since_ms": 5}, False, id="restarted"),
+        pytest.param({"host_port": "127.0.0.1:9999"}, False, id="moved"),
+    ],
 )
 def test_idle_connection_reset_reports_only_the_process_it_was_made_to(
     change: dict[str, Any], is_reported: bool
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -34,18 +34,23 @@
     assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
 
 
-@pytest.mark.parametrize("began", [False, True])
-@pytest.mark.parametrize(("silent_us", "closed"), [(0, []), (SECOND, [do.CloseClient(1, True)])])
+@pytest.mark.parametrize("has_begun", [False, True], ids=["no-byte", "begun"])
+@pytest.mark.parametrize(
+    ("silent_us", "closed"),
+    [pytest.param(0, [], id="new"), pytest.param(SECOND, [do.CloseClient(1, True)], id="silent")],
+)
 def test_new_client_is_not_closed_before_it_had_time_to_send(
-    silent_us: int, closed: list[Command], began: bool
+    silent_us: int, closed: list[Command], has_begun: bool
 ) -> None:
     driver = ProxyDriver(max_clients=1)
     driver.connect_client(1)
-    if began:
+    if has_begun:
         driver.state_machine.on_request_started(0, 1)
     driver.connect_client(2, now=silent_us)
     assert driver.take_commands(do.CloseClient) == closed
-    driver.send_request(1, now=silent_us, began=not began)  # its request has come all the same
+    driver.send_request(
+        1, now=silent_us, is_start_reported=not has_begun
+    )  # its request has come all the same
     assert len(driver.take_commands(do.SendAttempt)) == 1
 
 
@@ -61,15 +66,15 @@
     assert not driver.take_commands(do.CloseClient)
 
 
-@pytest.mark.parametrize("began_us", [None, 0, SECOND])
+@pytest.mark.parametrize("started_us", [None, 0, SECOND], ids=["no-byte", "early-byte", "later-byte"])
 def test_silent_client_is_closed_even_with_room(
-    began_us: int | None,
+    started_us: int | None,
 ) -> None:
     driver = ProxyDriver()
     driver.connect_idle_client(1)
     driver.connect_client(2)
-    if began_us is not None:
-        driver.state_machine.on_request_started(began_us, 2)
+    if started_us is not None:
+        driver.state_machine.on_request_started(started_us, 2)
     driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US - 1)
     assert not driver.take_commands(do.CloseClient)
     driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US)
--- a/tests/proxy/test_endpoint_connections.py
+++ b/tests/proxy/test_endpoint_connections.py
@@ -44,7 +44,9 @@
         attempts += driver.take_commands(do.SendAttempt)
     assert len(attempts) == 2
     assert [write.client for write in driver.take_commands(do.SendResponse)] == [3]
-    assert all(e.success_rate == 1.0 for e in driver.state_machine.load_balancer.endpoints.values())
+    assert all(
+        endpoint.success_rate == 1.0 for endpoint in driver.state_machine.load_balancer.endpoints.values()
+    )
     for command in attempts:
         driver.finish_attempt(command, Outcome.SUCCEEDED)
     for _ in range(50):  # until an endpoint is drawn to which there is no link
--- a/tests/proxy/test_endpoint_registry.py
+++ b/tests/proxy/test_endpoint_registry.py
@@ -12,11 +12,15 @@
 @pytest.mark.parametrize(
     ("update", "entries"),
     [
-        (list_update(5, False, endpoint_entry("s0", 9000, phase="draining")), [1]),
-        (list_update(5, True, endpoint_entry("s1", 9001)), [1]),
-        (list_update(5, True, {**endpoint_entry("s0", 9000), "phase": "asleep"}), [0]),
-        (list_update(3, False, endpoint_entry("s0", 9000, phase="draining")), [0, 1]),
-        (
+        pytest.param(list_update(5, False, endpoint_entry("s0", 9000, phase="draining")), [1], id="draining"),
+        pytest.param(list_update(5, True, endpoint_entry("s1", 9001)), [1], id="list-without-one"),
+        pytest.param(
+            list_update(5, True, {**endpoint_entry("s0", 9000), "phase": "asleep"}), [0], id="unknown-phase"
+        ),
+        pytest.param(
+            list_update(3, False, endpoint_entry("s0", 9000, phase="draining")), [0, 1], id="old-revision"
+        ),
+        pytest.param(
             list_update(
                 5,
                 False,
@@ -24,8 +28,9 @@
                 endpoint_entry("s9", 9009, phase="removed"),
             ),
             [1],
+            id="removed-and-unknown",
         ),
-        (list_update(3, True), []),
+        pytest.param(list_update(3, True), [], id="empty-list-of-old-revision"),
     ],
 )
 def test_endpoint_list_update_changes_endpoints(update: EndpointListUpdate, entries: list[int]) -> None:
@@ -35,5 +40,7 @@
     )
     driver.state_machine.on_endpoint_list(1, update)
     assert [
-        e.index for e in driver.state_machine.load_balancer.endpoints.values() if e.accepts_requests
+        endpoint.index
+        for endpoint in driver.state_machine.load_balancer.endpoints.values()
+        if endpoint.accepts_requests
     ] == entries
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "outcome", "status"),
+    ("request_class", "outcome", "status"),
     [
         ("read", Outcome.SUCCEEDED, 200),
         ("read", Outcome.TIMED_OUT, 503),
@@ -24,10 +24,12 @@
         ("write", Outcome.CANCELLED, 502),
     ],
 )
-def test_request_is_answered_once_and_releases_all_buffers(kind: str, outcome: Outcome, status: int) -> None:
+def test_request_is_answered_once_and_releases_all_buffers(
+    request_class: str, outcome: Outcome, status: int
+) -> None:
     driver = ProxyDriver()
     driver.connect_client(1)
-    driver.send_request(1, kind)
+    driver.send_request(1, request_class)
     driver.finish_attempt(driver.take_attempt(), outcome)
     assert [write.response.status for write in driver.commands if isinstance(write, do.SendResponse)] == [
         status
@@ -38,15 +40,17 @@
     assert not driver.state_machine.attempts.in_flight
 
 
-@pytest.mark.parametrize("kind", ["read", "write"])
-def test_invalid_request_is_answered_400_and_leaves_success_rates(kind: str) -> None:
+@pytest.mark.parametrize("request_class", ["read", "write"])
+def test_invalid_request_is_answered_400_and_leaves_success_rates(request_class: str) -> None:
     driver = ProxyDriver(max_clients=20)
     for client in range(20):
         driver.connect_client(client)
-        driver.send_request(client, kind)
+        driver.send_request(client, request_class)
         driver.finish_attempt(driver.take_attempt(), Outcome.INVALID_REQUEST)
         assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [400]
-    assert all(e.success_rate == 1 for e in driver.state_machine.load_balancer.endpoints.values())
+    assert all(
+        endpoint.success_rate == 1 for endpoint in driver.state_machine.load_balancer.endpoints.values()
+    )
 
 
 def test_disconnected_client_cancels_attempt_and_late_answer_is_released() -> None:
@@ -64,14 +68,14 @@
 
 
 @pytest.mark.parametrize(
-    ("waited_us", "looked"), [(0, False), (99_999, False), (100_000, True), (900_000, True)]
+    ("waited_us", "is_checked"), [(0, False), (99_999, False), (100_000, True), (900_000, True)]
 )
-def test_client_is_checked_before_send_only_if_it_waited_long(waited_us: int, looked: bool) -> None:
+def test_client_is_checked_before_send_only_if_it_waited_long(waited_us: int, is_checked: bool) -> None:
     driver = ProxyDriver(has_list=True)
     driver.connect_client(1)
     driver.send_request(1, now=SECOND, arrived_us=SECOND - waited_us)
     command = driver.take_attempt()
-    assert driver.state_machine.waiting_client(SECOND, command.attempt) == (1 if looked else 0)
+    assert driver.state_machine.waiting_client(SECOND, command.attempt) == (1 if is_checked else 0)
     driver.commands += driver.state_machine.on_client_disconnected(SECOND, 1)
     assert driver.state_machine.waiting_client(SECOND, command.attempt) == 0
     assert driver.state_machine.check_before_send(SECOND, command.attempt)
--- a/tests/proxy/test_intake.py
+++ b/tests/proxy/test_intake.py
@@ -11,23 +11,23 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "status"),
+    ("headers", "status"),
     [
-        ({"path": "/"}, None),
-        ({"path": "/", "req_kind": None}, 404),
-        ({"req_kind": None}, 400),
-        ({"req_kind": "nonsense"}, 400),
-        ({"req_id": None}, 400),
-        ({"req_deadline": "soon"}, 400),
-        ({"path": "/_health"}, 200),
-        ({"path": "/_health?x=1"}, 200),
+        pytest.param({"path": "/"}, None, id="any-path-with-a-class"),
+        pytest.param({"path": "/", "req_kind": None}, 404, id="other-path-without-class"),
+        pytest.param({"req_kind": None}, 400, id="no-class"),
+        pytest.param({"req_kind": "nonsense"}, 400, id="unknown-class"),
+        pytest.param({"req_id": None}, 400, id="no-id"),
+        pytest.param({"req_deadline": "soon"}, 400, id="malformed-deadline"),
+        pytest.param({"path": "/_health"}, 200, id="health"),
+        pytest.param({"path": "/_health?x=1"}, 200, id="health-with-query"),
     ],
 )
-def test_request_is_answered_without_attempt(fields: dict[str, str | None], status: int | None) -> None:
+def test_request_is_answered_without_attempt(headers: dict[str, str | None], status: int | None) -> None:
     driver = ProxyDriver()
     driver.commands += driver.state_machine.on_endpoint_list(0, list_update(5, False))
     driver.connect_client(1)
-    driver.send_request(1, **fields)  # type: ignore[arg-type]
+    driver.send_request(1, **headers)  # type: ignore[arg-type]
     assert [write.response.status for write in driver.take_commands(do.SendResponse)] == (
         [status] if status else []
     )
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("endpoints", "has_list", "after_us", "stopping", "ready"),
+    ("endpoints", "has_list", "after_us", "is_stopping", "is_ready"),
     [
         (2, False, 0, False, False),
         (2, False, SECOND, False, True),
@@ -74,14 +74,14 @@
     ],
 )
 def test_health_check_succeeds_once_requests_can_be_served(
-    endpoints: int, has_list: bool, after_us: int, stopping: bool, ready: bool
+    endpoints: int, has_list: bool, after_us: int, is_stopping: bool, is_ready: bool
 ) -> None:
     driver = ProxyDriver(endpoints)
     if has_list:
         driver.state_machine.on_endpoint_list(0, list_update(5, False))
-    if stopping:
+    if is_stopping:
         driver.state_machine.on_stop_requested(0)
-    assert driver.state_machine.is_ready(after_us) is ready
+    assert driver.state_machine.is_ready(after_us) is is_ready
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -26,114 +26,135 @@
 SIZES = (1023, 1024, 1025, 3000)
 
 
-def listed(first: int, n: int, revision: int = 5, complete: bool = True, **change: Any) -> dict[str, Any]:
+def endpoint_list(
+    first: int, count: int, revision: int = 5, is_complete: bool = True, **changes: Any
+) -> dict[str, Any]:
     return {
         "revision": revision,
-        "complete": complete,
+        "complete": is_complete,
         "members": [
-            endpoint_entry(f"s-{k:08x}", 1024 + k % 60_000, locality="ab"[k % 2], cell=k // 4, **change)
-            for k in range(first, first + n)
+            endpoint_entry(
+                f"s-{number:08x}",
+                1024 + number % 60_000,
+                locality="ab"[number % 2],
+                cell=number // 4,
+                **changes,
+            )
+            for number in range(first, first + count)
         ],
     }
 
 
-def at_work(driver: ProxyDriver) -> list[int]:
-    return [len(group.endpoints) for group in driver.state_machine.load_balancer.zone_subsets]
+def endpoints_by_zone(driver: ProxyDriver) -> list[int]:
+    return [len(subset.endpoints) for subset in driver.state_machine.load_balancer.zone_subsets]
 
 
-@pytest.mark.parametrize("n", SIZES)
-def test_long_list_arrives_in_pieces_changes_and_is_handed_over(n: int) -> None:
-    text, sink, lines = json.dumps(listed(0, n)).encode() + b"\n", WatchLines(), []
-    for at in range(0, len(text), 1000):
-        sink.append(memoryview(text[at : at + 1000]))
+@pytest.mark.parametrize("size", SIZES)
+def test_long_list_arrives_in_pieces_changes_and_is_handed_over(size: int) -> None:
+    text, sink, lines = json.dumps(endpoint_list(0, size)).encode() + b"\n", WatchLines(), []
+    for start in range(0, len(text), 1000):
+        sink.append(memoryview(text[start : start + 1000]))
         lines += sink.take_documents()
     driver = ProxyDriver(0)
     driver.commands += driver.state_machine.on_endpoint_list(0, parse_update_line(lines[0]))
-    assert sum(at_work(driver)) == n == len(driver.state_machine.registry.endpoints)
-    half = n // 2
-    for k, change in enumerate(
+    assert sum(endpoints_by_zone(driver)) == size == len(driver.state_machine.registry.endpoints)
+    half = size // 2
+    for now, change in enumerate(
         (
-            listed(0, half, 6, False, phase="draining"),
-            listed(n, half, 7, False),
-            listed(0, half, 8, False, phase="removed"),
+            endpoint_list(0, half, 6, False, phase="draining"),
+            endpoint_list(size, half, 7, False),
+            endpoint_list(0, half, 8, False, phase="removed"),
         )
     ):
-        driver.commands += driver.state_machine.on_endpoint_list(k, parse_update(change))
-        assert sum(at_work(driver)) == (n - half, n, n)[k]
+        driver.commands += driver.state_machine.on_endpoint_list(now, parse_update(change))
+        assert sum(endpoints_by_zone(driver)) == (size - half, size, size)[now]
     load_balancer = driver.state_machine.load_balancer
-    assert len(load_balancer.endpoints) == n == len(driver.state_machine.registry.endpoints)
+    assert len(load_balancer.endpoints) == size == len(driver.state_machine.registry.endpoints)
     assert all(
-        sum(e.is_in_subset for e in g.endpoints) == len(g.in_use) == g.target_size
-        for g in load_balancer.zone_subsets
+        sum(endpoint.is_in_subset for endpoint in subset.endpoints)
+        == len(subset.in_use)
+        == subset.target_size
+        for subset in load_balancer.zone_subsets
     )
-    assert f"app_cluster_size {n}\n" in driver.state_machine.admin_calls.counters_text(SECOND).decode()
-    load_balancer.endpoints[n].limit = 1.25
+    assert f"app_cluster_size {size}\n" in driver.state_machine.admin_calls.counters_text(SECOND).decode()
+    load_balancer.endpoints[size].limit = 1.25
     frames, successor = FrameReader(), ProxyDriver(0)
     frames.feed(encode_frame(FrameKind.STATE, driver.state_machine.hand_over(SECOND)[0]))
-    got = frames.next_frame()
-    assert got is not None
+    frame = frames.next_frame()
+    assert frame is not None
     successor.state_machine.on_endpoint_list(SECOND, parse_update(driver.state_machine.endpoint_list()))
     handover_state.restore(
-        got[1], successor.state_machine.load_balancer, successor.state_machine.registry.names(), SECOND
+        frame[1], successor.state_machine.load_balancer, successor.state_machine.registry.names(), SECOND
     )
-    assert sum(at_work(successor)) == n
-    assert [e.limit for e in successor.state_machine.load_balancer.endpoints.values()].count(1.25) == 1
-
-
-@pytest.mark.parametrize("n", SIZES)
-def test_partial_update_equals_complete_update(n: int) -> None:
-    one, other = ProxyDriver(0), ProxyDriver(0)
-    one.state_machine.on_endpoint_list(0, parse_update(listed(0, n)))
-    other.state_machine.on_endpoint_list(0, parse_update(listed(0, n)))
-    moved = listed(n - 9, 9, 6, False)["members"]
-    for k, row in enumerate(moved):
-        row.update(locality="ba"[k % 2], size=2.0, phase="up" if k % 3 else "draining")
-    one.state_machine.on_endpoint_list(1, parse_update({"revision": 6, "complete": False, "members": moved}))
-    whole = listed(0, n - 9, 6)
+    assert sum(endpoints_by_zone(successor)) == size
+    assert [endpoint.limit for endpoint in successor.state_machine.load_balancer.endpoints.values()].count(
+        1.25
+    ) == 1
+
+
+@pytest.mark.parametrize("size", SIZES)
+def test_partial_update_equals_complete_update(size: int) -> None:
+    partly_updated, wholly_updated = ProxyDriver(0), ProxyDriver(0)
+    partly_updated.state_machine.on_endpoint_list(0, parse_update(endpoint_list(0, size)))
+    wholly_updated.state_machine.on_endpoint_list(0, parse_update(endpoint_list(0, size)))
+    moved = endpoint_list(size - 9, 9, 6, False)["members"]
+    for number, entry in enumerate(moved):
+        entry.update(locality="ba"[number % 2], size=2.0, phase="up" if number % 3 else "draining")
+    partly_updated.state_machine.on_endpoint_list(
+        1, parse_update({"revision": 6, "complete": False, "members": moved})
+    )
+    whole = endpoint_list(0, size - 9, 6)
     whole["members"] += moved
-    other.state_machine.on_endpoint_list(1, parse_update(whole))
-    for a, b in zip(
-        one.state_machine.load_balancer.zone_subsets,
-        other.state_machine.load_balancer.zone_subsets,
+    wholly_updated.state_machine.on_endpoint_list(1, parse_update(whole))
+    for partly, wholly in zip(
+        partly_updated.state_machine.load_balancer.zone_subsets,
+        wholly_updated.state_machine.load_balancer.zone_subsets,
         strict=True,
     ):
-        assert [e.index for e in a.endpoints] == [e.index for e in b.endpoints]
-        assert [e.index for e in a.in_use] == [e.index for e in b.in_use]
-        assert (a.total_scale, a.scale_in_use, a.sharing_instances, a.limit) == pytest.approx(
-            (b.total_scale, b.scale_in_use, b.sharing_instances, b.limit)
-        )
+        assert [endpoint.index for endpoint in partly.endpoints] == [
+            endpoint.index for endpoint in wholly.endpoints
+        ]
+        assert [endpoint.index for endpoint in partly.in_use] == [
+            endpoint.index for endpoint in wholly.in_use
+        ]
+        assert (
+            partly.total_scale,
+            partly.scale_in_use,
+            partly.sharing_instances,
+            partly.limit,
+        ) == pytest.approx((wholly.total_scale, wholly.scale_in_use, wholly.sharing_instances, wholly.limit))
 
 
 @pytest.mark.parametrize(
-    ("endpoints", "connections", "dearest"), [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)]
+    ("endpoints", "connections", "max_opened"), [(1024, 84, 60), (3000, 84, 60), (12, 84, 12)]
 )
 def test_connection_limit_below_endpoint_count_causes_no_churn(
-    endpoints: int, connections: int, dearest: int
+    endpoints: int, connections: int, max_opened: int
 ) -> None:
     driver = ProxyDriver(0, max_clients=40, max_endpoint_connections=connections)
     load_balancer = driver.state_machine.load_balancer
     load_balancer.table.max_connections, load_balancer.table.instance_count = connections, 33.0
     driver.pool = BufferPool(10_000)
-    driver.state_machine.on_endpoint_list(0, parse_update(listed(0, endpoints)))
+    driver.state_machine.on_endpoint_list(0, parse_update(endpoint_list(0, endpoints)))
     opened = 0
-    for k in range(3000):
-        now = SECOND + k * 5000
-        driver.connect_client(k, now)
-        driver.send_request(k, now=now)
+    for client in range(3000):
+        now = SECOND + client * 5000
+        driver.connect_client(client, now)
+        driver.send_request(client, now=now)
         for command in driver.take_commands(do.SendAttempt):
             opened += command.is_new_connection
             driver.finish_attempt(command, Outcome.SUCCEEDED, now + 1000)
-        driver.commands += driver.state_machine.on_client_closed(now + 2000, k)
+        driver.commands += driver.state_machine.on_client_closed(now + 2000, client)
     assert not [
         note for note in driver.take_commands(do.LogEvent) if note.event == "connection_limit_reached"
     ]
     assert not driver.take_commands(do.CloseEndpointConnection)
-    assert opened <= dearest
+    assert opened <= max_opened
     assert len(driver.state_machine.connections.open) <= connections
 
 
 @pytest.mark.parametrize(
-    ("instances", "wrong"),
+    ("instances", "message"),
     [
         (1024, ""),
         (4096, ""),
@@ -142,13 +163,13 @@
         (1.5, "n_instances is not a whole number: 1.5"),
     ],
 )
-def test_instance_count_is_validated(instances: float, wrong: str) -> None:
+def test_instance_count_is_validated(instances: float, message: str) -> None:
     config = copy.deepcopy(SIDECAR_CONFIGURATION)
-    config["known"] = listed(0, 1024)
+    config["known"] = endpoint_list(0, 1024)
     config["settings"]["n_instances"] = instances
     start = parse_configuration(config, {})
-    if wrong:
-        with pytest.raises(ConfigurationError, match=wrong):
+    if message:
+        with pytest.raises(ConfigurationError, match=message):
             policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
         return
     load_balancer = policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], [])
@@ -163,15 +184,15 @@
     with pytest.raises(MalformedMessageError):
         lines.append(memoryview(b"x" * 1000))
     driver = ProxyDriver(0)
-    twice = listed(0, 1024)
+    twice = endpoint_list(0, 1024)
     twice["members"] += twice["members"][:9]
     driver.state_machine.on_endpoint_list(0, parse_update(twice))
-    assert sum(at_work(driver)) == 1024
+    assert sum(endpoints_by_zone(driver)) == 1024
 
 
 def test_adapter_takes_long_list() -> None:
-    rows = "".join(
+    items = "".join(
         f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
     )
-    said = replies_to(BORN, f"INVENTORY slot=0 nodes_list=3000\n{rows}{LIST_UPDATE}", REQUEST)
-    assert said[0].startswith("ISSUE i=sidecar/0 xid=t1")
+    replies = replies_to(BORN, f"INVENTORY slot=0 nodes_list=3000\n{items}{LIST_UPDATE}", REQUEST)
+    assert replies[0].startswith("ISSUE i=sidecar/0 xid=t1")
--- a/tests/proxy/test_request_counters.py
+++ b/tests/proxy/test_request_counters.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "outcome", "counted"),
+    ("request_class", "outcome", "counted"),
     [
         ("read", Outcome.SUCCEEDED, "answered"),
         ("read", Outcome.TIMED_OUT, "deferred"),
@@ -35,15 +35,15 @@
         ("write", Outcome.INVALID_REQUEST, "errored"),
     ],
 )
-def test_request_counts_once_when_answer_is_final(kind: str, outcome: Outcome, counted: str) -> None:
+def test_request_counts_once_when_answer_is_final(request_class: str, outcome: Outcome, counted: str) -> None:
     driver = ProxyDriver()
     driver.connect_client(1)
-    driver.send_request(1, kind)
+    driver.send_request(1, request_class)
     assert counters_of(driver)["app_current"] == 1
     driver.finish_attempt(driver.take_attempt(), outcome)
     counters = counters_of(driver)
     assert counters["app_current"] == 0
-    assert counters[f'app_{counted}{{group="{kind}"}}'] == 1
+    assert counters[f'app_{counted}{{group="{request_class}"}}'] == 1
     assert sum(counters.values()) - counters["app_cluster_size"] == 1
 
 
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -1,4 +1,4 @@
-"""A stop in time: who is answered, who is closed, and the end."""
+"""A stop in time: who is responses, who is closed, and the end."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "sent", "answer"),
+    ("request_class", "is_sent", "status"),
     [
         ("read", True, 503),
         ("write", True, 502),
@@ -67,21 +67,21 @@
         ("write", False, 503),
     ],
 )
-def test_stop_answers_all_requests_just_before_kill(kind: str, sent: bool, answer: int) -> None:
+def test_stop_answers_all_requests_just_before_kill(request_class: str, is_sent: bool, status: int) -> None:
     """Limits of three seconds, and a kill 0.7 s and the longest limit, here a second, after the stop."""
     driver = ProxyDriver(has_list=True)
-    if kind == "once":
+    if request_class == "once":
         request_classes = driver.state_machine.settings.request_classes
         request_classes["once"] = request_classes["read"]._replace(idempotency=Idempotency.NON_IDEMPOTENT)
         driver.state_machine.counters.final["once"] = dict(driver.state_machine.counters.final["read"])
-    if not sent:  # nowhere to go: it waits in the queue
+    if not is_sent:  # nowhere to go: it waits in the queue
         driver.state_machine.load_balancer.update_endpoints(0, [], is_complete=True)
     driver.connect_client(1)
-    driver.send_request(1, kind)
+    driver.send_request(1, request_class)
     attempts = driver.take_commands(do.SendAttempt)
-    assert len(attempts) == sent
+    assert len(attempts) == is_sent
     driver.commands = driver.state_machine.on_stop_requested(0)
-    if not sent:
+    if not is_sent:
         [routed_request] = driver.state_machine.requests.pending
         routed_request.queue_until_us = routed_request.deadline_us  # the queue would let it go sooner
         driver.state_machine.load_balancer.queue.next_expiry_us = routed_request.deadline_us
@@ -91,7 +91,7 @@
     assert driver.state_machine.timer_us == 1_500_000
     driver.commands = driver.state_machine.on_timer(1_500_000)
     [write] = driver.take_commands(do.SendResponse)
-    assert (write.client, write.response.status, write.closes_connection) == (1, answer, True)
+    assert (write.client, write.response.status, write.closes_connection) == (1, status, True)
     assert driver.take_commands(do.CancelAttempt) == [
         do.CancelAttempt(command.connection, command.attempt) for command in attempts
     ]
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("second", ending_events())
 @pytest.mark.parametrize("first", ending_events())
 @pytest.mark.parametrize("apart_us", [0, 100_000, 650_000, 900_000])
-def test_any_two_stop_drain_and_handover_events_cross_with_all_answered(
+def test_any_two_stop_drain_and_handover_events_cross_with_all_responses(
     first: str, second: str, apart_us: int
 ) -> None:
     driver = ProxyDriver(has_list=True)
@@ -136,22 +136,22 @@
     driver.state_machine.on_request_started(0, 3)
     command = driver.take_attempt()
     driver.commands = []
-    open_ = {1, 2, 3}
+    open_clients = {1, 2, 3}
 
     def follow(now: int) -> None:
         """What the tasks on sockets would do."""
         while driver.commands:
             command = driver.commands.pop(0)
             if isinstance(command, do.SendResponse):
-                answered.append((command.client, command.response.status))
+                responses.append((command.client, command.response.status))
                 driver.commands += driver.state_machine.on_response_written(now, command.client)
-            elif isinstance(command, do.CloseClient) and command.client in open_:
-                open_.remove(command.client)
+            elif isinstance(command, do.CloseClient) and command.client in open_clients:
+                open_clients.remove(command.client)
                 driver.commands += driver.state_machine.on_client_closed(now, command.client)
             elif isinstance(command, do.Exit):
-                left.append(now)
+                exits.append(now)
 
-    answered, left = list[tuple[int, int]](), list[int]()
+    responses, exits = list[tuple[int, int]](), list[int]()
     for at, name in ((0, first), (apart_us, second)):
         for now in range(0 if at == 0 else 1, at + 1, 50_000):
             driver.commands += driver.state_machine.on_timer(now)
@@ -163,11 +163,11 @@
     for now in range(apart_us + 2000, 12 * SECOND, 50_000):
         driver.commands += driver.state_machine.on_timer(now)
         follow(now)
-    assert (2, 200) in answered
-    assert [client for client, _ in answered].count(2) == 1
-    ends = "stop" in (first, second)
-    assert len(left) == ends  # once, and only where it was requested
-    assert not ends or not open_
+    assert (2, 200) in responses
+    assert [client for client, _ in responses].count(2) == 1
+    is_stopped = "stop" in (first, second)
+    assert len(exits) == is_stopped  # once, and only where it was requested
+    assert not is_stopped or not open_clients
 
 
 def test_stop_ends_despite_unfinished_request() -> None:
--- a/tests/wirehost/test_codec.py
+++ b/tests/wirehost/test_codec.py
@@ -28,6 +28,15 @@
         ([REQUEST], "line 2: DEMAND for sidecar/0, which was not born"),
         ([BORN, "BEGIN_BATCH clock_us=6"], "line 3: unknown message BEGIN_BATCH"),
     ],
+    ids=[
+        "unknown-message",
+        "missing-value",
+        "malformed-value",
+        "no-name",
+        "missing-items",
+        "unknown-sidecar",
+        "batch-in-batch",
+    ],
 )
 def test_serve_names_the_line_and_the_fault_of_malformed_input(events: list[str], fault: str) -> None:
     with pytest.raises(MalformedLineError, match="^" + fault):
@@ -41,6 +50,7 @@
         ("", None),
         ("OVER_TO_YOU\n", "line 1: expected BEGIN_BATCH, found OVER_TO_YOU"),
     ],
+    ids=["inside-batch", "between-batches", "end-without-begin"],
 )
 def test_serve_accepts_the_end_of_input_only_between_batches(text: str, fault: str | None) -> None:
     if fault is None:
--- a/tests/wirehost/test_host.py
+++ b/tests/wirehost/test_host.py
@@ -35,6 +35,15 @@
             "BUG i=sidecar/0 msg=Unfit: contract.cold_from is not within 0 and 1: 7.0",
         ),
     ],
+    ids=[
+        "no-event",
+        "request",
+        "request-after-update",
+        "request-without-endpoint",
+        "unknown-request-vanished",
+        "missing-setting",
+        "setting-out-of-range",
+    ],
 )
 def test_serve_answers_events_as_expected(events: list[str], reply: str) -> None:
     assert replies_to(*events)[0] == reply
