--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`cressrail experiment`: arms side by side, with a report; and what a transaction costs."""
+"""`cressrail experiment`: variants side by side, with a report; and what a request costs."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from rich.console import Console
 from rich.table import Table
 
-from cressrail.cli.output import fail
-from cressrail.experiment.checkouts import NoRevision
-from cressrail.experiment.cost import cost, table
+from cressrail.cli.output import STATUS_FAILED, fail
+from cressrail.experiment.checkouts import RevisionError
+from cressrail.experiment.cost import build_cost_table, compare_costs
 from cressrail.experiment.plan import Experiment
-from cressrail.experiment.run import run as play
+from cressrail.experiment.run import REPORT_FILE, run_experiment
 from cressrail.testbed.scenario_file import ScenarioError, errors_in_file, read_scenario
 from cressrail.testbed.sidecar_configuration import check_settings
 
 app = typer.Typer(
-    help="Experiments on real sidecars amid stand-ins.",
+    help="Experiments on real sidecars amid simulated services.",
     no_args_is_help=True,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
@@ -31,28 +31,28 @@
 def run(
     file: Annotated[Path, typer.Argument(help="An experiment's TOML file.")],
     out: Annotated[Path, typer.Option(help="Where result.json and report.html go.")] = Path("experiment-out"),
-    keep: Annotated[bool, typer.Option(help="Keep ledgers and logs of each run.")] = False,
+    keep: Annotated[bool, typer.Option(help="Keep records and logs of each run.")] = False,
 ) -> None:
-    """Play the arms in turns, compare them in pairs, write the report."""
+    """Run the variants in turns, compare them in pairs, write the report."""
     try:
         experiment = read_scenario(file, Experiment)
         with errors_in_file(file):
-            for arm in experiment.arms:
-                check_settings(experiment.world(arm, 0))
-        result = play(experiment, out, lambda text: print(text, file=sys.stderr, flush=True), keep)
-    except (ScenarioError, NoRevision) as fault:
-        fail(str(fault))
-    except RuntimeError as fault:
-        print(f"cressrail: {fault}", file=sys.stderr)
-        sys.exit(1)
-    from cressrail.experiment.report import text_table
+            for variant in experiment.variants:
+                check_settings(experiment.build_scenario(variant, 0))
+        result = run_experiment(experiment, out, _print_progress, keeps_runs=keep)
+    except (ScenarioError, RevisionError) as error:
+        fail(str(error))
+    except RuntimeError as error:
+        fail(str(error), STATUS_FAILED)
+    # Loaded only now: plotting takes its time to load.
+    from cressrail.experiment.html_report import build_figures_table
 
-    show(text_table(result))
-    print(f"report: {out / 'report.html'}")
+    _print_table(build_figures_table(result))
+    print(f"report: {out / REPORT_FILE}")
 
 
-@app.command("cost")
-def cost_(
+@app.command()
+def cost(
     against: Annotated[str, typer.Option(help="An earlier revision to set beside; none if empty.")] = "HEAD",
     rounds: int = 3,
     quick: Annotated[bool, typer.Option(help="The first rows only, once.")] = False,
@@ -60,19 +60,21 @@
 ) -> None:
     """CPU and memory of one sidecar, beside a bare relay and an earlier revision."""
     try:
-        found = cost(
-            against, 1 if quick else rounds, quick, lambda text: print(text, file=sys.stderr, flush=True)
-        )
-    except NoRevision as fault:
-        fail(str(fault))
+        figures = compare_costs(against, 1 if quick else rounds, _print_progress, is_quick=quick)
+    except RevisionError as error:
+        fail(str(error))
     if json is not None:
-        json.write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-    show(table(found))
+        json.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2))
+    _print_table(build_cost_table(figures))
+
+
+def _print_progress(text: str) -> None:
+    print(text, file=sys.stderr, flush=True)
 
 
-def show(rows: list[list[str]]) -> None:
-    head, *rest = rows
-    drawn = Table(*head)
-    for row in rest:
-        drawn.add_row(*row)
-    Console().print(drawn)
+def _print_table(rows: list[list[str]]) -> None:
+    header, *lines = rows
+    table = Table(*header)
+    for line in lines:
+        table.add_row(*line)
+    Console().print(table)
--- a/cressrail/testbed/scenario_file.py
+++ b/cressrail/testbed/scenario_file.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from cressrail.load.plan import reason
+from cressrail.load.plan import first_validation_error
 
 Model = TypeVar("Model", bound=BaseModel)
 
@@ -47,4 +47,4 @@
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(f"{path}: not TOML: {error}") from None
     except ValidationError as error:
-        raise ScenarioError(f"{path}: {reason(error)}") from None
+        raise ScenarioError(f"{path}: {first_validation_error(error)}") from None
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,4 +1,6 @@
-"""Two toy endpoints and a toy discovery on loopback, to try a sidecar with: python example/toy_server.py
+"""Two toy endpoints and a toy discovery on loopback, to try a sidecar with.
+
+Run as `python example/toy_server.py`.
 
 Endpoints listen on 127.0.0.1:9101 and :9102, discovery on 127.0.0.1:8500. Each line on standard input changes
 the list: `drain a`, `remove b` or `up a`. End it with Ctrl-C.
@@ -25,15 +27,18 @@
 
     @property
     def revision(self) -> int:
+        """Of the latest change."""
         return self.changes[-1][0]
 
     def change(self, name: str, phase: str) -> None:
+        """Gives an endpoint another phase, and wakes those that wait for a change."""
         with self.changed:
             self.changes.append((self.revision + 1, name, phase))
             self.changed.notify_all()
 
     def since(self, revision: int) -> bytes:
-        # What a sidecar knows from a run of its own is no use after a restart of this toy: tell it all.
+        """The line of what has changed after a revision, or of the complete list."""
+        # What a sidecar knows from an earlier run of this toy is of no use to it: it gets the complete list.
         full = revision <= 0 or revision > self.revision
         phases = {name: phase for at, name, phase in self.changes if full or at > revision}
         members = [
@@ -57,9 +62,12 @@
 
 
 class Endpoint(BaseHTTPRequestHandler):
+    """Answers each request with its method, path and body after 50 ms."""
+
     protocol_version = "HTTP/1.1"
 
-    def do_GET(self) -> None:
+    def do_GET(self) -> None:  # noqa: N802 (called by this name)
+        """Answers a request of any method that is taken."""
         size = int(self.headers.get("Content-Length", 0))
         body = self.rfile.read(size)
         time.sleep(0.05)
@@ -69,13 +77,16 @@
         self.end_headers()
         self.wfile.write(text)
 
-    do_POST = do_GET
+    do_POST = do_GET  # noqa: N815 (called by this name)
 
 
 class Discovery(BaseHTTPRequestHandler):
+    """Answers with the endpoint list, and goes on with its changes where `watch=1` asks for that."""
+
     protocol_version = "HTTP/1.1"
 
-    def do_GET(self) -> None:
+    def do_GET(self) -> None:  # noqa: N802 (called by this name)
+        """Answers a poll or a watch."""
         at = int(self.path.partition("after=")[2] or 0)
         self.send_response(200)
         line = LISTING.since(at)
@@ -94,10 +105,11 @@
                 line = LISTING.since(at) if LISTING.revision > at else b"\n"
 
     def log_message(self, *_: object) -> None:
-        pass
+        """Logs nothing: the sidecar's own log is what a reader wants to see."""
 
 
 def main() -> None:
+    """Serves until interrupted, and takes changes of the list from standard input."""
     for port, handler in [(8500, Discovery), *((port, Endpoint) for port in PORTS.values())]:
         server = ThreadingHTTPServer(("127.0.0.1", port), handler)
         server.daemon_threads = True
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -21,7 +21,7 @@
 
 from cressrail.experiment.plan import Experiment
 from cressrail.failover.simulation.scenario import Scenario
-from cressrail.load.trace import read as read_trace
+from cressrail.load.trace import TraceScale, read_trace
 from cressrail.testbed.event_record import EventRecord, read_events
 from cressrail.testbed.membership_evidence import collect_membership_evidence
 from cressrail.testbed.scenario import FleetScenario
@@ -114,7 +114,7 @@
         for scale in (1.0, 0.5):
             profiles: dict[str, int] = {}
             members: dict[str, int] = {}
-            read = [list(due) for due in read_trace(DATA / name, profiles, members, 2.0, scale)]
+            read = [list(due) for due in read_trace(DATA / name, profiles, members, TraceScale(2.0, scale))]
             found[f"{name}, {scale}"] = {
                 "profiles": profiles,
                 "members": members,
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -12,8 +12,8 @@
 import orjson
 import pytest
 
-from cressrail.experiment.fleet_faults import figures
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_faults import compute_fleet_figures
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.membership.messages import USES
 from cressrail.testbed.event_record import ProcessState
 from tests.membership.support import (
@@ -54,15 +54,15 @@
         lying = threading.Thread(target=send_false_claims, args=(folder, over))
         lying.start()
         try:
-            made = play_world(told, folder)
+            made = run_scenario(told, folder)
         finally:
             over.set()
             lying.join()
-        found = figures(told, made, folder)
+        found = compute_fleet_figures(told, made, folder)
         if not found["void"]:
             assert found["broken"] == []
             assert found["false_losses"] == []
-            assert not made.seen.failed
+            assert not made.evidence.failed
             assert found["answered"] > 300
             assert found["most_gone_by"] > 2 * doors
             return
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -19,8 +19,8 @@
 import orjson
 import pytest
 
-from cressrail.experiment.fleet_faults import figures
-from cressrail.experiment.play import play_world
+from cressrail.experiment.fleet_faults import compute_fleet_figures
+from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.event_record import ProcessState
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
 from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
@@ -207,12 +207,12 @@
     )
     for attempt in range(3):
         folder = tmp_path / str(attempt)
-        made = play_world(scenario, folder)
-        found = figures(scenario, made, folder)
+        made = run_scenario(scenario, folder)
+        found = compute_fleet_figures(scenario, made, folder)
         if not found["void"]:
             assert found["broken"] == []
             assert found["false_losses"] == []
-            assert not made.seen.failed
+            assert not made.evidence.failed
             assert found["answered"] > 300
             assert found["deaths"] == 2
             assert found["wires"]["dropped"] > 100
