--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -122,6 +122,7 @@
             self._completion_timer.cancel()
         if self.is_up:
             self.crash()
+        self.listeners.release()
 
     def connect_next_tier(self, address: tuple[str, int], target: str) -> None:
         """Calls the next tier from now on, through the sidecar at that address."""
--- a/cressrail/testbed/zone_listeners.py
+++ b/cressrail/testbed/zone_listeners.py
@@ -29,6 +29,7 @@
         self.addresses = addresses
         self._on_request, self._on_closed = on_request, on_closed
         self._servers: dict[str, asyncio.Server] = {}
+        self._reservations: dict[str, socket.socket] = {}
         self._client_zones: dict[ServerConnection, str] = {}
         self._cut_zones: set[str] = set()
         self._blockers: list[socket.socket] = []
@@ -36,17 +37,35 @@
     async def listen(self) -> None:
         """Listens for clients of each zone that is not cut off, where it does not yet."""
         loop = asyncio.get_running_loop()
-        for zone, (host, port) in self.addresses.items():
+        for zone in self.addresses:
             if zone in self._servers or zone in self._cut_zones:
                 continue
-            server = await loop.create_server(
+            host, port = self._reserve(zone)
+            self._servers[zone] = await loop.create_server(
                 partial(self._make_connection, zone), host, port, backlog=BACKLOG, reuse_address=True
             )
-            self._servers[zone] = server
-            self.addresses[zone] = (host, server.sockets[0].getsockname()[1])
+
+    def _reserve(self, zone: str) -> tuple[str, int]:
+        """Returns the address of a zone, which stays bound also while nobody listens at it.
+
+        Connections to a bound socket that does not listen are refused, and no other process is given the port
+        until this endpoint listens again.
+        """
+        if zone not in self._reservations:
+            reservation = self._reservations[zone] = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            reservation.bind(self.addresses[zone])
+            self.addresses[zone] = (self.addresses[zone][0], reservation.getsockname()[1])
+        return self.addresses[zone]
+
+    def release(self) -> None:
+        """Gives up the addresses; nobody listens at them again."""
+        for reservation in self._reservations.values():
+            reservation.close()
+        self._reservations.clear()
 
     def close(self) -> None:
-        """Closes the listeners and what blocks cut zones, as the end of a process does."""
+        """Closes the listeners, as the end of a process does; the addresses stay reserved."""
         for server in self._servers.values():
             server.close()
         self._servers.clear()
--- a/tests/testbed/test_zone_listeners.py
+++ b/tests/testbed/test_zone_listeners.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import AsyncIterator, Awaitable
 from contextlib import asynccontextmanager
 
+import pytest
+
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.zone_listeners import ZoneListeners
@@ -31,6 +34,7 @@
         listeners.close()
         listeners.reset_connections()
         listeners.unblock()
+        listeners.release()
         await asyncio.sleep(0)
 
 
@@ -51,6 +55,22 @@
     assert all(port > 0 for _, port in addresses)
 
 
+def test_closed_listeners_refuse_connections_and_keep_their_ports() -> None:
+    async def run() -> None:
+        async with listening([]) as listeners:
+            address = listeners.addresses["a"]
+            listeners.close()
+            with socket.socket() as other, pytest.raises(OSError, match="in use"):
+                other.bind(address)
+            refused = await send(HttpClient(*address, max_connections=1))
+            assert refused.outcome is CallOutcome.CONNECT_FAILED
+            await listeners.listen()
+            assert listeners.addresses["a"] == address
+            assert (await send(HttpClient(*address, max_connections=1))).status == 200
+
+    asyncio.run(run())
+
+
 def test_cut_zone_is_silent_and_the_other_is_not() -> None:
     async def run() -> list[CallOutcome]:
         async with listening([]) as listeners:
