--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -63,10 +63,10 @@
     tmp_path: Path, process_faults: list[dict[str, Any]]
 ) -> None:
     fault = {"kind": "err", "at_s": 3, "for_s": 4, "zone": "a", "value": 1.0}
-    world = scenario(seconds=14, faults=[fault, *process_faults])
+    fleet_scenario = scenario(seconds=14, faults=[fault, *process_faults])
     for attempt in range(3):
         folder = tmp_path / str(attempt)
-        result = run_scenario(world, folder)
+        result = run_scenario(fleet_scenario, folder)
         verdicts = collect_membership_evidence(read_events(folder / "fleet.jsonl"))
         if verdicts.invalid_reason:
             continue
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -29,17 +29,20 @@
 
 def message(kind: str, value: list[Any]) -> Any:
     """From the stored name and values, in order."""
-    told = list(tuples(value))
+    values = list(tuples(value))
     if kind == "report":
-        zone, demand, towards = told[2]
-        told[1:] = Epoch(*told[1]), Evidence(zone, demand, tuple(ZoneObservation(*row) for row in towards))
+        zone, demand, towards = values[2]
+        values[1:] = (
+            Epoch(*values[1]),
+            Evidence(zone, demand, tuple(ZoneObservation(*row) for row in towards)),
+        )
     elif kind in ("ack", "ask", "no"):
-        told[1] = Epoch(*told[1])
+        values[1] = Epoch(*values[1])
     elif kind in ("beat", "decision"):
-        told[0] = Epoch(*told[0])
+        values[0] = Epoch(*values[0])
     if kind == "decision":
-        told[2] = tuple(ZoneStatus(*zone) for zone in told[2])
-    return KINDS[kind](*told)
+        values[2] = tuple(ZoneStatus(*zone) for zone in values[2])
+    return KINDS[kind](*values)
 
 
 def encoded(kind: str, value: list[Any], now: int) -> bytes:
@@ -48,11 +51,11 @@
 
 def decoded(data: bytes, now: int) -> Any:
     """The name and the values, or nothing."""
-    told = codec.decode(data, now)
-    if told is None:
+    message = codec.decode(data, now)
+    if message is None:
         return None
-    [kind] = [name for name, of in KINDS.items() if type(told) is of]
-    return [kind, neutral(told)]
+    [kind] = [name for name, message_type in KINDS.items() if type(message) is message_type]
+    return [kind, neutral(message)]
 
 
 @pytest.mark.parametrize("case", STORED["messages"], ids=lambda case: str(case[0]))
--- a/tests/golden/test_handover_frames.py
+++ b/tests/golden/test_handover_frames.py
@@ -44,38 +44,38 @@
 
 
 def sidecar(shape: str, now: int) -> LoadBalancer:
-    told = SettingsReader.from_nested(CONFIGS[shape]["settings"])
+    settings = SettingsReader.from_nested(CONFIGS[shape]["settings"])
     side = policy_factory.build_load_balancer(
-        told, 5, 0, ["a", "b"], list(policy_factory.read_tenant_quotas(told).values())
+        settings, 5, 0, ["a", "b"], list(policy_factory.read_tenant_quotas(settings).values())
     )
     side.update_endpoints(now, fleet(), True)
     return side
 
 
 def work(side: LoadBalancer, shape: str, since: int, until: int) -> None:
-    """Transactions with all kinds of endings, one after the other, retried where the sidecar says so."""
+    """Requests with all kinds of endings, one after the other, retried where the sidecar says so."""
     random = Random(since)
     profiles = list(
         policy_factory.read_request_classes(SettingsReader.from_nested(CONFIGS[shape]["settings"])).values()
     )
     endings = [Outcome.SUCCEEDED] * 16 + list(Outcome)
     for now in range(since, until, 70_000):
-        tx = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
-        hops = sum(isinstance(decision, StartAttempt) for decision in tx.route(now))
+        request = side.start_request(now, random.choice(profiles), random.choice([0, 0, -1]), 2 * SECOND)
+        attempts = sum(isinstance(decision, StartAttempt) for decision in request.route(now))
         done, at = 0, now
-        while done < hops:
+        while done < attempts:
             how, took = random.choice(endings), random.randrange(20_000, 500_000)
             at += took // 8
-            hops += sum(
-                decision.request is tx and isinstance(decision, StartAttempt)
-                for decision in tx.on_attempt_finished(done, at, how, took, how is Outcome.SUCCEEDED)
+            attempts += sum(
+                decision.request is request and isinstance(decision, StartAttempt)
+                for decision in request.on_attempt_finished(done, at, how, took, how is Outcome.SUCCEEDED)
             )
             done += 1
         if side.wake_us <= now:
             side.on_timer(now)
 
 
-def estate(shape: str) -> dict[str, Any]:
+def captured_state(shape: str) -> dict[str, Any]:
     side = sidecar(shape, 10 * SECOND)
     work(side, shape, 10 * SECOND, UNTIL)
     side.on_connection_lost(UNTIL, 0)
@@ -83,12 +83,12 @@
 
 
 def rows() -> dict[str, Any]:
-    told = [
+    entries = [
         endpoint_entry("s0", 9001),
         endpoint_entry("s1", 9002, locality="b", cell=7, size=1.5, phase="draining", up_since_ms=1234),
         endpoint_entry("s2", 9003, host_port="[2001:db8::7]:9003"),
     ]
-    return {"revision": 41, "complete": True, "members": told}
+    return {"revision": 41, "complete": True, "members": entries}
 
 
 def frames() -> list[bytes]:
@@ -98,20 +98,20 @@
         encode_frame(FrameKind.HELLO, {"listen": list(LISTEN)}),
         encode_frame(FrameKind.LISTENING, {"list": encode_endpoint_list(parse_update(rows()).entries, 41)}),
         encode_frame(FrameKind.TAKE_OVER, {}),
-        encode_frame(FrameKind.STATE, {**estate("chain"), **more}),
-        encode_frame(FrameKind.STATE, {**estate("mesh"), **more, "drained": True}),
+        encode_frame(FrameKind.STATE, {**captured_state("chain"), **more}),
+        encode_frame(FrameKind.STATE, {**captured_state("mesh"), **more, "drained": True}),
         encode_frame(FrameKind.EXITED, {}),
     ]
 
 
 FRAMES = ("hello", "here", "take", "estate chain", "estate mesh", "bye")
-ESTATES = ("chain", "mesh")
+STATES = ("chain", "mesh")
 
 
-def went_on(shape: str, told: dict[str, Any]) -> str:
+def later_decisions(shape: str, fields: dict[str, Any]) -> str:
     """What is known in the end of a process that goes on from there."""
     side = sidecar(shape, UNTIL)
-    restore(told, side, NAMES, UNTIL)
+    restore(fields, side, NAMES, UNTIL)
     work(side, shape, UNTIL, UNTIL + 5 * SECOND)
     return orjson.dumps(capture(side, NAMES)).decode()
 
@@ -137,30 +137,32 @@
     assert data[:14].hex() == head
     assert data[14:].decode() == body
     for piece in (1, 13, 1 << 20):
-        [(kind, told)] = read_back(bytes.fromhex(head) + body.encode(), piece)
+        [(kind, fields)] = read_back(bytes.fromhex(head) + body.encode(), piece)
         assert kind == name.split(" ")[0]
-        assert told == orjson.loads(body)
+        assert fields == orjson.loads(body)
 
 
-@pytest.mark.parametrize("shape", ESTATES)
+@pytest.mark.parametrize("shape", STATES)
 def test_a_stored_estate_is_settled_with_the_same_effect(shape: str) -> None:
     _, head, body = case(f"estate {shape}")
-    [(_, told)] = read_back(bytes.fromhex(head) + body.encode())
+    [(_, fields)] = read_back(bytes.fromhex(head) + body.encode())
     side = sidecar(shape, UNTIL)
-    restore(told, side, NAMES, UNTIL)
+    restore(fields, side, NAMES, UNTIL)
     again = orjson.loads(orjson.dumps(capture(side, NAMES)))
-    assert again == {name: told[name] for name in again}
+    assert again == {name: fields[name] for name in again}
     [(_, after)] = [case for case in stored(FILE)["after"] if case[0] == shape]
-    assert went_on(shape, told) == after
+    assert later_decisions(shape, fields) == after
 
 
 def test_a_stored_list_is_read_and_told_again() -> None:
-    told = orjson.loads(case("here")[2])["list"]
-    assert encode_endpoint_list(parse_update(told).entries, told["revision"]) == told
+    endpoint_list = orjson.loads(case("here")[2])["list"]
+    assert (
+        encode_endpoint_list(parse_update(endpoint_list).entries, endpoint_list["revision"]) == endpoint_list
+    )
 
 
 def test_the_new_process_says_the_stored_hello_and_reads_the_stored_list(tmp_path: Path) -> None:
-    at, heard = str(tmp_path / "s"), []
+    at, received = str(tmp_path / "s"), []
     with socket.socket(socket.AF_UNIX) as place, socket.socket() as listening:
         place.bind(at)
         place.listen()
@@ -170,19 +172,19 @@
 
         def answer() -> None:
             other = place.accept()[0]
-            heard.append(other.recv(4096))
+            received.append(other.recv(4096))
             _, head, body = case("here")
             socket.send_fds(other, [bytes.fromhex(head) + body.encode()], [listening.fileno()])
             other.close()
 
-        elder = threading.Thread(target=answer)
-        elder.start()
+        predecessor = threading.Thread(target=answer)
+        predecessor.start()
         found = find_predecessor(at, listen)
-        elder.join()
+        predecessor.join()
     assert found is not None
     found.sock.close()
     found.listening_socket.close()
-    [(kind, told)] = read_back(heard[0])
-    assert (kind, list(told)) == ("hello", list(orjson.loads(case("hello")[2])))
-    assert told["listen"] == list(listen)
+    [(kind, fields)] = read_back(received[0])
+    assert (kind, list(fields)) == ("hello", list(orjson.loads(case("hello")[2])))
+    assert fields["listen"] == list(listen)
     assert encode_endpoint_list(found.endpoint_list.entries, 41) == orjson.loads(case("here")[2])["list"]
--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -46,23 +46,23 @@
                 stderr=log,
             )
 
-    def said(self, text: bytes, at: str = "ops") -> bytes:
+    def send(self, text: bytes, at: str = "ops") -> bytes:
         """All that is answered to these bytes; nothing while nobody listens."""
         host, _, port = self.config[at].rpartition(":")
         try:
             with socket.create_connection((host, int(port)), timeout=10) as sock:
                 sock.sendall(text)
-                heard = b""
+                response = b""
                 while data := sock.recv(65536):
-                    heard += data
-                return heard
+                    response += data
+                return response
         except OSError:
             return b""
 
     def call(self, method: str, target: str, at: str = "ops") -> bytes:
-        return self.said(f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode(), at)
+        return self.send(f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode(), at)
 
-    def told(self, target: str) -> Any:
+    def get_json(self, target: str) -> Any:
         body = self.call("GET", target).partition(b"\r\n\r\n")[2]
         return json.loads(body) if body else None
 
--- a/tests/golden_edges/test_admin_answers.py
+++ b/tests/golden_edges/test_admin_answers.py
@@ -48,9 +48,9 @@
 
 def decided(process: Process) -> bool:
     """Whether both zones serve by a decision of one that has a name."""
-    told = process.told("/zones")
-    states = [zone["state"] for zone in told["zones"]]
-    return told["decided_by"] in ("n0", "n1") and states == ["serving", "serving"]
+    zones = process.get_json("/zones")
+    states = [zone["state"] for zone in zones["zones"]]
+    return zones["decided_by"] in ("n0", "n1") and states == ["serving", "serving"]
 
 
 def outline(value: Any) -> Any:
@@ -64,9 +64,9 @@
     return type(value).__name__
 
 
-def outlined(heard: bytes) -> dict[str, Any]:
+def outlined(response: bytes) -> dict[str, Any]:
     """An answer with a body of JSON; the length of the body goes by its figures."""
-    head, _, body = heard.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     assert b"content-length: %d\r\n" % len(body) in head + b"\r\n"
     assert body.endswith(b"\n")
     assert body.count(b"\n") == 1
@@ -83,8 +83,8 @@
     alone.until(alone.ready)
     found: dict[str, Any] = {}
 
-    def note(name: str, heard: bytes) -> None:
-        found[f"{len(found)} {name}"] = heard.decode("latin-1")
+    def note(name: str, response: bytes) -> None:
+        found[f"{len(found)} {name}"] = response.decode("latin-1")
 
     calls = ("ready", "counters", "out-of-service", "in-service")
     note("health", alone.call("GET", "/_health", "listen"))
@@ -103,8 +103,8 @@
         b"GET / HTTP/1.1\r\nbad\r\n\r\n",
         b"x" * 9000,
     ):
-        note(repr(text[:30]), alone.said(text))
-    note("1.0", alone.said(b"GET /control/ready HTTP/1.0\r\n\r\n"))
+        note(repr(text[:30]), alone.send(text))
+    note("1.0", alone.send(b"GET /control/ready HTTP/1.0\r\n\r\n"))
     hold(found, "admin_answers.json")
 
 
@@ -119,16 +119,16 @@
     for process in pair:
         process.until(process.ready)
     for process in pair:
-        process.until(lambda p=process: (p.told("/membership") or {}).get("alive") == 2)  # type: ignore[misc]
-        process.until(lambda p=process: p.told("/membership")["settled"])  # type: ignore[misc]
+        process.until(lambda p=process: (p.get_json("/membership") or {}).get("alive") == 2)  # type: ignore[misc]
+        process.until(lambda p=process: p.get_json("/membership")["settled"])  # type: ignore[misc]
         process.until(lambda p=process: decided(p))  # type: ignore[misc]
-    one.until(lambda: one.told("/zones")["decided_by"] == other.told("/zones")["decided_by"])
-    decides = one.told("/zones")["decided_by"]
+    one.until(lambda: one.get_json("/zones")["decided_by"] == other.get_json("/zones")["decided_by"])
+    decides = one.get_json("/zones")["decided_by"]
     by = one if one.config["name"] == decides else other
     found: dict[str, Any] = {"/membership": outlined(one.call("GET", "/membership"))}
 
-    def neutral(told: dict[str, Any]) -> dict[str, Any]:
-        text = json.dumps(told).replace(f'"{decides}"', '"DECIDES"')
+    def neutral(answer: dict[str, Any]) -> dict[str, Any]:
+        text = json.dumps(answer).replace(f'"{decides}"', '"DECIDES"')
         return dict(json.loads(text))
 
     found["/zones"] = neutral(outlined(one.call("GET", "/zones")))
@@ -147,7 +147,7 @@
                         found[f"{method} {target}"] = one.call(method, target).decode()
     for target in ("/membership", "/zones", "/membership/", "/zonesx", "/membership?a=b", "/zones?a=b"):
         for method in ("GET", "POST", "PUT"):
-            heard = one.call(method, target)
-            if not heard.startswith(b"HTTP/1.1 200 "):
-                found[f"{method} {target}"] = heard.decode()
+            response = one.call(method, target)
+            if not response.startswith(b"HTTP/1.1 200 "):
+                found[f"{method} {target}"] = response.decode()
     hold(found, "membership_and_zones.json")
--- a/tests/golden_edges/test_check_messages.py
+++ b/tests/golden_edges/test_check_messages.py
@@ -173,8 +173,8 @@
     assert not out
     assert err.count("\n") == 1
     assert err.endswith("\n")
-    said = err.replace(str(tmp_path), "FOLDER")
-    assert names(said, path), said
+    message = err.replace(str(tmp_path), "FOLDER")
+    assert names(message, path), message
 
 
 @pytest.mark.parametrize("name", ["config", "mesh"])
--- a/tests/golden_edges/test_http_bytes.py
+++ b/tests/golden_edges/test_http_bytes.py
@@ -53,8 +53,8 @@
                             made = Response(status, body, kind, back_us, length)
                             key = f"{status}, {name}, kind {kind.decode()!r}, back {back_us}, "
                             key += f"{'stays' if keep else 'last'}, 1.{int(modern)}"
-                            told = made.encode_head(keep, modern).decode("latin-1")
-                            found[key] = [made.is_chunked(modern), told]
+                            head = made.encode_head(keep, modern).decode("latin-1")
+                            found[key] = [made.is_chunked(modern), head]
     hold(found, "answer_heads.json")
 
 
@@ -85,8 +85,8 @@
                     first = f"{method} /api/a%20b?x=1&y HTTP/{version}\r\n".encode()
                     reader.feed(memoryview(first + FIELDS + rest))
                     assert reader.request is not None
-                    told = reader.request.encode_head("10.0.0.7:9100", left_us).decode("latin-1")
-                    found[f"{method}, {version}, {name}, {left_us}"] = [reader.request.keep_alive, told]
+                    head = reader.request.encode_head("10.0.0.7:9100", left_us).decode("latin-1")
+                    found[f"{method}, {version}, {name}, {left_us}"] = [reader.request.keep_alive, head]
     hold(found, "request_heads.json")
 
 
@@ -108,12 +108,12 @@
 # A sidecar on loopback
 
 
-def neutral(heard: bytes, harness: SidecarHarness) -> str:
+def neutral(received: bytes, harness: SidecarHarness) -> str:
     """Without what differs from run to run: ports and the time that is left."""
     for port in harness.ports:
-        heard = heard.replace(b"127.0.0.1:%d" % port, b"127.0.0.1:PORT")
-    heard = re.sub(rb"(req-deadline: )\d+u", rb"\1LEFTu", heard)
-    return heard.decode("latin-1")
+        received = received.replace(b"127.0.0.1:%d" % port, b"127.0.0.1:PORT")
+    received = re.sub(rb"(req-deadline: )\d+u", rb"\1LEFTu", received)
+    return received.decode("latin-1")
 
 
 def exchanged(endpoint: Script | None, sent: list[bytes], **limits: Any) -> dict[str, str]:
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -57,8 +57,8 @@
 
 def kinds(path: Path) -> dict[str, Any]:
     """How many rows there are with the same keys, and a digest of all values."""
-    told = list(read_events(path))
-    return {"rows": dict(Counter(" ".join(row) for row in told)), "digest": digest(told)}
+    events = list(read_events(path))
+    return {"rows": dict(Counter(" ".join(row) for row in events)), "digest": digest(events)}
 
 
 def test_ledgers_are_read(tmp_path: Path) -> None:
@@ -85,18 +85,18 @@
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_run_is_judged(tmp_path: Path, broken: bool) -> None:
-    """A ledger in which one transaction that is not to be repeated ran a second time breaks rule 2."""
+    """A ledger in which one request that is not to be retried ran a second time breaks rule 2."""
     fleet = list(read_events(DATA / "fleet.jsonl"))
     if broken:
-        hop = next(row for row in fleet if row.get("profile") == "pay" and row["ran"])
-        fleet.append({**hop, "came_us": hop["came_us"] + 1000})
+        attempt = next(row for row in fleet if row.get("profile") == "pay" and row["ran"])
+        fleet.append({**attempt, "came_us": attempt["came_us"] + 1000})
     (tmp_path / "fleet.jsonl").write_text("".join(json.dumps(row) + "\n" for row in fleet))
-    told = ran(
+    judged = ran(
         "standin", "judge", str(DATA / "fleet.toml"), str(tmp_path / "fleet.jsonl"), str(DATA / "load.jsonl")
     )
-    rules = re.findall(r"^rule (\d+): ([^:]+):", told.stdout, re.MULTILINE)
+    rules = re.findall(r"^rule (\d+): ([^:]+):", judged.stdout, re.MULTILINE)
     name = "judged_broken.json" if broken else "judged.json"
-    hold({"status": told.returncode, "rules": [list(rule) for rule in rules]}, name)
+    hold({"status": judged.returncode, "rules": [list(rule) for rule in rules]}, name)
 
 
 @pytest.mark.parametrize(
@@ -129,8 +129,8 @@
     found: dict[str, Any] = {}
     for folder, model in WORDS.items():
         for path in sorted((HERE / folder).glob("*.toml")):
-            told = read_words(path, model).model_dump(mode="json", by_alias=True)
-            found[f"{folder}/{path.name}"] = digest(told)
+            values = read_words(path, model).model_dump(mode="json", by_alias=True)
+            found[f"{folder}/{path.name}"] = digest(values)
     found["fleet.toml"] = digest(
         read_words(DATA / "fleet.toml", FleetScenario).model_dump(mode="json", by_alias=True)
     )
@@ -158,5 +158,5 @@
         (tmp_path / name).write_bytes((HERE / "deploy" / name).read_bytes())
     (tmp_path / "membership.keys").write_text("5a" * 32 + "\n")
     (tmp_path / "config.json").write_text(text_of(config))
-    told = ran("check", str(tmp_path / "config.json"))
-    assert told.returncode == 0, told.stderr
+    checked = ran("check", str(tmp_path / "config.json"))
+    assert checked.returncode == 0, checked.stderr
--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -56,7 +56,7 @@
 
 
 def event_counts(fleet: MembershipSimulation, since_us: int) -> Counter[str]:
-    return Counter(told.event for told in fleet.log if told.at_us >= since_us)
+    return Counter(logged.event for logged in fleet.log if logged.at_us >= since_us)
 
 
 def number_of(name: str) -> int:
@@ -126,7 +126,7 @@
 
 def counting_fleet(size: int, **more: Any) -> MembershipSimulation:
     made = MembershipSimulation(
-        size, 3, change=lambda told: replace(told, configured_instance_count=size, uses=USES), **more
+        size, 3, change=lambda settings: replace(settings, configured_instance_count=size, uses=USES), **more
     )
     made.start_all()
     made.clock.run_until(20 * SECOND)
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -66,9 +66,9 @@
             codec.encode_padding(padding),
         ]
     )
-    told = codec.decode_datagram(codec.encode_datagram(codec.PUSH_PULL_REQUEST, 5, fields))
+    decoded = codec.decode_datagram(codec.encode_datagram(codec.PUSH_PULL_REQUEST, 5, fields))
     rows = [brief._replace(suspected_by=0) for brief in briefs]
-    assert told == codec.Datagram(
+    assert decoded == codec.Datagram(
         codec.PUSH_PULL_REQUEST,
         5,
         own,
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -21,8 +21,8 @@
     (tmp_path / "own.json").write_bytes(orjson.dumps({**SECTION, "seeds": ["[::1]:7"]}))
     config = str(tmp_path / "config.json")
     parts = [
-        read_membership_section(told, config, "n1", "a", 1)
-        for told in ("own.toml", "own.json", {**SECTION, "seeds": ["[::1]:7"]})
+        read_membership_section(section, config, "n1", "a", 1)
+        for section in ("own.toml", "own.json", {**SECTION, "seeds": ["[::1]:7"]})
     ]
     assert parts[0] == parts[1] == parts[2]
     assert parts[0].settings.advertise == parts[0].listen
--- a/tests/membership/test_datagram_receiver.py
+++ b/tests/membership/test_datagram_receiver.py
@@ -20,24 +20,24 @@
 
 
 def test_malformed_datagrams_are_counted_and_logged_at_a_bounded_rate() -> None:
-    copy, told = single_instance(), []
+    instance, commands = single_instance(), []
     for n in range(5000):
-        told += copy.on_datagram(n, signed_ping(n, key=b"x" * 32))
-    told += (
-        copy.on_datagram(5000, signed_ping(1))
-        + copy.on_datagram(5001, signed_ping(1))
-        + copy.on_datagram(5002, signed_ping(2)[:60])
+        commands += instance.on_datagram(n, signed_ping(n, key=b"x" * 32))
+    commands += (
+        instance.on_datagram(5000, signed_ping(1))
+        + instance.on_datagram(5001, signed_ping(1))
+        + instance.on_datagram(5002, signed_ping(2)[:60])
     )
-    told += copy.on_datagram(5003, signed_ping(3) + bytes(1400))
-    notes = [effect for effect in told if isinstance(effect, LogEvent)]
-    assert [note.event for note in notes] == ["malformed_datagrams", "instance_joined"]
+    commands += instance.on_datagram(5003, signed_ping(3) + bytes(1400))
+    log_events = [command for command in commands if isinstance(command, LogEvent)]
+    assert [note.event for note in log_events] == ["malformed_datagrams", "instance_joined"]
     assert (
-        len([effect for effect in told if isinstance(effect, SendDatagram)]) == 1
+        len([command for command in commands if isinstance(command, SendDatagram)]) == 1
     )  # to the one sound datagram
     later = next(
         n
-        for n in copy.on_datagram(60 * SECOND, signed_ping(2)[:-1])
-        if isinstance(n, LogEvent) and n.event == notes[0].event
+        for n in instance.on_datagram(60 * SECOND, signed_ping(2)[:-1])
+        if isinstance(n, LogEvent) and n.event == log_events[0].event
     )
     assert later.fields["count"] == 5003
     assert later.fields["reasons"]["replayed"] == 1
@@ -48,18 +48,18 @@
     [(KEY, b"n" * 32, True), (b"n" * 32, KEY, True), (b"o" * 32, b"n" * 32, False)],
 )
 def test_both_keys_verify_and_the_first_signs(first: bytes, second: bytes, both: bool) -> None:
-    copy = single_instance()
-    copy.set_keys((first, second))
-    answers = [e for e in copy.on_datagram(0, signed_ping(1)) if isinstance(e, SendDatagram)]
+    instance = single_instance()
+    instance.set_keys((first, second))
+    answers = [e for e in instance.on_datagram(0, signed_ping(1)) if isinstance(e, SendDatagram)]
     assert bool(answers) == both
     assert not answers or verified_payload((first,), answers[0].payload) is not None
 
 
 def test_ack_goes_to_advertised_address_and_is_no_larger_than_the_ping() -> None:
-    copy = single_instance()
+    instance = single_instance()
     for n in range(40):
-        copy.on_datagram(0, signed_ping(n + 1, f"copy{n}"))  # much to tell
+        instance.on_datagram(0, signed_ping(n + 1, f"instance{n}"))  # much to tell
     question = signed_ping(1, "asks")
-    [answer] = [e for e in copy.on_datagram(1, question) if isinstance(e, SendDatagram)]
+    [answer] = [e for e in instance.on_datagram(1, question) if isinstance(e, SendDatagram)]
     assert answer.destination == ("127.0.0.2", 2)
     assert len(answer.payload) <= len(question)
--- a/tests/membership/test_instance_counter.py
+++ b/tests/membership/test_instance_counter.py
@@ -54,6 +54,6 @@
         made.clock.run_until(made.clock.now_us + SECOND // 20)
         assert all(count <= 6 * MAX_DEVIATION_FACTOR for count in announced_counts(made))
     assert max(announced_counts(made)) > 12
-    assert not [told for told in made.death_reports() if told.subject.startswith("copy")]
+    assert not [logged for logged in made.death_reports() if logged.subject.startswith("copy")]
     made.clock.run_until(made.clock.now_us + 400 * SECOND)
     assert max(announced_counts(made)) < 8
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -28,24 +28,24 @@
 
 @given(some.integers(1, 200), some.lists(some.tuples(some.integers(0, 30 * SECOND), OBSERVED), max_size=30))
 def test_estimate_stays_within_bounds_and_not_below_those_alive(
-    figure: int, told: list[tuple[int, ObservedInstances]]
+    figure: int, observations: list[tuple[int, ObservedInstances]]
 ) -> None:
     live, now = LiveInstanceCount(figure, TOLERATED_PAUSE_US, 0), 0
-    for span_us, one in told:
+    for span_us, view in observations:
         now += span_us
         before = live.estimate
-        copies = live.update(now, one)
-        assert max(1.0, figure / MAX_DEVIATION_FACTOR) <= copies.total <= figure * MAX_DEVIATION_FACTOR
-        assert 0 < copies.in_zone <= copies.total
-        assert copies.total >= min(one.alive, figure * MAX_DEVIATION_FACTOR)
+        count = live.update(now, view)
+        assert max(1.0, figure / MAX_DEVIATION_FACTOR) <= count.total <= figure * MAX_DEVIATION_FACTOR
+        assert 0 < count.in_zone <= count.total
+        assert count.total >= min(view.alive, figure * MAX_DEVIATION_FACTOR)
         if (
-            now < STARTUP_PAUSES * TOLERATED_PAUSE_US or not one.has_quorum_view or one.alive <= one.silent
+            now < STARTUP_PAUSES * TOLERATED_PAUSE_US or not view.has_quorum_view or view.alive <= view.silent
         ):  # no evidence of fewer
-            assert copies.total >= min(before, figure)
+            assert count.total >= min(before, figure)
 
 
 @pytest.mark.parametrize(
-    ("told", "after_us", "all_"),
+    ("view", "after_us", "expected_total"),
     [
         (observed(20), 0, 20),  # more at once
         (observed(4), DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 7),  # fewer, half of the way
@@ -66,11 +66,11 @@
     ],
 )
 def test_estimate_rises_at_once_and_falls_slowly_on_evidence(
-    told: ObservedInstances, after_us: int, all_: float
+    view: ObservedInstances, after_us: int, expected_total: float
 ) -> None:
     live = LiveInstanceCount(10, TOLERATED_PAUSE_US, 0)
     live.update(LONG_AFTER_START_US, observed(10))
-    assert live.update(LONG_AFTER_START_US + after_us, told).total == pytest.approx(all_, abs=0.01)
+    assert live.update(LONG_AFTER_START_US + after_us, view).total == pytest.approx(expected_total, abs=0.01)
 
 
 def test_estimate_without_quorum_view_drifts_to_the_configured_count() -> None:
--- a/tests/membership/test_load_reports.py
+++ b/tests/membership/test_load_reports.py
@@ -40,9 +40,9 @@
 def test_merge_of_reports_is_the_same_in_any_order_and_twice(
     words: list[tuple[int, int, LoadReport]], chance: Any
 ) -> None:
-    def merged(told: list[tuple[int, int, LoadReport]]) -> dict[int, dict[Any, Any]]:
+    def merged(reports: list[tuple[int, int, LoadReport]]) -> dict[int, dict[Any, Any]]:
         hints = PeerLoadReports(PERIOD)
-        for by, incarnation, one in told:
+        for by, incarnation, one in reports:
             hints.apply_peer_report(LONG_AFTER_START_US, by, incarnation, 0, one)
         assert hints.stored_count == sum(map(len, hints.peer_reports.values()))
         return hints.peer_reports
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "copies", "failing", "cold", "weight"),
+    ("reports_by_instance", "copies", "failing", "cold", "weight"),
     [
         ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 8000)]}, 3, (), {}, 13),
         ({n: [(TRAFFIC, 0, 4000)] for n in (2, 3, 4)}, 101, (), {}, 401),  # the mean of those heard, for all
@@ -66,20 +66,24 @@
     ],
 )
 def test_summarize_returns_what_reports_come_to(
-    said: dict[int, list[tuple[int, int, int]]], copies: int, failing: Any, cold: Any, weight: float
+    reports_by_instance: dict[int, list[tuple[int, int, int]]],
+    copies: int,
+    failing: Any,
+    cold: Any,
+    weight: float,
 ) -> None:
     hints = PeerLoadReports(PERIOD)
     hints.set_own_reports(0, [(TRAFFIC, 0, 1000)])
-    for by, words in said.items():
+    for by, words in reports_by_instance.items():
         other = PeerLoadReports(PERIOD)
         other.set_own_reports(0, words)
         for one in other.next_reports(0, 1000):
             hints.apply_peer_report(0, by, 1, 1, one)
-    told = hints.summarize(0, copies, said)
-    assert told.failing_endpoints == failing
-    assert told.warmup_loads == {about: rate / 1e6 for about, rate in cold.items()}
-    assert told.total_traffic == pytest.approx(weight / 1e6)
-    later = hints.summarize(61 * PERIOD, copies, said)
+    summary = hints.summarize(0, copies, reports_by_instance)
+    assert summary.failing_endpoints == failing
+    assert summary.warmup_loads == {about: rate / 1e6 for about, rate in cold.items()}
+    assert summary.total_traffic == pytest.approx(weight / 1e6)
+    later = hints.summarize(61 * PERIOD, copies, reports_by_instance)
     assert later.failing_endpoints == ()
     assert later.warmup_loads == {}
     assert hints.stored_count == 0
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -18,7 +18,7 @@
 
 
 @given(some.permutations(range(3)), some.lists(PRECEDENCES, min_size=3, max_size=3))
-def test_merge_of_statuses_is_the_same_in_any_order_and_twice(turn: list[int], told: list[Any]) -> None:
+def test_merge_of_statuses_is_the_same_in_any_order_and_twice(turn: list[int], statuses: list[Any]) -> None:
     def merged(words: list[tuple[int, int, int]]) -> tuple[int, int, int]:
         table = MemberTable()
         at = table.add(InstanceRecord("x", "z", ("127.0.0.1", 1), 0, 0, ALIVE), 0)
@@ -27,19 +27,19 @@
                 table.set_status(at, *word, 0)
         return table.precedence_of(at)
 
-    assert merged(told) == merged([told[n] for n in turn]) == merged(told + told)
+    assert merged(statuses) == merged([statuses[n] for n in turn]) == merged(statuses + statuses)
 
 
 def test_table_of_a_thousand_instances_is_small_and_finds_each() -> None:
     table = MemberTable()
-    told = [
+    records = [
         InstanceRecord(f"sidecar-{n:04}", "abc"[n % 3], (f"10.0.{n >> 8}.{n & 255}", 7946), n, n, ALIVE)
         for n in range(1000)
     ]
-    for record in told:
+    for record in records:
         table.add(record, 0)
-    assert [table.record_of(table.row_of(r.id)) for r in told] == told
+    assert [table.record_of(table.row_of(r.id)) for r in records] == records
     assert table.memory_bytes() / 1000 < 200
-    table.remove(told[7].id)
-    assert told[7].id not in table
-    assert table.record_of(table.row_of(told[8].id)) == told[8]
+    table.remove(records[7].id)
+    assert records[7].id not in table
+    assert table.record_of(table.row_of(records[8].id)) == records[8]
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -47,8 +47,10 @@
     side, now = make_load_balancer([make_entry(n) for n in range(6)]), 20 * SECOND
     side.endpoints[3].last_outcome_us = now - SECOND  # own outcomes of late
     side.apply_peer_ejections(now, [2, 3])
-    said = PeerReportTranslator().own_reports(now, side, registry_of("uvwxyz"))
-    assert [word for word in said if word[0] == FAILING] == []  # what others said is not said on
+    reports = PeerReportTranslator().own_reports(now, side, registry_of("uvwxyz"))
+    assert [
+        report for report in reports if report[0] == FAILING
+    ] == []  # what others report is not reported on
     assert side.unavailable_endpoints(now) == [2]
     later = now + EJECTION_US + 1
     side.apply_peer_ejections(later, [2])
@@ -61,7 +63,7 @@
 @pytest.mark.parametrize(
     ("others", "weight", "low", "high"),
     [
-        (-1.0, 0.0, 17, 21),  # not told: by the settings' even part
+        (-1.0, 0.0, 17, 21),  # not known: by the settings' even part
         (0.0, 1.0, 9, 10),
         (0.1, 1.0, 6, 7),  # others give a part of it already
         (50.0, 1.0, 0, 1),
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -51,17 +51,17 @@
 
 def test_lying_instance_under_load_breaks_no_rule(tmp_path: Path) -> None:
     doors = 4
-    told = make_scenario(doors, membership=USE, seconds=10, load={"rate": 60})
+    scenario = make_scenario(doors, membership=USE, seconds=10, load={"rate": 60})
     for attempt in range(3):
         folder, over = tmp_path / str(attempt), threading.Event()
         lying = threading.Thread(target=send_false_claims, args=(folder, over))
         lying.start()
         try:
-            made = run_scenario(told, folder)
+            made = run_scenario(scenario, folder)
         finally:
             over.set()
             lying.join()
-        found = compute_fleet_figures(told, made, folder)
+        found = compute_fleet_figures(scenario, made, folder)
         if not found["void"]:
             assert found["broken"] == []
             assert found["false_losses"] == []
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -55,10 +55,10 @@
     some.randoms(),
 )
 def test_merge_of_reports_is_the_same_in_any_order(marks: list[ReachabilityReport], chance: Any) -> None:
-    def merged(told: list[ReachabilityReport]) -> list[int]:
+    def merged(reports: list[ReachabilityReport]) -> list[int]:
         edges = ReachabilityReports(100, SECOND)
-        for mark in told:
-            edges.merge(mark, 0)
+        for report in reports:
+            edges.merge(report, 0)
         return sorted(edges.unreachable_from(9))
 
     assert merged(marks) == merged(chance.sample(marks, len(marks))) == merged(marks + marks)
--- a/tests/membership/test_scenarios.py
+++ b/tests/membership/test_scenarios.py
@@ -33,11 +33,11 @@
 
 def test_simulate_command_writes_its_figures(tmp_path: Path) -> None:
     ran = CliRunner().invoke(
-        app, ["membership", "simulate", "--size", "8", "--json", str(tmp_path / "told.json")]
+        app, ["membership", "simulate", "--size", "8", "--json", str(tmp_path / "result.json")]
     )
-    told = orjson.loads((tmp_path / "told.json").read_bytes())
+    result = orjson.loads((tmp_path / "result.json").read_bytes())
     assert ran.exit_code == 0
-    assert told["false_losses"] == 0
-    assert told["detect_s"]["all"] < 6
+    assert result["false_losses"] == 0
+    assert result["detect_s"]["all"] < 6
     ran = CliRunner().invoke(app, ["membership", "simulate", "--without", "luck"])
     assert ran.exit_code == 2
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -50,10 +50,12 @@
     began = fleet.clock.now_us
     fleet.pause([f"copy{n}" for n in range(1, 1 + which)], 10 * SECOND)
     fleet.clock.run_until(began + 9 * SECOND)
-    assert {told.subject for told in fleet.death_reports(began)} == {f"copy{n}" for n in range(1, 1 + which)}
+    assert {logged.subject for logged in fleet.death_reports(began)} == {
+        f"copy{n}" for n in range(1, 1 + which)
+    }
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
     # Who wakes takes nobody for dead, however much its own timers are late.
-    assert {told.reporter for told in fleet.death_reports(began)}.isdisjoint(
+    assert {logged.reporter for logged in fleet.death_reports(began)}.isdisjoint(
         f"copy{n}" for n in range(1, 1 + which)
     )
 
@@ -131,9 +133,9 @@
     began = fleet.clock.now_us
     fleet.network.is_cut = lambda _, b: b == "copy3"
     fleet.clock.run_until(began + 30 * SECOND)
-    assert not [told for told in fleet.death_reports(began) if told.subject == "copy3"]
+    assert not [logged for logged in fleet.death_reports(began) if logged.subject == "copy3"]
     assert state_seen_by(fleet, 5, 3) == "partly"
-    assert {told.reporter for told in fleet.death_reports(began)} <= {"copy3"}
+    assert {logged.reporter for logged in fleet.death_reports(began)} <= {"copy3"}
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(fleet.all_views_agree, 15 * SECOND)
 
@@ -145,7 +147,7 @@
     assert fleet.clock.run_until_met(
         lambda: all(state_seen_by(fleet, n, 3) == "lost" for n in range(12) if n != 3), 20 * SECOND
     )
-    assert {told.subject for told in fleet.death_reports(began)} == {"copy3"}
+    assert {logged.subject for logged in fleet.death_reports(began)} == {"copy3"}
     fleet.network.is_cut = lambda *_: False
     assert fleet.clock.run_until_met(fleet.all_views_agree, 15 * SECOND)
 
@@ -170,7 +172,7 @@
     for n in range(15, 50):
         fleet.kill(f"copy{n}")
     assert fleet.clock.run_until_met(fleet.all_views_agree, 15 * SECOND)
-    assert not [told for told in fleet.death_reports(began) if number_of(told.subject) < 15]
+    assert not [logged for logged in fleet.death_reports(began) if number_of(logged.subject) < 15]
 
 
 @pytest.mark.parametrize(("refuses", "within_s"), [(True, 6.0), (False, 12.0)])
@@ -179,7 +181,7 @@
     for n in range(35):
         fleet.kill(f"copy{n}")
     assert fleet.clock.run_until_met(fleet.all_views_agree, int(within_s * SECOND))
-    assert not any(number_of(told.subject) >= 35 for told in fleet.death_reports())
+    assert not any(number_of(logged.subject) >= 35 for logged in fleet.death_reports())
 
 
 def test_process_being_replaced_is_not_declared_dead() -> None:
@@ -213,7 +215,7 @@
         fleet.start(2, 10**9 * (20 - n) if n % 2 else 0)
         fleet.clock.run_until(fleet.clock.now_us + SECOND)
     assert fleet.clock.run_until_met(fleet.all_views_agree, 10 * SECOND)
-    assert not [told for told in fleet.death_reports(began) if told.subject != "copy2"]
+    assert not [logged for logged in fleet.death_reports(began) if logged.subject != "copy2"]
     assert not event_counts(fleet, 0)["instance_renamed"]
 
 
@@ -248,8 +250,10 @@
     [(12, 256, "copy"), (8, 256, "n" * 62), (60, 256, "copy"), (60, 1400, "copy")],
 )
 def test_join_and_death_detection_work_in_small_datagrams(size: int, most_bytes: int, name: str) -> None:
-    def change(told: MembershipSettings) -> MembershipSettings:
-        return replace(told, max_datagram_bytes=most_bytes, name=name + told.name[4:], zone=told.zone * 24)
+    def change(settings: MembershipSettings) -> MembershipSettings:
+        return replace(
+            settings, max_datagram_bytes=most_bytes, name=name + settings.name[4:], zone=settings.zone * 24
+        )
 
     fleet = MembershipSimulation(size, 1, change=change)
     fleet.start_all()
@@ -259,7 +263,7 @@
     began = fleet.clock.now_us
     fleet.kill(f"{name}{size - 1}")
     assert fleet.clock.run_until_met(fleet.all_views_agree, 15 * SECOND)
-    assert {told.subject for told in fleet.death_reports(began)} == {f"{name}{size - 1}"}
+    assert {logged.subject for logged in fleet.death_reports(began)} == {f"{name}{size - 1}"}
 
 
 @pytest.mark.parametrize("dead", [(), (0,), (0, 1)])
@@ -280,8 +284,8 @@
     process.queue.clear()
     fleet.resume(["copy1"])
     fleet.clock.run_until(fleet.clock.now_us + 4 * SECOND)
-    mine = [told for told in fleet.log if told.reporter == "copy1" and told.at_us > began]
-    assert [told.event for told in mine] == ["instance_paused"]
+    mine = [logged for logged in fleet.log if logged.reporter == "copy1" and logged.at_us > began]
+    assert [logged.event for logged in mine] == ["instance_paused"]
 
 
 def test_no_order_of_datagrams_makes_live_instance_dead_or_lowers_incarnation() -> None:
@@ -299,14 +303,14 @@
             {n: p.instance.self_record.incarnation for n, p in fleet.names.items()},
         )
 
-        def fate(
+        def delay_us(
             _from: str, _to: str, sent: list[int] = sent, late: Any = late, lost: int = lost
         ) -> int | None:
             n = sent[0]
             sent[0] += 1
             return None if n == lost else 400_000 if n < 5 and late[n] else 1_000
 
-        fleet.network.delay_us = fate
+        fleet.network.delay_us = delay_us
         at = fleet.names["copy0"].instance.table.row_of(fleet.names["copy2"].instance.id)
         fleet.names["copy0"].instance.updates.suspect(fleet.clock.now_us, at)
         if pause:
