--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -72,7 +72,7 @@
     """Returns the load that a scenario asks for."""
     return LoadPlan.model_validate(
         {
-            "rate": scenario.load.rate,
+            "rate": scenario.load.rate_per_s,
             "seconds": scenario.duration_s,
             "seed": scenario.seed,
             "shape": scenario.load.shape,
--- a/cressrail/testbed/endpoint_faults.py
+++ b/cressrail/testbed/endpoint_faults.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
+from cressrail.testbed.fault import DISCOVERY_FAULTS, RESPONSE_FAULTS, Fault, FaultKind
 from cressrail.testbed.fleet import Fleet
-from cressrail.testbed.scenario import DISCOVERY_FAULTS, RESPONSE_FAULTS, Fault, FaultKind
 from cressrail.testbed.simulated_service import SimulatedEndpoint
 
 
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -9,8 +9,8 @@
 
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.event_record import EventRecord, ProcessState
+from cressrail.testbed.fault import Fault, FaultKind, FaultSchedule, RestartConfiguration
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkEmulator, NetworkRule
-from cressrail.testbed.scenario import Fault, FaultKind, FaultSchedule, RestartConfiguration
 from cressrail.testbed.sidecar_process import SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 
--- a/cressrail/testbed/fault_timeline.py
+++ b/cressrail/testbed/fault_timeline.py
@@ -7,9 +7,9 @@
 
 from cressrail.http_testing.client import now_us
 from cressrail.testbed.endpoint_faults import EndpointFaults
+from cressrail.testbed.fault import SIDECAR_FAULTS, Fault
 from cressrail.testbed.fault_injection import draw_faults
 from cressrail.testbed.fleet import Fleet
-from cressrail.testbed.scenario import SIDECAR_FAULTS, Fault
 
 SECOND_US = 1_000_000
 
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -16,18 +16,13 @@
 from cressrail.testbed.attempt import Placement
 from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
 from cressrail.testbed.event_record import EventRecord, ProcessState
+from cressrail.testbed.fault import RestartConfiguration
 from cressrail.testbed.fault_injection import FaultInjector
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
 from cressrail.testbed.loopback import loopback_host
 from cressrail.testbed.membership_watcher import MembershipWatcher
 from cressrail.testbed.network_emulation import NetworkEmulator, NetworkRule
-from cressrail.testbed.scenario import (
-    FleetScenario,
-    MembershipSetup,
-    RequestClass,
-    RestartConfiguration,
-    Tier,
-)
+from cressrail.testbed.scenario import FleetScenario, MembershipSetup, RequestClass, Tier
 from cressrail.testbed.sidecar_process import RELAY_PORT, SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 from cressrail.testbed.simulated_service import SimulatedEndpoint
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -6,68 +6,14 @@
 
 from __future__ import annotations
 
-from enum import StrEnum
 from typing import Any, Literal
 
 from pydantic import Field, model_validator
 
-from cressrail.load.plan import ClientBehaviour, RequestClassLoad, StrictModel, TenantLoad
-
-
-class FaultKind(StrEnum):
-    """What a fault does; the values stand in scenario files and in event records."""
-
-    ENDPOINT_CRASH = "die"
-    ENDPOINT_STALL = "stall"
-    ENDPOINT_SLOWDOWN = "slow"
-    RESPONSE_REJECTED = "refuse"
-    RESPONSE_RESET = "reset"
-    RESPONSE_ERROR = "err"
-    RESPONSE_GARBLED = "spoil"
-    ENDPOINT_DRAIN = "drain"
-    ZONE_CUT = "cut"
-    DISCOVERY_DELAY = "late"
-    DISCOVERY_SILENCE = "silent"
-    DISCOVERY_BREAK = "tear"
-    DISCOVERY_RESTART = "anew"
-    NETWORK = "wire"
-    SIDECAR_PAUSE = "stall-process"
-    SIDECAR_KILL = "kill"
-    SIDECAR_TERMINATION = "stop"
-    SIDECAR_RESTART = "restart"
-    DATAGRAM_FLOOD = "flood"
-
-
-class RestartConfiguration(StrEnum):
-    """What a sidecar is configured with that starts again; the values stand in scenario files."""
-
-    SAME = "same"
-    NEW_SEED = "seed"  # of its random values
-    OLDER = "older"  # of an earlier version, without membership and failover
-
-
-RESPONSE_FAULTS = (
-    FaultKind.RESPONSE_REJECTED,
-    FaultKind.RESPONSE_RESET,
-    FaultKind.RESPONSE_ERROR,
-    FaultKind.RESPONSE_GARBLED,
-)
-DISCOVERY_FAULTS = (
-    FaultKind.DISCOVERY_DELAY,
-    FaultKind.DISCOVERY_SILENCE,
-    FaultKind.DISCOVERY_BREAK,
-    FaultKind.DISCOVERY_RESTART,
-)
-SIDECAR_FAULTS = (
-    FaultKind.NETWORK,
-    FaultKind.SIDECAR_PAUSE,
-    FaultKind.SIDECAR_KILL,
-    FaultKind.SIDECAR_TERMINATION,
-    FaultKind.SIDECAR_RESTART,
-    FaultKind.DATAGRAM_FLOOD,
-)
-# Of a fault of kind `wire`, beside the share that is dropped.
-NETWORK_EFFECTS = {"delay_ms", "jitter_ms", "duplicate", "reorder", "corrupt", "rate"}
+from cressrail.load.plan import ClientBehaviour, RequestClassLoad, ShapeName, StrictModel, TenantLoad
+from cressrail.testbed.fault import Fault, FaultKind, FaultSchedule
+
+MAX_SHOWN_CHARACTERS = 40  # of a name in a message
 PolicyName = Literal["own", "random", "round-robin", "least-in-flight", "retry-always"]
 DefectName = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
 
@@ -220,84 +166,6 @@
     quota_per_s: float = Field(0.0, ge=0, alias="allowance_per_s")
 
 
-class Fault(StrictModel):
-    """A fault, and when it begins and ends.
-
-    Attributes:
-        at_s: Begin, from the start of the run.
-        duration_s: From begin to end.
-        kind: What happens.
-        tier: Index of the tier that is met.
-        endpoint_indices: Endpoints of the tier that are met; all where neither these nor a zone are named.
-        zone: Of the endpoints or of discovery's clients that are met; of a `cut`, the zone that is cut off.
-        value: Of `slow`, times slower; of `refuse`, `reset`, `err` and `spoil`, the share of attempts; of
-            `late`, seconds.
-        senders: Of a `wire`, names of sidecars, `zone:NAME` or `tier:N`; all where nothing is named.
-        receivers: Likewise, who does not get what the senders send.
-        sidecars: Likewise, whose processes are met.
-        share: Of datagrams that are dropped; of processes that are met.
-        delay_ms: Of datagrams.
-        jitter_ms: Of datagrams, beyond the delay at most.
-        duplicate: Share of datagrams that come twice.
-        reorder: Share of datagrams that come behind later ones.
-        corrupt: Share of datagrams with a flipped bit.
-        rate: Datagrams a second that come through between two sidecars; of a flood, that each one gets.
-        restart_configuration: What a sidecar that starts again is configured with.
-    """
-
-    at_s: float = Field(ge=0)
-    duration_s: float = Field(2.0, gt=0, alias="for_s")
-    kind: FaultKind
-    tier: int = Field(0, ge=0)
-    endpoint_indices: list[int] = Field(default_factory=list, alias="endpoints")
-    zone: str = ""
-    value: float = Field(0.5, ge=0)
-    senders: list[str] = Field(default_factory=list, alias="from")
-    receivers: list[str] = Field(default_factory=list, alias="to")
-    sidecars: list[str] = Field(default_factory=list, alias="who")
-    share: float = Field(1.0, ge=0, le=1)
-    delay_ms: float = Field(0.0, ge=0)
-    jitter_ms: float = Field(0.0, ge=0)
-    duplicate: float = Field(0.0, ge=0, le=1)
-    reorder: float = Field(0.0, ge=0, le=1)
-    corrupt: float = Field(0.0, ge=0, le=1)
-    rate: float = Field(0.0, ge=0)
-    restart_configuration: RestartConfiguration = Field(RestartConfiguration.SAME, alias="config")
-
-    @model_validator(mode="before")
-    @classmethod
-    def _drop_only_on_request(cls, keys: Any) -> Any:
-        """Sets the dropped share of a `wire` to 0 where other effects are named and the share is not."""
-        is_network_fault = isinstance(keys, dict) and keys.get("kind") == FaultKind.NETWORK
-        if is_network_fault and "share" not in keys and keys.keys() & NETWORK_EFFECTS:
-            return {**keys, "share": 0.0}
-        return keys
-
-    def report_row(self) -> dict[str, Any]:
-        """Returns the fault as reports of experiments hold it: the keys of the file, but `from_`."""
-        row = self.model_dump(by_alias=True)
-        row["from_"] = row.pop("from")
-        return row
-
-
-class FaultSchedule(StrictModel):
-    """Faults of sidecars that are drawn at random, beside those that are listed.
-
-    Attributes:
-        seed: Of the random values.
-        fault_count: How many faults are drawn.
-        max_duration_s: Of one fault.
-        kinds: What may be drawn.
-    """
-
-    seed: int = 1
-    fault_count: int = Field(8, ge=1, le=200, alias="faults")
-    max_duration_s: float = Field(2.5, gt=0, alias="longest_s")
-    kinds: list[Literal["wire", "stall-process", "kill", "restart"]] = Field(
-        default=["wire", "stall-process", "kill", "restart"], min_length=1
-    )
-
-
 class RuleBounds(StrictModel):
     """Bounds that the rule checker goes by.
 
@@ -318,15 +186,15 @@
     """The load on the ingress tier.
 
     Attributes:
-        rate: Requests a second.
+        rate_per_s: Requests a second.
         shape: How the rate changes over time.
         shape_parameters: Parameters of the shape by name.
         client_behaviour: What clients do about slow and failed responses.
         max_connections: Open at a time, over all ingress sidecars.
     """
 
-    rate: float = Field(100.0, gt=0)
-    shape: Literal["steady", "wave", "ramp", "bursts", "surge", "snowmelt"] = "steady"
+    rate_per_s: float = Field(100.0, gt=0, alias="rate")
+    shape: ShapeName = "steady"
     shape_parameters: dict[str, float] = Field(default_factory=dict, alias="with")
     client_behaviour: ClientBehaviour = Field(ClientBehaviour(), alias="clients")
     max_connections: int = Field(4000, ge=1, alias="connections")
@@ -363,35 +231,41 @@
     def _check_references(self) -> FleetScenario:
         if self.fleet.failover is not None and self.fleet.membership is None:
             raise ValueError("fleet.failover: sidecars talk by way of fleet.membership, which is missing")
-        for n, fault in enumerate(self.faults):
-            if fault.tier >= len(self.fleet.tiers):
-                raise ValueError(f"faults.{n}.tier: there are {len(self.fleet.tiers)} tiers")
-            if fault.zone and fault.zone not in self.fleet.zones:
-                raise ValueError(f"faults.{n}.zone: none of {', '.join(self.fleet.zones)}: {fault.zone}")
-            if any(not 0 <= e < self.fleet.tiers[fault.tier].endpoint_count for e in fault.endpoint_indices):
-                raise ValueError(
-                    f"faults.{n}.endpoints: tier {fault.tier} has "
-                    f"{self.fleet.tiers[fault.tier].endpoint_count}"
-                )
-            if fault.kind in (FaultKind.NETWORK, FaultKind.DATAGRAM_FLOOD) and self.fleet.membership is None:
-                raise ValueError(f"faults.{n}.kind: it is between sidecars that talk: fleet.membership")
-            for word in (*fault.senders, *fault.receivers, *fault.sidecars):
-                if not self._selects_sidecars(word):
-                    raise ValueError(f"faults.{n}: no sidecar is {word[:40]}")
-            if fault.kind == FaultKind.ZONE_CUT and not fault.zone:
-                raise ValueError(f"faults.{n}.zone: a cut names the zone that is cut off")
+        for number, fault in enumerate(self.faults):
+            self._check_fault(f"faults.{number}", fault)
         return self
 
-    def _selects_sidecars(self, word: str) -> bool:
-        kind, _, name = word.partition(":")
+    def _check_fault(self, path: str, fault: Fault) -> None:
+        fleet = self.fleet
+        if fault.tier >= len(fleet.tiers):
+            raise ValueError(f"{path}.tier: there are {len(fleet.tiers)} tiers")
+        if fault.zone and fault.zone not in fleet.zones:
+            raise ValueError(f"{path}.zone: none of {', '.join(fleet.zones)}: {fault.zone}")
+        endpoint_count = fleet.tiers[fault.tier].endpoint_count
+        if any(not 0 <= index < endpoint_count for index in fault.endpoint_indices):
+            raise ValueError(f"{path}.endpoints: tier {fault.tier} has {endpoint_count}")
+        if fault.kind in (FaultKind.NETWORK, FaultKind.DATAGRAM_FLOOD) and fleet.membership is None:
+            raise ValueError(f"{path}.kind: it is between sidecars that talk: fleet.membership")
+        for selector in (*fault.senders, *fault.receivers, *fault.sidecars):
+            if not self._selects_sidecars(selector):
+                raise ValueError(f"{path}: no sidecar is {selector[:MAX_SHOWN_CHARACTERS]}")
+        if fault.kind == FaultKind.ZONE_CUT and not fault.zone:
+            raise ValueError(f"{path}.zone: a cut names the zone that is cut off")
+
+    def _selects_sidecars(self, selector: str) -> bool:
+        kind, _, name = selector.partition(":")
         if kind == "zone":
             return name in self.fleet.zones
         if kind == "tier":
             return name.isdigit() and int(name) < len(self.fleet.tiers)
-        return word == "list" or word in self.sidecar_names()
+        return selector == "list" or selector in self.sidecar_names()
 
     def sidecar_names(self) -> list[str]:
         """Returns the names of the ingress sidecars, then of each calling endpoint's sidecar."""
-        return [f"door{n}" for n in range(self.fleet.ingress_sidecars)] + [
-            f"{tier.name}{n}-calls" for tier in self.fleet.tiers[:-1] for n in range(tier.endpoint_count)
+        ingress_names = [f"door{number}" for number in range(self.fleet.ingress_sidecars)]
+        caller_names = [
+            f"{tier.name}{number}-calls"
+            for tier in self.fleet.tiers[:-1]
+            for number in range(tier.endpoint_count)
         ]
+        return ingress_names + caller_names
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -17,9 +17,10 @@
 from cressrail.load.plan import Idempotency
 from cressrail.testbed.attempt import OUTCOMES_AFTER_WORK, Attempt, AttemptOutcome, Placement
 from cressrail.testbed.event_record import EventRecord
+from cressrail.testbed.fault import RESPONSE_FAULTS, FaultKind
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
 from cressrail.testbed.processor_sharing import Job, ProcessorSharingServer, draw_work_us
-from cressrail.testbed.scenario import RESPONSE_FAULTS, EndpointContract, FaultKind, RequestClass, Tier
+from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 from cressrail.testbed.zone_listeners import ZoneListeners
 
 SECOND_US = 1_000_000
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -16,7 +16,7 @@
 from cressrail.experiment.scenario_run import run_scenario
 from cressrail.membership.messages import USES
 from cressrail.testbed.event_record import ProcessState
-from cressrail.testbed.scenario import RestartConfiguration
+from cressrail.testbed.fault import RestartConfiguration
 from tests.membership.support import (
     false_claims,
 )
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from cressrail.testbed.fault import Fault, FaultSchedule
 from cressrail.testbed.fault_injection import draw_faults
-from cressrail.testbed.scenario import Fault, FaultSchedule
 from tests.testbed.fleet_scripts import make_scenario
 
 SIDECARS = [f"door{index}" for index in range(6)]
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -22,8 +22,8 @@
 from cressrail.experiment.fleet_faults import compute_fleet_figures
 from cressrail.experiment.scenario_run import run_scenario
 from cressrail.testbed.event_record import ProcessState
+from cressrail.testbed.fault import RestartConfiguration
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkRule
-from cressrail.testbed.scenario import RestartConfiguration
 from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
 
 FLOOD_DATAGRAMS = 20_000
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -56,3 +56,28 @@
     assert message.startswith(f"{path}: ")
     assert reason in message
     assert "\n" not in message
+
+
+def test_sidecars_are_named_by_ingress_number_and_by_the_endpoint_that_calls() -> None:
+    scenario = FleetScenario.model_validate(
+        {
+            "fleet": {"doors": 2, "tiers": [{"name": "x", "endpoints": 2}, {"name": "y", "endpoints": 3}]},
+            "profiles": [{"name": "read"}],
+            "members": [{"name": "m"}],
+        }
+    )
+
+    assert scenario.sidecar_names() == ["door0", "door1", "x0-calls", "x1-calls"]
+
+
+def test_scenario_is_written_by_the_keys_of_its_file(tmp_path: Path) -> None:
+    path = tmp_path / "scenario.toml"
+    path.write_text(SMALLEST_SCENARIO)
+    scenario = read_scenario(path, FleetScenario)
+
+    written = scenario.model_dump(mode="json", by_alias=True)
+
+    assert {"seconds", "profiles", "members"} <= written.keys()
+    assert {"doors", "settings"} <= written["fleet"].keys()
+    assert {"endpoints", "room", "service", "choke_at"} <= written["fleet"]["tiers"][0].keys()
+    assert FleetScenario.model_validate(written) == scenario
--- a/tests/testbed/test_simulated_service.py
+++ b/tests/testbed/test_simulated_service.py
@@ -14,8 +14,9 @@
 from cressrail.http_testing.client import CallOutcome, HttpClient, Response, now_us
 from cressrail.testbed.attempt import Placement
 from cressrail.testbed.event_record import Event, EventRecord, read_events
+from cressrail.testbed.fault import FaultKind
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
-from cressrail.testbed.scenario import EndpointContract, FaultKind, RequestClass, Tier
+from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 from cressrail.testbed.simulated_service import SimulatedEndpoint
 
 TIMEOUT_US = 10_000_000  # far beyond what a test takes
