--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -46,7 +46,7 @@
         bool, typer.Option("--wait/--no-wait", help="Faults wait for a line `go MICROSECONDS`.")
     ] = False,
 ) -> None:
-    """Run a fleet and its faults until Ctrl-C or the end of the input; print its ingress addresses."""
+    """Run a fleet and its faults until Ctrl-C, or the end of the input with --wait; print its addresses."""
     try:
         scenario = read_scenario(file, FleetScenario)
         with errors_in_file(file):
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -216,7 +216,7 @@
 
     async def _add_sidecars(self) -> None:
         zones = self.scenario.fleet.zones
-        for number in range(self.scenario.fleet.ingress_sidecars):
+        for number in range(self.scenario.fleet.ingress_count):
             sidecar = await self._add_sidecar(f"door{number}", 0, number, zones[number % len(zones)])
             self.ingress_sidecars.append(sidecar)
         for tier_index, endpoints in enumerate(self.tiers[:-1], 1):
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -1,4 +1,4 @@
-"""Runs a fleet as a process of its own: reports that it is ready, begins the faults, ends with its input."""
+"""Runs a fleet as a process of its own: reports that it is ready, and begins the faults when told to."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 def run_fleet(
     scenario: FleetScenario, folder: Path, checkout: Path, policy: str, defect: str, starts_at_once: bool
 ) -> int:
-    """Runs the fleet of a scenario until the end of standard input, SIGINT or SIGTERM.
+    """Runs the fleet of a scenario until SIGINT or SIGTERM.
 
     Writes one line of JSON to standard output once it is ready, with the addresses of the ingress sidecars
-    under `doors`. A line `go MICROSECONDS` on standard input then starts the faults at that time of the
-    monotonic clock.
+    under `doors`. Where the faults do not start at once, a line `go MICROSECONDS` on standard input starts
+    them at that time of the monotonic clock, and the end of the input ends the fleet, too.
 
     Args:
         scenario: What runs.
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -127,7 +127,7 @@
 
     Attributes:
         zones: Names; endpoints and sidecars are spread over them in turn.
-        ingress_sidecars: How many sidecars stand before the first tier.
+        ingress_count: How many sidecars stand before the first tier.
         tiers: In the order of calls.
         contract: Of the endpoints of all tiers.
         setting_overrides: Values by their path in a sidecar's configuration.
@@ -136,7 +136,7 @@
     """
 
     zones: list[str] = Field(["a", "b"], min_length=1, max_length=8)
-    ingress_sidecars: int = Field(2, ge=1, le=700, alias="doors")
+    ingress_count: int = Field(2, ge=1, le=700, alias="doors")
     tiers: list[Tier] = Field(min_length=1, max_length=4)
     contract: EndpointContract = EndpointContract()
     setting_overrides: dict[str, Any] = Field(default_factory=dict, alias="settings")
@@ -262,7 +262,7 @@
 
     def sidecar_names(self) -> list[str]:
         """Returns the names of the ingress sidecars, then of each calling endpoint's sidecar."""
-        ingress_names = [f"door{number}" for number in range(self.fleet.ingress_sidecars)]
+        ingress_names = [f"door{number}" for number in range(self.fleet.ingress_count)]
         caller_names = [
             f"{tier.name}{number}-calls"
             for tier in self.fleet.tiers[:-1]
