--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -16,18 +16,13 @@
 from cressrail.testbed.attempt import Placement
 from cressrail.testbed.discovery import DiscoveryAgent, ListedEndpoint
 from cressrail.testbed.event_record import EventRecord, ProcessState
+from cressrail.testbed.fault import RestartConfiguration
 from cressrail.testbed.fault_injection import FaultInjector
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
 from cressrail.testbed.loopback import loopback_host
 from cressrail.testbed.membership_watcher import MembershipWatcher
 from cressrail.testbed.network_emulation import NetworkEmulator, NetworkRule
-from cressrail.testbed.scenario import (
-    FleetScenario,
-    MembershipSetup,
-    RequestClass,
-    RestartConfiguration,
-    Tier,
-)
+from cressrail.testbed.scenario import FleetScenario, MembershipSetup, RequestClass, Tier
 from cressrail.testbed.sidecar_process import RELAY_PORT, SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 from cressrail.testbed.simulated_service import SimulatedEndpoint
@@ -221,7 +216,7 @@
 
     async def _add_sidecars(self) -> None:
         zones = self.scenario.fleet.zones
-        for number in range(self.scenario.fleet.ingress_sidecars):
+        for number in range(self.scenario.fleet.ingress_count):
             sidecar = await self._add_sidecar(f"door{number}", 0, number, zones[number % len(zones)])
             self.ingress_sidecars.append(sidecar)
         for tier_index, endpoints in enumerate(self.tiers[:-1], 1):
