--- a/cressrail/cli/output.py
+++ b/cressrail/cli/output.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import sys
-from pathlib import Path
-from typing import Any, NoReturn
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import orjson
 
+if TYPE_CHECKING:  # `serve` starts without it
+    from pathlib import Path
+
 STATUS_FAILED = 1  # a call to the system or to another process failed
 STATUS_UNUSABLE = 2  # an argument or a configuration cannot be used
 MAX_PORT = 65_535
