--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("second", ending_events())
 @pytest.mark.parametrize("first", ending_events())
 @pytest.mark.parametrize("apart_us", [0, 100_000, 650_000, 900_000])
-def test_any_two_stop_drain_and_handover_events_cross_with_all_responses(
+def test_any_two_stop_drain_and_handover_events_cross_with_all_answered(
     first: str, second: str, apart_us: int
 ) -> None:
     driver = ProxyDriver(has_list=True)
