--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -22,11 +22,27 @@
         return int(sock.getsockname()[1])
 
 
+_RESERVED: list[socket.socket] = []  # held until the tests end
+
+
+def refusing_port() -> int:
+    """A port that refuses connections and is given to nobody else: bound, without a listener.
+
+    A sidecar goes on to poll a discovery that refuses it; were the port free, the system could give it to a
+    listener of another test, which would then read that poll.
+    """
+    sock = socket.socket()
+    sock.bind(("127.0.0.1", 0))
+    _RESERVED.append(sock)
+    return int(sock.getsockname()[1])
+
+
 def configured(**more: Any) -> dict[str, Any]:
-    """The tests' configuration, on free ports, with one endpoint that nobody asks and a silent discovery."""
+    """The tests' configuration on free ports; its one endpoint and discovery refuse connections."""
     config = copy.deepcopy(SIDECAR_CONFIGURATION)
-    config["known"]["members"] = [endpoint_entry("s0", free_port())]
-    config |= {name: f"127.0.0.1:{free_port()}" for name in ("listen", "ops", "discovery")}
+    config["known"]["members"] = [endpoint_entry("s0", refusing_port())]
+    config |= {name: f"127.0.0.1:{free_port()}" for name in ("listen", "ops")}
+    config["discovery"] = f"127.0.0.1:{refusing_port()}"
     return {**config, **more}
 
 
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -9,8 +9,8 @@
 
 from tests.support.sidecar_harness import SidecarHarness
 
-FIRST_ADDRESS = int(ipaddress.IPv4Address("127.64.0.1"))
-ADDRESSES = (1 << 22) - 2  # up to 127.127.255.254
+FIRST_ADDRESS = int(ipaddress.IPv4Address("127.16.0.1"))
+ADDRESSES = (1 << 20) - 2  # up to 127.31.255.254; the test bed uses 127.64.0.0 and up
 
 
 @pytest.fixture(autouse=True)
