--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -31,6 +31,8 @@
 
 
 class Process:
+    """A sidecar in a process of its own."""
+
     def __init__(self, folder: Path, config: dict[str, Any]) -> None:
         self.config, name = config, config["name"]
         path = folder / f"{name}.json"
--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `tools` and of the list of known failures."""
