--- a/tests/tools/test_regress.py
+++ b/tests/tools/test_regress.py
@@ -56,6 +56,15 @@
         ("null", "", 0, [], 1, "one 0.500 - no figure"),
         ("0.8", "", 0, ["--full"], 1, "one 0.900 0.800 fell"),
     ],
+    ids=[
+        "within the margin",
+        "below the margin",
+        "score of real nodes",
+        "rule broken",
+        "run failed",
+        "no score",
+        "full",
+    ],
 )
 def test_broken_rule_fallen_score_and_missing_score_are_reported(
     tmp_path: Path,
@@ -86,6 +95,18 @@
         ("GATE open", 0, ["--standing"], 1, "gated 0.900 0.900 unknown: GATE open"),
         ("GATE passed", 137, ["--standing"], 1, "gated 0.900 - GATE line, but it ended with 137"),
     ],
+    ids=[
+        "passed",
+        "passed among all days",
+        "failed",
+        "failed with a crash",
+        "no GATE line",
+        "passed with a remark",
+        "passed, then failed",
+        "GATE inside a line",
+        "unknown verdict",
+        "passed, but killed",
+    ],
 )
 def test_gate_that_was_not_passed_is_a_failure_whatever_the_score(
     tmp_path: Path,
@@ -156,6 +177,15 @@
         ("", 0, 0, [], 1, ["5 - - rule broken", "5: not told that rules were kept; ended with 0: no word"]),
         ("rules kept, no fault", 2, 0, [], 1, ["5 - - rule broken"]),
     ],
+    ids=[
+        "kept",
+        "in turn",
+        "full and in turn",
+        "endpoint fell over",
+        "rule broken",
+        "no output",
+        "bench failed",
+    ],
 )
 def test_whole_days_take_seeds_in_turn_and_report_each_fault(
     tmp_path: Path,
@@ -238,6 +268,7 @@
         ("", 0, 0, [], 1, ["a of seed 7 - no GATE line"]),
         (PASSED, 9, 0, [], 1, ["b of seed 7 0.700 GATE line, but it ended with 9"]),
     ],
+    ids=["kept", "in turn", "full and in turn", "rule broken", "gate failed", "no output", "bench failed"],
 )
 def test_panels_take_sites_and_seeds_in_turn_and_report_each_fault(
     tmp_path: Path,
@@ -284,6 +315,7 @@
             "none.toml: no such file",
         ),
     ],
+    ids=["sites of another type", "quick of another type", "no such site"],
 )
 def test_unusable_panel_is_one_line_on_stderr(tmp_path: Path, table: str, expected_error: str) -> None:
     ended = run_regress(tmp_path, str(make_kit(tmp_path, "0.9", more_figures=table)))
