--- a/cressrail/membership/dead_retries.py
+++ b/cressrail/membership/dead_retries.py
@@ -9,9 +9,9 @@
 RETRY_PERIODS = 4  # to the first retry
 RETRY_GROWTH = 1.5
 MAX_RETRY_PERIODS = 120
-MAX_RETRIES_GROWN = 20  # keeps the power within what a float holds
-RETRIES_AT_ONCE = 2
-MAX_FIRST_RETRIES_AT_ONCE = 8  # instances just declared dead: shows early whether it is a partition
+MAX_GROWTH_EXPONENT = 20  # keeps the power within what a float holds
+MAX_RETRIES_PER_RUN = 2
+MAX_EXTRA_FIRST_RETRIES_PER_RUN = 8  # instances just declared dead: shows early whether it is a partition
 
 
 class _Retry(NamedTuple):
@@ -51,18 +51,18 @@
     def take_due(self, now_us: int) -> list[int]:
         """Ids of those to ping now; their next retry is scheduled."""
         due = [member_id for member_id, retry in self._retries.items() if retry.due_us <= now_us]
-        chosen = due[:RETRIES_AT_ONCE]
+        chosen = due[:MAX_RETRIES_PER_RUN]
         first_retries = [
-            member_id for member_id in due[RETRIES_AT_ONCE:] if not self._retries[member_id].retries
+            member_id for member_id in due[MAX_RETRIES_PER_RUN:] if not self._retries[member_id].retries
         ]
-        chosen += first_retries[:MAX_FIRST_RETRIES_AT_ONCE]
+        chosen += first_retries[:MAX_EXTRA_FIRST_RETRIES_PER_RUN]
         for member_id in chosen:
             self._schedule_next(now_us, member_id)
         return chosen
 
     def _schedule_next(self, now_us: int, member_id: int) -> None:
         retries = self._retries[member_id].retries
-        grown = int(RETRY_PERIODS * RETRY_GROWTH ** min(retries, MAX_RETRIES_GROWN))
+        grown = int(RETRY_PERIODS * RETRY_GROWTH ** min(retries, MAX_GROWTH_EXPONENT))
         span_us = min(MAX_RETRY_PERIODS, grown) * self._shared.settings.ping_period_us
         due_us = now_us + span_us // 2 + self._shared.random.below(span_us)
         self._retries[member_id] = _Retry(due_us, retries + 1)
--- a/cressrail/membership/failure_detector.py
+++ b/cressrail/membership/failure_detector.py
@@ -18,16 +18,16 @@
 from cressrail.membership.view import names_that_cannot_reach
 
 INDIRECT_PINGS = 3  # instances asked to ping in this one's place, as published
-PING_TRIES = 3  # of a direct ping before others are asked, against lost datagrams
-MAX_PINGS = 8  # in progress
-MAX_SCORE_TO_HASTEN = 3  # a less healthy instance does not start the next ping sooner after a failed one
-HASTENED_SHARE = 5  # part of a ping period after which the next ping starts once indirect ones are needed
-REFUSED_SHARE = 20  # the same after one that was refused
-HASTENED_PERIODS = 4  # after a refusal, in which all pings start sooner ...
-MIN_SUSPICIONS_TO_HASTEN = 3  # ... while so many are suspected
+MAX_DIRECT_PINGS = 3  # of a direct ping before others are asked, against lost datagrams
+MAX_PINGS_IN_PROGRESS = 8  # in progress
+MAX_SCORE_FOR_EARLY_PING = 3  # a less healthy instance does not start the next ping sooner after a failed one
+EARLY_PING_DIVISOR = 5  # part of a ping period after which the next ping starts once indirect ones are needed
+REFUSED_PING_DIVISOR = 20  # the same after one that was refused
+REFUSAL_SPEEDUP_PERIODS = 4  # after a refusal, in which all pings start sooner ...
+MIN_SUSPICIONS_FOR_SPEEDUP = 3  # ... while so many are suspected
 MAX_REFUSALS = 2  # after which a ping has failed; a single one may meet a process that is being replaced
 ALIVE_EVIDENCE_PERIODS = 6  # for which a sign of life counts of one that some can't reach
-JITTER_SHARE = 16  # a ping starts up to one part in so many of the period earlier or later
+JITTER_DIVISOR = 16  # a ping starts up to one part in so many of the period earlier or later
 
 
 class Ping:
@@ -35,18 +35,18 @@
 
     Attributes:
         target: Id of the instance that is pinged.
-        tries: Direct pings sent.
+        direct_pings: Direct pings sent.
         indirect_pings: Instances that were asked to ping.
         nacks: Those of them that got no answer.
         is_relayed: Whether an ack came by way of another instance.
         refusals: How often the target's machine said that nobody listens.
     """
 
-    __slots__ = ("indirect_pings", "is_relayed", "nacks", "refusals", "started_us", "target", "tries")
+    __slots__ = ("direct_pings", "indirect_pings", "is_relayed", "nacks", "refusals", "started_us", "target")
 
     def __init__(self, target: int, now_us: int) -> None:
         self.target, self.started_us = target, now_us
-        self.tries = 0
+        self.direct_pings = 0
         self.indirect_pings = 0
         self.nacks = 0
         self.is_relayed = False
@@ -73,7 +73,7 @@
         self._sender, self._selection = sender, selection
         self._gossip, self._schedule, self._updates = gossip, schedule, updates
         self._pings: dict[int, Ping] = {}  # by sequence number
-        self._hastened_until_us = 0
+        self._speedup_until_us = 0
 
     # Pings of this instance
 
@@ -82,17 +82,17 @@
         shared = self._shared
         period_us = shared.local_health.scaled_us(shared.settings.ping_period_us)
         target = 0
-        if len(self._pings) < MAX_PINGS:
+        if len(self._pings) < MAX_PINGS_IN_PROGRESS:
             target = self._schedule.next_target({ping.target for ping in self._pings.values()})
         if target:
             sequence = self._sender.next_sequence()
             self._pings[sequence] = Ping(target, now_us)
             self.retry_ping(now_us, sequence)
             shared.timers.set(now_us + period_us, TimerKind.FINISH_PING, sequence)
-        is_hastened = now_us < self._hastened_until_us and len(self._suspicions) >= MIN_SUSPICIONS_TO_HASTEN
-        span_us = period_us // HASTENED_SHARE if is_hastened else period_us
-        earliest_us = now_us + span_us - span_us // JITTER_SHARE
-        jitter_us = shared.random.below(max(1, span_us // (JITTER_SHARE // 2)))
+        is_sped_up = now_us < self._speedup_until_us and len(self._suspicions) >= MIN_SUSPICIONS_FOR_SPEEDUP
+        span_us = period_us // EARLY_PING_DIVISOR if is_sped_up else period_us
+        earliest_us = now_us + span_us - span_us // JITTER_DIVISOR
+        jitter_us = shared.random.below(max(1, span_us // (JITTER_DIVISOR // 2)))
         shared.timers.set(earliest_us + jitter_us, TimerKind.START_PING)
 
     def retry_ping(self, now_us: int, sequence: int) -> None:
@@ -105,13 +105,13 @@
         if row < 0:
             del self._pings[sequence]
             return
-        if ping.tries < PING_TRIES:
-            ping.tries += 1
+        if ping.direct_pings < MAX_DIRECT_PINGS:
+            ping.direct_pings += 1
             self._send_direct(row, sequence)
             span_us = shared.local_health.scaled_us(shared.settings.ping_period_us * 2 // 5)
-            shared.timers.set(now_us + span_us // PING_TRIES, TimerKind.RETRY_PING, sequence)
+            shared.timers.set(now_us + span_us // MAX_DIRECT_PINGS, TimerKind.RETRY_PING, sequence)
             # One that is known not to be reachable directly is pinged by way of others at once.
-            if not shared.reachability.is_unreachable(ping.target) or ping.tries > 1:
+            if not shared.reachability.is_unreachable(ping.target) or ping.direct_pings > 1:
                 return
         if shared.settings.has_indirect_ping and not ping.indirect_pings:
             self._send_indirect(now_us, ping, sequence)
@@ -128,14 +128,17 @@
         for row in self._selection.rows_with_recent_acks(INDIRECT_PINGS, now_us, excluded_id=ping.target):
             ping.indirect_pings += 1
             self._sender.send_request(row, PING_REQ, fields)
-        if self._shared.local_health.score <= MAX_SCORE_TO_HASTEN and len(self._pings) < MAX_PINGS:
+        if (
+            self._shared.local_health.score <= MAX_SCORE_FOR_EARLY_PING
+            and len(self._pings) < MAX_PINGS_IN_PROGRESS
+        ):
             # Several may have died together, or this instance looks for anybody who hears it.
-            self._hasten_next_ping(now_us, HASTENED_SHARE)
+            self._advance_next_ping(now_us, EARLY_PING_DIVISOR)
 
-    def _hasten_next_ping(self, now_us: int, share: int) -> None:
+    def _advance_next_ping(self, now_us: int, divisor: int) -> None:
         timers = self._shared.timers
         timers.cancel(TimerKind.START_PING)
-        timers.set(now_us + self._shared.settings.ping_period_us // share, TimerKind.START_PING)
+        timers.set(now_us + self._shared.settings.ping_period_us // divisor, TimerKind.START_PING)
 
     def finish_ping(self, now_us: int, sequence: int) -> None:
         """Judges a ping that got no direct ack within its period."""
@@ -147,27 +150,27 @@
         if row < 0 or table.states[row] >= DEAD:
             return
         self._selection.forget_ack(ping.target)
-        if self._may_be_own_fault(ping):
+        if self._may_be_local_fault(ping):
             self._shared.local_health.degrade()
-        if self._shows_life(now_us, row, ping):
+        if self._has_evidence_of_life(now_us, row, ping):
             self._on_unreachable_but_alive(now_us, row)
-        elif self._isolation.since_us is not None or self._isolation.hears_nobody(now_us):
-            self._judge_in_isolation(now_us, row)
+        elif self._isolation.since_us is not None or self._isolation.receives_no_datagrams(now_us):
+            self._declare_dead_if_isolated_long(now_us, row)
         else:
             self._updates.suspect(now_us, row)
 
-    def _may_be_own_fault(self, ping: Ping) -> bool:
+    def _may_be_local_fault(self, ping: Ping) -> bool:
         """Whether not even those answered who were asked to ping, nor anybody else was heard."""
         is_without_answer = ping.indirect_pings and not ping.is_relayed and not ping.nacks
         return bool(is_without_answer) and self._isolation.last_datagram_us < ping.started_us
 
-    def _shows_life(self, now_us: int, row: int, ping: Ping) -> bool:
+    def _has_evidence_of_life(self, now_us: int, row: int, ping: Ping) -> bool:
         last_alive_us = self._shared.table.last_alive_us[row]
         if ping.is_relayed or last_alive_us > ping.started_us:
             return True
-        if not self._suspicions.was_wrong(ping.target) and not self._shared.reachability.unreachable_from(
+        if not self._suspicions.was_wrongly_suspected(
             ping.target
-        ):
+        ) and not self._shared.reachability.unreachable_from(ping.target):
             return False
         evidence_us = ALIVE_EVIDENCE_PERIODS * self._shared.settings.ping_period_us
         return now_us - last_alive_us < evidence_us
@@ -186,7 +189,7 @@
         if shared.reachability.needs_another_ping(target):
             self._schedule.prioritize(target)
 
-    def _judge_in_isolation(self, now_us: int, row: int) -> None:
+    def _declare_dead_if_isolated_long(self, now_us: int, row: int) -> None:
         """Holds the target for dead in the own view alone, once the isolation has lasted long enough."""
         table = self._shared.table
         isolated_us = now_us - self._isolation.begin(now_us)
@@ -211,9 +214,9 @@
             ping.refusals += 1
             if ping.refusals == MAX_REFUSALS:
                 period_us = self._shared.settings.ping_period_us
-                self._hastened_until_us = now_us + HASTENED_PERIODS * period_us
+                self._speedup_until_us = now_us + REFUSAL_SPEEDUP_PERIODS * period_us
                 self.finish_ping(now_us, sequence)
-                self._hasten_next_ping(now_us, REFUSED_SHARE)
+                self._advance_next_ping(now_us, REFUSED_PING_DIVISOR)
 
     # Datagrams
 
--- a/cressrail/membership/isolation.py
+++ b/cressrail/membership/isolation.py
@@ -26,7 +26,7 @@
         self.last_datagram_us = now_us
         self.dead_in_own_view: dict[int, int] = {}
 
-    def hears_nobody(self, now_us: int) -> bool:
+    def receives_no_datagrams(self, now_us: int) -> bool:
         """Whether there are others and none was heard for long."""
         silence_us = SILENCE_PERIODS * self._shared.settings.ping_period_us
         return bool(len(self._shared.table)) and now_us - self.last_datagram_us > silence_us
@@ -57,7 +57,7 @@
         if self.dead_in_own_view.pop(member_id, None) is not None:
             self._shared.table.mark_changed(now_us)
 
-    def on_gone(self, member_id: int) -> None:
+    def on_dead_or_left(self, member_id: int) -> None:
         """An instance is dead or has left in everybody's view."""
         self.dead_in_own_view.pop(member_id, None)
 
--- a/cressrail/membership/join.py
+++ b/cressrail/membership/join.py
@@ -17,7 +17,7 @@
     def __init__(self, shared: SharedState, push_pull: PushPull) -> None:
         self._shared, self._push_pull = shared, push_pull
         self._seeds: list[Address] = []  # still to be asked, last first
-        self._tries = 0
+        self._backoff_doublings = 0
 
     def set_first_timer(self, now_us: int) -> None:
         """Schedules the first request, at random so that a fleet that starts does not ask at once."""
@@ -30,24 +30,24 @@
         table, period_us = self._shared.table, self._shared.settings.ping_period_us
         live = {table.address_of(table.row_of(member_id)) for member_id in table.live_ids()}
         if not self._seeds:
-            self._refill()
+            self._refill_seeds()
         while self._seeds:
             seed = self._seeds.pop()
             if seed not in live:
-                self._ask(seed, is_alone=not live)
+                self._request_from(seed, has_no_live_peers=not live)
                 break
-        self._tries = 0 if live else min(self._tries + 1, MAX_BACKOFF_DOUBLINGS)
-        span_us = SEED_PERIODS * period_us if live else period_us << self._tries
+        self._backoff_doublings = 0 if live else min(self._backoff_doublings + 1, MAX_BACKOFF_DOUBLINGS)
+        span_us = SEED_PERIODS * period_us if live else period_us << self._backoff_doublings
         due_us = now_us + span_us // 2 + self._shared.random.below(span_us)
         self._shared.timers.set(due_us, TimerKind.JOIN)
 
-    def _ask(self, seed: Address, *, is_alone: bool) -> None:
-        if is_alone:
+    def _request_from(self, seed: Address, *, has_no_live_peers: bool) -> None:
+        if has_no_live_peers:
             self._push_pull.request_all(seed)
         else:
             self._push_pull.request_next(seed)
 
-    def _refill(self) -> None:
+    def _refill_seeds(self) -> None:
         settings = self._shared.settings
         self._seeds = [seed for seed in settings.seeds if seed != settings.advertise]
         self._shared.shuffle(self._seeds)
--- a/cressrail/membership/maintenance.py
+++ b/cressrail/membership/maintenance.py
@@ -60,7 +60,7 @@
         self._counter.update(now_us)
         if self._shared.exchanges_load_reports:
             self._exchange_load_reports(now_us)
-        self._prove_alive_if_doubted(now_us)
+        self._prove_alive_if_needed(now_us)
         self._refresh_reachability(now_us)
         self._retry_dead(now_us)
         self._forget_expired(now_us)
@@ -86,14 +86,14 @@
         )
         shared.commands.append(RequestLoadReports())
 
-    def _prove_alive_if_doubted(self, now_us: int) -> None:
+    def _prove_alive_if_needed(self, now_us: int) -> None:
         """Raises the incarnation for those that can't reach this instance, as long as anybody hears it."""
-        hears_nobody = self._isolation.hears_nobody(now_us)
-        if hears_nobody:
+        receives_no_datagrams = self._isolation.receives_no_datagrams(now_us)
+        if receives_no_datagrams:
             self._isolation.begin(now_us)
         own = self._self_record
         if (
-            hears_nobody
+            receives_no_datagrams
             or now_us < own.suspected_until_us
             or self._shared.reachability.unreachable_from(own.id)
         ):
--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -22,7 +22,7 @@
 from cressrail.membership.timers import TimerKind
 
 MAX_INSTANCES = 4096  # that are kept; keeps a faulty or hostile sender from filling the memory
-CROSS_CHECKS = 6  # instances over the fleet that ping a newly suspected one at once
+EXPECTED_CROSS_CHECKS = 6  # instances over the fleet that ping a newly suspected one at once
 
 
 class MemberUpdates:
@@ -112,7 +112,7 @@
             self.confirm_suspicion(now_us, member_id, own_id)
         suspicion = self._suspicions.get(member_id)
         if suspicion is not None:
-            suspicion.mark_own()
+            suspicion.mark_locally_observed()
             self._schedule.prioritize(member_id)
 
     def confirm_suspicion(self, now_us: int, member_id: int, suspected_by: int) -> None:
@@ -132,7 +132,7 @@
     def on_connection_refused(self, now_us: int, member_id: int) -> None:
         """Nobody listens at the address of an instance: an own suspicion of it gets the shortest time-out."""
         suspicion = self._suspicions.get(member_id)
-        if suspicion is not None and suspicion.refuse():
+        if suspicion is not None and suspicion.mark_refused():
             self.set_suspicion_timer(now_us, member_id, suspicion)
 
     def expire_suspicion(self, now_us: int, member_id: int) -> None:
@@ -178,13 +178,13 @@
             if was_suspected or previous_state == DEAD:
                 self._note_wrong_suspicion(now_us, update.id)
             if previous_state >= DEAD:
-                self._on_returned(now_us, row)
+                self._on_rejoined(now_us, row)
             if record is not None and record.process_id != previous_process_id:
                 self._gossip.broadcast_record(now_us, record)
             else:
                 self._gossip.broadcast_status(now_us, table.status_of(row))
         else:
-            self._on_gone(now_us, row, state, previous_state)
+            self._on_dead_or_left(now_us, row, state, previous_state)
             self._gossip.broadcast_status(now_us, table.status_of(row, update.suspected_by))
 
     def _accepted_state(self, now_us: int, previous_state: int, update: InstanceStatus) -> int | None:
@@ -236,14 +236,14 @@
         self.set_suspicion_timer(now_us, update.id, suspicion)
         if update.suspected_by != own_id:
             unsuspected = self._isolation.live_instance_count() - len(self._suspicions)
-            if shared.random.below(max(1, unsuspected)) < CROSS_CHECKS:
+            if shared.random.below(max(1, unsuspected)) < EXPECTED_CROSS_CHECKS:
                 self._schedule.prioritize(update.id)
 
     def _note_wrong_suspicion(self, now_us: int, member_id: int) -> None:
         span_us = WRONGLY_SUSPECTED_PERIODS * self._shared.settings.ping_period_us
-        self._suspicions.note_wrong(member_id, now_us + span_us)
+        self._suspicions.note_wrongly_suspected(member_id, now_us + span_us)
 
-    def _on_returned(self, now_us: int, row: int) -> None:
+    def _on_rejoined(self, now_us: int, row: int) -> None:
         table = self._shared.table
         member_id = table.ids[row]
         self.needs_recount = True
@@ -254,12 +254,12 @@
         )
         self._dead_retries.retry_all_sooner(now_us)
 
-    def _on_gone(self, now_us: int, row: int, state: int, previous_state: int) -> None:
+    def _on_dead_or_left(self, now_us: int, row: int, state: int, previous_state: int) -> None:
         """An instance is dead or has left."""
         member_id, name = self._shared.table.ids[row], self._shared.table.names[row]
         self._shared.reachability.forget_instance(member_id)
         self._shared.load_reports.forget_instance(member_id)
-        self._isolation.on_gone(member_id)
+        self._isolation.on_dead_or_left(member_id)
         if state == DEAD:
             if previous_state < DEAD:
                 self._shared.log(log_events.INSTANCE_DEAD, instance=name, reason=log_events.REASON_NO_ANSWER)
--- a/cressrail/membership/peer_selection.py
+++ b/cressrail/membership/peer_selection.py
@@ -39,7 +39,7 @@
             if member_id != excluded_id and not self._shared.reachability.is_unreachable(member_id)
         ]
         candidates = [
-            member_id for member_id in candidates if not self._suspicions.has_own(member_id)
+            member_id for member_id in candidates if not self._suspicions.is_locally_suspected(member_id)
         ] or candidates
         return self._draw(candidates, count)
 
--- a/cressrail/membership/ping_schedule.py
+++ b/cressrail/membership/ping_schedule.py
@@ -9,8 +9,8 @@
 from cressrail.membership.suspicion import SuspicionTable
 
 MAX_PRIORITY_TARGETS = 64
-PRIORITY_SHARE = 3  # one ping in so many goes to a priority target while a round is in progress
-_ROUNDS_TRIED = 2
+PRIORITY_DIVISOR = 3  # one ping in so many goes to a priority target while a round is in progress
+_MAX_ROUND_ATTEMPTS = 2
 
 
 class PingSchedule:
@@ -31,11 +31,11 @@
 
     def next_target(self, in_progress: Collection[int]) -> int:
         """Id of the instance to ping next, 0 if there is none; `in_progress` are being pinged already."""
-        if self._priority_targets and not (self._shared.random.below(PRIORITY_SHARE) and self._round):
+        if self._priority_targets and not (self._shared.random.below(PRIORITY_DIVISOR) and self._round):
             member_id = self._priority_targets.popleft()
             if member_id not in in_progress and self._shared.is_live(member_id):
                 return member_id
-        for _ in range(_ROUNDS_TRIED):
+        for _ in range(_MAX_ROUND_ATTEMPTS):
             while self._round:
                 member_id = self._round.pop()
                 if member_id not in in_progress and self._is_due(member_id):
@@ -46,7 +46,7 @@
         return 0
 
     def _is_due(self, member_id: int) -> bool:
-        return self._shared.is_live(member_id) and not self._suspicions.has_own(member_id)
+        return self._shared.is_live(member_id) and not self._suspicions.is_locally_suspected(member_id)
 
     def _start_round(self) -> None:
         """Leaves out those this instance suspects itself.
@@ -56,6 +56,6 @@
         self._round = [
             member_id
             for member_id in self._shared.table.live_ids()
-            if not self._suspicions.has_own(member_id)
+            if not self._suspicions.is_locally_suspected(member_id)
         ]
         self._shared.shuffle(self._round)
--- a/cressrail/membership/refutation.py
+++ b/cressrail/membership/refutation.py
@@ -35,7 +35,7 @@
     def prove_alive(self, now_us: int) -> None:
         """Raises the incarnation, once a ping period at most, so that others see that this instance lives."""
         own = self._self_record
-        since_us = now_us - own.incremented_us
+        since_us = now_us - own.incarnation_raised_us
         if since_us >= self._shared.settings.ping_period_us or since_us < 0:
             own.raise_incarnation(now_us, own.incarnation + 1)
             self._gossip.broadcast_status(now_us, own.status())
--- a/cressrail/membership/self_record.py
+++ b/cressrail/membership/self_record.py
@@ -5,7 +5,7 @@
 from cressrail.membership.messages import ALIVE, LEFT, InstanceRecord, InstanceStatus, instance_id
 from cressrail.membership.settings import MembershipSettings
 
-MAX_NAMESAKES = 8  # other processes of the same name that are remembered
+MAX_SAME_NAME_PROCESSES = 8  # other processes of the same name that are remembered
 RENAMED_PREFIX_BYTES = 48
 WRONGLY_SUSPECTED_PERIODS = 20  # for which a refuted suspicion is remembered
 _UNKNOWN_INCARNATION = 1 << 63
@@ -17,7 +17,7 @@
     Attributes:
         process_id: Drawn at random by each process, to tell it from an earlier or second one of the name.
         incarnation: Where it starts need not be above what others know: they say so, and it counts on.
-        incremented_us: When the incarnation was last raised.
+        incarnation_raised_us: When the incarnation was last raised.
         suspected_until_us: Until then the instance proves that it lives, as others had taken it for dead.
     """
 
@@ -25,9 +25,9 @@
         self._settings = settings
         self.name, self.id = settings.name, instance_id(settings.name)
         self.process_id, self.incarnation = process_id, incarnation
-        self.incremented_us = now_us
+        self.incarnation_raised_us = now_us
         self.suspected_until_us = now_us
-        self._namesakes: dict[int, int] = {}  # highest incarnation seen, by process id
+        self._same_name_incarnations: dict[int, int] = {}  # highest incarnation seen, by process id
 
     def record(self, *, has_left: bool = False) -> InstanceRecord:
         """The whole record."""
@@ -47,7 +47,7 @@
     def raise_incarnation(self, now_us: int, incarnation: int) -> None:
         """Sets a higher incarnation."""
         self.incarnation = incarnation
-        self.incremented_us = now_us
+        self.incarnation_raised_us = now_us
 
     def note_suspected(self, now_us: int) -> None:
         """Others suspect this instance, or hold it for dead."""
@@ -59,10 +59,13 @@
         Only a living process raises its incarnation. Of two the one with the lower process id takes another
         name.
         """
-        is_rising = incarnation > self._namesakes.get(process_id, _UNKNOWN_INCARNATION)
-        if process_id in self._namesakes or len(self._namesakes) < MAX_NAMESAKES:
-            self._namesakes[process_id] = incarnation
-        return is_rising and self.process_id < process_id
+        is_running = incarnation > self._same_name_incarnations.get(process_id, _UNKNOWN_INCARNATION)
+        if (
+            process_id in self._same_name_incarnations
+            or len(self._same_name_incarnations) < MAX_SAME_NAME_PROCESSES
+        ):
+            self._same_name_incarnations[process_id] = incarnation
+        return is_running and self.process_id < process_id
 
     def take_other_name(self) -> None:
         """Appends the process id to the configured name, which another process keeps."""
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -48,8 +48,10 @@
 
 LEAVE_FANOUT = 8  # instances that are told that this one leaves
 SETTLED_PERIODS = 4  # without a change, after which the view is settled
-LATE_SHARE = 8  # a timer that is late by more than one part in so many of a ping period costs local health
-PAUSE_SHARE = 2  # by more than one part in so many: the process was paused
+LATE_TIMER_DIVISOR = (
+    8  # a timer that is late by more than one part in so many of a ping period costs local health
+)
+PAUSE_DIVISOR = 2  # by more than one part in so many: the process was paused
 LONG_PAUSE_PERIODS = 2  # after which others may hold this instance for dead
 MAX_PAUSE_PENALTY = 2  # points of local health
 
@@ -160,7 +162,7 @@
         """Runs the timers that are due; to be called at `next_timer_us`."""
         late_us = now_us - self.next_timer_us
         self._check_own_pause(now_us)
-        if late_us > self.settings.ping_period_us // LATE_SHARE:
+        if late_us > self.settings.ping_period_us // LATE_TIMER_DIVISOR:
             # Only here, so that one delay counts once however many datagrams waited meanwhile.
             self.shared.local_health.degrade()
         while not self._is_leaving and (timer := self.shared.timers.pop_due(now_us)) is not None:
@@ -241,7 +243,7 @@
         shared, period_us = self.shared, self.settings.ping_period_us
         self._sender.set_time(now_us)
         late_us = now_us - shared.timers.next_us
-        if self._is_leaving or late_us <= period_us // PAUSE_SHARE:
+        if self._is_leaving or late_us <= period_us // PAUSE_DIVISOR:
             return
         shared.log(log_events.INSTANCE_PAUSED, paused_ms=late_us // 1000)
         shared.local_health.degrade(min(MAX_PAUSE_PENALTY, late_us // period_us))
--- a/cressrail/membership/suspicion.py
+++ b/cressrail/membership/suspicion.py
@@ -17,18 +17,18 @@
     """Suspicion of one instance, as this one holds it.
 
     Attributes:
-        is_own: A ping of this instance failed too.
+        is_locally_observed: A ping of this instance failed too.
         is_refused: The suspected instance's machine refused it: nobody listens at the address.
         since_us: Start of the time-out.
     """
 
-    __slots__ = ("is_own", "is_refused", "max_us", "min_us", "since_us", "suspected_by")
+    __slots__ = ("is_locally_observed", "is_refused", "max_us", "min_us", "since_us", "suspected_by")
 
     def __init__(self, now_us: int, min_us: int, max_us: int, shrinks: bool) -> None:
         self.since_us = now_us
         self.min_us, self.max_us = (min_us, max_us) if shrinks else (min_us * 3 // 2,) * 2
         self.suspected_by: set[int] = set()
-        self.is_own = False
+        self.is_locally_observed = False
         self.is_refused = False
 
     def confirm(self, suspected_by: int) -> bool:
@@ -38,13 +38,13 @@
         self.suspected_by.add(suspected_by)
         return True
 
-    def mark_own(self) -> None:
+    def mark_locally_observed(self) -> None:
         """A ping of this instance failed too."""
-        self.is_own = True
+        self.is_locally_observed = True
 
-    def refuse(self) -> bool:
+    def mark_refused(self) -> bool:
         """Nobody listens at the address; returns whether that shortens the time-out (own suspicions only)."""
-        if not self.is_own or self.is_refused:
+        if not self.is_locally_observed or self.is_refused:
             return False
         self.is_refused = True
         return True
@@ -90,10 +90,10 @@
         """Those suspected, in the order in which that began."""
         return list(self._suspicions)
 
-    def has_own(self, member_id: int) -> bool:
+    def is_locally_suspected(self, member_id: int) -> bool:
         """Whether a ping of this instance to the suspected one failed too."""
         suspicion = self._suspicions.get(member_id)
-        return suspicion is not None and suspicion.is_own
+        return suspicion is not None and suspicion.is_locally_observed
 
     def start(self, now_us: int, member_id: int) -> Suspicion:
         """Begins a suspicion, in place of an earlier one."""
@@ -119,11 +119,11 @@
         for suspicion in self._suspicions.values():
             suspicion.extend_timeout(now_us, isolated_since_us)
 
-    def note_wrong(self, member_id: int, until_us: int) -> None:
+    def note_wrongly_suspected(self, member_id: int, until_us: int) -> None:
         """Remembers that an instance was suspected and lives."""
         self._wrongly_suspected[member_id] = until_us
 
-    def was_wrong(self, member_id: int) -> bool:
+    def was_wrongly_suspected(self, member_id: int) -> bool:
         """Whether an instance was suspected wrongly of late."""
         return member_id in self._wrongly_suspected
 
--- a/cressrail/membership/timers.py
+++ b/cressrail/membership/timers.py
@@ -25,7 +25,7 @@
 
 
 # Started before a pause of this process, so that their outcome says nothing about the others.
-VOID_AFTER_PAUSE = frozenset(
+DISCARDED_AFTER_PAUSE = frozenset(
     {
         TimerKind.RETRY_PING,
         TimerKind.FINISH_PING,
@@ -81,5 +81,5 @@
         self._timers = sorted(
             timer._replace(due_us=now_us if timer.kind == TimerKind.START_PING else now_us + period_us)
             for timer in self._timers
-            if timer.kind not in VOID_AFTER_PAUSE
+            if timer.kind not in DISCARDED_AFTER_PAUSE
         )
