--- a/cressrail/membership/dead_retries.py
+++ b/cressrail/membership/dead_retries.py
@@ -1,4 +1,4 @@
-"""Pings to dead instances, ever more seldom, by which a healed partition is noticed."""
+"""Pings to dead instances at growing intervals, which detect that a network partition has healed."""
 
 from __future__ import annotations
 
@@ -6,34 +6,37 @@
 
 from cressrail.membership.shared_state import SharedState
 
-RETRY_PERIODS = 4  # to the first retry
-RETRY_GROWTH = 1.5
-MAX_RETRY_PERIODS = 120
-MAX_GROWTH_EXPONENT = 20  # keeps the power within what a float holds
-MAX_RETRIES_PER_RUN = 2
-MAX_EXTRA_FIRST_RETRIES_PER_RUN = 8  # instances just declared dead: shows early whether it is a partition
+RETRY_PERIODS = 4  # ping periods until the first retry
+RETRY_GROWTH = 1.5  # factor by which the interval grows with each retry
+MAX_RETRY_PERIODS = 120  # ping periods; longest interval
+MAX_GROWTH_EXPONENT = 20  # prevents a float overflow of the growth
+MAX_RETRIES_PER_RUN = 2  # instances that are retried in one maintenance run
+# Additional retries of instances that were just declared dead show early whether the cause is a partition.
+MAX_EXTRA_FIRST_RETRIES_PER_RUN = 8
 
 
 class _Retry(NamedTuple):
+    """Time of the next retry in microseconds, and number of retries so far."""
+
     due_us: int
     retries: int
 
 
 class DeadRetries:
-    """When each dead instance is pinged again."""
+    """Schedule of the retries of each dead instance."""
 
     def __init__(self, shared: SharedState) -> None:
         self._shared = shared
         self._retries: dict[int, _Retry] = {}
 
     def add(self, now_us: int, member_id: int) -> None:
-        """Schedules the first retry of an instance that was just declared dead."""
+        """Schedules the first retry of an instance that has just been declared dead."""
         span_us = self._first_span_us()
         due_us = now_us + span_us // 2 + self._shared.random.below(span_us)
         self._retries[member_id] = _Retry(due_us, 0)
 
     def add_learned(self, now_us: int, member_id: int) -> None:
-        """Schedules the first retry of an instance that was dead when it became known."""
+        """Schedules the first retry of an instance that was already dead when it became known."""
         self._retries[member_id] = _Retry(now_us + self._shared.random.below(self._first_span_us()), 0)
 
     def remove(self, member_id: int) -> None:
@@ -41,7 +44,7 @@
         self._retries.pop(member_id, None)
 
     def retry_all_sooner(self, now_us: int) -> None:
-        """One came back: a partition may have healed, so the others are tried soon."""
+        """Reschedules all retries to an early time: after one return, a partition may have healed."""
         span_us = self._first_span_us()
         self._retries = {
             member_id: _Retry(min(retry.due_us, now_us + self._shared.random.below(span_us)), 0)
@@ -49,7 +52,7 @@
         }
 
     def take_due(self, now_us: int) -> list[int]:
-        """Ids of those to ping now; their next retry is scheduled."""
+        """Returns the ids of the instances to ping now and schedules their next retry."""
         due = [member_id for member_id, retry in self._retries.items() if retry.due_us <= now_us]
         chosen = due[:MAX_RETRIES_PER_RUN]
         first_retries = [
--- a/cressrail/membership/failure_detector.py
+++ b/cressrail/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: direct pings, indirect pings by way of others, and what comes of them."""
+"""SWIM failure detector: sends direct and indirect pings and evaluates their results."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from cressrail.membership.timers import TimerKind
 from cressrail.membership.view import names_that_cannot_reach
 
-INDIRECT_PINGS = 3  # instances asked to ping in this one's place, as published
-MAX_DIRECT_PINGS = 3  # of a direct ping before others are asked, against lost datagrams
-MAX_PINGS_IN_PROGRESS = 8  # in progress
-MAX_SCORE_FOR_EARLY_PING = 3  # a less healthy instance does not start the next ping sooner after a failed one
-EARLY_PING_DIVISOR = 5  # part of a ping period after which the next ping starts once indirect ones are needed
-REFUSED_PING_DIVISOR = 20  # the same after one that was refused
-REFUSAL_SPEEDUP_PERIODS = 4  # after a refusal, in which all pings start sooner ...
-MIN_SUSPICIONS_FOR_SPEEDUP = 3  # ... while so many are suspected
-MAX_REFUSALS = 2  # after which a ping has failed; a single one may meet a process that is being replaced
-ALIVE_EVIDENCE_PERIODS = 6  # for which a sign of life counts of one that some can't reach
-JITTER_DIVISOR = 16  # a ping starts up to one part in so many of the period earlier or later
+INDIRECT_PINGS = 3  # instances that are asked for an indirect ping; value from the SWIM paper
+MAX_DIRECT_PINGS = 3  # direct pings before indirect ones are requested; repeated because datagrams get lost
+MAX_PINGS_IN_PROGRESS = 8
+MAX_SCORE_FOR_EARLY_PING = 3  # local health score up to which an unanswered ping advances the next one
+EARLY_PING_DIVISOR = 5  # the next ping starts after ping period / 5 once indirect pings are requested
+REFUSED_PING_DIVISOR = 20  # the next ping starts after ping period / 20 once a ping was refused
+REFUSAL_SPEEDUP_PERIODS = 4  # ping periods after a refusal during which all pings start early ...
+MIN_SUSPICIONS_FOR_SPEEDUP = 3  # ... as long as at least this many instances are suspected
+MAX_REFUSALS = 2  # refusals after which a ping has failed; one alone may hit a process that is being replaced
+ALIVE_EVIDENCE_PERIODS = 6  # ping periods for which evidence of life counts if some can't reach the instance
+JITTER_DIVISOR = 16  # the start of a ping varies by up to ping period / 16 in either direction
 
 
 class Ping:
@@ -35,11 +35,12 @@
 
     Attributes:
         target: Id of the instance that is pinged.
-        direct_pings: Direct pings sent.
-        indirect_pings: Instances that were asked to ping.
-        nacks: Those of them that got no answer.
-        is_relayed: Whether an ack came by way of another instance.
-        refusals: How often the target's machine said that nobody listens.
+        started_us: Time at which the ping started, in microseconds.
+        direct_pings: Number of direct pings sent.
+        indirect_pings: Number of instances that were asked for an indirect ping.
+        nacks: Number of nacks received from these instances.
+        is_relayed: Whether one of these instances relayed an ack of the target.
+        refusals: Number of times that the target's machine reported that no process listens at its address.
     """
 
     __slots__ = ("direct_pings", "indirect_pings", "is_relayed", "nacks", "refusals", "started_us", "target")
@@ -54,7 +55,7 @@
 
 
 class FailureDetector:
-    """Pings the other instances in turn."""
+    """Pings the other instances in turn and reports failed pings to `MemberUpdates`."""
 
     def __init__(
         self,
@@ -96,7 +97,7 @@
         shared.timers.set(earliest_us + jitter_us, TimerKind.START_PING)
 
     def retry_ping(self, now_us: int, sequence: int) -> None:
-        """Sends the next direct ping; after the last try asks others to ping."""
+        """Sends the next direct ping, or requests indirect pings after the last direct one."""
         ping = self._pings.get(sequence)
         if ping is None:
             return
@@ -110,7 +111,7 @@
             self._send_direct(row, sequence)
             span_us = shared.local_health.scaled_us(shared.settings.ping_period_us * 2 // 5)
             shared.timers.set(now_us + span_us // MAX_DIRECT_PINGS, TimerKind.RETRY_PING, sequence)
-            # One that is known not to be reachable directly is pinged by way of others at once.
+            # A target that is already known to be unreachable directly gets indirect pings at once.
             if not shared.reachability.is_unreachable(ping.target) or ping.direct_pings > 1:
                 return
         if shared.settings.has_indirect_ping and not ping.indirect_pings:
@@ -119,7 +120,7 @@
     def _send_direct(self, row: int, sequence: int) -> None:
         table = self._shared.table
         fields = codec.encode_ping_reference(PingReference(sequence, table.ids[row]))
-        if table.states[row] != ALIVE:  # so that it learns of the suspicion at once and can refute it
+        if table.states[row] != ALIVE:  # lets the target refute the suspicion at once
             fields += codec.encode_status(table.status_of(row))
         self._sender.send_request(row, PING, fields)
 
@@ -132,7 +133,8 @@
             self._shared.local_health.score <= MAX_SCORE_FOR_EARLY_PING
             and len(self._pings) < MAX_PINGS_IN_PROGRESS
         ):
-            # Several may have died together, or this instance looks for anybody who hears it.
+            # Either several instances have died at the same time, or this instance has lost its connection
+            # and needs an answer from any other instance soon.
             self._advance_next_ping(now_us, EARLY_PING_DIVISOR)
 
     def _advance_next_ping(self, now_us: int, divisor: int) -> None:
@@ -141,7 +143,7 @@
         timers.set(now_us + self._shared.settings.ping_period_us // divisor, TimerKind.START_PING)
 
     def finish_ping(self, now_us: int, sequence: int) -> None:
-        """Judges a ping that got no direct ack within its period."""
+        """Evaluates a ping that received no direct ack within its ping period."""
         ping = self._pings.pop(sequence, None)
         if ping is None:
             return
@@ -160,11 +162,21 @@
             self._updates.suspect(now_us, row)
 
     def _may_be_local_fault(self, ping: Ping) -> bool:
-        """Whether not even those answered who were asked to ping, nor anybody else was heard."""
+        """Whether this instance itself may be the cause of the failed ping.
+
+        This is the case if indirect pings were requested, neither ack nor nack was received for them, and no
+        other datagram has arrived since the ping started.
+        """
         is_without_answer = ping.indirect_pings and not ping.is_relayed and not ping.nacks
         return bool(is_without_answer) and self._isolation.last_datagram_us < ping.started_us
 
     def _has_evidence_of_life(self, now_us: int, row: int, ping: Ping) -> bool:
+        """Whether the target of a failed ping is known to be alive.
+
+        Evidence since the start of the ping counts for every target. Evidence of the last
+        `ALIVE_EVIDENCE_PERIODS` ping periods counts if the target was recently suspected wrongly or others
+        report that they can't reach it.
+        """
         last_alive_us = self._shared.table.last_alive_us[row]
         if ping.is_relayed or last_alive_us > ping.started_us:
             return True
@@ -190,7 +202,10 @@
             self._schedule.prioritize(target)
 
     def _declare_dead_if_isolated_long(self, now_us: int, row: int) -> None:
-        """Holds the target for dead in the own view alone, once the isolation has lasted long enough."""
+        """Declares the target dead in this instance's own view once the isolation has lasted long enough.
+
+        The minimum is the longest suspicion time-out. Other instances are not notified.
+        """
         table = self._shared.table
         isolated_us = now_us - self._isolation.begin(now_us)
         target = table.ids[row]
@@ -204,11 +219,14 @@
             )
 
     def cancel_all(self) -> None:
-        """Forgets the pings in progress, after a pause of this process."""
+        """Discards the pings in progress after a pause of this process."""
         self._pings.clear()
 
     def on_connection_refused(self, now_us: int, target: int) -> None:
-        """Nobody listens at the target's address: its pings need not be waited for."""
+        """Ends the target's pings early, as no process listens at its address.
+
+        A ping fails after `MAX_REFUSALS` refusals.
+        """
         for sequence in [number for number, ping in self._pings.items() if ping.target == target]:
             ping = self._pings[sequence]
             ping.refusals += 1
@@ -221,18 +239,22 @@
     # Datagrams
 
     def on_ping(self, reference: PingReference, sender: InstanceRecord, max_bytes: int) -> None:
-        """Acknowledges a ping that is meant for this instance, or for whoever has its address."""
+        """Acknowledges a ping whose target is this instance, or 0 (any instance at this address)."""
         own_id, table = self._self_record.id, self._shared.table
         if reference.target not in (0, own_id):
             return
         fields = codec.encode_ping_reference(PingReference(reference.sequence, own_id))
         row = table.row_of(sender.id)
         if row >= 0 and table.precedence_of(row) > sender.precedence:
-            fields += codec.encode_status(table.status_of(row))  # what the sender has to refute
+            fields += codec.encode_status(table.status_of(row))  # the sender has to refute this status
         self._sender.send(sender.address, ACK, fields, max_bytes=max_bytes)
 
     def on_ack(self, now_us: int, reference: PingReference, sender: InstanceRecord) -> bool:
-        """Takes an ack of the target, or of one asked to ping; returns whether it was for an own ping."""
+        """Handles an ack that was sent by a ping's target or relayed by another instance.
+
+        Returns:
+            Whether the ack belongs to a ping in progress of this instance.
+        """
         ping = self._pings.get(reference.sequence)
         if ping is None:
             return False
@@ -260,7 +282,7 @@
             self._schedule.prioritize(target)
 
     def on_nack(self, reference: PingReference) -> None:
-        """One that was asked to ping got no answer, but is well itself."""
+        """Counts a nack: the sender works but received no ack for its indirect ping."""
         ping = self._pings.get(reference.sequence)
         if ping is not None:
             ping.nacks += 1
--- a/cressrail/membership/join.py
+++ b/cressrail/membership/join.py
@@ -1,4 +1,4 @@
-"""Joins the fleet by way of its seeds, and looks now and then for seeds that are on their own."""
+"""Joins the fleet through its seeds, and later contacts seeds that may have formed a separate fleet."""
 
 from __future__ import annotations
 
@@ -7,26 +7,33 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.timers import TimerKind
 
-SEED_PERIODS = 40  # between two requests to seeds that are not known to live
-MAX_BACKOFF_DOUBLINGS = 4
+SEED_PERIODS = 40  # ping periods between two requests to seeds that are not known to be live
+MAX_BACKOFF_DOUBLINGS = 4  # of the interval between requests while no other instance is live
 
 
 class Join:
-    """Requests to seeds."""
+    """Sends push-pull requests to seeds."""
 
     def __init__(self, shared: SharedState, push_pull: PushPull) -> None:
         self._shared, self._push_pull = shared, push_pull
-        self._seeds: list[Address] = []  # still to be asked, last first
+        self._seeds: list[Address] = []  # not asked yet in this round; the last is asked first
         self._backoff_doublings = 0
 
     def set_first_timer(self, now_us: int) -> None:
-        """Schedules the first request, at random so that a fleet that starts does not ask at once."""
+        """Schedules the first request after a random delay.
+
+        The delay spreads the requests of instances that start at the same time.
+        """
         settings = self._shared.settings
         delay_us = self._shared.random.below(2 * settings.ping_period_us) if settings.seeds else 0
         self._shared.timers.set(now_us + delay_us, TimerKind.JOIN)
 
     def run(self, now_us: int, _argument: int) -> None:
-        """Asks a seed for all it knows until one answers; later, seldom, one that is not among the live."""
+        """Sends a request to one seed that is not live, and schedules the next request.
+
+        Until another instance is live, the requests are for the whole member table and follow each other
+        with a growing interval. Afterwards they are for the next range only, at long intervals.
+        """
         table, period_us = self._shared.table, self._shared.settings.ping_period_us
         live = {table.address_of(table.row_of(member_id)) for member_id in table.live_ids()}
         if not self._seeds:
--- a/cressrail/membership/local_health.py
+++ b/cressrail/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: how well this instance itself keeps up.
+"""Lifeguard local health: an estimate of whether this instance itself processes messages in time.
 
 Source: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection"
 (2017), local health multiplier.
@@ -6,25 +6,25 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # as published
+MAX_SCORE = 8  # value from the paper
 
 
 class LocalHealth:
-    """Score of 0 while all is well; it rises with signs of own slowness and falls with each ack."""
+    """Local health score: 0 is healthy; signs that this instance is slow raise it and each ack lowers it."""
 
     def __init__(self, is_enabled: bool = True) -> None:
         self.is_enabled = is_enabled
         self.score = 0
 
     def degrade(self, points: int = 1) -> None:
-        """This instance may be slow."""
+        """Raises the score, up to `MAX_SCORE`, after a sign that this instance is slow."""
         if self.is_enabled:
             self.score = min(MAX_SCORE, self.score + points)
 
     def improve(self) -> None:
-        """A ping of this instance was acknowledged."""
+        """Lowers the score by one point after a ping of this instance was acknowledged."""
         self.score = max(0, self.score - 1)
 
     def scaled_us(self, span_us: int) -> int:
-        """A time-out, stretched by the score."""
+        """Returns a time-out multiplied by one plus the score."""
         return span_us * (1 + self.score)
--- a/cressrail/membership/maintenance.py
+++ b/cressrail/membership/maintenance.py
@@ -1,4 +1,4 @@
-"""What is done every two ping periods."""
+"""Periodic maintenance of the membership state, every two ping periods."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 from cressrail.membership.suspicion import SuspicionTable
 from cressrail.membership.timers import TimerKind
 
-MAINTENANCE_PERIODS = 2
-REACHABILITY_REFRESH_PERIODS = 20  # until own reports are sent again
+MAINTENANCE_PERIODS = 2  # ping periods between two runs
+REACHABILITY_REFRESH_PERIODS = 20  # ping periods after which this instance's reports are sent again
+# Ping periods for which an instance stays in the table after it has died or left.
 KEEP_DEAD_PERIODS, KEEP_LEFT_PERIODS = 7200, 120
 
 
 class Maintenance:
-    """Periodic work that no single datagram causes."""
+    """Periodic work that is not triggered by a datagram."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         self._shared.timers.set(due_us, TimerKind.MAINTAIN)
 
     def run(self, now_us: int, _argument: int) -> None:
-        """Does all that is due."""
+        """Runs all maintenance tasks and schedules the next run."""
         self.set_timer(now_us)
         self._counter.update(now_us)
         if self._shared.exchanges_load_reports:
@@ -67,7 +68,7 @@
         self._suspicions.drop_expired(now_us)
 
     def _exchange_load_reports(self, now_us: int) -> None:
-        """Passes on what the others report, and asks for what this instance has to report."""
+        """Emits a summary of other instances' load reports and requests this instance's own reports."""
         shared, count = self._shared, self._counter.announced
         uses = shared.settings.uses
         instances = count.total if count is not None else float(self._isolation.live_instance_count())
@@ -87,7 +88,12 @@
         shared.commands.append(RequestLoadReports())
 
     def _prove_alive_if_needed(self, now_us: int) -> None:
-        """Raises the incarnation for those that can't reach this instance, as long as anybody hears it."""
+        """Raises the incarnation if other instances may consider this one dead.
+
+        This is the case if this instance receives no datagrams (which also begins its isolation), if it was
+        recently suspected, or if others report that they can't reach it. Instances that can't reach it
+        directly see from the higher incarnation, which others gossip, that it is alive.
+        """
         receives_no_datagrams = self._isolation.receives_no_datagrams(now_us)
         if receives_no_datagrams:
             self._isolation.begin(now_us)
@@ -100,7 +106,7 @@
             self._refutation.prove_alive(now_us)
 
     def _refresh_reachability(self, now_us: int) -> None:
-        """Sends the own reports again before the others drop them."""
+        """Sends this instance's reachability reports again before other instances drop them as expired."""
         span_us = REACHABILITY_REFRESH_PERIODS * self._shared.settings.ping_period_us
         if now_us - self._reachability_refreshed_us < span_us:
             return
--- a/cressrail/membership/member_table.py
+++ b/cressrail/membership/member_table.py
@@ -1,6 +1,6 @@
-"""Table of all other instances that are known, in columns ordered by id, so that a thousand take little room.
+"""Table of all other known instances, stored as arrays ordered by id to keep a large fleet small in memory.
 
-A row number is good until the next instance is added or removed.
+A row number is valid until the next instance is added or removed.
 """
 
 from __future__ import annotations
@@ -21,33 +21,35 @@
     precedence,
 )
 
-IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # before an address of IPv4 among those of IPv6
-MAX_ZONES = 1 << 16
-NEVER_HEARD_US = -1
+IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # prefix of an IPv4 address in IPv6 form
+MAX_ZONES = 1 << 16  # number of zones that the 16-bit zone column can distinguish
+NEVER_HEARD_US = -1  # value of `last_datagram_us` before the first datagram
 
 
 def _address_halves(host: str) -> tuple[int, int]:
-    """The halves of an address, as IPv6 has it."""
+    """Returns the upper and lower 64 bits of an address, with IPv4 mapped to IPv6."""
     packed = socket.inet_pton(socket.AF_INET6, host if ":" in host else f"::ffff:{host}")
     return int.from_bytes(packed[:8], "big"), int.from_bytes(packed[8:], "big")
 
 
 class MemberTable:
-    """Columns of one entry for each instance; times are in microseconds.
+    """Arrays with one element per instance. All times are in microseconds.
 
     Attributes:
-        changed_us: When an instance was added, or changed its state in this instance's view.
-        ids: Ids, in ascending order.
-        incarnations: Highest known.
-        process_ids: Of the process that it belongs to.
+        changed_us: Time at which an instance was last added or last changed its state in this instance's
+            view.
+        ids: Instance ids in ascending order.
+        incarnations: Highest known incarnation of each instance.
+        process_ids: Id of the process to which the incarnation belongs.
         states: `ALIVE`, `SUSPECTED`, `DEAD` or `LEFT`.
-        state_since_us: Since when the state holds.
-        last_datagram_us: When a datagram of its own came, -1 for never.
-        last_alive_us: When anything showed that it lives.
-        highest_numbers: Highest number of its datagrams.
-        replay_windows: Bits of the numbers below that were used.
-        refused: 1 if its machine said that nobody listens at its address.
-        names: Names.
+        state_since_us: Time at which the instance entered its state.
+        last_datagram_us: Time of the last datagram from the instance itself, `NEVER_HEARD_US` if there was
+            none.
+        last_alive_us: Time of the last evidence that the instance is alive.
+        highest_numbers: Highest sequence number among the instance's datagrams.
+        replay_windows: Bitmap of the sequence numbers below the highest that were already used.
+        refused: 1 if the instance's machine reported that no process listens at its address, else 0.
+        names: Instance names.
     """
 
     def __init__(self, now_us: int = 0) -> None:
@@ -56,7 +58,7 @@
         self.incarnations = array("Q")
         self.process_ids = array("I")
         self.states = array("B")
-        self._zones = array("H")  # positions in _zone_names
+        self._zones = array("H")  # indexes into _zone_names
         self._ports = array("H")
         self.state_since_us = array("q")
         self.last_datagram_us = array("q")
@@ -94,11 +96,11 @@
     # Changes
 
     def mark_changed(self, now_us: int) -> None:
-        """Notes that the view changed."""
+        """Records the time of a change of this instance's view."""
         self.changed_us = now_us
 
     def add(self, record: InstanceRecord, now_us: int) -> int:
-        """Adds an instance that is not known and returns its row."""
+        """Adds an unknown instance and returns its row."""
         member_id = record.id
         row = bisect_left(self.ids, member_id)
         head = (member_id, record.incarnation, record.process_id, record.state, 0, 0)
@@ -117,7 +119,10 @@
         del self.names[row]
 
     def set_status(self, row: int, incarnation: int, process_id: int, state: int, now_us: int) -> None:
-        """Replaces the status; datagrams of another process are numbered anew."""
+        """Replaces the status.
+
+        A new process id resets the replay window, as each process numbers its datagrams from the start.
+        """
         if (incarnation, process_id) != (self.incarnations[row], self.process_ids[row]):
             self.refused[row] = 0
         if self.process_ids[row] != process_id:
@@ -128,60 +133,60 @@
             self.states[row], self.state_since_us[row] = state, now_us
 
     def set_record(self, row: int, record: InstanceRecord, now_us: int) -> None:
-        """Replaces the whole record."""
+        """Replaces status, zone and address by those of the record."""
         self.set_status(row, record.incarnation, record.process_id, record.state, now_us)
         self._set_location(row, record)
 
     def set_replay_window(self, row: int, highest_number: int, window: int) -> None:
-        """Replaces what is known of its datagrams' numbers."""
+        """Replaces the highest sequence number and the replay window."""
         self.highest_numbers[row], self.replay_windows[row] = highest_number, window
 
     def note_datagram(self, row: int, now_us: int) -> None:
-        """A datagram of the instance's own came."""
+        """Records that a datagram from the instance itself was received."""
         self.last_datagram_us[row] = self.last_alive_us[row] = now_us
         self.refused[row] = 0
 
     def note_alive(self, row: int, now_us: int) -> None:
-        """Something showed that the instance lives."""
+        """Records evidence that the instance is alive."""
         self.last_alive_us[row] = now_us
 
     def note_refused(self, row: int) -> None:
-        """Nobody listens at the instance's address."""
+        """Records that no process listens at the instance's address."""
         self.refused[row] = 1
 
     def _set_location(self, row: int, record: InstanceRecord) -> None:
         if record.zone not in self._zone_names:
             if len(self._zone_names) >= MAX_ZONES:
-                return  # no fleet has so many: a sender makes them up
+                return  # no real fleet has this many zones, so a sender is inventing them
             self._zone_names.append(record.zone)
         self._zones[row] = self._zone_names.index(record.zone)
         self._ports[row] = record.address[1]
         self._address_highs[row], self._address_lows[row] = _address_halves(record.address[0])
 
-    # Questions
+    # Queries
 
     def row_of(self, member_id: int) -> int:
-        """The row of an instance, -1 if it is not known."""
+        """Row of an instance, or -1 if it is unknown."""
         row = bisect_left(self.ids, member_id)
         return row if row < len(self.ids) and self.ids[row] == member_id else -1
 
     def precedence_of(self, row: int) -> Precedence:
-        """What a status must exceed to replace the one that is known."""
+        """Precedence that another status must exceed to replace the known one."""
         return precedence(self.incarnations[row], self.process_ids[row], self.states[row])
 
     def address_of(self, row: int) -> Address:
-        """Where the others reach the instance."""
+        """Address at which other instances reach the instance."""
         packed = self._address_highs[row].to_bytes(8, "big") + self._address_lows[row].to_bytes(8, "big")
         if packed.startswith(IPV4_MAPPED_PREFIX):
             return socket.inet_ntop(socket.AF_INET, packed[12:]), self._ports[row]
         return socket.inet_ntop(socket.AF_INET6, packed), self._ports[row]
 
     def zone_of(self, row: int) -> str:
-        """The zone of the instance."""
+        """Zone of the instance."""
         return self._zone_names[self._zones[row]]
 
     def record_of(self, row: int) -> InstanceRecord:
-        """The whole record."""
+        """Complete record of the instance."""
         return InstanceRecord(
             self.names[row],
             self.zone_of(row),
@@ -192,17 +197,17 @@
         )
 
     def status_of(self, row: int, suspected_by: int = 0) -> InstanceStatus:
-        """The status, with who suspects the instance."""
+        """Status of the instance, with the id of the instance that suspects it (0 for none)."""
         return InstanceStatus(
             self.ids[row], self.incarnations[row], self.process_ids[row], self.states[row], suspected_by
         )
 
     def live_ids(self) -> list[int]:
-        """Ids of those that are alive or suspected."""
+        """Ids of the instances that are alive or suspected."""
         return [member_id for member_id, state in zip(self.ids, self.states, strict=True) if state < DEAD]
 
     def rows_at(self, address: Address) -> list[int]:
-        """Rows of those that are reached at an address."""
+        """Rows of the instances that have the given address."""
         port, (high, low) = address[1], _address_halves(address[0])
         return [
             row
@@ -211,11 +216,11 @@
         ]
 
     def rows_in_range(self, low: int, high: int) -> Iterator[int]:
-        """Rows of the ids above `low`, up to `high`."""
+        """Rows of the ids above `low`, up to and including `high`."""
         return iter(range(bisect_right(self.ids, low), bisect_right(self.ids, high)))
 
     def expired_ids(self, now_us: int, keep_dead_us: int, keep_left_us: int) -> list[int]:
-        """Ids of those that have been dead, or gone, for longer than they are kept."""
+        """Ids of the instances that have been dead or have left for longer than the given times."""
         return [
             self.ids[row]
             for row, state in enumerate(self.states)
@@ -224,7 +229,7 @@
         ]
 
     def memory_bytes(self) -> int:
-        """Bytes that the table takes, names included."""
+        """Memory that the table uses in bytes, including the instance names."""
         return (
             sum(sys.getsizeof(column) for column in self._columns)
             + sys.getsizeof(self.names)
--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -1,4 +1,4 @@
-"""Merges what other instances say of the members, and what this one finds itself, into the member table."""
+"""Merges statuses received from other instances, and this instance's own findings, into the member table."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from cressrail.membership.suspicion import Suspicion, SuspicionTable
 from cressrail.membership.timers import TimerKind
 
-MAX_INSTANCES = 4096  # that are kept; keeps a faulty or hostile sender from filling the memory
-EXPECTED_CROSS_CHECKS = 6  # instances over the fleet that ping a newly suspected one at once
+MAX_INSTANCES = 4096  # limit of the table, so that a faulty or hostile sender can't exhaust memory
+EXPECTED_CROSS_CHECKS = 6  # average number of instances in the fleet that ping a newly suspected one at once
 
 
 class MemberUpdates:
-    """Applies statuses by precedence.
+    """Applies statuses in order of precedence.
 
     Attributes:
-        needs_recount: Instances joined since the live ones were last counted.
+        needs_recount: Whether an instance has joined or returned since the live instances were last counted.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         self.needs_recount = False
 
     def clear_recount(self) -> None:
-        """The live instances were counted."""
+        """Resets `needs_recount` after the live instances were counted."""
         self.needs_recount = False
 
-    # What others say
+    # Received statuses
 
     def merge_record(self, now_us: int, record: InstanceRecord) -> None:
-        """Merges a whole record."""
+        """Merges a complete record, which may be of an unknown instance."""
         table = self._shared.table
         if record.id == self._self_record.id:
             self._refutation.on_own_status(now_us, record)
@@ -68,7 +68,7 @@
             self._apply(now_us, row, record.status(), record)
 
     def merge_status(self, now_us: int, status: InstanceStatus) -> None:
-        """Merges the status of an instance whose record is known; others are passed over."""
+        """Merges the status of a known instance; a status of an unknown one is ignored."""
         table = self._shared.table
         if status.id == self._self_record.id:
             self._refutation.on_own_status(now_us, status)
@@ -100,10 +100,10 @@
         else:
             self._gossip.broadcast_record(now_us, record)
 
-    # What this instance finds
+    # Findings of this instance
 
     def suspect(self, now_us: int, row: int) -> None:
-        """A ping of this instance failed."""
+        """Suspects an instance to which a ping of this instance failed."""
         table = self._shared.table
         member_id, own_id = table.ids[row], self._self_record.id
         if table.states[row] == ALIVE:
@@ -116,7 +116,7 @@
             self._schedule.prioritize(member_id)
 
     def confirm_suspicion(self, now_us: int, member_id: int, suspected_by: int) -> None:
-        """One more suspects an instance: the time-out shrinks, and the others learn of it."""
+        """Adds a confirmation to a suspicion, which shortens its time-out, and gossips the confirmation."""
         suspicion = self._suspicions.get(member_id)
         if suspicion is not None and suspicion.confirm(suspected_by):
             table = self._shared.table
@@ -125,18 +125,25 @@
             self.set_suspicion_timer(now_us, member_id, suspicion)
 
     def set_suspicion_timer(self, now_us: int, member_id: int, suspicion: Suspicion) -> None:
-        """Has the suspicion looked at again when its time-out ends."""
+        """Sets a timer for the end of the suspicion's time-out."""
         due_us = max(now_us, suspicion.deadline_us())
         self._shared.timers.set(due_us, TimerKind.EXPIRE_SUSPICION, member_id)
 
     def on_connection_refused(self, now_us: int, member_id: int) -> None:
-        """Nobody listens at the address of an instance: an own suspicion of it gets the shortest time-out."""
+        """Shortens the time-out of a suspicion as far as possible, as no process listens at the address.
+
+        This applies only if a ping of this instance failed too.
+        """
         suspicion = self._suspicions.get(member_id)
         if suspicion is not None and suspicion.mark_refused():
             self.set_suspicion_timer(now_us, member_id, suspicion)
 
     def expire_suspicion(self, now_us: int, member_id: int) -> None:
-        """Declares a suspected instance dead if its time-out has ended; else looks again later."""
+        """Declares a suspected instance dead if its time-out has ended; otherwise sets another timer.
+
+        The time-out is longer while local health is degraded, and no instance is declared dead while this one
+        is isolated.
+        """
         suspicion = self._suspicions.get(member_id)
         if suspicion is None:
             return
@@ -144,7 +151,7 @@
         deadline_us = suspicion.deadline_us() + shared.local_health.score * period_us // 2
         row = shared.table.row_of(member_id)
         if shared.table.last_alive_us[row] > suspicion.since_us:
-            # It was heard itself since: only its refutation is missing.
+            # There has been evidence since that the instance is alive; only its refutation has not arrived.
             suspicion.restart_timeout(now_us)
             deadline_us = suspicion.deadline_us()
         if self._isolation.since_us is not None:
@@ -160,7 +167,14 @@
     def _apply(
         self, now_us: int, row: int, update: InstanceStatus, record: InstanceRecord | None = None
     ) -> None:
-        """Applies a status that takes precedence over what is known; `record` if that came with it."""
+        """Applies a status that takes precedence over the known one.
+
+        Args:
+            now_us: Current time.
+            row: Row of the instance in the member table.
+            update: New status.
+            record: Complete record, if one was received together with the status.
+        """
         table = self._shared.table
         previous_state, previous_process_id = table.states[row], table.process_ids[row]
         state = self._accepted_state(now_us, previous_state, update)
@@ -188,9 +202,10 @@
             self._gossip.broadcast_status(now_us, table.status_of(row, update.suspected_by))
 
     def _accepted_state(self, now_us: int, previous_state: int, update: InstanceStatus) -> int | None:
-        """The state to store; `None` if the status only confirms a suspicion.
+        """State to store, or `None` if the status only confirms a suspicion.
 
-        A death that this instance did not time itself counts as a suspicion, or confirms one.
+        A death report that arrives before this instance's own suspicion time-out has ended starts or confirms
+        a suspicion instead.
         """
         if update.state != DEAD:
             return update.state
@@ -221,7 +236,10 @@
     def _on_suspected(
         self, now_us: int, row: int, update: InstanceStatus, previous_state: int, *, is_newer: bool
     ) -> None:
-        """Starts or confirms the suspicion; a few instances over the fleet ping the suspected one at once."""
+        """Starts or confirms a suspicion that another instance or this one has reported.
+
+        A few randomly chosen instances of the fleet ping the suspected one at once.
+        """
         shared, own_id = self._shared, self._self_record.id
         suspicion = self._suspicions.get(update.id)
         if suspicion is None or is_newer:
@@ -255,7 +273,7 @@
         self._dead_retries.retry_all_sooner(now_us)
 
     def _on_dead_or_left(self, now_us: int, row: int, state: int, previous_state: int) -> None:
-        """An instance is dead or has left."""
+        """Removes the data that depends on the instance being alive, and logs its death or departure."""
         member_id, name = self._shared.table.ids[row], self._shared.table.names[row]
         self._shared.reachability.forget_instance(member_id)
         self._shared.load_reports.forget_instance(member_id)
--- a/cressrail/membership/peer_selection.py
+++ b/cressrail/membership/peer_selection.py
@@ -1,37 +1,38 @@
-"""Random choice of the instances to which something is sent."""
+"""Random selection of the instances to which datagrams are sent."""
 
 from __future__ import annotations
 
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.suspicion import SuspicionTable
 
-RECENT_ACK_PERIODS = 10  # for which an ack shows that its sender can be reached
-MAX_RECENT_ACKS = 16
+RECENT_ACK_PERIODS = 10  # ping periods for which an ack counts as evidence that its sender is reachable
+MAX_RECENT_ACKS = 16  # number of senders whose acks are remembered
 
 
 class PeerSelection:
-    """Chooses rows of the member table."""
+    """Selects rows of the member table."""
 
     def __init__(self, shared: SharedState, suspicions: SuspicionTable) -> None:
         self._shared, self._suspicions = shared, suspicions
-        self._recent_acks: dict[int, int] = {}  # when, by id; the latest is last
+        self._recent_acks: dict[int, int] = {}  # time of the ack by instance id, oldest first
 
     def note_ack(self, now_us: int, member_id: int) -> None:
-        """An instance acknowledged a direct ping."""
+        """Records that an instance acknowledged a direct ping."""
         self._recent_acks.pop(member_id, None)
         self._recent_acks[member_id] = now_us
         if len(self._recent_acks) > MAX_RECENT_ACKS:
             del self._recent_acks[next(iter(self._recent_acks))]
 
     def forget_ack(self, member_id: int) -> None:
-        """An instance did not acknowledge a direct ping."""
+        """Removes an instance's ack after a direct ping that it did not acknowledge."""
         self._recent_acks.pop(member_id, None)
 
     def random_rows(self, count: int, excluded_id: int = 0) -> list[int]:
-        """Rows of up to `count` live instances.
+        """Returns the rows of up to `count` random live instances.
 
-        Those that this instance can't reach are left out, and, unless none remains, those that it suspects
-        itself, so that gossip does not go to the dead while many have died at once.
+        Instances that this one can't reach are excluded. Instances to which its own ping failed are excluded
+        too, unless no other remains, so that gossip is not sent to dead instances after many simultaneous
+        deaths.
         """
         candidates = [
             member_id
@@ -44,9 +45,11 @@
         return self._draw(candidates, count)
 
     def rows_with_recent_acks(self, count: int, now_us: int, excluded_id: int = 0) -> list[int]:
-        """Rows of up to `count` live instances, all but one drawn from those that sent an ack of late.
+        """Returns the rows of up to `count` live instances, preferring those with a recent ack.
 
-        Where most can't reach each other, purely random rows would get the message no further, or too late.
+        Up to `count - 1` are drawn from the senders of recent acks, the rest from all live instances. Where
+        most pairs of instances can't reach each other, a purely random selection would spread a message too
+        late or not at all.
         """
         max_age_us = RECENT_ACK_PERIODS * self._shared.settings.ping_period_us
         recent = [
--- a/cressrail/membership/ping_schedule.py
+++ b/cressrail/membership/ping_schedule.py
@@ -1,4 +1,4 @@
-"""Whom to ping next: each live instance once a round, in a new random order, and some out of turn."""
+"""Order of direct pings: each live instance once per round, and priority targets in between."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.suspicion import SuspicionTable
 
-MAX_PRIORITY_TARGETS = 64
-PRIORITY_DIVISOR = 3  # one ping in so many goes to a priority target while a round is in progress
-_MAX_ROUND_ATTEMPTS = 2
+MAX_PRIORITY_TARGETS = 64  # the oldest is dropped when another is added
+PRIORITY_DIVISOR = 3  # one ping in three goes to a priority target while a round is in progress
+_MAX_ROUND_ATTEMPTS = 2  # the rest of the current round, then one new round
 
 
 class PingSchedule:
-    """Order of direct pings."""
+    """Chooses the target of each direct ping."""
 
     def __init__(self, shared: SharedState, suspicions: SuspicionTable) -> None:
         self._shared, self._suspicions = shared, suspicions
@@ -22,15 +22,19 @@
         self._priority_targets: deque[int] = deque(maxlen=MAX_PRIORITY_TARGETS)
 
     def add_to_round(self, member_id: int) -> None:
-        """Puts a new instance at a random place of the current round."""
+        """Inserts a new instance at a random position of the current round."""
         self._round.insert(self._shared.random.below(len(self._round) + 1), member_id)
 
     def prioritize(self, member_id: int) -> None:
-        """Has an instance pinged out of turn."""
+        """Queues an instance to be pinged before its turn."""
         self._priority_targets.append(member_id)
 
     def next_target(self, in_progress: Collection[int]) -> int:
-        """Id of the instance to ping next, 0 if there is none; `in_progress` are being pinged already."""
+        """Returns the id of the instance to ping next, or 0 if there is none.
+
+        Args:
+            in_progress: Ids of the instances that are being pinged already, which are skipped.
+        """
         if self._priority_targets and not (self._shared.random.below(PRIORITY_DIVISOR) and self._round):
             member_id = self._priority_targets.popleft()
             if member_id not in in_progress and self._shared.is_live(member_id):
@@ -49,9 +53,10 @@
         return self._shared.is_live(member_id) and not self._suspicions.is_locally_suspected(member_id)
 
     def _start_round(self) -> None:
-        """Leaves out those this instance suspects itself.
+        """Starts a round of all live instances except those to which a ping of this instance has failed.
 
-        After many deaths it would otherwise ping the dead in turn and hear nobody.
+        After many simultaneous deaths, this instance would otherwise ping one dead instance after another and
+        receive no ack.
         """
         self._round = [
             member_id
--- a/cressrail/membership/refutation.py
+++ b/cressrail/membership/refutation.py
@@ -1,4 +1,4 @@
-"""Refutes what others hold of this instance's name, by a higher incarnation."""
+"""Refutes wrong statuses of this instance by gossiping a higher incarnation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Refutation:
-    """Raises the own incarnation."""
+    """Raises this instance's incarnation, or changes its name if another process holds the name."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._sender, self._selection, self._gossip = sender, selection, gossip
 
     def prove_alive(self, now_us: int) -> None:
-        """Raises the incarnation, once a ping period at most, so that others see that this instance lives."""
+        """Raises and gossips the incarnation, at most once per ping period, as proof of being alive."""
         own = self._self_record
         since_us = now_us - own.incarnation_raised_us
         if since_us >= self._shared.settings.ping_period_us or since_us < 0:
@@ -41,9 +41,9 @@
             self._gossip.broadcast_status(now_us, own.status())
 
     def on_own_status(self, now_us: int, claim: InstanceRecord | InstanceStatus) -> None:
-        """Answers what another instance holds of this one's name."""
+        """Handles a status of this instance that another instance sent, and refutes it if necessary."""
         own = self._self_record
-        if not self._concerns_this_process(now_us, claim):
+        if not self._requires_refutation(now_us, claim):
             return
         is_other_process = claim.process_id != own.process_id
         if is_other_process and own.must_yield_name(claim.process_id, claim.incarnation):
@@ -57,8 +57,11 @@
         for row in self._selection.random_rows(GOSSIP_FANOUT):
             self._sender.send(self._shared.table.address_of(row), codec.GOSSIP, b"")
 
-    def _concerns_this_process(self, now_us: int, claim: InstanceRecord | InstanceStatus) -> bool:
-        """Whether it takes precedence over the own record; a suspicion is counted against local health."""
+    def _requires_refutation(self, now_us: int, claim: InstanceRecord | InstanceStatus) -> bool:
+        """Whether the claim has to be answered, because it would override this instance's own record.
+
+        A suspicion or death of this process also degrades local health.
+        """
         own = self._self_record
         if claim.process_id != own.process_id:
             return (claim.incarnation, claim.process_id) >= (own.incarnation, own.process_id)
--- a/cressrail/membership/relayed_pings.py
+++ b/cressrail/membership/relayed_pings.py
@@ -1,4 +1,4 @@
-"""Indirect pings that this instance sends on behalf of others (SWIM's ping-req, Lifeguard's nack)."""
+"""Indirect pings that this instance sends on behalf of others (SWIM ping-req, Lifeguard nack)."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.timers import TimerKind
 
-MAX_RELAYED_PINGS = 1024
+MAX_RELAYED_PINGS = 1024  # in progress at the same time; further requests are answered with a nack
 
 
 class _RelayedPing(NamedTuple):
+    """Address and sequence number of the requester, and id of the target."""
+
     requester: Address
     requester_sequence: int
     target: int
 
 
 class RelayedPings:
-    """Pings in progress for others, by own sequence number."""
+    """Pings in progress on behalf of others, indexed by this instance's own sequence number."""
 
     def __init__(self, shared: SharedState, sender: DatagramSender) -> None:
         self._shared, self._sender = shared, sender
@@ -30,7 +32,7 @@
     def on_ping_req(
         self, now_us: int, reference: PingReference, requester: InstanceRecord, max_bytes: int
     ) -> None:
-        """Pings the target, or answers with a nack if it is not known."""
+        """Pings the target, or sends a nack if it is unknown or too many relayed pings are in progress."""
         row = self._shared.table.row_of(reference.target)
         if row < 0 or len(self._pings) >= MAX_RELAYED_PINGS:
             fields = codec.encode_ping_reference(reference)
@@ -44,7 +46,7 @@
         self._shared.timers.set(due_us, TimerKind.EXPIRE_RELAYED_PING, sequence)
 
     def on_ack(self, sequence: int, sender: InstanceRecord) -> None:
-        """Passes the ack of a target on to the requester."""
+        """Forwards an ack of the target to the requester."""
         ping = self._pings.get(sequence)
         if ping is None or ping.target != sender.id:
             return
@@ -55,12 +57,12 @@
         self._sender.send(ping.requester, ACK, fields)
 
     def expire(self, _now_us: int, sequence: int) -> None:
-        """Sends a nack: this instance is well, the target did not answer in time."""
+        """Sends a nack, which says that this instance works but the target did not answer in time."""
         ping = self._pings.pop(sequence, None)
         if ping is not None:
             fields = codec.encode_ping_reference(PingReference(ping.requester_sequence, ping.target))
             self._sender.send(ping.requester, NACK, fields)
 
     def cancel_all(self) -> None:
-        """Forgets them, after a pause of this process."""
+        """Discards all relayed pings after a pause of this process."""
         self._pings.clear()
--- a/cressrail/membership/self_record.py
+++ b/cressrail/membership/self_record.py
@@ -1,24 +1,29 @@
-"""What an instance says of itself: name, process id and incarnation."""
+"""Record of this instance that it announces to others: name, process id and incarnation."""
 
 from __future__ import annotations
 
 from cressrail.membership.messages import ALIVE, LEFT, InstanceRecord, InstanceStatus, instance_id
 from cressrail.membership.settings import MembershipSettings
 
-MAX_SAME_NAME_PROCESSES = 8  # other processes of the same name that are remembered
-RENAMED_PREFIX_BYTES = 48
-WRONGLY_SUSPECTED_PERIODS = 20  # for which a refuted suspicion is remembered
-_UNKNOWN_INCARNATION = 1 << 63
+MAX_SAME_NAME_PROCESSES = 8  # other processes of the same name whose incarnations are remembered
+RENAMED_PREFIX_BYTES = 48  # part of the configured name that a renamed instance keeps
+WRONGLY_SUSPECTED_PERIODS = 20  # ping periods for which a refuted suspicion is remembered
+_UNKNOWN_INCARNATION = 1 << 63  # above every valid one, so that a first sighting is no raise
 
 
 class SelfRecord:
-    """The own record.
+    """Record of this instance.
 
     Attributes:
-        process_id: Drawn at random by each process, to tell it from an earlier or second one of the name.
-        incarnation: Where it starts need not be above what others know: they say so, and it counts on.
-        incarnation_raised_us: When the incarnation was last raised.
-        suspected_until_us: Until then the instance proves that it lives, as others had taken it for dead.
+        name: Name of this instance.
+        id: Id that is derived from the name.
+        process_id: Random number that distinguishes this process from an earlier or a second one of the same
+            name.
+        incarnation: Current incarnation. Its initial value may be lower than the one that others know: they
+            report theirs, and this instance continues above it.
+        incarnation_raised_us: Time at which the incarnation was last raised, in microseconds.
+        suspected_until_us: Time until which this instance keeps proving that it is alive, because others
+            suspected it or declared it dead.
     """
 
     def __init__(self, settings: MembershipSettings, now_us: int, process_id: int, incarnation: int) -> None:
@@ -30,7 +35,7 @@
         self._same_name_incarnations: dict[int, int] = {}  # highest incarnation seen, by process id
 
     def record(self, *, has_left: bool = False) -> InstanceRecord:
-        """The whole record."""
+        """Complete record in the state `ALIVE`, or `LEFT` if `has_left` is set."""
         return InstanceRecord(
             self.name,
             self._settings.zone,
@@ -41,23 +46,23 @@
         )
 
     def status(self) -> InstanceStatus:
-        """The short form, for those who have the record."""
+        """Status without the rest of the record, for instances that already have the record."""
         return InstanceStatus(self.id, self.incarnation, self.process_id, ALIVE)
 
     def raise_incarnation(self, now_us: int, incarnation: int) -> None:
-        """Sets a higher incarnation."""
+        """Sets a higher incarnation and notes the time."""
         self.incarnation = incarnation
         self.incarnation_raised_us = now_us
 
     def note_suspected(self, now_us: int) -> None:
-        """Others suspect this instance, or hold it for dead."""
+        """Notes that others suspect this instance or have declared it dead."""
         self.suspected_until_us = now_us + WRONGLY_SUSPECTED_PERIODS * self._settings.ping_period_us
 
     def must_yield_name(self, process_id: int, incarnation: int) -> bool:
-        """Whether another process of the name is alive and keeps it.
+        """Whether this process must leave its name to another running process of the same name.
 
-        Only a living process raises its incarnation. Of two the one with the lower process id takes another
-        name.
+        Only a running process raises its incarnation. Of two running processes, the one with the lower
+        process id takes another name.
         """
         is_running = incarnation > self._same_name_incarnations.get(process_id, _UNKNOWN_INCARNATION)
         if (
@@ -68,7 +73,7 @@
         return is_running and self.process_id < process_id
 
     def take_other_name(self) -> None:
-        """Appends the process id to the configured name, which another process keeps."""
+        """Changes the name to the configured one, cut if necessary, with the process id appended."""
         prefix = self._settings.name.encode()[:RENAMED_PREFIX_BYTES].decode(errors="ignore")
         self.name = f"{prefix}~{self.process_id:08x}"
         self.id = instance_id(self.name)
--- a/cressrail/membership/state_machine.py
+++ b/cressrail/membership/state_machine.py
@@ -1,8 +1,9 @@
-"""Membership of one instance as a state machine: events go in, commands come out.
+"""Membership state machine of one instance, which takes events as input and returns commands.
 
-The protocol is SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's refinements (Dadgar, Phillips, Currey,
-2017) and what docs/membership.md adds: proofs of life of instances that some can't reach, deaths that are
-believed only if timed here, and push-pull sync by ranges in place of whole tables.
+The protocol is SWIM (Das, Gupta, Motivala, 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey,
+2017) and three additions that docs/membership.md describes: an instance that some others can't reach proves
+that it is alive, a reported death is accepted only after this instance's own suspicion time-out has expired,
+and push-pull sync exchanges ranges of the member table instead of the whole table.
 """
 
 from __future__ import annotations
@@ -46,18 +47,19 @@
 from cressrail.membership.view import membership_view
 from cressrail.policy.random_generator import RandomGenerator
 
-LEAVE_FANOUT = 8  # instances that are told that this one leaves
-SETTLED_PERIODS = 4  # without a change, after which the view is settled
-LATE_TIMER_DIVISOR = (
-    8  # a timer that is late by more than one part in so many of a ping period costs local health
-)
-PAUSE_DIVISOR = 2  # by more than one part in so many: the process was paused
-LONG_PAUSE_PERIODS = 2  # after which others may hold this instance for dead
-MAX_PAUSE_PENALTY = 2  # points of local health
+LEAVE_FANOUT = 8  # number of instances that are notified when this one leaves
+SETTLED_PERIODS = 4  # ping periods without a change after which the view is settled
+LATE_TIMER_DIVISOR = 8  # a timer that is late by more than ping period / 8 degrades local health
+PAUSE_DIVISOR = 2  # a timer that is late by more than ping period / 2 means that the process was paused
+LONG_PAUSE_PERIODS = 2  # ping periods of pause after which others may have declared this instance dead
+MAX_PAUSE_PENALTY = 2  # largest increase of the local health score for one pause
 
 
 class MembershipStateMachine:
-    """One instance. Each event returns the commands that it causes; times are in microseconds."""
+    """Membership state machine of one instance.
+
+    Each event method returns the commands that the caller is to execute. All times are in microseconds.
+    """
 
     def __init__(
         self,
@@ -67,14 +69,15 @@
         process_id: int,
         incarnation: int,
     ) -> None:
-        """Makes an instance that is not started.
+        """Creates the state machine; `start` makes it take part in membership.
 
         Args:
-            settings: Its settings.
-            random: Source of all its random values.
-            now_us: The current time.
-            process_id: Drawn at random by each process; rests on no clock.
-            incarnation: Where it starts; need not be above what others know of the name.
+            settings: Membership settings of this instance.
+            random: Generator of all random values that the state machine uses.
+            now_us: Current time.
+            process_id: Random number that identifies this process; it does not depend on a clock.
+            incarnation: Initial incarnation; it may be lower than the incarnation that other instances know
+                for this name.
         """
         self.settings = settings
         self.self_record = SelfRecord(settings, now_us, process_id, incarnation)
@@ -148,7 +151,7 @@
     # Events
 
     def start(self, now_us: int) -> list[Command]:
-        """Begins to take part."""
+        """Starts to take part in membership and sets the first timers."""
         period_us = self.settings.ping_period_us
         self.shared.timers.clear()
         self._join.set_first_timer(now_us)
@@ -159,18 +162,19 @@
         return self.shared.take_commands()
 
     def on_timer(self, now_us: int) -> list[Command]:
-        """Runs the timers that are due; to be called at `next_timer_us`."""
+        """Runs the timers that are due. The caller calls it at `next_timer_us`."""
         late_us = now_us - self.next_timer_us
         self._check_own_pause(now_us)
         if late_us > self.settings.ping_period_us // LATE_TIMER_DIVISOR:
-            # Only here, so that one delay counts once however many datagrams waited meanwhile.
+            # Local health is degraded only here, not for each datagram, so that one delay counts once
+            # regardless of how many datagrams were queued during it.
             self.shared.local_health.degrade()
         while not self._is_leaving and (timer := self.shared.timers.pop_due(now_us)) is not None:
             self._timer_handlers[timer.kind](now_us, timer.argument)
         return self.shared.take_commands()
 
     def on_datagram(self, now_us: int, payload: bytes) -> list[Command]:
-        """Takes in a datagram."""
+        """Processes a received datagram; a malformed one is only counted and logged."""
         self._check_own_pause(now_us)
         if self._is_leaving:
             return self.shared.take_commands()
@@ -183,10 +187,11 @@
         return self.shared.take_commands()
 
     def on_connection_refused(self, now_us: int, address: Address) -> list[Command]:
-        """A datagram to an address came to a machine on which nobody listens there.
+        """Handles the report that no process listens at the address to which a datagram was sent.
 
-        The process is gone, where silence might be a network partition or a pause. That alone makes nobody
-        dead, but a ping need not be waited for, and a suspicion not for as long as one that rests on silence.
+        A refusal shows that the process has ended, whereas a missing answer can also mean a network partition
+        or a pause. A refusal alone does not make an instance dead, but its pings fail without waiting for
+        their time-out, and its suspicion gets a shorter time-out than one that is based on missing answers.
         """
         self._check_own_pause(now_us)
         table = self.shared.table
@@ -198,7 +203,13 @@
         return self.shared.take_commands()
 
     def leave(self, now_us: int, *, announces: bool = True) -> list[Command]:
-        """Ends for good; `announces` unless another process goes on under the same name."""
+        """Stops taking part permanently.
+
+        Args:
+            now_us: Current time.
+            announces: Whether other instances are notified; false if another process continues under the
+                same name.
+        """
         if not self._is_leaving and announces:
             self.shared.broadcasts.clear()
             for row in self._selection.random_rows(LEAVE_FANOUT):
@@ -208,15 +219,19 @@
         return self.shared.take_commands()
 
     def set_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Replaces the shared keys."""
+        """Replaces the shared keys that sign and verify datagrams."""
         self._sender.set_keys(keys)
 
     def set_own_load_reports(self, now_us: int, reports: Iterable[tuple[int, int, int]]) -> None:
-        """Replaces all that this instance reports of its own work: kind, subject and value of each."""
+        """Replaces all load reports of this instance; each is a tuple of kind, subject and value."""
         self.shared.load_reports.set_own_reports(now_us, reports)
 
     def send_user_message(self, now_us: int, member_id: int, payload: bytes) -> list[Command]:
-        """Sends a message of another part of the sidecar to one instance; it may be lost."""
+        """Sends a message of another sidecar component to one instance, without guaranteed delivery.
+
+        The message is dropped if the instance is unknown, if this instance is leaving, or if the payload
+        exceeds `MAX_USER_MESSAGE_BYTES`.
+        """
         self._sender.set_time(now_us)
         row = self.shared.table.row_of(member_id)
         if row >= 0 and not self._is_leaving and len(payload) <= MAX_USER_MESSAGE_BYTES:
@@ -227,18 +242,20 @@
     def broadcast_user_message(
         self, now_us: int, subject: str, payload: bytes, is_urgent: bool
     ) -> list[Command]:
-        """Gossips a message of another part of the sidecar to all, in place of an earlier one on the subject.
+        """Gossips a message of another sidecar component to all instances.
 
-        One that is not urgent only rides on datagrams that are sent anyway.
+        It replaces an earlier message on the same subject. A message that is not urgent starts no gossip
+        round of its own: it is only attached to datagrams that are sent for other reasons.
         """
         if not self._is_leaving and len(payload) <= MAX_USER_MESSAGE_BYTES:
             self._gossip.broadcast_user_message(now_us, instance_id(subject), payload, is_urgent)
         return self.shared.take_commands()
 
     def _check_own_pause(self, now_us: int) -> None:
-        """Notices by its own timers that this process was paused.
+        """Detects from an overdue timer that this process was paused, and discards what was in progress.
 
-        It would otherwise take the others' silence during the pause for their death.
+        Otherwise the instance would interpret answers that it missed during the pause as the deaths of
+        other instances.
         """
         shared, period_us = self.shared, self.settings.ping_period_us
         self._sender.set_time(now_us)
@@ -261,39 +278,43 @@
             shared.timers.set(due_us, TimerKind.EXPIRE_SUSPICION, member_id)
         self._gossip.schedule(now_us)
 
-    # Questions
+    # Queries
 
     @property
     def next_timer_us(self) -> int:
-        """When `on_timer` is to be called next."""
+        """Time at which `on_timer` is to be called next."""
         return self.shared.timers.next_us
 
     @property
     def name(self) -> str:
-        """The name under which it takes part."""
+        """Name of this instance, which differs from the configured one after a name conflict."""
         return self.self_record.name
 
     @property
     def id(self) -> int:
-        """Id of the name."""
+        """Id of this instance, derived from its name."""
         return self.self_record.id
 
     @property
     def table(self) -> MemberTable:
-        """All other instances that are known."""
+        """Table of all other known instances."""
         return self.shared.table
 
     @property
     def instance_count(self) -> InstanceCount | None:
-        """The count last announced, if there is one."""
+        """The instance count that was announced last, or `None` if none was."""
         return self._counter.announced
 
     def live_instance_count(self) -> int:
-        """Instances that are alive or suspected, this one included."""
+        """Number of instances that are alive or suspected, including this one."""
         return self.isolation.live_instance_count()
 
     def is_settled(self, now_us: int) -> bool:
-        """Whether the view can be relied on: others are heard, none is suspected, nothing changed of late."""
+        """Whether the view is stable.
+
+        It is if this instance has joined (or has no seeds), is not isolated, suspects no instance, and its
+        member table has not changed for `SETTLED_PERIODS` ping periods.
+        """
         span_us = SETTLED_PERIODS * self.settings.ping_period_us
         return (
             (self._push_pull.has_joined or not self.settings.seeds)
@@ -303,11 +324,11 @@
         )
 
     def observed_instances(self) -> ObservedInstances:
-        """What the count of live instances goes by."""
+        """Observed numbers of instances from which the live instance count is estimated."""
         return self._counter.observed()
 
     def instance_zones(self) -> dict[int, str]:
-        """Zones of the other live instances, by id."""
+        """Maps the id of each other live instance to its zone."""
         table = self.shared.table
         return {
             member_id: table.zone_of(row)
@@ -316,11 +337,11 @@
         }
 
     def instance_names(self) -> dict[int, str]:
-        """Names of all other known instances, by id."""
+        """Maps the id of each other known instance to its name."""
         return dict(zip(self.shared.table.ids, self.shared.table.names, strict=True))
 
     def view(self, now_us: int) -> dict[str, Any]:
-        """The JSON of `/membership`."""
+        """Content of the JSON document that the admin endpoint `/membership` serves."""
         return membership_view(
             now_us,
             self.shared,
--- a/cressrail/membership/timers.py
+++ b/cressrail/membership/timers.py
@@ -6,11 +6,11 @@
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-NEVER_US = 1 << 62
+NEVER_US = 1 << 62  # due time that means that no timer is set
 
 
 class TimerKind(IntEnum):
-    """What is to be done when a timer runs out."""
+    """Action that is performed when a timer expires."""
 
     START_PING = auto()
     RETRY_PING = auto()
@@ -24,7 +24,8 @@
     MAINTAIN = auto()
 
 
-# Started before a pause of this process, so that their outcome says nothing about the others.
+# Timers that are discarded after a pause of this process: what they measure was started before the pause, so
+# their expiry says nothing about other instances.
 DISCARDED_AFTER_PAUSE = frozenset(
     {
         TimerKind.RETRY_PING,
@@ -37,7 +38,14 @@
 
 
 class Timer(NamedTuple):
-    """One timer; `number` orders those of the same time, `argument` is of its kind."""
+    """One timer.
+
+    Attributes:
+        due_us: Time at which the timer expires, in microseconds.
+        number: Running number that orders timers with the same due time.
+        kind: Action to perform.
+        argument: Argument of the action; its meaning depends on the kind.
+    """
 
     due_us: int
     number: int
@@ -46,7 +54,7 @@
 
 
 class TimerQueue:
-    """Timers in the order in which they run out."""
+    """Timers in the order in which they expire."""
 
     def __init__(self) -> None:
         self._timers: list[Timer] = []
@@ -54,7 +62,7 @@
 
     @property
     def next_us(self) -> int:
-        """When the next timer runs out."""
+        """Time at which the next timer expires, `NEVER_US` if there is none."""
         return self._timers[0].due_us if self._timers else NEVER_US
 
     def set(self, due_us: int, kind: TimerKind, argument: int = 0) -> None:
@@ -63,7 +71,7 @@
         heappush(self._timers, Timer(due_us, self._count, kind, argument))
 
     def pop_due(self, now_us: int) -> Timer | None:
-        """Removes the next timer that has run out."""
+        """Removes and returns the earliest expired timer, or returns `None`."""
         if self._timers and self._timers[0].due_us <= now_us:
             return heappop(self._timers)
         return None
@@ -77,7 +85,10 @@
         self._timers.clear()
 
     def restart_after_pause(self, now_us: int, period_us: int) -> None:
-        """Voids what was in progress; the next ping starts at once, all else a period from now."""
+        """Discards the timers of work in progress and reschedules the rest after a pause of this process.
+
+        The next ping starts at once, and all other remaining timers expire one ping period from now.
+        """
         self._timers = sorted(
             timer._replace(due_us=now_us if timer.kind == TimerKind.START_PING else now_us + period_us)
             for timer in self._timers
