--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -1,4 +1,4 @@
-"""Support for tests of membership: fleets in virtual time, instances, datagrams, generated values."""
+"""Helpers for membership tests: simulated fleets, single instances, datagrams and hypothesis strategies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.discovery.endpoint_list import EndpointEntry, EndpointListUpdate
 from cressrail.membership import codec
@@ -37,60 +37,64 @@
 KEY = b"k" * 32
 
 
-def joined_fleet(size: int, seed: int = 1, **more: Any) -> MembershipSimulation:
-    """A fleet that has known all its copies for a while."""
-    fleet = MembershipSimulation(size, seed, **more)
+def joined_fleet(size: int, seed: int = 1, **options: Any) -> MembershipSimulation:
+    """Returns a fleet whose instances have all known each other for eight seconds of virtual time."""
+    fleet = MembershipSimulation(size, seed, **options)
     fleet.start_all()
     assert fleet.clock.run_until_met(fleet.all_views_agree, 60 * SECOND)
     fleet.clock.run_until(fleet.clock.now_us + 8 * SECOND)
     return fleet
 
 
-def state_seen_by(fleet: MembershipSimulation, by: int, of: int) -> str:
-    found = [
+def state_seen_by(fleet: MembershipSimulation, observer: int, observed: int) -> str:
+    """Returns the state of an instance in the `/membership` view of another."""
+    matches = [
         c
-        for c in fleet.names[f"copy{by}"].instance.view(fleet.clock.now_us)["copies"]
-        if c["name"] == f"copy{of}"
+        for c in fleet.names[f"copy{observer}"].instance.view(fleet.clock.now_us)["copies"]
+        if c["name"] == f"copy{observed}"
     ]
-    return str(found[0]["state"])
+    return str(matches[0]["state"])
 
 
 def event_counts(fleet: MembershipSimulation, since_us: int) -> Counter[str]:
+    """Counts the log events of a fleet by name."""
     return Counter(logged.event for logged in fleet.log if logged.at_us >= since_us)
 
 
 def number_of(name: str) -> int:
+    """Returns the number in the name of a simulated instance."""
     return int(name.removeprefix("copy"))
 
 
-RECORDS = some.builds(
+RECORDS = st.builds(
     InstanceRecord,
-    some.text(min_size=1, max_size=16),
-    some.text(max_size=6),
-    some.tuples(some.sampled_from(["127.0.0.1", "10.1.2.3", "fe80::1"]), some.integers(1, 65535)),
-    some.integers(0, 1 << 62),
-    some.integers(0, (1 << 32) - 1),
-    some.integers(0, 3),
+    st.text(min_size=1, max_size=16),
+    st.text(max_size=6),
+    st.tuples(st.sampled_from(["127.0.0.1", "10.1.2.3", "fe80::1"]), st.integers(1, 65535)),
+    st.integers(0, 1 << 62),
+    st.integers(0, (1 << 32) - 1),
+    st.integers(0, 3),
 )
 
 
-U64, U32 = some.integers(0, (1 << 64) - 1), some.integers(0, (1 << 32) - 1)
+U64, U32 = st.integers(0, (1 << 64) - 1), st.integers(0, (1 << 32) - 1)
 
 
-STATUSES = some.builds(InstanceStatus, U64, some.integers(0, 1 << 62), U32, some.integers(0, 3), U64)
+STATUSES = st.builds(InstanceStatus, U64, st.integers(0, 1 << 62), U32, st.integers(0, 3), U64)
 
 
-REACHABILITY_REPORTS = some.builds(ReachabilityReport, U64, U64, U32, some.booleans())
+REACHABILITY_REPORTS = st.builds(ReachabilityReport, U64, U64, U32, st.booleans())
 
 
-LOAD_REPORTS = some.builds(
-    LoadReport, some.integers(0, 255), U64, some.integers(0, MAX_VALUE), U32, some.integers(0, MAX_AGE_MS)
+LOAD_REPORTS = st.builds(
+    LoadReport, st.integers(0, 255), U64, st.integers(0, MAX_VALUE), U32, st.integers(0, MAX_AGE_MS)
 )
 
 
-def single_instance(most_bytes: int = 1400) -> MembershipStateMachine:
+def single_instance(max_datagram_bytes: int = 1400) -> MembershipStateMachine:
+    """Returns an instance named "one" that is not started."""
     return MembershipStateMachine(
-        MembershipSettings("one", "a", ("127.0.0.1", 1), (), (KEY,), max_datagram_bytes=most_bytes),
+        MembershipSettings("one", "a", ("127.0.0.1", 1), (), (KEY,), max_datagram_bytes=max_datagram_bytes),
         RandomGenerator(1),
         0,
         1,
@@ -98,15 +102,16 @@
     )
 
 
-def signed_ping(nth: int, name: str = "two", key: bytes = KEY, **change: Any) -> bytes:
-    own = InstanceRecord(name, "b", ("127.0.0.2", 2), 5, 9, ALIVE)._replace(**change)
+def signed_ping(number: int, name: str = "two", key: bytes = KEY, **record_changes: Any) -> bytes:
+    """Returns a signed ping from another instance with the given sequence number."""
+    sender = InstanceRecord(name, "b", ("127.0.0.2", 2), 5, 9, ALIVE)._replace(**record_changes)
     return sign_datagram(
         key,
         codec.encode_datagram(
             codec.PING,
-            nth,
-            codec.encode_record(own)
-            + codec.encode_ping_reference(codec.PingReference(nth, 0))
+            number,
+            codec.encode_record(sender)
+            + codec.encode_ping_reference(codec.PingReference(number, 0))
             + codec.encode_padding(64),
         ),
     )
@@ -119,42 +124,51 @@
 
 
 def observed(
-    alive: int, silent: int = 0, near: int = 1, near_silent: int = 0, sure: bool = True
+    alive: int, silent: int = 0, zone_alive: int = 1, zone_silent: int = 0, sure: bool = True
 ) -> ObservedInstances:
-    return ObservedInstances(alive, silent, near, near_silent, sure)
+    return ObservedInstances(alive, silent, zone_alive, zone_silent, sure)
 
 
-def counting_fleet(size: int, **more: Any) -> MembershipSimulation:
-    made = MembershipSimulation(
-        size, 3, change=lambda settings: replace(settings, configured_instance_count=size, uses=USES), **more
+def counting_fleet(size: int, **options: Any) -> MembershipSimulation:
+    """Returns a fleet that uses the live instance count, after 20 seconds of virtual time."""
+    fleet = MembershipSimulation(
+        size,
+        3,
+        change=lambda settings: replace(settings, configured_instance_count=size, uses=USES),
+        **options,
     )
-    made.start_all()
-    made.clock.run_until(20 * SECOND)
-    return made
+    fleet.start_all()
+    fleet.clock.run_until(20 * SECOND)
+    return fleet
+
 
+def announced_counts(fleet: MembershipSimulation, names: list[str] | None = None) -> list[float]:
+    """Returns the instance counts that the running instances, or those of the given names, announced."""
+    running = [p for p in fleet.running_processes() if names is None or p.settings.name in names]
+    return [p.instance.instance_count.total for p in running if p.instance.instance_count is not None]
 
-def announced_counts(made: MembershipSimulation, of: list[str] | None = None) -> list[float]:
-    up = [p for p in made.running_processes() if of is None or p.settings.name in of]
-    return [p.instance.instance_count.total for p in up if p.instance.instance_count is not None]
 
+def false_claims(number: int, names: list[str], key: bytes) -> bytes:
+    """Returns a correctly signed datagram that falsely claims that the named instances are alive.
 
-def false_claims(nth: int, names: list[str], key: bytes) -> bytes:
-    """A datagram with a valid key that says that all of these are up, at an address where nobody is."""
-    own = codec.encode_record(InstanceRecord("liar", "a", ("127.99.0.1", 9), nth + 1, 7, ALIVE))
-    lies = b"".join(
-        codec.encode_record(InstanceRecord(name, "a", ("127.99.0.2", 9), nth + 1, 8, ALIVE)) for name in names
+    The claimed address belongs to no process.
+    """
+    sender = codec.encode_record(InstanceRecord("liar", "a", ("127.99.0.1", 9), number + 1, 7, ALIVE))
+    claims = b"".join(
+        codec.encode_record(InstanceRecord(name, "a", ("127.99.0.2", 9), number + 1, 8, ALIVE))
+        for name in names
     )
-    return sign_datagram(key, codec.encode_datagram(codec.GOSSIP, nth + 1, own + lies))
+    return sign_datagram(key, codec.encode_datagram(codec.GOSSIP, number + 1, sender + claims))
 
 
 PERIOD = SECOND // 2
 
 
 def registry_of(names: str) -> EndpointRegistry:
-    known = EndpointRegistry(["a", "b"])
-    known.apply(
+    registry = EndpointRegistry(["a", "b"])
+    registry.apply(
         EndpointListUpdate(
             1, True, [EndpointEntry(name, "127.0.0.1", 1, "a", 0, 1.0, True, False, 0) for name in names]
         )
     )
-    return known
+    return registry
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,11 +1,11 @@
-"""MemberTable."""
+"""Tests of MemberTable."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.membership.member_table import MemberTable
 from cressrail.membership.messages import (
@@ -14,20 +14,22 @@
     precedence,
 )
 
-PRECEDENCES = some.tuples(some.integers(0, 3), some.integers(0, 2), some.integers(0, 3))
+PRECEDENCES = st.tuples(st.integers(0, 3), st.integers(0, 2), st.integers(0, 3))
 
 
-@given(some.permutations(range(3)), some.lists(PRECEDENCES, min_size=3, max_size=3))
-def test_merge_of_statuses_is_the_same_in_any_order_and_twice(turn: list[int], statuses: list[Any]) -> None:
-    def merged(words: list[tuple[int, int, int]]) -> tuple[int, int, int]:
+@given(st.permutations(range(3)), st.lists(PRECEDENCES, min_size=3, max_size=3))
+def test_merge_of_statuses_is_independent_of_order_and_idempotent(
+    order: list[int], statuses: list[Any]
+) -> None:
+    def merged(updates: list[tuple[int, int, int]]) -> tuple[int, int, int]:
         table = MemberTable()
-        at = table.add(InstanceRecord("x", "z", ("127.0.0.1", 1), 0, 0, ALIVE), 0)
-        for word in words:
-            if precedence(*word) > table.precedence_of(at):
-                table.set_status(at, *word, 0)
-        return table.precedence_of(at)
+        row = table.add(InstanceRecord("x", "z", ("127.0.0.1", 1), 0, 0, ALIVE), 0)
+        for update in updates:
+            if precedence(*update) > table.precedence_of(row):
+                table.set_status(row, *update, 0)
+        return table.precedence_of(row)
 
-    assert merged(statuses) == merged([statuses[n] for n in turn]) == merged(statuses + statuses)
+    assert merged(statuses) == merged([statuses[n] for n in order]) == merged(statuses + statuses)
 
 
 def test_table_of_a_thousand_instances_is_small_and_finds_each() -> None:
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion and its time-out."""
+"""Tests of Suspicion and its time-out."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 def test_suspicion_timeout_shrinks_with_confirmations() -> None:
     suspicion = Suspicion(0, 100, 200, True)
-    spans = []
-    for by in (1, 1, 2, 3, 4, 5):
-        suspicion.confirm(by)
-        spans.append(suspicion.deadline_us())
-    assert spans[0] == spans[1] == 200
-    assert spans[4:] == [100, 100]
-    assert spans == sorted(spans, reverse=True)
+    deadlines_us = []
+    for suspected_by in (1, 1, 2, 3, 4, 5):
+        suspicion.confirm(suspected_by)
+        deadlines_us.append(suspicion.deadline_us())
+    assert deadlines_us[0] == deadlines_us[1] == 200
+    assert deadlines_us[4:] == [100, 100]
+    assert deadlines_us == sorted(deadlines_us, reverse=True)
