--- a/cressrail/failover/admin_view.py
+++ b/cressrail/failover/admin_view.py
@@ -52,9 +52,9 @@
     evidence[state_machine.own_id] = state_machine.local.evidence
     topology = state_machine.settings.topology
     return [
-        _evidence_row(topology, _instance_name(instance, names), seen, zone)
-        for instance, seen in sorted(evidence.items())
-        if zone < len(seen.observations)
+        _evidence_row(topology, _instance_name(instance, names), reported, zone)
+        for instance, reported in sorted(evidence.items())
+        if zone < len(reported.observations)
     ]
 
 
--- a/cressrail/failover/decision_store.py
+++ b/cressrail/failover/decision_store.py
@@ -54,7 +54,7 @@
 
     def adopt(self, now_us: int, decision: Decision) -> None:
         """A decision holds from now on; it is passed on to the others."""
-        before, self.decision = self.decision, decision
+        previous, self.decision = self.decision, decision
         self.confirmed_us = now_us
         self._leadership.observe_epoch(decision.epoch)
         self._outbox.broadcast(now_us, DECISION_TOPIC, decision)
@@ -62,7 +62,7 @@
         changed = {
             self.settings.topology.zones[zone]: status_label(status)
             for zone, status in enumerate(decision.zones)
-            if before is None or before.zones[zone][:2] != status[:2]
+            if previous is None or previous.zones[zone][:2] != status[:2]
         }
         self._outbox.log(
             log_events.DECISION_ADOPTED,
--- a/cressrail/failover/election.py
+++ b/cressrail/failover/election.py
@@ -13,11 +13,11 @@
 from cressrail.failover.leader import Leader
 from cressrail.failover.messages import VoteDenied, VoteGranted, VoteRequest
 
-NOBODY = 0
+NO_CANDIDATE = 0
 
 
 class Vote(NamedTuple):
-    """The last vote of this instance: the term, and the candidate (`NOBODY`: a term that others know of)."""
+    """The last vote of this instance: its term, and the candidate or `NO_CANDIDATE`."""
 
     term: int
     candidate: int
@@ -29,7 +29,7 @@
     def __init__(self, parts: InstanceParts, now_us: int) -> None:
         self._parts = parts
         self._own_id = parts.leadership.own_id
-        self._vote = Vote(0, NOBODY)
+        self._vote = Vote(0, NO_CANDIDATE)
         # A process that was restarted does not know its vote: it waits so as not to vote twice in a term.
         self._may_vote_from_us = now_us + 2 * parts.settings.lease_us
         self._votes: set[int] = set()
@@ -45,7 +45,7 @@
         """Requests votes for the next term, if this instance may vote and hears others."""
         self._parts.timer.restart(now_us)
         fleet = self._parts.local.fleet
-        if not fleet.has_quorum_view or not fleet.living or now_us < self._may_vote_from_us:
+        if not fleet.has_quorum_view or not fleet.live_instances or now_us < self._may_vote_from_us:
             return
         number = self._parts.numbers.next_vote_request()
         term = max(self._parts.leadership.epoch.term, self._vote.term) + 1
@@ -54,7 +54,7 @@
         self._requested_us = now_us
         self._votes = {self._own_id}
         self._vote = Vote(term, self._own_id)
-        for other in sorted(fleet.living):
+        for other in sorted(fleet.live_instances):
             self._parts.outbox.send(now_us, other, request)
 
     def on_vote_request(self, now_us: int, candidate: int, request: VoteRequest) -> None:
@@ -88,7 +88,7 @@
         if request is None or (granted.term, granted.number) != (request.term, request.number):
             return
         is_late = now_us - self._requested_us > self._parts.settings.lease_us
-        if is_late or voter not in self._parts.local.fleet.living:
+        if is_late or voter not in self._parts.local.fleet.live_instances:
             return
         self._votes.add(voter)
         leader.record_vote(voter, self._requested_us)
@@ -98,6 +98,6 @@
 
     def on_vote_denied(self, now_us: int, denied: VoteDenied, leader: Leader) -> None:
         """Continues above the other's term; a leader steps down for a later term."""
-        self._vote = max(self._vote, Vote(denied.term, NOBODY))
+        self._vote = max(self._vote, Vote(denied.term, NO_CANDIDATE))
         if denied.epoch.term > self._parts.leadership.epoch.term and self._parts.leadership.is_leader:
             leader.step_down(now_us, denied.epoch)
--- a/cressrail/failover/election_timer.py
+++ b/cressrail/failover/election_timer.py
@@ -26,7 +26,7 @@
 
     def restart(self, now_us: int) -> None:
         """Waits anew. Instances that come first in the order of ids become candidates first."""
-        earlier = sum(1 for other in self._local.fleet.living if other < self._own_id)
+        earlier = sum(1 for other in self._local.fleet.live_instances if other < self._own_id)
         rank = min(MAX_RANK, earlier)
         period_us = self._settings.report_period_us
         self.deadline_us = (
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -15,7 +15,7 @@
 FAILURE_RATIO = 0.5  # of attempts: from there on a zone counts as failing, or as unreachable
 MIN_ATTEMPTS = 5  # over the window, from all instances of a zone together, to judge by
 MIN_INSTANCES = 2  # with attempts, to judge by, where the zone has as many
-MAX_WEIGHT = 1.5  # times the median weight: of four instances one alone decides nothing
+MAX_WEIGHT_OVER_MEDIAN = 1.5  # times the median weight: of four instances one alone decides nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,22 +52,22 @@
     weight: float
 
 
-def bounded(values: Sequence[float]) -> list[float]:
-    """Limits each value to `MAX_WEIGHT` times the median, so that one instance can't outweigh the others."""
-    maximum = MAX_WEIGHT * sorted(values)[len(values) // 2] if values else 0.0
+def limit_outliers(values: Sequence[float]) -> list[float]:
+    """Limits each value to `MAX_WEIGHT_OVER_MEDIAN` times the median of all values."""
+    maximum = MAX_WEIGHT_OVER_MEDIAN * sorted(values)[len(values) // 2] if values else 0.0
     return [min(value, maximum) for value in values]
 
 
 def weighted_median(values: Sequence[WeightedValue]) -> float:
-    """Returns the median by bounded weights; 0 for no values."""
+    """Returns the median by limited weights; 0 for no values."""
     if not values:
         return 0.0
-    weights = bounded([weight for _, weight in values])
-    half, passed = sum(weights) / 2, 0.0
+    weights = limit_outliers([weight for _, weight in values])
+    half, cumulative = sum(weights) / 2, 0.0
     ranked = sorted(zip((value for value, _ in values), weights, strict=True))
     for value, weight in ranked:
-        passed += weight
-        if passed >= half:
+        cumulative += weight
+        if cumulative >= half:
             return value
     return ranked[-1][0]
 
@@ -91,16 +91,16 @@
     for source, count in zip(sources, counts, strict=True):
         source.summarize(count)
     zones = range(zone_count)
-    verdicts = [_verdict(sources, zone) for zone in zones]
+    assessments = [_assess_zone(sources, zone) for zone in zones]
     return AggregatedEvidence(
         demand=tuple(source.demand for source in sources),
         capacity=tuple(sum(source.capacity[zone] for source in sources) for zone in zones),
         attempts=tuple(sum(source.attempts[zone] for source in sources) for zone in zones),
         successes=tuple(sum(source.successes[zone] for source in sources) for zone in zones),
         unreachable_from=tuple(tuple(source.is_unreachable) for source in sources),
-        is_failing=tuple(verdict.is_failing for verdict in verdicts),
-        is_unreachable=tuple(verdict.is_unreachable for verdict in verdicts),
-        overload_ratio=tuple(verdict.overload_ratio for verdict in verdicts),
+        is_failing=tuple(assessment.is_failing for assessment in assessments),
+        is_unreachable=tuple(assessment.is_unreachable for assessment in assessments),
+        overload_ratio=tuple(assessment.overload_ratio for assessment in assessments),
         is_silent=tuple(
             count > 0 and not source.evidence for count, source in zip(counts, sources, strict=True)
         ),
@@ -119,7 +119,7 @@
         self.successes: list[float] = []
         self.failure_ratio: list[float] = []
         self.slow_ratio: list[float] = []
-        self.has_enough: list[bool] = []
+        self.has_enough_attempts: list[bool] = []
         self.is_unreachable: list[bool] = []
 
     def summarize(self, instance_count: int) -> None:
@@ -128,42 +128,44 @@
         scale = max(1.0, instance_count / reported) if reported else 1.0
         self.demand = sum(item.demand for item in self.evidence) * scale
         for zone in range(self.zone_count):
-            seen = [item.observations[zone] for item in self.evidence]
-            unreachable_ratio = _median_ratio(seen, _connect_failures)
-            failure_ratio = _median_ratio(seen, _failures)
-            slow_ratio = _median_ratio(seen, _slow_attempts)
-            has_enough = _has_enough([observation.attempts for observation in seen])
-            attempts = sum(bounded([observation.attempts for observation in seen])) * scale
+            observations = [item.observations[zone] for item in self.evidence]
+            unreachable_ratio = _median_ratio(observations, _connect_failures)
+            failure_ratio = _median_ratio(observations, _failures)
+            slow_ratio = _median_ratio(observations, _slow_attempts)
+            has_enough_attempts = _has_enough_attempts([observation.attempts for observation in observations])
+            attempts = sum(limit_outliers([observation.attempts for observation in observations])) * scale
             success_ratio = max(0.0, 1 - failure_ratio - slow_ratio)
             self.failure_ratio.append(failure_ratio)
             self.slow_ratio.append(slow_ratio)
-            self.has_enough.append(has_enough)
-            self.is_unreachable.append(has_enough and unreachable_ratio >= FAILURE_RATIO)
+            self.has_enough_attempts.append(has_enough_attempts)
+            self.is_unreachable.append(has_enough_attempts and unreachable_ratio >= FAILURE_RATIO)
             self.attempts.append(attempts)
             self.successes.append(attempts * (1 - unreachable_ratio) * success_ratio)
-            self.capacity.append(sum(bounded([observation.capacity for observation in seen])) * scale)
+            self.capacity.append(
+                sum(limit_outliers([observation.capacity for observation in observations])) * scale
+            )
 
 
-class _Verdict(NamedTuple):
+class _ZoneAssessment(NamedTuple):
     is_failing: bool
     is_unreachable: bool
     overload_ratio: float
 
 
-def _verdict(sources: Sequence[_ZoneSource], zone: int) -> _Verdict:
+def _assess_zone(sources: Sequence[_ZoneSource], zone: int) -> _ZoneAssessment:
     """Judges one zone of endpoints by what the callers' zones saw of it, each of which counts once."""
-    tried = [source for source in sources if source.has_enough[zone]]
-    reaching = [source for source in tried if not source.is_unreachable[zone]]
+    attempting = [source for source in sources if source.has_enough_attempts[zone]]
+    reaching = [source for source in attempting if not source.is_unreachable[zone]]
     failing = sum(1 for source in reaching if source.failure_ratio[zone] >= FAILURE_RATIO)
     ratios = [min(1.0, source.failure_ratio[zone] + source.slow_ratio[zone]) for source in reaching]
-    return _Verdict(
+    return _ZoneAssessment(
         is_failing=failing > 0 and 2 * failing > len(reaching),
-        is_unreachable=bool(tried) and not reaching,
+        is_unreachable=bool(attempting) and not reaching,
         overload_ratio=sum(ratios) / len(ratios) if ratios else 0.0,
     )
 
 
-def _has_enough(attempts: list[int]) -> bool:
+def _has_enough_attempts(attempts: list[int]) -> bool:
     """Whether there were enough attempts to judge by, from enough instances."""
     instances = sum(1 for count in attempts if count)
     return sum(attempts) >= MIN_ATTEMPTS and instances >= min(MIN_INSTANCES, len(attempts))
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -45,10 +45,12 @@
 
     def _update_fleet(self, membership: MembershipStateMachine) -> None:
         indices = {name: index for index, name in enumerate(self.settings.topology.zones)}
-        seen = membership.observed_instances()
-        living = {
+        observed = membership.observed_instances()
+        live_instances = {
             instance: indices[zone]
             for instance, zone in membership.instance_zones().items()
             if zone in indices
         }
-        self.state_machine.update_fleet(Fleet(living, seen.alive + seen.silent, seen.has_quorum_view))
+        self.state_machine.update_fleet(
+            Fleet(live_instances, observed.alive + observed.silent, observed.has_quorum_view)
+        )
--- a/cressrail/failover/leader.py
+++ b/cressrail/failover/leader.py
@@ -115,7 +115,7 @@
         if not self._parts.leadership.is_leader:
             self._parts.outbox.send(now_us, follower, VoteDenied(epoch.term, epoch))
             return
-        if follower not in self._parts.local.fleet.living:
+        if follower not in self._parts.local.fleet.live_instances:
             return
         sent_us = self._acknowledgement_sent_us.get(report.acknowledged)
         if sent_us is not None:
@@ -136,7 +136,7 @@
         answered = sum(
             1
             for instance, sent_us in self._answered_us.items()
-            if sent_us >= since_us and instance in fleet.living
+            if sent_us >= since_us and instance in fleet.live_instances
         )
         return fleet.has_quorum_view and fleet.is_majority(1 + answered)
 
@@ -164,9 +164,9 @@
         if self._planner is None or not self._parts.local.fleet.is_majority(len(evidence)):
             return
         drains = self._parts.drains.active(now_us)
-        seen = aggregate(evidence, len(self._parts.settings.topology.zones), self._instance_counts())
-        plan = self._planner.plan(now_us, seen, frozenset(drain.zone for drain in drains))
-        if not self._is_held(plan, drains):
+        aggregated = aggregate(evidence, len(self._parts.settings.topology.zones), self._instance_counts())
+        plan = self._planner.plan(now_us, aggregated, frozenset(drain.zone for drain in drains))
+        if not self._matches_held_decision(plan, drains):
             epoch = self._parts.leadership.epoch
             next_epoch = Epoch(epoch.term, epoch.step + 1)
             own_id = self._parts.leadership.own_id
@@ -175,10 +175,10 @@
             )
 
     def _instance_counts(self) -> list[int]:
-        zones = [*self._parts.local.fleet.living.values(), self._parts.settings.zone]
+        zones = [*self._parts.local.fleet.live_instances.values(), self._parts.settings.zone]
         return [zones.count(zone) for zone in range(len(self._parts.settings.topology.zones))]
 
-    def _is_held(self, plan: Plan, drains: tuple[ZoneDrain, ...]) -> bool:
+    def _matches_held_decision(self, plan: Plan, drains: tuple[ZoneDrain, ...]) -> bool:
         """Whether the last decision is of this term, and says nearly the same."""
         held = self._parts.decisions.decision
         return (
--- a/cressrail/failover/local_view.py
+++ b/cressrail/failover/local_view.py
@@ -13,18 +13,18 @@
     """The sidecars of the tier, as membership sees them.
 
     Attributes:
-        living: Zone of each live instance but this one, by its id.
+        live_instances: Zone of each live instance but this one, by its id.
         known_size: Size of the last known fleet, silent instances included.
         has_quorum_view: Whether this instance hears others.
     """
 
-    living: Mapping[int, int]
+    live_instances: Mapping[int, int]
     known_size: int
     has_quorum_view: bool
 
     def is_majority(self, count: int) -> bool:
         """Whether that many instances are more than half of the last known fleet."""
-        return 2 * count > max(self.known_size, len(self.living) + 1)
+        return 2 * count > max(self.known_size, len(self.live_instances) + 1)
 
 
 class LocalView:
--- a/cressrail/failover/planner.py
+++ b/cressrail/failover/planner.py
@@ -62,30 +62,30 @@
         self._updater = ConditionUpdater(slow_start_fraction, warm_up_us, window_us)
 
     def take_over(self, zones: Sequence[ZoneStatus]) -> None:
-        """Continues from the last decision of the leader before."""
+        """Continues from the last decision of the previous leader."""
         for condition, status in zip(self.conditions, zones, strict=True):
             condition.change_state(status.since_us, status.state, status.reason)
             condition.ramp = 1.0 if condition.is_open else 0.0
             if status.state == ZoneState.RETURNING:
                 condition.ramp = self._updater.initial_ramp(condition)
 
-    def plan(self, now_us: int, seen: AggregatedEvidence, drained: frozenset[int]) -> Plan:
+    def plan(self, now_us: int, evidence: AggregatedEvidence, drained: frozenset[int]) -> Plan:
         """Plans one round.
 
         Args:
             now_us: Present time.
-            seen: Evidence of all instances.
+            evidence: Evidence of all instances.
             drained: Zones that operators want empty.
         """
-        passed_us = max(0, now_us - self.planned_us)
+        elapsed_us = max(0, now_us - self.planned_us)
         self.planned_us = now_us
         for zone, condition in enumerate(self.conditions):
-            self._updater.update(now_us, passed_us, zone, condition, seen, zone in drained)
-        self._smooth_demand(passed_us, seen.demand)
+            self._updater.update(now_us, elapsed_us, zone, condition, evidence, zone in drained)
+        self._smooth_demand(elapsed_us, evidence.demand)
         distribution = TrafficDistribution(
-            self.topology, self.conditions, replace(seen, demand=tuple(self.demand))
+            self.topology, self.conditions, replace(evidence, demand=tuple(self.demand))
         )
-        distribution.distribute(passed_us, self.window_us)
+        distribution.distribute(elapsed_us, self.window_us)
         for zone, condition in enumerate(self.conditions):
             condition.inbound_rate = distribution.inbound[zone]
             _update_service_state(now_us, condition, distribution.service_reason(zone))
@@ -95,10 +95,10 @@
             loads=tuple(distribution.loads),
         )
 
-    def _smooth_demand(self, passed_us: int, demand: Sequence[float]) -> None:
-        part = 1 - 0.5 ** (passed_us / DEMAND_HALF_LIFE_US)
-        before = self.demand or list(demand)
-        self.demand = [old + (new - old) * part for old, new in zip(before, demand, strict=True)]
+    def _smooth_demand(self, elapsed_us: int, demand: Sequence[float]) -> None:
+        part = 1 - 0.5 ** (elapsed_us / DEMAND_HALF_LIFE_US)
+        previous = self.demand or list(demand)
+        self.demand = [old + (new - old) * part for old, new in zip(previous, demand, strict=True)]
 
 
 def _update_service_state(now_us: int, condition: ZoneCondition, reason: ZoneReason) -> None:
--- a/cressrail/failover/simulation/faults.py
+++ b/cressrail/failover/simulation/faults.py
@@ -42,19 +42,19 @@
         if fault.kind == FaultKind.ZONE_FLAPPING:
             self._schedule_flaps(fault, begin_us, end_us)
         else:
-            self._clock.schedule(begin_us, lambda: self._set(fault, True, affected))
-        self._clock.schedule(end_us, lambda: self._set(fault, False, affected))
+            self._clock.schedule(begin_us, lambda: self._apply(fault, True, affected))
+        self._clock.schedule(end_us, lambda: self._apply(fault, False, affected))
 
     def _schedule_flaps(self, fault: FaultScenario, begin_us: int, end_us: int) -> None:
         def change(is_on: bool) -> Callable[[], None]:
-            return lambda: self._set(fault, is_on, [])
+            return lambda: self._apply(fault, is_on, [])
 
         is_on = True
         for at_us in range(begin_us, end_us, int(fault.every_s * SECOND_US)):
             self._clock.schedule(at_us, change(is_on))
             is_on = not is_on
 
-    def _set(self, fault: FaultScenario, is_on: bool, affected: list[SimulatedInstance]) -> None:
+    def _apply(self, fault: FaultScenario, is_on: bool, affected: list[SimulatedInstance]) -> None:
         """Begins or ends a fault.
 
         Args:
@@ -70,7 +70,7 @@
         elif fault.kind == FaultKind.DRAIN:
             self._set_drain(fault, is_on)
         elif fault.kind in (FaultKind.ENDPOINTS_UNREACHABLE, FaultKind.ONE_WAY_LOSS):
-            self._set_way(fault, is_on)
+            self._set_path(fault, is_on)
         else:
             self._set_on_zone(fault, is_on)
 
@@ -89,16 +89,16 @@
         elif fault.kind == FaultKind.DEMAND_SURGE:
             zone.demand_factor = fault.value if is_on else 1.0
 
-    def _set_way(self, fault: FaultScenario, is_on: bool) -> None:
+    def _set_path(self, fault: FaultScenario, is_on: bool) -> None:
         zone, other = self._zone_index(fault.zone), self._zone_index(fault.other_zone)
         if fault.kind == FaultKind.ENDPOINTS_UNREACHABLE:
-            ways, way = self._zones.unreachable, (zone, other)
+            paths, path = self._zones.unreachable, (zone, other)
         else:
-            ways, way = self._fleet.one_way_losses, (other, zone)
+            paths, path = self._fleet.one_way_losses, (other, zone)
         if is_on:
-            ways.add(way)
+            paths.add(path)
         else:
-            ways.discard(way)
+            paths.discard(path)
 
     def _set_partition(self, fault: FaultScenario, is_on: bool) -> None:
         self._fleet.set_partition(frozenset(self._zone_index(name) for name in fault.zones), is_on)
--- a/cressrail/failover/simulation/figures.py
+++ b/cressrail/failover/simulation/figures.py
@@ -12,7 +12,7 @@
 
 RECOVERED_RATIO = 0.9  # of what can be served at best
 RECOVERED_TICKS = 10  # in a row
-CALM_FROM_PART = 10  # of this many: after it, and until the first fault, traffic counts as calm
+BASELINE_START_DIVISOR = 10  # of this many: after it, and until the first fault, traffic is the baseline
 NEGLIGIBLE_RATE = 1e-9
 
 
@@ -56,8 +56,11 @@
         digest: Digest of the trace.
     """
     first_fault_s = min((fault.at_s for fault in scenario.faults), default=0.0)
-    calm_from_s, calm_until_s = scenario.seconds / CALM_FROM_PART, first_fault_s or scenario.seconds
-    calm = [tick for tick in ticks if calm_from_s < tick.at_s <= calm_until_s]
+    baseline_start_s, baseline_end_s = (
+        scenario.seconds / BASELINE_START_DIVISOR,
+        first_fault_s or scenario.seconds,
+    )
+    baseline = [tick for tick in ticks if baseline_start_s < tick.at_s <= baseline_end_s]
     after = [tick for tick in ticks if tick.at_s > first_fault_s]
     recovery_s = _recovery_s(after, first_fault_s)
     served = sum(tick.served for tick in ticks)
@@ -68,7 +71,9 @@
         "moves": decisions.zone_moves,
         "goodput": _ratio(served, sum(tick.offered for tick in ticks)),
         "of_best": _ratio(served, sum(tick.servable for tick in ticks)),
-        "near_share": _ratio(sum(tick.served_in_zone for tick in calm), sum(tick.served for tick in calm)),
+        "near_share": _ratio(
+            sum(tick.served_in_zone for tick in baseline), sum(tick.served for tick in baseline)
+        ),
         "peak_over_bound": round(max((tick.overload for tick in after), default=0.0), 3),
         "recovery_s": round(recovery_s, 1) if recovery_s is not None else None,
         "digest": digest,
--- a/cressrail/failover/simulation/fleet.py
+++ b/cressrail/failover/simulation/fleet.py
@@ -126,14 +126,14 @@
     def update_membership(self, instance: SimulatedInstance) -> None:
         """Tells an instance who is there: joins at once, deaths and partitions after a delay."""
         others = [other for other in self.instances.values() if other is not instance]
-        living = {other.number: other.zone for other in others if self._is_visible(instance, other)}
-        silent = sum(1 for other in others if other.is_up and other.number not in living)
-        fleet = Fleet(living, 1 + len(living) + silent, bool(living))
+        live_instances = {other.number: other.zone for other in others if self._is_visible(instance, other)}
+        silent = sum(1 for other in others if other.is_up and other.number not in live_instances)
+        fleet = Fleet(live_instances, 1 + len(live_instances) + silent, bool(live_instances))
         now_us = self._clock.now_us
         known_us, known = self._known_fleets.get(instance.number, (0, fleet))
-        if known.living.keys() - living.keys() and now_us - known_us < MEMBERSHIP_DELAY_US:
+        if known.live_instances.keys() - live_instances.keys() and now_us - known_us < MEMBERSHIP_DELAY_US:
             known_size = max(known.known_size, fleet.known_size)
-            fleet = Fleet({**known.living, **living}, known_size, known.has_quorum_view)
+            fleet = Fleet({**known.live_instances, **live_instances}, known_size, known.has_quorum_view)
         else:
             self._known_fleets[instance.number] = (now_us, fleet)
         instance.state_machine.update_fleet(fleet)
--- a/cressrail/failover/simulation/traffic.py
+++ b/cressrail/failover/simulation/traffic.py
@@ -18,11 +18,15 @@
 AVOIDANCE_FAILURE_RATIO = 0.5  # of attempts: from there on an instance avoids a zone by its own judgement
 MIN_AVOIDANCE_US = 2 * SECOND_US
 AVOIDANCE_JITTER_US = 2 * SECOND_US
-FALSE_FAILURES = 50.0  # that an instance with false evidence reports at least
-USED_RATE = 0.5  # attempts in the window from which an instance counts as using a zone
-LIMITS_IF_USED = 0.9  # of its part of a zone's capacity, by the limits of an instance that uses it,
-LIMITS_IF_UNUSED = 0.75  # and of one that does not
-INBOUND_NOTICED = 0.01  # of the capacity, from other zones, for a zone to count as loaded by decisions
+MIN_FALSE_FAILURES = 50.0  # that an instance with false evidence reports at least
+MIN_ATTEMPTS_IF_USED = 0.5  # attempts in the window from which an instance counts as using a zone
+REPORTED_CAPACITY_IF_USED = (
+    0.9  # of its part of a zone's capacity, by the limits of an instance that uses it,
+)
+REPORTED_CAPACITY_IF_UNUSED = 0.75  # and of one that does not
+MIN_INBOUND_UTILIZATION = (
+    0.01  # of the capacity, from other zones, for a zone to count as loaded by decisions
+)
 
 
 class Served(NamedTuple):
@@ -147,7 +151,7 @@
         """Serves the traffic of all instances, which see how it ended."""
         total = in_zone = in_region = 0.0
         for instance in running:
-            seen = []
+            outcomes = []
             for zone in self._indices:
                 flow = flows[instance.number][zone]
                 traffic = self._attempt(instance.zone, zone, flow, on_time[zone])
@@ -157,9 +161,9 @@
                 total += succeeded
                 in_zone += succeeded * (proximity == Proximity.SAME_ZONE)
                 in_region += succeeded * (proximity <= Proximity.SAME_REGION)
-                seen.append(traffic)
-                self._judge(instance, zone, traffic)
-            instance.recent_traffic.append(seen)
+                outcomes.append(traffic)
+                self._update_avoidance(instance, zone, traffic)
+            instance.recent_traffic.append(outcomes)
         return Served(total, in_zone, in_region)
 
     def _attempt(self, source: int, target: int, flow: float, on_time: float) -> ZoneTraffic:
@@ -170,7 +174,7 @@
             return ZoneTraffic(flow, 0.0, flow, 0.0)
         return ZoneTraffic(flow, 0.0, 0.0, flow * (1 - on_time))
 
-    def _judge(self, instance: SimulatedInstance, zone: int, traffic: ZoneTraffic) -> None:
+    def _update_avoidance(self, instance: SimulatedInstance, zone: int, traffic: ZoneTraffic) -> None:
         """An instance by itself avoids a zone of which half fails, and tries it again after a while."""
         now_us = self._clock.now_us
         failed = traffic.connect_failures + traffic.failures + traffic.slow_attempts
@@ -184,17 +188,19 @@
         return Evidence(instance.zone, demand, observations)
 
     def _observation(self, instance: SimulatedInstance, zone: int, instance_count: int) -> ZoneObservation:
-        sent, unconnected, failed, slow = (
+        sent, connect_failures, failed, slow = (
             sum(tick[zone][index] for tick in instance.recent_traffic) * TICK_US / SECOND_US
             for index in range(len(ZoneTraffic._fields))
         )
         if instance.has_false_evidence:
-            unconnected, failed, slow = 0.0, max(sent, FALSE_FAILURES), 0.0
+            connect_failures, failed, slow = 0.0, max(sent, MIN_FALSE_FAILURES), 0.0
             sent = failed
-        part = LIMITS_IF_USED if sent > USED_RATE else LIMITS_IF_UNUSED
-        capacity = self._scenario.zones[zone].capacity / max(1, instance_count) * part
-        bad = round(unconnected), round(failed), round(slow)
-        return ZoneObservation(max(round(sent), sum(bad)), *bad, capacity)
+        capacity_fraction = (
+            REPORTED_CAPACITY_IF_USED if sent > MIN_ATTEMPTS_IF_USED else REPORTED_CAPACITY_IF_UNUSED
+        )
+        capacity = self._scenario.zones[zone].capacity / max(1, instance_count) * capacity_fraction
+        unsuccessful = round(connect_failures), round(failed), round(slow)
+        return ZoneObservation(max(round(sent), sum(unsuccessful)), *unsuccessful, capacity)
 
     def _figures(
         self, offered: float, loads: Loads, capacity: Sequence[float], served: Served
@@ -218,6 +224,6 @@
     utilizations = (
         load / limit
         for load, inbound, limit in zip(loads.total, loads.inbound, capacity, strict=True)
-        if limit and inbound > INBOUND_NOTICED * limit and load - inbound <= limit
+        if limit and inbound > MIN_INBOUND_UTILIZATION * limit and load - inbound <= limit
     )
     return max(utilizations, default=0.0)
--- a/cressrail/failover/traffic_distribution.py
+++ b/cressrail/failover/traffic_distribution.py
@@ -33,37 +33,37 @@
     """
 
     def __init__(
-        self, topology: ZoneTopology, conditions: Sequence[ZoneCondition], seen: AggregatedEvidence
+        self, topology: ZoneTopology, conditions: Sequence[ZoneCondition], evidence: AggregatedEvidence
     ) -> None:
         self.topology = topology
         self.conditions = conditions
-        self.seen = seen
+        self.evidence = evidence
         self.zones = range(len(topology.zones))
-        self.unserved = list(seen.demand)
+        self.unserved = list(evidence.demand)
         self.flows = [[0.0] * len(self.zones) for _ in self.zones]
         self.loads = [0.0] * len(self.zones)
         self.inbound = [0.0] * len(self.zones)
         self._spare: list[float] = []
 
-    def distribute(self, passed_us: int, window_us: int) -> None:
+    def distribute(self, elapsed_us: int, window_us: int) -> None:
         """Distributes all traffic.
 
         Args:
-            passed_us: Time since the last plan, which bounds how much more a zone receives from outside.
+            elapsed_us: Time since the last plan, which bounds how much more a zone receives from outside.
             window_us: Length of the evidence window.
         """
         self._assign_probes()
         self._assign_own_zones()
-        growth = MAX_INBOUND_GROWTH_PER_SECOND * max(passed_us, window_us // 8) / SECOND_US
+        growth = MAX_INBOUND_GROWTH_PER_SECOND * max(elapsed_us, window_us // 8) / SECOND_US
         self._spare = [self._spare_rate(zone, growth) for zone in self.zones]
         for proximity in (Proximity.SAME_REGION, Proximity.OTHER_REGION):
             for _ in range(SPILLOVER_ROUNDS):
                 self._spill_over(proximity)
-        self._return_to_drained_zones()
+        self._assign_to_drained_zones()
 
     def service_reason(self, zone: int) -> ZoneReason:
         """Returns why the clients of a zone are not all served there; `NONE` where they are."""
-        demand = self.seen.demand[zone]
+        demand = self.evidence.demand[zone]
         if self.unserved[zone] > CHANGE_TOLERANCE * demand:
             return ZoneReason.NO_CAPACITY_LEFT
         if self.flows[zone][zone] < (1 - CHANGE_TOLERANCE) * demand:
@@ -75,7 +75,7 @@
 
         A zone without traffic gets its own zone, or the closest that is open.
         """
-        demand = self.seen.demand[zone]
+        demand = self.evidence.demand[zone]
         if demand > NEGLIGIBLE_RATE:
             rounded = _rounded_flows(self.flows[zone], demand)
             return tuple(int(flow / demand * WEIGHT_UNITS + 0.5) / WEIGHT_UNITS for flow in rounded)
@@ -92,7 +92,7 @@
 
     def _assign_probes(self) -> None:
         """Sends a probing share to each zone that is away, from the zones closest to it."""
-        probes = max(MIN_PROBES_PER_SECOND, PROBING_SHARE * sum(self.seen.demand))
+        probes = max(MIN_PROBES_PER_SECOND, PROBING_SHARE * sum(self.evidence.demand))
         for target, condition in enumerate(self.conditions):
             if condition.state == ZoneState.AWAY:
                 self._assign_probes_to(target, probes)
@@ -108,7 +108,7 @@
 
     def _assign_own_zones(self) -> None:
         for zone, condition in enumerate(self.conditions):
-            if self.seen.unreachable_from[zone][zone] or condition.state == ZoneState.AWAY:
+            if self.evidence.unreachable_from[zone][zone] or condition.state == ZoneState.AWAY:
                 continue
             # Traffic of the zone itself is not rejected on an estimate of the capacity alone.
             is_unlimited = not condition.is_capacity_limited and condition.ramp >= 1
@@ -118,7 +118,7 @@
 
     def _spare_rate(self, zone: int, growth: float) -> float:
         """Returns the attempts a second that a zone takes from others, which grows in steps only."""
-        if self.seen.is_silent[zone]:
+        if self.evidence.is_silent[zone]:
             return 0.0  # what it serves already is not known
         condition = self.conditions[zone]
         capacity = condition.usable_capacity
@@ -144,7 +144,7 @@
             target
             for target in self.zones
             if self.topology.proximity(source, target) == proximity
-            and not self.seen.unreachable_from[source][target]
+            and not self.evidence.unreachable_from[source][target]
             and self._spare[target] > NEGLIGIBLE_RATE
             and self.conditions[target].is_open
         ]
@@ -154,15 +154,15 @@
             wanted[target] = self.unserved[source] * self._spare[target] / total
         return wanted
 
-    def _return_to_drained_zones(self) -> None:
+    def _assign_to_drained_zones(self) -> None:
         """Leaves to a zone that is drained what no other zone can take."""
         for zone, condition in enumerate(self.conditions):
-            is_out = (
-                self.seen.is_failing[zone]
-                or self.seen.is_unreachable[zone]
-                or self.seen.unreachable_from[zone][zone]
+            is_unusable = (
+                self.evidence.is_failing[zone]
+                or self.evidence.is_unreachable[zone]
+                or self.evidence.unreachable_from[zone][zone]
             )
-            if condition.state == ZoneState.DRAINED and not is_out:
+            if condition.state == ZoneState.DRAINED and not is_unusable:
                 self._assign(zone, zone, min(self.unserved[zone], condition.capacity))
 
 
--- a/cressrail/failover/zone_condition.py
+++ b/cressrail/failover/zone_condition.py
@@ -13,8 +13,8 @@
 GROWTH_UTILIZATION = 0.8  # of the capacity in use: it may be greater than seen so far,
 GROWTH_PER_SECOND = 0.12  # and the estimate grows by this part
 MEMORY_HALF_LIFE_US = 120 * SECOND_US  # in which half of the remembered failures is forgotten
-PROOF_SUCCESS_RATIO = 0.9  # of recent attempts to a zone that is away must end well,
-PROOF_ATTEMPTS = 5  # for this many attempts, before it may return
+RECOVERY_SUCCESS_RATIO = 0.9  # of recent attempts to a zone that is away must end well,
+RECOVERY_ATTEMPTS = 5  # for this many attempts, before it may return
 RELAPSE_FAILURES = 0.5  # added where a zone fails again while it proves itself
 MAX_RECENT_FAILURES = 5.0  # each doubles the proof that is required, and the time of a return
 
@@ -31,7 +31,7 @@
         ramp: Fraction of the capacity that is in use while it returns.
         recent_failures: Number of recent outages, which decays.
         is_capacity_limited: Whether it was seen overloaded, and is still in use.
-        proven_attempts: Attempts while it is away, since recent ones last ended badly.
+        recovery_attempts: Attempts while it is away, since recent ones last ended badly.
         inbound_rate: Attempts a second from other zones, by the last plan.
     """
 
@@ -42,7 +42,7 @@
     ramp: float = 1.0
     recent_failures: float = 0.0
     is_capacity_limited: bool = False
-    proven_attempts: float = 0.0
+    recovery_attempts: float = 0.0
     inbound_rate: float = 0.0
 
     @property
@@ -86,26 +86,26 @@
     def update(
         self,
         now_us: int,
-        passed_us: int,
+        elapsed_us: int,
         zone: int,
         condition: ZoneCondition,
-        seen: AggregatedEvidence,
+        evidence: AggregatedEvidence,
         is_drained: bool,
     ) -> None:
         """Brings the condition of one zone up to date.
 
         Args:
             now_us: Present time.
-            passed_us: Time since the last update.
+            elapsed_us: Time since the last update.
             zone: Index of the zone.
             condition: Its condition, which is changed.
-            seen: Evidence of all instances.
+            evidence: Evidence of all instances.
             is_drained: Whether operators want the zone empty.
         """
-        condition.recent_failures *= 0.5 ** (passed_us / MEMORY_HALF_LIFE_US)
-        self._update_capacity(passed_us, zone, condition, seen)
-        self._update_proof(passed_us, zone, condition, seen)
-        outage = _outage(seen, zone)
+        condition.recent_failures *= 0.5 ** (elapsed_us / MEMORY_HALF_LIFE_US)
+        self._update_capacity(elapsed_us, zone, condition, evidence)
+        self._update_recovery_attempts(elapsed_us, zone, condition, evidence)
+        outage = _outage_reason(evidence, zone)
         if is_drained:
             if condition.state != ZoneState.DRAINED:
                 condition.change_state(now_us, ZoneState.DRAINED, ZoneReason.DRAIN_REQUESTED)
@@ -114,18 +114,18 @@
             # Returns slowly, as after an outage: it may have been empty for long.
             self._begin_return(now_us, condition)
         elif outage:
-            self._take_away(now_us, condition, outage)
+            self._mark_away(now_us, condition, outage)
         elif condition.state == ZoneState.AWAY:
-            if condition.proven_attempts >= PROOF_ATTEMPTS * condition.slowdown:
+            if condition.recovery_attempts >= RECOVERY_ATTEMPTS * condition.slowdown:
                 self._begin_return(now_us, condition)
         elif condition.state == ZoneState.RETURNING:
-            self._continue_return(now_us, passed_us, condition, seen.overload_ratio[zone])
+            self._continue_return(now_us, elapsed_us, condition, evidence.overload_ratio[zone])
 
     @staticmethod
-    def _take_away(now_us: int, condition: ZoneCondition, outage: ZoneReason) -> None:
+    def _mark_away(now_us: int, condition: ZoneCondition, outage: ZoneReason) -> None:
         if condition.state != ZoneState.AWAY:
             condition.add_failure(1)
-            condition.proven_attempts = 0.0
+            condition.recovery_attempts = 0.0
             condition.change_state(now_us, ZoneState.AWAY, outage)
         condition.ramp = 0.0
 
@@ -134,20 +134,20 @@
         condition.ramp = self.initial_ramp(condition)
 
     def _continue_return(
-        self, now_us: int, passed_us: int, condition: ZoneCondition, overload_ratio: float
+        self, now_us: int, elapsed_us: int, condition: ZoneCondition, overload_ratio: float
     ) -> None:
         if overload_ratio > OVERLOAD_RATIO:
-            reduced = condition.ramp * (1 - passed_us / self.window_us / 2)
+            reduced = condition.ramp * (1 - elapsed_us / self.window_us / 2)
             condition.ramp = max(self.initial_ramp(condition), reduced)
         else:
             # The first return takes the warm-up time of the settings, each further one twice that.
-            condition.ramp += passed_us / self.warm_up_us / condition.slowdown
+            condition.ramp += elapsed_us / self.warm_up_us / condition.slowdown
         if condition.ramp >= 1.0:
             condition.ramp = 1.0
             condition.change_state(now_us, ZoneState.SERVING, ZoneReason.NONE)
 
     def _update_capacity(
-        self, passed_us: int, zone: int, condition: ZoneCondition, seen: AggregatedEvidence
+        self, elapsed_us: int, zone: int, condition: ZoneCondition, evidence: AggregatedEvidence
     ) -> None:
         """Estimates the capacity of a zone.
 
@@ -155,43 +155,43 @@
         attempts, or less. The limits alone are too low where little was sent so far, and too high for a slow
         zone, which would be filled and left by turns.
         """
-        served = seen.successes[zone] * SECOND_US / self.window_us
-        reported = seen.capacity[zone]
-        overload_ratio = seen.overload_ratio[zone]
+        served = evidence.successes[zone] * SECOND_US / self.window_us
+        reported = evidence.capacity[zone]
+        overload_ratio = evidence.overload_ratio[zone]
         if condition.capacity <= 0:
             condition.capacity = reported
-        elif overload_ratio > OVERLOAD_RATIO and seen.successes[zone]:
-            window_part = min(1.0, passed_us / self.window_us)
+        elif overload_ratio > OVERLOAD_RATIO and evidence.successes[zone]:
+            window_part = min(1.0, elapsed_us / self.window_us)
             target = min(condition.capacity, served * OVERLOAD_REDUCTION)
             condition.capacity += (target - condition.capacity) * window_part
             condition.is_capacity_limited = True
         elif condition.ramp < 1:
             pass  # what it serves while it returns says nothing of its whole capacity
         elif served >= GROWTH_UTILIZATION * condition.capacity and overload_ratio < OVERLOAD_RATIO / 2:
-            condition.capacity *= 1 + GROWTH_PER_SECOND * passed_us / SECOND_US
+            condition.capacity *= 1 + GROWTH_PER_SECOND * elapsed_us / SECOND_US
         else:
             # Unused, the estimate goes back to what the limits say.
             is_used = served > GROWTH_UTILIZATION / 2 * condition.capacity
             condition.is_capacity_limited = condition.is_capacity_limited and is_used
-            forgotten = 1 - 0.5 ** (passed_us / MEMORY_HALF_LIFE_US)
-            condition.capacity += (reported - condition.capacity) * forgotten
+            decayed_fraction = 1 - 0.5 ** (elapsed_us / MEMORY_HALF_LIFE_US)
+            condition.capacity += (reported - condition.capacity) * decayed_fraction
         if overload_ratio <= OVERLOAD_RATIO and condition.ramp >= 1:
             condition.capacity = max(condition.capacity, served)
 
-    def _update_proof(
-        self, passed_us: int, zone: int, condition: ZoneCondition, seen: AggregatedEvidence
+    def _update_recovery_attempts(
+        self, elapsed_us: int, zone: int, condition: ZoneCondition, evidence: AggregatedEvidence
     ) -> None:
         """Counts attempts that prove that a zone that is away works again."""
-        has_succeeded = seen.successes[zone] >= PROOF_SUCCESS_RATIO * seen.attempts[zone]
-        if condition.proven_attempts >= 1 and not has_succeeded and condition.state == ZoneState.AWAY:
+        has_succeeded = evidence.successes[zone] >= RECOVERY_SUCCESS_RATIO * evidence.attempts[zone]
+        if condition.recovery_attempts >= 1 and not has_succeeded and condition.state == ZoneState.AWAY:
             condition.add_failure(RELAPSE_FAILURES)
         if has_succeeded:
-            condition.proven_attempts += seen.attempts[zone] * min(1.0, passed_us / self.window_us)
+            condition.recovery_attempts += evidence.attempts[zone] * min(1.0, elapsed_us / self.window_us)
         else:
-            condition.proven_attempts = 0.0
+            condition.recovery_attempts = 0.0
 
 
-def _outage(seen: AggregatedEvidence, zone: int) -> ZoneReason:
-    if seen.is_failing[zone]:
+def _outage_reason(evidence: AggregatedEvidence, zone: int) -> ZoneReason:
+    if evidence.is_failing[zone]:
         return ZoneReason.FAILING
-    return ZoneReason.UNREACHABLE if seen.is_unreachable[zone] else ZoneReason.NONE
+    return ZoneReason.UNREACHABLE if evidence.is_unreachable[zone] else ZoneReason.NONE
--- a/tests/failover/support.py
+++ b/tests/failover/support.py
@@ -73,12 +73,12 @@
 
     def update_fleet(self, instance: int) -> None:
         """All but those that are cut off, which are known to be silent."""
-        living = {
+        live_instances = {
             other: other % 3
             for other in self.instances
             if other != instance and self.are_connected(other, instance)
         }
-        self.instances[instance].update_fleet(Fleet(living, self.known_size, bool(living)))
+        self.instances[instance].update_fleet(Fleet(live_instances, self.known_size, bool(live_instances)))
 
     def carry_out(self, instance: int, commands: list[Command]) -> None:
         """Sends the messages of an instance; asserts that each term has one leader."""
