--- a/cressrail/failover/admin_view.py
+++ b/cressrail/failover/admin_view.py
@@ -1,4 +1,7 @@
-"""The JSON of `/zones` and `/zones/explain` at the operators' address: its keys and words are fixed here."""
+"""Builds the JSON answers to `/zones` and `/zones/explain` on the admin address.
+
+The keys and the text values of the answers are part of the admin interface and must not change.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,17 @@
     names: Mapping[int, str],
     now_us: int,
 ) -> dict[str, Any]:
-    """Returns what `/zones` answers.
+    """Returns the answer to `/zones`.
 
     Args:
-        state_machine: Holds the decision.
-        statistics: Attempts of this instance, by zone.
-        names: Name of each known instance, by its id.
-        now_us: Present time.
+        state_machine: State machine that holds the current decision.
+        statistics: Attempts of this instance since its start, by zone.
+        names: Names of the known instances, by instance id.
+        now_us: Current time in microseconds.
+
+    Returns:
+        The epoch, the leader that decided, whether the decision is fresh, the status of each zone, and the
+        shares of successful attempts by proximity.
     """
     settings, decision = state_machine.settings, state_machine.decision
     zones = [
@@ -44,9 +51,17 @@
 def evidence_view(
     state_machine: FailoverStateMachine, zone: int, names: Mapping[int, str]
 ) -> list[dict[str, Any]]:
-    """Returns what `/zones/explain` answers: the evidence on one zone that is known here.
+    """Returns the answer to `/zones/explain`: the evidence about one zone that this instance holds.
+
+    The leader holds the evidence of all instances; every other instance holds only its own.
+
+    Args:
+        state_machine: State machine that holds the evidence.
+        zone: Index of the zone to explain.
+        names: Names of the known instances, by instance id.
 
-    That is the evidence of all instances at the leader, and the instance's own elsewhere.
+    Returns:
+        One entry for each reporting instance, ordered by instance id.
     """
     evidence = state_machine.leader.received_evidence
     evidence[state_machine.own_id] = state_machine.local.evidence
@@ -93,7 +108,11 @@
 
 
 def _served_by_proximity(topology: ZoneTopology, own: int, statistics: ZoneStatistics) -> dict[str, float]:
-    """Returns the shares of successful attempts since the start: own zone, own region with it, beyond."""
+    """Returns the shares of successful attempts since the start, by proximity.
+
+    `zone` is the share of the own zone, `region` that of the own region including the own zone, and `beyond`
+    that of other regions.
+    """
     succeeded = {
         zone: statistics.zones.get(zone, AttemptCounts()).succeeded for zone in range(len(topology.zones))
     }
--- a/cressrail/failover/codec.py
+++ b/cressrail/failover/codec.py
@@ -1,6 +1,6 @@
-"""Maps failover messages to bytes and back: one byte for the kind, then fields of fixed size.
+"""Encodes failover messages to bytes and decodes them: one byte for the kind, then fields of fixed size.
 
-Bytes behind the known fields are ignored, so that a release can read messages of a later one.
+Trailing bytes after the known fields are ignored, so that a release can read messages of a later release.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 SECOND_US = 1_000_000
 _MAX_U16 = (1 << 16) - 1
 _MAX_U32 = (1 << 32) - 1
-_RATE_UNITS = 1000  # rates a second travel in thousandths
+_RATE_UNITS = 1000  # rates are encoded in thousandths of a unit per second
 _WEIGHT_SUM_TOLERANCE = 1e-9
 
 _EPOCH = struct.Struct("!II")  # term, step
 _REPORT = struct.Struct("!IIIBIB")  # acknowledged number, epoch, zone, demand, number of observations
-_OBSERVATION = struct.Struct("!HHHHI")  # counts, capacity
+_OBSERVATION = struct.Struct("!HHHHI")  # attempts, connect failures, failures, slow attempts, capacity
 _ACKNOWLEDGEMENT = struct.Struct("!III")  # number, epoch
 _VOTE_REQUEST = struct.Struct("!IIII")  # term, number, epoch
 _VOTE_GRANTED = struct.Struct("!II")  # term, number
@@ -66,18 +66,18 @@
 
 
 class FailoverMessageError(ValueError):
-    """An encoded failover message holds a value that is not allowed."""
+    """An encoded failover message holds an invalid value."""
 
 
 def encode(message: Message, now_us: int = 0) -> bytes:
     """Encodes a message.
 
     Args:
-        message: What to encode; counts and rates that don't fit are clipped.
-        now_us: Time of sending, from which ages and remaining times are counted.
+        message: Message to encode. Counts and rates that exceed the size of their field are clipped.
+        now_us: Time of sending in microseconds, relative to which ages and remaining times are encoded.
 
     Returns:
-        The kind and the fields.
+        The byte of the kind, followed by the fields.
     """
     kind, encode_fields = _ENCODERS[type(message)]
     return bytes([kind]) + encode_fields(message, now_us)
@@ -87,11 +87,11 @@
     """Decodes a message.
 
     Args:
-        data: What was received.
-        now_us: Time of receipt, to which ages and remaining times are applied.
+        data: Received bytes.
+        now_us: Time of receipt in microseconds, from which ages and remaining times are converted to times.
 
     Returns:
-        The message, or None where it is truncated, of an unknown kind or holds values that are not allowed.
+        The message, or None if it is truncated, of an unknown kind, or holds an invalid value.
     """
     try:
         decode_fields = _DECODERS.get(data[0])
@@ -153,7 +153,7 @@
 
 
 def _encode_drain_request(message: DrainRequest, now_us: int) -> bytes:
-    # 0 seconds stand for the end of a drain, so that a drain about to end travels as one second.
+    # 0 seconds encode the end of a drain, so a drain that is about to end is encoded as 1 second.
     remaining_s = 0 if message.until_us <= 0 else max(1, _seconds(message.until_us - now_us))
     return _DRAIN_REQUEST.pack(message.zone, remaining_s, message.sequence)
 
@@ -161,7 +161,9 @@
 def _decode_report(body: bytes, _now_us: int) -> Report:
     acknowledged, term, step, zone, demand, count = _REPORT.unpack_from(body)
     if count > MAX_ZONES or zone >= count:
-        raise FailoverMessageError("report: zone or number of zones out of range")
+        raise FailoverMessageError(
+            f"report: zone {zone} of {count} zones is out of range, at most {MAX_ZONES} zones"
+        )
     observations = tuple(
         _decode_observation(body, _REPORT.size + index * _OBSERVATION.size) for index in range(count)
     )
@@ -172,7 +174,9 @@
 def _decode_observation(body: bytes, offset: int) -> ZoneObservation:
     attempts, connect_failures, failures, slow, capacity = _OBSERVATION.unpack_from(body, offset)
     if connect_failures + failures + slow > attempts:
-        raise FailoverMessageError("report: more attempts ended badly than were sent")
+        raise FailoverMessageError(
+            f"report: {connect_failures + failures + slow} failed or slow attempts of only {attempts}"
+        )
     return ZoneObservation(attempts, connect_failures, failures, slow, capacity / _RATE_UNITS)
 
 
@@ -204,14 +208,14 @@
 def _decode_drain_request(body: bytes, now_us: int) -> DrainRequest:
     zone, remaining_s, sequence = _DRAIN_REQUEST.unpack_from(body)
     if zone >= MAX_ZONES:
-        raise FailoverMessageError("drain request: zone out of range")
+        raise FailoverMessageError(f"drain request: zone {zone} is out of range, must be below {MAX_ZONES}")
     return DrainRequest(zone, now_us + remaining_s * SECOND_US if remaining_s else 0, sequence)
 
 
 def _decode_decision(body: bytes, now_us: int) -> Decision:
     term, step, leader, count = _DECISION.unpack_from(body)
     if not 1 <= count <= MAX_ZONES:
-        raise FailoverMessageError("decision: number of zones out of range")
+        raise FailoverMessageError(f"decision: {count} zones, must be 1 to {MAX_ZONES}")
     weights_start = _DECISION.size + count * _ZONE_STATUS.size
     zones = tuple(
         _decode_zone_status(body, offset, now_us)
@@ -226,19 +230,19 @@
 def _decode_zone_status(body: bytes, offset: int, now_us: int) -> ZoneStatus:
     state, reason, age_s = _ZONE_STATUS.unpack_from(body, offset)
     if state >= len(ZoneState) or reason >= len(ZoneReason):
-        raise FailoverMessageError("decision: unknown state or reason of a zone")
+        raise FailoverMessageError(f"decision: unknown zone state {state} or reason {reason}")
     return ZoneStatus(ZoneState(state), ZoneReason(reason), now_us - age_s * SECOND_US)
 
 
 def _decode_weights(data: bytes, count: int) -> tuple[tuple[float, ...], ...]:
     if len(data) < count * count:
-        raise FailoverMessageError("decision: weights are truncated")
+        raise FailoverMessageError(f"decision: weights are truncated to {len(data)} of {count * count} bytes")
     rows = tuple(
         tuple(units / WEIGHT_UNITS for units in data[start : start + count])
         for start in range(0, count * count, count)
     )
     if any(sum(row) > 1 + _WEIGHT_SUM_TOLERANCE for row in rows):
-        raise FailoverMessageError("decision: weights of a zone add up to more than 1")
+        raise FailoverMessageError("decision: the weights of a zone add up to more than 1")
     return rows
 
 
@@ -253,11 +257,11 @@
 
 def _checked_term(term: int) -> int:
     if term > MAX_TERM:
-        raise FailoverMessageError(f"term is above {MAX_TERM}")
+        raise FailoverMessageError(f"term {term} exceeds {MAX_TERM}")
     return term
 
 
-# Values are typed as taking any message: the key holds the type that each takes.
+# The encoders are typed `Callable[..., bytes]`, because each accepts only the message type that is its key.
 _ENCODERS: dict[type, tuple[MessageKind, Callable[..., bytes]]] = {
     Report: (MessageKind.REPORT, _encode_report),
     Acknowledgement: (MessageKind.ACKNOWLEDGEMENT, _encode_acknowledgement),
--- a/cressrail/failover/commands.py
+++ b/cressrail/failover/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the failover state machine returns; the network driver or the simulation carries them out."""
+"""Commands of the failover state machine, executed by the network driver or by the simulation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 
 class SendToInstance(NamedTuple):
-    """Sends an encoded message to one instance; it may be lost."""
+    """Sends an encoded message to one instance, without a guarantee of delivery.
+
+    Attributes:
+        recipient: Id of the receiving instance.
+        payload: The encoded message.
+    """
 
     recipient: int
     payload: bytes
@@ -18,9 +23,9 @@
     """Gossips an encoded message to all instances.
 
     Attributes:
-        topic: A later broadcast on the same topic replaces an earlier one.
+        topic: Topic of the broadcast; a later broadcast on a topic replaces an earlier one.
         payload: The encoded message.
-        is_urgent: Whether it is sent at once; otherwise it travels with other datagrams.
+        is_urgent: Whether the message is sent immediately rather than piggybacked on other datagrams.
     """
 
     topic: str
@@ -29,13 +34,13 @@
 
 
 class DecisionAdopted(NamedTuple):
-    """A decision holds at this instance from now on."""
+    """Reports that this instance has adopted a decision, which is now in force here."""
 
     decision: Decision
 
 
 class LogEvent(NamedTuple):
-    """Writes an event with its fields to the log."""
+    """Writes an event and its fields to the log."""
 
     event: str
     fields: dict[str, object]
--- a/cressrail/failover/decision_store.py
+++ b/cressrail/failover/decision_store.py
@@ -1,4 +1,4 @@
-"""The decision that holds at this instance, and how much it counts."""
+"""The decision in force at this instance, and its freshness."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 
 class DecisionStore:
-    """The decision that holds at this instance, and until when its leader stood by it.
+    """Holds the decision in force at this instance and the time at which a leader last confirmed it.
 
     Attributes:
-        decision: The decision, or None before the first.
-        confirmed_us: When the leader last stood by it.
+        settings: Settings of failover at this instance.
+        decision: Decision in force, or None before the first one.
+        confirmed_us: Time of the last confirmation by a leader, in microseconds.
     """
 
     def __init__(self, settings: FailoverSettings, leadership: Leadership, outbox: Outbox) -> None:
@@ -29,31 +30,38 @@
 
     @property
     def held_epoch(self) -> Epoch:
-        """Epoch of the decision that holds here."""
+        """Epoch of the decision in force, or `NO_EPOCH` before the first one."""
         return self.decision.epoch if self.decision is not None else NO_EPOCH
 
     def freshness(self, now_us: int) -> float:
-        """How much the decision counts: 1 while its leader stands by it, then less and less down to 0."""
+        """Returns the weight of the decision against local judgement, from 1 (fresh) to 0 (expired).
+
+        It stays 1 for `freshness_us` after the last confirmation, then falls linearly to 0 over `fade_us`.
+        """
         if self.decision is None:
             return 0.0
         overdue_us = now_us - self.confirmed_us - self.settings.freshness_us
         return 1.0 if overdue_us <= 0 else max(0.0, 1 - overdue_us / self.settings.fade_us)
 
     def confirm(self, now_us: int, epoch: Epoch) -> None:
-        """The leader has a majority, and `epoch` is the one of its last decision.
+        """Confirms the held decision if it is still the leader's current one.
+
+        A leader that has taken no decision yet (step 0) confirms the decision of its predecessor. A held
+        decision is not confirmed if a later decision of the leader has not arrived here.
 
-        It stands by what is held here if that is its last decision, or, before its first, the one of its
-        predecessor. A decision whose successor did not arrive here is not confirmed.
+        Args:
+            now_us: Current time in microseconds.
+            epoch: Epoch of the last decision of a leader that has a majority.
         """
         if self.decision is not None and (epoch.step == 0 or self.held_epoch >= epoch):
             self.confirmed_us = now_us
 
     def confirm_own(self, now_us: int) -> None:
-        """This instance is the leader, and holds its lease."""
+        """Confirms the held decision at the leader itself, while it holds its lease."""
         self.confirmed_us = now_us
 
     def adopt(self, now_us: int, decision: Decision) -> None:
-        """A decision holds from now on; it is passed on to the others."""
+        """Puts a decision into force, broadcasts it to the other instances and logs the changed zones."""
         previous, self.decision = self.decision, decision
         self.confirmed_us = now_us
         self._leadership.observe_epoch(decision.epoch)
--- a/cressrail/failover/election.py
+++ b/cressrail/failover/election.py
@@ -1,8 +1,8 @@
-"""Election of a leader: candidacy, and granting or denying votes.
+"""Leader election: candidacy, and granting or denying votes.
 
-After Raft (Ongaro and Ousterhout, 2014), without a log: what is decided is one small table, and each decision
-replaces the one before. A term counts only once it is won, so a candidate that is cut off in one direction
-disturbs nobody.
+The protocol follows Raft (Ongaro and Ousterhout, 2014) but replicates no log, because a decision is one small
+table that replaces the previous decision entirely. A term takes effect only once a candidate has won it, so a
+candidate that is cut off in one direction does not disrupt the other instances.
 """
 
 from __future__ import annotations
@@ -17,7 +17,12 @@
 
 
 class Vote(NamedTuple):
-    """The last vote of this instance: its term, and the candidate or `NO_CANDIDATE`."""
+    """The last vote of this instance.
+
+    Attributes:
+        term: Term of the vote.
+        candidate: Id of the candidate, or `NO_CANDIDATE` for a term learned from a denied vote.
+    """
 
     term: int
     candidate: int
@@ -30,19 +35,19 @@
         self._parts = parts
         self._own_id = parts.leadership.own_id
         self._vote = Vote(0, NO_CANDIDATE)
-        # A process that was restarted does not know its vote: it waits so as not to vote twice in a term.
+        # A restarted process does not know its last vote, so it waits rather than vote twice in one term.
         self._may_vote_from_us = now_us + 2 * parts.settings.lease_us
         self._votes: set[int] = set()
         self._request: VoteRequest | None = None
         self._requested_us = now_us
 
     def abandon(self) -> None:
-        """Ends a candidacy."""
+        """Abandons the candidacy and discards the votes received."""
         self._votes.clear()
         self._request = None
 
     def become_candidate(self, now_us: int) -> None:
-        """Requests votes for the next term, if this instance may vote and hears others."""
+        """Requests votes for the next term, if this instance may vote and is in contact with others."""
         self._parts.timer.restart(now_us)
         fleet = self._parts.local.fleet
         if not fleet.has_quorum_view or not fleet.live_instances or now_us < self._may_vote_from_us:
@@ -58,7 +63,7 @@
             self._parts.outbox.send(now_us, other, request)
 
     def on_vote_request(self, now_us: int, candidate: int, request: VoteRequest) -> None:
-        """Grants or denies a vote, and gives a candidate that lacks the held decision that decision."""
+        """Grants or denies a vote, and sends the held decision to a candidate whose epoch is behind."""
         known_epoch = self._parts.leadership.epoch
         is_behind = request.epoch < known_epoch
         if self._must_deny(now_us, candidate, request) or request.term <= known_epoch.term or is_behind:
@@ -72,7 +77,11 @@
             self._parts.outbox.send(now_us, candidate, VoteGranted(request.term, request.number))
 
     def _must_deny(self, now_us: int, candidate: int, request: VoteRequest) -> bool:
-        """Whether there is a leader, or this instance voted for another in that term or in a later one."""
+        """Returns whether a vote request must be denied.
+
+        This is the case while a leader is active, or if this instance has voted for another candidate in the
+        requested term, or in a later term.
+        """
         leadership = self._parts.leadership
         has_other_leader = leadership.leader != candidate and leadership.has_recent_contact(
             now_us, self._parts.settings.report_period_us
@@ -83,7 +92,10 @@
         return leadership.is_leader or has_other_leader or has_voted
 
     def on_vote_granted(self, now_us: int, voter: int, granted: VoteGranted, leader: Leader) -> None:
-        """Counts a vote, and takes the lead once a majority has voted for this instance."""
+        """Counts a vote, and becomes the leader once a majority has voted for this instance.
+
+        Votes that arrive after the lease time, or from instances that are not live, are ignored.
+        """
         request = self._request
         if request is None or (granted.term, granted.number) != (request.term, request.number):
             return
@@ -97,7 +109,7 @@
             leader.begin_term(now_us, granted.term, len(self._votes))
 
     def on_vote_denied(self, now_us: int, denied: VoteDenied, leader: Leader) -> None:
-        """Continues above the other's term; a leader steps down for a later term."""
+        """Adopts the term of the denial as a lower bound, and steps down if a later term has a leader."""
         self._vote = max(self._vote, Vote(denied.term, NO_CANDIDATE))
         if denied.epoch.term > self._parts.leadership.epoch.term and self._parts.leadership.is_leader:
             leader.step_down(now_us, denied.epoch)
--- a/cressrail/failover/election_timer.py
+++ b/cressrail/failover/election_timer.py
@@ -1,4 +1,4 @@
-"""When an instance becomes a candidate."""
+"""Election timeout: the time at which an instance becomes a candidate."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 from cressrail.policy.random_generator import RandomGenerator
 
 NEVER_US = 1 << 62
-RANKS_PER_PERIOD = 2  # by which candidates that come later in the order of ids wait longer
-MAX_RANK = 12
+RANKS_PER_PERIOD = 2  # each rank in the order of ids adds 1 / RANKS_PER_PERIOD report periods to the timeout
+MAX_RANK = 12  # bounds the additional delay of instances with high ids
 
 
 class ElectionTimer:
-    """When this instance becomes a candidate if there is no sign of a leader until then."""
+    """Computes when this instance becomes a candidate, unless it hears from a leader first.
+
+    Attributes:
+        deadline_us: Time of the candidacy in microseconds, or `NEVER_US` before the first `restart`.
+    """
 
     def __init__(
         self, settings: FailoverSettings, local: LocalView, own_id: int, rng: RandomGenerator
@@ -25,7 +29,7 @@
         self._rng = rng
 
     def restart(self, now_us: int) -> None:
-        """Waits anew. Instances that come first in the order of ids become candidates first."""
+        """Restarts the timeout, which is shorter for lower ids so that these become candidates first."""
         earlier = sum(1 for other in self._local.fleet.live_instances if other < self._own_id)
         rank = min(MAX_RANK, earlier)
         period_us = self._settings.report_period_us
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -1,7 +1,7 @@
 """Aggregates the evidence of all instances into one view of the zones.
 
-The result is robust against a few instances whose evidence is wrong, and tells a zone that cannot be reached
-from some zones from one that fails for all.
+The result tolerates a few instances with wrong evidence, and distinguishes a zone that is unreachable from
+some zones from a zone that fails for all of them.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 from cressrail.failover.messages import Evidence, ZoneObservation
 
-FAILURE_RATIO = 0.5  # of attempts: from there on a zone counts as failing, or as unreachable
-MIN_ATTEMPTS = 5  # over the window, from all instances of a zone together, to judge by
-MIN_INSTANCES = 2  # with attempts, to judge by, where the zone has as many
-MAX_WEIGHT_OVER_MEDIAN = 1.5  # times the median weight: of four instances one alone decides nothing
+FAILURE_RATIO = 0.5  # share of failed attempts at which a zone counts as failing or unreachable
+MIN_ATTEMPTS = 5  # attempts from all instances of a zone in the window that are required for an assessment
+MIN_INSTANCES = 2  # instances with attempts required for an assessment, or all if the zone has fewer
+MAX_WEIGHT_OVER_MEDIAN = 1.5  # bounds each value by the median, so that one of four instances decides nothing
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatedEvidence:
-    """What all instances saw together.
+    """The evidence of all instances, combined. Every attribute is indexed by zone.
 
     Attributes:
-        demand: Requests a second of the clients of each zone.
-        capacity: Attempts a second that each zone takes, by the limits of all instances.
-        attempts: Attempts to each zone in the window.
-        successes: Attempts to each zone that ended well in the window.
-        unreachable_from: For each caller's zone, whether each zone is unreachable from there.
-        is_failing: Whether each zone fails for most of the zones that reach it.
-        is_unreachable: Whether each zone is unreachable from all that tried.
-        overload_ratio: For each zone, the share of slow and failed attempts among those that reached it.
-        is_silent: For each zone, whether instances are alive there and none of them reported.
+        demand: Requests per second from the clients of each zone.
+        capacity: Capacity of each zone in attempts per second, estimated from the limits of all instances.
+        attempts: Number of attempts to each zone in the window.
+        successes: Number of successful attempts to each zone in the window.
+        unreachable_from: For each caller's zone, whether each target zone is unreachable from it.
+        is_failing: Whether each zone fails for a majority of the caller's zones that reach it.
+        is_unreachable: Whether each zone is unreachable from all caller's zones with enough attempts to it.
+        overload_ratio: Share of slow and failed attempts to each zone among the attempts that reached it.
+        is_silent: Whether each zone has live instances of which none has reported.
     """
 
     demand: tuple[float, ...]
@@ -46,20 +46,23 @@
 
 
 class WeightedValue(NamedTuple):
-    """A value and how much it counts."""
+    """A value and its weight in a weighted median."""
 
     value: float
     weight: float
 
 
 def limit_outliers(values: Sequence[float]) -> list[float]:
-    """Limits each value to `MAX_WEIGHT_OVER_MEDIAN` times the median of all values."""
+    """Limits each value to `MAX_WEIGHT_OVER_MEDIAN` times the median.
+
+    This prevents a single instance from outweighing the others.
+    """
     maximum = MAX_WEIGHT_OVER_MEDIAN * sorted(values)[len(values) // 2] if values else 0.0
     return [min(value, maximum) for value in values]
 
 
 def weighted_median(values: Sequence[WeightedValue]) -> float:
-    """Returns the median by limited weights; 0 for no values."""
+    """Returns the weighted median, with weights limited by `limit_outliers`; 0 if there are no values."""
     if not values:
         return 0.0
     weights = limit_outliers([weight for _, weight in values])
@@ -78,10 +81,14 @@
     """Aggregates the evidence of many instances.
 
     Args:
-        evidence: What the instances reported; of other numbers of zones, or unknown zones, it is ignored.
+        evidence: Reported evidence. Reports from an unknown zone or for a different number of zones are
+            ignored.
         zone_count: Number of zones of the topology.
-        instance_counts: Number of live instances in each zone, where that is known. Those without a report
-            count as the others of their zone do, as their traffic is there too.
+        instance_counts: Number of live instances in each zone, or empty if unknown. Instances without a
+            report are assumed to behave like the others of their zone, because they carry traffic too.
+
+    Returns:
+        The combined evidence, indexed by zone.
     """
     counts = instance_counts or [0] * zone_count
     sources = [_ZoneSource([], zone_count) for _ in range(zone_count)]
@@ -108,7 +115,7 @@
 
 
 class _ZoneSource:
-    """What the instances of one caller's zone saw, by zone of endpoints."""
+    """Evidence from the instances of one caller's zone, with totals and ratios by target zone."""
 
     def __init__(self, evidence: list[Evidence], zone_count: int) -> None:
         self.evidence = evidence
@@ -123,7 +130,7 @@
         self.is_unreachable: list[bool] = []
 
     def summarize(self, instance_count: int) -> None:
-        """Computes totals and ratios of the evidence, scaled up to `instance_count` instances."""
+        """Computes totals, scaled up to `instance_count` instances, and ratios from the evidence."""
         reported = len(self.evidence)
         scale = max(1.0, instance_count / reported) if reported else 1.0
         self.demand = sum(item.demand for item in self.evidence) * scale
@@ -153,7 +160,7 @@
 
 
 def _assess_zone(sources: Sequence[_ZoneSource], zone: int) -> _ZoneAssessment:
-    """Judges one zone of endpoints by what the callers' zones saw of it, each of which counts once."""
+    """Assesses one target zone from the evidence of the caller's zones, each of which counts equally."""
     attempting = [source for source in sources if source.has_enough_attempts[zone]]
     reaching = [source for source in attempting if not source.is_unreachable[zone]]
     failing = sum(1 for source in reaching if source.failure_ratio[zone] >= FAILURE_RATIO)
@@ -166,7 +173,7 @@
 
 
 def _has_enough_attempts(attempts: list[int]) -> bool:
-    """Whether there were enough attempts to judge by, from enough instances."""
+    """Returns whether enough instances made enough attempts to assess a zone."""
     instances = sum(1 for count in attempts if count)
     return sum(attempts) >= MIN_ATTEMPTS and instances >= min(MIN_INSTANCES, len(attempts))
 
@@ -174,7 +181,12 @@
 def _median_ratio(
     observations: Sequence[ZoneObservation], counts: Callable[[ZoneObservation], tuple[int, int]]
 ) -> float:
-    """Returns the median over instances of a ratio of attempts; `counts` gives its two terms."""
+    """Returns the median over instances of a ratio of attempt counts, weighted by the denominator.
+
+    Args:
+        observations: Observations of one zone, one per instance.
+        counts: Returns the numerator and the denominator of the ratio for one observation.
+    """
     ratios = []
     for observation in observations:
         count, base = counts(observation)
--- a/cressrail/failover/evidence_collector.py
+++ b/cressrail/failover/evidence_collector.py
@@ -1,4 +1,4 @@
-"""Collects this instance's own evidence from its zone statistics and its load balancer."""
+"""Collects the evidence of this instance from its zone statistics and its load balancer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EvidenceCollector:
-    """Keeps snapshots of the zone statistics over the evidence window."""
+    """Derives evidence from snapshots of the zone statistics taken over the evidence window."""
 
     def __init__(self, settings: FailoverSettings) -> None:
         self._settings = settings
@@ -28,7 +28,7 @@
         self._latency_us: dict[int, float] = {}
 
     def collect(self, now_us: int, load_balancer: LoadBalancer, statistics: ZoneStatistics) -> Evidence:
-        """Takes a snapshot, and returns the evidence since the oldest one."""
+        """Takes a snapshot and returns the evidence gathered since the oldest snapshot in the window."""
         self._snapshots.append(_Snapshot(now_us, dict(statistics.zones)))
         since_us, before = self._snapshots[0]
         span_us = max(1, now_us - since_us)
@@ -45,9 +45,10 @@
         return Evidence(self._settings.zone, requests * SECOND_US / span_us, tuple(observations))
 
     def _capacity(self, zone: int, load_balancer: LoadBalancer) -> float:
-        """Returns the attempts a second that the limits of the zone's endpoints let this instance have there.
+        """Returns the attempts per second that the concurrency limits of a zone allow this instance.
 
-        They follow from the latency seen there, or that of the fastest zone where there is none.
+        The rate is the limit divided by the mean latency of the zone, or by that of the fastest zone if this
+        instance has no latency for the zone yet. It is 0 before any latency is known.
         """
         if zone >= len(load_balancer.zone_subsets) or not self._latency_us:
             return 0.0
--- a/cressrail/failover/follower.py
+++ b/cressrail/failover/follower.py
@@ -1,4 +1,4 @@
-"""This instance as a follower: reports to the leader, and takes its signs of life and its decisions."""
+"""The follower role: reports evidence to the leader and processes its heartbeats and decisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Follower:
-    """Follows whoever leads; a leader that hears of a later term steps down and follows too."""
+    """Follows the current leader. A leader that learns of a later term steps down and becomes a follower."""
 
     def __init__(self, parts: InstanceParts, leader: Leader) -> None:
         self._parts = parts
@@ -18,12 +18,12 @@
         self._acknowledged = 0  # number of the leader's last acknowledgement
 
     def send_report(self, now_us: int) -> None:
-        """Sends the instance's evidence to the leader."""
+        """Sends a report with the evidence of this instance to the leader."""
         report = Report(self._acknowledged, self._parts.decisions.held_epoch, self._parts.local.evidence)
         self._parts.outbox.send(now_us, self._parts.leadership.leader, report)
 
     def on_acknowledgement(self, now_us: int, sender: int, acknowledgement: Acknowledgement) -> None:
-        """The leader received a report."""
+        """Processes the leader's acknowledgement of a report; ignores earlier terms and other senders."""
         leadership = self._parts.leadership
         if acknowledgement.epoch.term < leadership.epoch.term or sender != leadership.leader:
             return
@@ -34,7 +34,7 @@
         self._parts.timer.restart(now_us)
 
     def on_heartbeat(self, now_us: int, heartbeat: Heartbeat) -> None:
-        """A leader has a majority; what is new is passed on."""
+        """Processes a heartbeat of a leader that has a majority, and gossips it on if it is new."""
         leadership = self._parts.leadership
         if heartbeat.leader == leadership.own_id or heartbeat.epoch.term < leadership.epoch.term:
             return
@@ -53,14 +53,14 @@
             self._parts.outbox.broadcast(now_us, HEARTBEAT_TOPIC, heartbeat)
 
     def on_decision(self, now_us: int, decision: Decision) -> None:
-        """Adopts a decision that is later than the held one and all known epochs."""
+        """Adopts a decision that is later than the held one and not older than any known epoch."""
         leadership = self._parts.leadership
         if decision.leader == leadership.own_id or decision.epoch <= self._parts.decisions.held_epoch:
             return
         if decision.epoch < leadership.epoch:
             return
         if len(decision.zones) != len(self._parts.settings.topology.zones):
-            return  # of a release, or settings, with other zones
+            return  # from an instance whose release or settings have a different number of zones
         if decision.epoch.term > leadership.epoch.term and leadership.is_leader:
             self._leader.step_down(now_us, decision.epoch)
         leadership.follow(now_us, decision.leader)
--- a/cressrail/failover/host.py
+++ b/cressrail/failover/host.py
@@ -1,4 +1,4 @@
-"""Failover at a running sidecar: feeds the state machine from membership and from the load balancer."""
+"""Connects the failover state machine of a running sidecar to membership and to the load balancer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 
 class FailoverHost:
-    """Owns the state machine of one sidecar. No input or output."""
+    """Owns the failover state machine of one sidecar and performs no I/O.
+
+    Attributes:
+        settings: Settings of failover at this sidecar.
+        state_machine: The failover state machine.
+    """
 
     def __init__(self, settings: FailoverSettings, own_id: int, rng: RandomGenerator, now_us: int) -> None:
         self.settings = settings
@@ -24,7 +29,7 @@
 
     @property
     def next_timer_us(self) -> int:
-        """When `on_timer` is due."""
+        """Time at which `on_timer` is due, in microseconds."""
         return self.state_machine.next_timer_us
 
     def on_timer(
@@ -34,7 +39,7 @@
         load_balancer: LoadBalancer,
         statistics: ZoneStatistics,
     ) -> list[Command]:
-        """Brings fleet and evidence up to date; starts the state machine, or wakes it."""
+        """Updates fleet and evidence; starts the state machine on the first call and runs its timer later."""
         self._update_fleet(membership)
         evidence = self._collector.collect(now_us, load_balancer, statistics)
         self.state_machine.update_evidence(evidence)
--- a/cressrail/failover/instance_parts.py
+++ b/cressrail/failover/instance_parts.py
@@ -1,4 +1,4 @@
-"""What election, leader and follower of one instance share."""
+"""State that the election, leader and follower roles of one instance share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InstanceParts(NamedTuple):
-    """Parts that several others read; each writes its own fields."""
+    """Shared components of one instance. Each is read by several roles and modifies only its own fields."""
 
     settings: FailoverSettings
     local: LocalView
@@ -28,7 +28,7 @@
 
 
 def new_parts(settings: FailoverSettings, own_id: int, rng: RandomGenerator, now_us: int) -> InstanceParts:
-    """Returns the parts of an instance that starts."""
+    """Creates the components of an instance that is starting."""
     outbox, local, leadership = Outbox(), LocalView(settings.zone), Leadership(own_id, now_us)
     return InstanceParts(
         settings,
--- a/cressrail/failover/labels.py
+++ b/cressrail/failover/labels.py
@@ -1,4 +1,4 @@
-"""Words for zone states and reasons in the JSON at the operators' address and in the log."""
+"""Labels of zone states and reasons in the JSON of the admin address and in the log."""
 
 from __future__ import annotations
 
@@ -25,6 +25,6 @@
 
 
 def status_label(status: ZoneStatus) -> str:
-    """Returns the state of a zone with its reason, if it has one, as one text."""
+    """Returns the label of a zone state, followed by `: ` and the label of the reason if there is one."""
     state = STATE_LABELS[status.state]
     return f"{state}: {REASON_LABELS[status.reason]}" if status.reason else state
--- a/cressrail/failover/leader.py
+++ b/cressrail/failover/leader.py
@@ -1,4 +1,4 @@
-"""This instance as the leader: its lease, the followers' reports, heartbeats and decisions."""
+"""The leader role: the lease, reports from followers, heartbeats and decisions."""
 
 from __future__ import annotations
 
@@ -20,23 +20,25 @@
 from cressrail.failover.outbox import HEARTBEAT_TOPIC
 from cressrail.failover.planner import Plan, Planner
 
-EVIDENCE_WINDOW_PERIODS = 3  # report periods over which evidence is summed
-HEARTBEAT_PERIODS = 2  # report periods between two heartbeats
-MAX_PENDING_ACKNOWLEDGEMENTS = 8192  # whose time of sending is kept until a report answers them
+EVIDENCE_WINDOW_PERIODS = 3  # length of the evidence window in report periods
+HEARTBEAT_PERIODS = 2  # heartbeat interval in report periods
+MAX_PENDING_ACKNOWLEDGEMENTS = (
+    8192  # acknowledgements whose sending time is kept until a report confirms them
+)
 
 
 class ReceivedEvidence(NamedTuple):
-    """Evidence of one instance, and when it came."""
+    """Evidence of one instance and the time of its receipt in microseconds."""
 
     evidence: Evidence
     received_us: int
 
 
 class Leader:
-    """Leads for as long as more than half of the last known fleet answers within the lease.
+    """Leads the tier while a majority of the last known fleet answers within the lease.
 
-    The lease counts from when the message was sent that was answered, so that a process that was stopped and
-    continues knows that it leads no longer.
+    The lease starts when the answered message was sent, not when the answer arrived. A process that was
+    suspended and resumes therefore finds its lease expired.
     """
 
     def __init__(self, parts: InstanceParts, now_us: int) -> None:
@@ -44,26 +46,28 @@
         self._planner: Planner | None = None
         self._evidence: dict[int, ReceivedEvidence] = {}
         self._acknowledgement_sent_us: dict[int, int] = {}
-        self._answered_us: dict[int, int] = {}  # by instance: when what it answered last was sent
+        self._answered_us: dict[
+            int, int
+        ] = {}  # by instance: sending time of the last message that it answered
         self._had_majority_us = now_us
         self._heartbeat_us = now_us
 
     @property
     def received_evidence(self) -> dict[int, Evidence]:
-        """The last evidence of each instance that reported."""
+        """Latest evidence of each instance that has reported, by instance id."""
         return {instance: received.evidence for instance, received in self._evidence.items()}
 
     def forget_answers(self) -> None:
-        """After a pause of this process no earlier answer counts."""
+        """Discards all earlier answers, which are void after a pause of this process."""
         self._answered_us.clear()
         self._acknowledgement_sent_us.clear()
 
     def record_vote(self, voter: int, requested_us: int) -> None:
-        """A vote counts as an answer to its request."""
+        """Records a vote as an answer to the request sent at `requested_us`, which extends the lease."""
         self._answered_us[voter] = requested_us
 
     def begin_term(self, now_us: int, term: int, votes: int) -> None:
-        """Takes the lead, with the last known decision to start from."""
+        """Starts a term as the leader, with the last known decision as the initial state of the planner."""
         self._parts.leadership.begin_term(now_us, term)
         self._had_majority_us = now_us
         self._evidence.clear()
@@ -83,7 +87,7 @@
         self._send_heartbeat(now_us)
 
     def step_down(self, now_us: int, observed_epoch: Epoch) -> None:
-        """Stops leading: the majority is lost, or there is a later term."""
+        """Steps down, because the majority is lost or there is a later term."""
         self._parts.outbox.log(
             log_events.LEADER_STEPPED_DOWN,
             term=self._parts.leadership.epoch.term,
@@ -95,7 +99,7 @@
         self._parts.timer.restart(now_us)
 
     def on_timer(self, now_us: int) -> None:
-        """Checks the lease, sends heartbeats and decides anew where the plan has changed."""
+        """Checks the lease, sends heartbeats and takes a new decision if the plan has changed."""
         self._forget_old_acknowledgements(now_us)
         self._evidence[self._parts.leadership.own_id] = ReceivedEvidence(self._parts.local.evidence, now_us)
         if not self._holds_lease(now_us):
@@ -110,7 +114,7 @@
         self._decide(now_us)
 
     def on_report(self, now_us: int, follower: int, report: Report) -> None:
-        """Takes a follower's evidence, acknowledges it and sends the decision that the follower lacks."""
+        """Stores and acknowledges a follower's evidence, and sends the decision if the follower lacks it."""
         epoch = self._parts.leadership.epoch
         if not self._parts.leadership.is_leader:
             self._parts.outbox.send(now_us, follower, VoteDenied(epoch.term, epoch))
@@ -130,7 +134,7 @@
             self._parts.outbox.send(now_us, follower, decision)
 
     def _holds_lease(self, now_us: int) -> bool:
-        """Whether a majority answered, within the lease, what this instance sent."""
+        """Returns whether a majority has answered messages that were sent within the last lease time."""
         since_us = now_us - self._parts.settings.lease_us
         fleet = self._parts.local.fleet
         answered = sum(
@@ -160,7 +164,7 @@
             for received in self._evidence.values()
             if now_us - received.received_us <= window_us and received.evidence.observations
         ]
-        # Nothing is planned by the few that have reported so far.
+        # Evidence from a minority of the fleet is not sufficient for a plan.
         if self._planner is None or not self._parts.local.fleet.is_majority(len(evidence)):
             return
         drains = self._parts.drains.active(now_us)
@@ -179,7 +183,7 @@
         return [zones.count(zone) for zone in range(len(self._parts.settings.topology.zones))]
 
     def _matches_held_decision(self, plan: Plan, drains: tuple[ZoneDrain, ...]) -> bool:
-        """Whether the last decision is of this term, and says nearly the same."""
+        """Returns whether the held decision is of this term and nearly equal to the plan."""
         held = self._parts.decisions.decision
         return (
             held is not None
--- a/cressrail/failover/leadership.py
+++ b/cressrail/failover/leadership.py
@@ -1,21 +1,24 @@
-"""What this instance knows of the leader of its tier."""
+"""State about the leader of the tier, as known to this instance."""
 
 from __future__ import annotations
 
 from cressrail.failover.messages import NO_EPOCH, Epoch
 
 NO_LEADER = 0
-LEADER_TIMEOUT_PERIODS = 3  # without a sign of the leader, before an instance becomes a candidate
+LEADER_TIMEOUT_PERIODS = (
+    3  # report periods without contact to a leader before an instance becomes a candidate
+)
 
 
 class Leadership:
-    """What this instance knows of the leader of its tier.
+    """Tracks the leader of the tier, as known to this instance.
 
     Attributes:
+        own_id: Id of this instance.
         leader: Id of the leader, or `NO_LEADER`.
-        epoch: The greatest epoch that this instance knows.
-        last_contact_us: When there was the last sign of the leader.
-        heartbeat_sequence: Sequence number of the leader's last heartbeat.
+        epoch: Greatest known epoch.
+        last_contact_us: Time of the last contact with the leader, in microseconds.
+        heartbeat_sequence: Sequence number of the last heartbeat of the leader.
     """
 
     def __init__(self, own_id: int, now_us: int) -> None:
@@ -31,33 +34,33 @@
         return self.leader == self.own_id
 
     def has_recent_contact(self, now_us: int, report_period_us: int) -> bool:
-        """Whether there is a leader that gave a sign lately."""
+        """Returns whether the leader is known and was heard from within `LEADER_TIMEOUT_PERIODS` periods."""
         silence_us = now_us - self.last_contact_us
         return self.leader != NO_LEADER and silence_us <= LEADER_TIMEOUT_PERIODS * report_period_us
 
     def begin_term(self, now_us: int, term: int) -> None:
-        """This instance is the leader from now on."""
+        """Makes this instance the leader of a new term."""
         self.leader = self.own_id
         self.epoch = Epoch(term, 0)
         self.last_contact_us = now_us
 
     def end_term(self) -> None:
-        """This instance is the leader no longer."""
+        """Ends the leadership of this instance; no leader is known until another one is heard from."""
         self.leader = NO_LEADER
 
     def follow(self, now_us: int, leader: int) -> None:
-        """Another instance gave a sign of being the leader."""
+        """Records contact with another instance that is the leader."""
         self.leader = leader
         self.last_contact_us = now_us
 
     def renew_contact(self, now_us: int) -> None:
-        """The leader is there, or a new wait for a sign of it begins."""
+        """Records contact with the leader, or restarts the wait for it."""
         self.last_contact_us = now_us
 
     def observe_epoch(self, epoch: Epoch) -> None:
-        """Remembers the greatest epoch."""
+        """Raises the greatest known epoch to `epoch` if it is later."""
         self.epoch = max(self.epoch, epoch)
 
     def set_heartbeat_sequence(self, sequence: int) -> None:
-        """Remembers the leader's last heartbeat, by which older ones are told."""
+        """Stores the sequence number of the last heartbeat, by which older heartbeats are recognized."""
         self.heartbeat_sequence = sequence
--- a/cressrail/failover/local_view.py
+++ b/cressrail/failover/local_view.py
@@ -1,4 +1,4 @@
-"""What this instance sees by itself: the fleet, and its own evidence."""
+"""The local view of one instance: the fleet and its own evidence."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The sidecars of the tier, as membership sees them.
+    """The sidecars of the tier, as reported by membership.
 
     Attributes:
-        live_instances: Zone of each live instance but this one, by its id.
-        known_size: Size of the last known fleet, silent instances included.
-        has_quorum_view: Whether this instance hears others.
+        live_instances: Zone index of each live instance other than this one, by instance id.
+        known_size: Size of the last known fleet, including silent instances.
+        has_quorum_view: Whether membership has received the full table and hears other instances.
     """
 
     live_instances: Mapping[int, int]
@@ -23,16 +23,16 @@
     has_quorum_view: bool
 
     def is_majority(self, count: int) -> bool:
-        """Whether that many instances are more than half of the last known fleet."""
+        """Returns whether `count` instances are a majority of the last known fleet."""
         return 2 * count > max(self.known_size, len(self.live_instances) + 1)
 
 
 class LocalView:
-    """What this instance sees by itself.
+    """The local view of one instance.
 
     Attributes:
-        fleet: The fleet, from membership.
-        evidence: The instance's own evidence over the window.
+        fleet: Fleet as reported by membership.
+        evidence: Evidence of this instance over the evidence window.
     """
 
     def __init__(self, zone: int) -> None:
@@ -40,9 +40,9 @@
         self.evidence = Evidence(zone, 0.0, ())
 
     def update_fleet(self, fleet: Fleet) -> None:
-        """Replaces the fleet."""
+        """Replaces the fleet with a newer view of membership."""
         self.fleet = fleet
 
     def update_evidence(self, evidence: Evidence) -> None:
-        """Replaces the instance's own evidence."""
+        """Replaces the evidence of this instance."""
         self.evidence = evidence
--- a/cressrail/failover/log_events.py
+++ b/cressrail/failover/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the log events of failover, and the names they had in logs of earlier releases."""
+"""Names of the log events of failover, with their names in the logs of earlier releases."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 
 class EarlierEvent(NamedTuple):
-    """The name of an event in earlier releases, and of its fields that had other names, by today's name."""
+    """The name of an event in earlier releases, and the earlier names of its renamed fields.
+
+    Attributes:
+        event: Earlier name of the event.
+        fields: Earlier names of renamed fields, by current name.
+    """
 
     event: str
     fields: Mapping[str, str]
--- a/cressrail/failover/messages.py
+++ b/cressrail/failover/messages.py
@@ -1,6 +1,7 @@
-"""The messages that the sidecars of a tier exchange about failover, and the values they carry.
+"""The failover messages that the sidecars of a tier exchange, and the values in them.
 
-`codec` maps them to bytes. Values of the enumerations and field order are part of the wire format.
+`codec` encodes them to bytes. The values of the enumerations and the order of the fields are part of the wire
+format.
 """
 
 from __future__ import annotations
@@ -9,23 +10,23 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-EPOCH_STEPS_PER_TERM = 1_000_000  # more than the number of decisions in one term
-WEIGHT_UNITS = 200  # a zone weight travels as a whole number of this many units
+EPOCH_STEPS_PER_TERM = 1_000_000  # exceeds the number of decisions in any term
+WEIGHT_UNITS = 200  # zone weights are encoded as multiples of 1 / WEIGHT_UNITS
 MAX_ZONES = 8
 
 
 class ZoneState(IntEnum):
-    """How a zone of endpoints is used; the value is the one on the wire."""
+    """How traffic is sent to the endpoints of a zone. The values are part of the wire format."""
 
     SERVING = 0
-    REDUCED = 1  # part of the traffic of its callers goes to other zones, or nowhere
-    AWAY = 2  # nothing but a probing share is sent there
-    DRAINED = 3  # emptied at an operator's request
-    RETURNING = 4  # traffic comes back in steps
+    REDUCED = 1  # part of the traffic of its own clients goes to other zones or is rejected
+    AWAY = 2  # receives only a small share of probes
+    DRAINED = 3  # drained at an operator's request
+    RETURNING = 4  # traffic is restored gradually
 
 
 class ZoneReason(IntEnum):
-    """Why a zone is in its state; the value is the one on the wire."""
+    """Why a zone is in its state. The values are part of the wire format."""
 
     NONE = 0
     FAILING = 1
@@ -33,15 +34,15 @@
     DRAIN_REQUESTED = 3
     OVER_CAPACITY = 4
     WARMING_UP = 5
-    NO_CAPACITY_LEFT = 6  # no zone can take the traffic
+    NO_CAPACITY_LEFT = 6  # no zone has spare capacity for the traffic
 
 
 class Epoch(NamedTuple):
-    """Order of decisions: the greater one holds.
+    """Orders decisions; the decision with the greatest epoch is in force.
 
     Attributes:
-        term: Grows with each leader.
-        step: Grows with each decision of a leader.
+        term: Term of the leader; increases with each elected leader.
+        step: Number of the decision within the term; 0 before the first one.
     """
 
     term: int
@@ -49,7 +50,7 @@
 
     @property
     def number(self) -> int:
-        """The epoch as one number, as operators see it."""
+        """The epoch as a single number, as shown to operators."""
         return self.term * EPOCH_STEPS_PER_TERM + self.step
 
 
@@ -57,14 +58,14 @@
 
 
 class ZoneObservation(NamedTuple):
-    """What one instance saw of one zone of endpoints over the evidence window.
+    """Attempts of one instance to the endpoints of one zone during the evidence window.
 
     Attributes:
-        attempts: Attempts sent there.
-        connect_failures: Attempts for which no connection was established.
-        failures: Attempts that ended in an error of the endpoint, or in no answer.
-        slow_attempts: Attempts answered above the latency threshold, or rejected by the endpoint.
-        capacity: Attempts a second that this instance may have there, by its limits and the latency.
+        attempts: Number of attempts sent to the zone.
+        connect_failures: Number of attempts for which no connection was established.
+        failures: Number of attempts that ended in an error of the endpoint or without an answer.
+        slow_attempts: Number of attempts answered above the latency threshold or rejected by the endpoint.
+        capacity: Attempts per second that this instance may send, by its concurrency limits and the latency.
     """
 
     attempts: int
@@ -75,12 +76,12 @@
 
 
 class Evidence(NamedTuple):
-    """What one instance reports to the leader.
+    """The evidence that one instance reports to the leader.
 
     Attributes:
-        zone: Index of the instance's own zone.
-        demand: Requests a second that clients sent to it.
-        observations: What it saw of each zone, in the order of the topology.
+        zone: Index of the zone of the instance.
+        demand: Requests per second from the clients of the instance.
+        observations: Observation of each zone, in the order of the topology.
     """
 
     zone: int
@@ -89,9 +90,12 @@
 
 
 class ZoneStatus(NamedTuple):
-    """State of one zone of endpoints by a decision.
+    """Status of one zone of endpoints in a decision.
 
-    `since_us` is in the clock of the instance that holds it; it travels as an age.
+    Attributes:
+        state: State of the zone.
+        reason: Reason for the state.
+        since_us: Start of the state in microseconds on the local clock; encoded as an age.
     """
 
     state: ZoneState
@@ -100,7 +104,7 @@
 
 
 class ZoneDrain(NamedTuple):
-    """A zone that operators want empty, and until when."""
+    """A zone drained by operators, with the end of the drain in microseconds."""
 
     zone: int
     until_us: int
@@ -111,12 +115,12 @@
     """A leader's decision on all zones.
 
     Attributes:
-        epoch: Order of the decision.
-        leader: Id of the instance that took it.
+        epoch: Epoch of the decision, by which decisions are ordered.
+        leader: Id of the leader that took the decision.
         zones: Status of each zone.
-        weights: For each caller's zone, the share of its traffic to each zone; the unserved share is the
-            rest to 1 and is rejected.
-        drains: Zones that operators want empty.
+        weights: For each caller's zone, the share of its traffic sent to each zone. If a row adds up to
+            less than 1, the remaining share is unserved and is rejected.
+        drains: Zones drained by operators.
     """
 
     epoch: Epoch
@@ -127,9 +131,12 @@
 
 
 class DrainRequest(NamedTuple):
-    """An operator's request to drain a zone until `until_us` (0: no longer).
+    """An operator's request to drain a zone, or to end its drain.
 
-    The request with the greater sequence number holds.
+    Attributes:
+        zone: Index of the zone.
+        until_us: End of the drain in microseconds, or 0 to end it now.
+        sequence: Sequence number; of two requests for a zone, the greater one is in force.
     """
 
     zone: int
@@ -138,12 +145,12 @@
 
 
 class Report(NamedTuple):
-    """From a follower to the leader.
+    """A report from a follower to the leader.
 
     Attributes:
-        acknowledged: Number of the last acknowledgement received from the leader.
-        held_epoch: Epoch of the decision that the follower holds.
-        evidence: What the follower saw.
+        acknowledged: Number of the last acknowledgement that the follower received.
+        held_epoch: Epoch of the decision in force at the follower.
+        evidence: Evidence of the follower.
     """
 
     acknowledged: int
@@ -152,14 +159,25 @@
 
 
 class Acknowledgement(NamedTuple):
-    """The leader's answer to a report: its number, and the epoch of the leader's last decision."""
+    """The leader's answer to a report.
+
+    Attributes:
+        number: Number of the acknowledgement, which the next report of the follower confirms.
+        epoch: Epoch of the leader's last decision.
+    """
 
     number: int
     epoch: Epoch
 
 
 class VoteRequest(NamedTuple):
-    """A candidate's request for a vote in `term`; `epoch` is the greatest that it knows."""
+    """A candidate's request for a vote.
+
+    Attributes:
+        term: Term for which the candidate stands.
+        epoch: Greatest epoch known to the candidate.
+        number: Number of the request, repeated in the answer.
+    """
 
     term: int
     epoch: Epoch
@@ -167,21 +185,32 @@
 
 
 class VoteGranted(NamedTuple):
-    """Answers the vote request with that term and number."""
+    """Grants a vote to the candidate whose request had this term and number."""
 
     term: int
     number: int
 
 
 class VoteDenied(NamedTuple):
-    """Denies a vote: there is a greater term, or a leader already."""
+    """Denies a vote, because a greater term or an active leader is known.
+
+    Attributes:
+        term: Greatest term in which the voter has voted or of which it knows.
+        epoch: Greatest epoch known to the voter.
+    """
 
     term: int
     epoch: Epoch
 
 
 class Heartbeat(NamedTuple):
-    """The leader of a term still has a majority; of its heartbeats the one with the later sequence counts."""
+    """Announces that the leader of a term still has a majority.
+
+    Attributes:
+        epoch: Epoch of the leader's last decision.
+        leader: Id of the leader.
+        sequence: Sequence number; heartbeats that are not later than the last one are ignored.
+    """
 
     epoch: Epoch
     leader: int
--- a/cressrail/failover/planner.py
+++ b/cressrail/failover/planner.py
@@ -1,6 +1,6 @@
 """Plans the state of each zone and the zone weights from the aggregated evidence.
 
-A zone that was away comes back in steps, more slowly each time it fails again.
+Traffic returns gradually to a zone that was away, and more slowly each time the zone fails again.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cressrail.failover.traffic_distribution import CHANGE_TOLERANCE, TrafficDistribution
 from cressrail.failover.zone_condition import SECOND_US, ConditionUpdater, ZoneCondition
 
-DEMAND_HALF_LIFE_US = SECOND_US  # in which half of a change in demand is taken over
+DEMAND_HALF_LIFE_US = SECOND_US  # half-life of the exponential smoothing of demand
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +23,8 @@
 
     Attributes:
         zones: Status of each zone.
-        weights: For each caller's zone, the share of its traffic to each zone.
-        loads: Attempts a second that each zone gets by these weights.
+        weights: For each caller's zone, the share of its traffic sent to each zone.
+        loads: Attempts per second that each zone receives under these weights.
     """
 
     zones: tuple[ZoneStatus, ...]
@@ -32,7 +32,7 @@
     loads: tuple[float, ...]
 
     def differs(self, zones: Sequence[ZoneStatus], weights: Sequence[Sequence[float]]) -> bool:
-        """Whether it differs from an earlier decision by so much that a new one is worth while."""
+        """Returns whether the plan differs enough from an earlier decision to justify a new one."""
         planned = [(zone.state, zone.reason) for zone in self.zones]
         if planned != [(zone.state, zone.reason) for zone in zones]:
             return True
@@ -44,7 +44,15 @@
 
 
 class Planner:
-    """Plans while this instance is the leader; what it remembers begins anew with each leader."""
+    """Plans the zones while this instance is the leader; each leader starts with a new planner.
+
+    Attributes:
+        topology: Zones and regions of the tier.
+        window_us: Length of the evidence window in microseconds.
+        conditions: Condition of each zone.
+        planned_us: Time of the last planning round in microseconds.
+        demand: Smoothed demand of the clients of each zone in requests per second.
+    """
 
     def __init__(
         self,
@@ -62,7 +70,7 @@
         self._updater = ConditionUpdater(slow_start_fraction, warm_up_us, window_us)
 
     def take_over(self, zones: Sequence[ZoneStatus]) -> None:
-        """Continues from the last decision of the previous leader."""
+        """Initializes the zone conditions from the last decision of the previous leader."""
         for condition, status in zip(self.conditions, zones, strict=True):
             condition.change_state(status.since_us, status.state, status.reason)
             condition.ramp = 1.0 if condition.is_open else 0.0
@@ -70,12 +78,15 @@
                 condition.ramp = self._updater.initial_ramp(condition)
 
     def plan(self, now_us: int, evidence: AggregatedEvidence, drained: frozenset[int]) -> Plan:
-        """Plans one round.
+        """Runs one planning round.
 
         Args:
-            now_us: Present time.
-            evidence: Evidence of all instances.
-            drained: Zones that operators want empty.
+            now_us: Current time in microseconds.
+            evidence: Combined evidence of all instances.
+            drained: Indices of the zones drained by operators.
+
+        Returns:
+            The status of each zone and the zone weights.
         """
         elapsed_us = max(0, now_us - self.planned_us)
         self.planned_us = now_us
@@ -102,7 +113,7 @@
 
 
 def _update_service_state(now_us: int, condition: ZoneCondition, reason: ZoneReason) -> None:
-    """Tells a zone whose clients are all served there from one that sheds traffic."""
+    """Marks a zone as reduced if its clients are not all served there, and as serving otherwise."""
     if condition.state not in (ZoneState.SERVING, ZoneState.REDUCED):
         return
     state = ZoneState.REDUCED if reason else ZoneState.SERVING
--- a/cressrail/failover/settings.py
+++ b/cressrail/failover/settings.py
@@ -1,4 +1,4 @@
-"""Settings of failover. All time spans follow from the pause of a process that membership tolerates."""
+"""Settings of failover. All timeouts are derived from the process pause that membership tolerates."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
     Attributes:
         topology: Zones and regions of the tier.
-        zone: Index of the zone of this instance.
-        slow_start_fraction: Fraction of its capacity at which a zone that returns begins.
-        warm_up_us: Time in which a zone that returns reaches its whole capacity.
-        tolerated_pause_us: Longest pause of a process that membership does not take for a failure.
+        zone: Index of this instance's zone.
+        slow_start_fraction: Fraction of its capacity that a returning zone receives at first.
+        warm_up_us: Time in which a returning zone reaches its full capacity, in microseconds.
+        tolerated_pause_us: Longest process pause in microseconds that membership does not treat as a failure.
     """
 
     topology: ZoneTopology
@@ -27,20 +27,20 @@
 
     @property
     def report_period_us(self) -> int:
-        """Time between two reports of a follower, and between two planning rounds of the leader."""
+        """Interval between the reports of a follower, and between the planning rounds of the leader."""
         return self.tolerated_pause_us // 6
 
     @property
     def lease_us(self) -> int:
-        """Time for which a leader counts on an instance that answered it."""
+        """Time for which an answer from an instance counts towards the majority of the leader."""
         return self.tolerated_pause_us // 2
 
     @property
     def freshness_us(self) -> int:
-        """Time for which a decision counts in full without a sign that its leader still has a majority."""
+        """Time for which a decision keeps its full weight without confirmation by its leader."""
         return 3 * self.tolerated_pause_us
 
     @property
     def fade_us(self) -> int:
-        """Time in which a decision that is no longer fresh gives way to each instance's own judgement."""
+        """Time over which local judgement gradually replaces a decision that is no longer fresh."""
         return 6 * self.tolerated_pause_us
--- a/cressrail/failover/simulation/decisions.py
+++ b/cressrail/failover/simulation/decisions.py
@@ -1,4 +1,4 @@
-"""Record of the decisions taken in a simulation."""
+"""Records the decisions taken in a simulation."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class TakenDecision(NamedTuple):
-    """When a decision was taken, and by which instance."""
+    """Time in microseconds at which a decision was taken, and the leader that took it."""
 
     at_us: int
     leader: SimulatedInstance
 
 
 class DecisionRecord:
-    """All decisions that were taken.
+    """Record of all decisions taken by leaders.
 
     Attributes:
-        taken: By epoch.
+        taken: Time and leader of each decision, by epoch.
         count: Number of decisions.
-        zone_moves: How often a zone was taken away, or back.
+        zone_moves: Number of times that a zone changed to or from the state `AWAY`.
     """
 
     def __init__(self, zone_count: int) -> None:
@@ -31,7 +31,7 @@
         self._is_away = [False] * zone_count
 
     def add(self, now_us: int, instance: SimulatedInstance, decision: Decision) -> None:
-        """Records a decision at the instance that took it; its adoption by others is ignored."""
+        """Records a decision when its leader adopts it; adoption by other instances is ignored."""
         if decision.leader != instance.number:
             return
         self.count += 1
--- a/cressrail/failover/simulation/faults.py
+++ b/cressrail/failover/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Begins and ends the faults of a scenario."""
+"""Injects the faults of a scenario into the simulation."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FaultInjector:
-    """Carries out faults on zones, instances and the network between them."""
+    """Schedules faults of zones, of instances and of the network between them."""
 
     def __init__(
         self, clock: VirtualClock, zones: SimulatedZones, fleet: SimulatedFleet, trace: Trace
@@ -36,7 +36,7 @@
         }
 
     def schedule(self, fault: FaultScenario) -> None:
-        """Schedules begin and end of a fault, and for a flapping zone what is between."""
+        """Schedules the start and end of a fault; a flapping zone alternates in between."""
         begin_us, end_us = int(fault.at_s * SECOND_US), int((fault.at_s + fault.for_s) * SECOND_US)
         affected: list[SimulatedInstance] = []
         if fault.kind == FaultKind.ZONE_FLAPPING:
@@ -55,12 +55,13 @@
             is_on = not is_on
 
     def _apply(self, fault: FaultScenario, is_on: bool, affected: list[SimulatedInstance]) -> None:
-        """Begins or ends a fault.
+        """Starts or ends a fault.
 
         Args:
-            fault: What happens.
-            is_on: Whether it begins.
-            affected: The instances that a fault of instances affects: filled at its begin.
+            fault: Fault to start or end.
+            is_on: Whether the fault starts.
+            affected: Instances affected by an instance fault. Filled when the fault starts, so that the same
+                instances are restored at its end.
         """
         self._trace.add_fault(self._clock.now_us, fault.kind, is_on)
         if fault.kind in self._instance_faults:
--- a/cressrail/failover/simulation/figures.py
+++ b/cressrail/failover/simulation/figures.py
@@ -1,4 +1,4 @@
-"""The figures that a simulation results in."""
+"""Computes the result figures of a simulation."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from cressrail.failover.simulation.scenario import Scenario
 from cressrail.simulation.virtual_clock import SECOND_US
 
-RECOVERED_RATIO = 0.9  # of what can be served at best
-RECOVERED_TICKS = 10  # in a row
+RECOVERED_RATIO = 0.9  # fraction of the servable rate at which traffic counts as recovered
+RECOVERED_TICKS = 10  # consecutive ticks at that fraction that are required for a recovery
 BASELINE_START_DIVISOR = 10  # of this many: after it, and until the first fault, traffic is the baseline
 NEGLIGIBLE_RATE = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class TickFigures:
-    """Figures of one tick; rates a second.
+    """Figures of one tick; rates are per second.
 
     Attributes:
-        at_s: When.
-        offered: Requests that clients sent.
-        served: Attempts that ended well.
-        served_in_zone: Of them in the zone of the caller.
-        served_in_region: Of them in the region of the caller.
-        servable: What could be served at best.
-        overload: The greatest utilization of a zone that is due to decisions; 0 for none.
+        at_s: Simulated time of the tick in seconds.
+        offered: Rate of requests from clients.
+        served: Rate of successful attempts.
+        served_in_zone: Rate of successful attempts within the caller's zone.
+        served_in_region: Rate of successful attempts within the caller's region.
+        servable: Greatest rate that the zones could serve.
+        overload: Greatest utilization of a zone that is caused by decisions, or 0 if there is none.
     """
 
     at_s: float
@@ -46,14 +46,17 @@
     disagreement_us: int,
     digest: str,
 ) -> dict[str, Any]:
-    """Returns the figures of a simulation, with the keys that its JSON has.
+    """Summarizes a simulation.
 
     Args:
-        scenario: What was simulated.
+        scenario: Simulated scenario.
         ticks: Figures of each tick.
-        decisions: All decisions.
-        disagreement_us: The longest time for which an instance lacked a decision.
+        decisions: Record of all decisions.
+        disagreement_us: Longest time for which an instance lacked a decision, in microseconds.
         digest: Digest of the trace.
+
+    Returns:
+        The figures, under the keys of the JSON output.
     """
     first_fault_s = min((fault.at_s for fault in scenario.faults), default=0.0)
     baseline_start_s, baseline_end_s = (
@@ -85,7 +88,7 @@
 
 
 def _recovery_s(after: Sequence[TickFigures], first_fault_s: float) -> float | None:
-    """Returns the seconds after the first fault until nearly all that can be served is served."""
+    """Returns the seconds from the first fault until the served rate has recovered, or None if it has not."""
     for index, tick in enumerate(after):
         following = after[index : index + RECOVERED_TICKS]
         if all(later.served >= RECOVERED_RATIO * later.servable for later in following):
--- a/cressrail/failover/simulation/fleet.py
+++ b/cressrail/failover/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The simulated instances: their timers, the network between them and what membership tells them."""
+"""The simulated instances, their timers, the network between them and their view of membership."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 TICK_US = 100_000
-MEMBERSHIP_DELAY_US = 5 * SECOND_US  # until a death, or a partition, is known to those that live
+MEMBERSHIP_DELAY_US = 5 * SECOND_US  # delay until live instances learn of a death or a partition
 
 
 class DelayRange(NamedTuple):
-    """Least and greatest delay of a message, in microseconds."""
+    """Minimum and maximum delay of a message, in microseconds."""
 
     minimum_us: int
     maximum_us: int
@@ -33,13 +33,13 @@
 
 
 class SimulatedFleet:
-    """All instances, and the network between them.
+    """All simulated instances and the network between them.
 
     Attributes:
-        instances: By id; a restarted one takes the place of the one before.
+        instances: Instances by id; a restarted instance replaces its predecessor.
         partitions: Sets of zones that are cut off from all other zones.
-        one_way_losses: Pairs of zones: instances of the second don't hear those of the first.
-        partition_changed_us: When a partition last began or ended.
+        one_way_losses: Pairs of a sender's zone and a recipient's zone between which all datagrams are lost.
+        partition_changed_us: Time at which a partition last started or ended, in microseconds.
         decisions: Record of all decisions.
     """
 
@@ -73,7 +73,7 @@
         ]
 
     def start(self, number: int, zone: int) -> None:
-        """Starts an instance, or starts it anew."""
+        """Starts or restarts an instance."""
         scenario, now_us = self._scenario, self._clock.now_us
         settings = FailoverSettings(
             self._topology,
@@ -90,7 +90,7 @@
         self._schedule_timer(instance)
 
     def resume(self, instance: SimulatedInstance) -> None:
-        """Continues a stalled instance, which first reads what arrived meanwhile."""
+        """Resumes a stalled instance, which first processes the messages that arrived in the meantime."""
         instance.is_stalled = False
         instance.running_since_us = self._clock.now_us
         messages, instance.stalled_messages = instance.stalled_messages, []
@@ -98,7 +98,7 @@
             self._receive(instance, sender, payload)
 
     def carry_out(self, instance: SimulatedInstance, commands: list[Command]) -> None:
-        """Carries out the commands of an instance."""
+        """Executes the commands of an instance."""
         for command in commands:
             if isinstance(command, SendToInstance):
                 delay_us = random_delay_us(self._rng, *DATAGRAM_DELAY)
@@ -112,7 +112,7 @@
                 self._trace.add_event(self._clock.now_us, instance.number, command)
 
     def set_partition(self, zones: frozenset[int], is_on: bool) -> None:
-        """Cuts zones off from all others, or joins them again."""
+        """Cuts a set of zones off from all other zones, or reconnects it."""
         if is_on:
             self.partitions.append(zones)
         else:
@@ -120,11 +120,11 @@
         self.partition_changed_us = self._clock.now_us
 
     def are_connected(self, zone: int, other: int) -> bool:
-        """Whether gossip gets from one zone to another: only a partition stops that."""
+        """Returns whether gossip travels between two zones, which only a partition prevents."""
         return all((zone in part) == (other in part) for part in self.partitions)
 
     def update_membership(self, instance: SimulatedInstance) -> None:
-        """Tells an instance who is there: joins at once, deaths and partitions after a delay."""
+        """Updates an instance's view of the fleet: joins immediately, deaths and partitions after a delay."""
         others = [other for other in self.instances.values() if other is not instance]
         live_instances = {other.number: other.zone for other in others if self._is_visible(instance, other)}
         silent = sum(1 for other in others if other.is_up and other.number not in live_instances)
@@ -139,7 +139,10 @@
         instance.state_machine.update_fleet(fleet)
 
     def disagreement_us(self) -> int:
-        """Returns for how long an instance has lacked a decision whose leader it can hear."""
+        """Returns the longest time for which an instance has lacked a decision of a leader connected to it.
+
+        Instances that started or resumed within `MEMBERSHIP_DELAY_US` are not considered.
+        """
         longest_us = 0
         for instance in self.running():
             if self._clock.now_us - instance.running_since_us < MEMBERSHIP_DELAY_US:
@@ -168,7 +171,7 @@
         self._clock.schedule(max(self._clock.now_us, instance.state_machine.next_timer_us), on_timer)
 
     def _is_current(self, instance: SimulatedInstance) -> bool:
-        """Whether an instance is up, and was not started anew."""
+        """Returns whether an instance is up and has not been replaced by a restart."""
         return instance.is_up and self.instances.get(instance.number) is instance
 
     def _send(self, sender: SimulatedInstance, command: SendToInstance, delay_us: int) -> None:
@@ -180,7 +183,7 @@
         self._deliver(recipient, sender.number, command.payload, delay_us)
 
     def _hears(self, recipient: SimulatedInstance, sender: SimulatedInstance) -> bool:
-        """Whether datagrams of one instance reach another."""
+        """Returns whether datagrams from the sender reach the recipient."""
         if not sender.is_up or not recipient.is_up:
             return False
         is_lost = (sender.zone, recipient.zone) in self.one_way_losses
--- a/cressrail/failover/simulation/instance.py
+++ b/cressrail/failover/simulation/instance.py
@@ -1,4 +1,4 @@
-"""One simulated instance."""
+"""State of one simulated instance."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from cressrail.failover.state_machine import FailoverStateMachine
 
-WINDOW_TICKS = 15  # over which evidence is summed
+WINDOW_TICKS = 15  # length of the evidence window in ticks
 
 
 class ZoneTraffic(NamedTuple):
-    """Attempts a second of one instance to one zone: all of them, and those that ended badly."""
+    """Rates of attempts per second from one instance to one zone: all of them and the unsuccessful ones."""
 
     sent: float
     connect_failures: float
@@ -22,19 +22,19 @@
 
 @dataclass
 class SimulatedInstance:
-    """One sidecar.
+    """One simulated sidecar.
 
     Attributes:
-        number: Its id.
-        zone: Index of its zone.
-        state_machine: Its part in deciding jointly.
-        is_up: Whether its process runs, or is only stalled.
-        is_stalled: Whether its process is stopped.
-        has_false_evidence: Whether it reports that all zones fail.
-        running_since_us: Since when it runs.
-        stalled_messages: Sender and payload of what arrived while it was stalled.
-        recent_traffic: Its traffic by zone in the last ticks.
-        avoided_until_us: Zones that it avoids by its own judgement, and until when.
+        number: Id of the instance.
+        zone: Index of the zone of the instance.
+        state_machine: Failover state machine of the instance.
+        running_since_us: Time of the last start or resume, in microseconds.
+        is_up: Whether the process exists; a stalled process is up.
+        is_stalled: Whether the process is suspended.
+        has_false_evidence: Whether the instance falsely reports that all zones fail.
+        stalled_messages: Sender and payload of each message that arrived while the instance was stalled.
+        recent_traffic: Traffic to each zone in the ticks of the evidence window.
+        avoided_until_us: By zone, time in microseconds until which local judgement avoids the zone.
     """
 
     number: int
--- a/cressrail/failover/simulation/scenario.py
+++ b/cressrail/failover/simulation/scenario.py
@@ -1,4 +1,7 @@
-"""The scenario files of failover (example/failover): aliases are the keys in the files, which stay."""
+"""Models of the failover scenario files in example/failover.
+
+The aliases are the keys in the files and must not change.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,30 @@
 
 
 class ZoneScenario(_StrictModel):
-    """One zone: its capacity and demand in requests a second, and the number of its instances."""
+    """One zone with its capacity and demand in requests per second, and the number of its instances."""
 
     name: str
     region: str = ""
-    capacity: float = Field(100.0, ge=0, alias="bears")  # when warmed up
+    capacity: float = Field(100.0, ge=0, alias="bears")  # capacity when warmed up
     demand: float = Field(50.0, ge=0)
     instances: int = Field(4, ge=0, le=2048, alias="copies")
 
 
 class FaultKind(StrEnum):
-    """What happens; the value is the word in scenario files."""
+    """The kind of a fault. The values are the words in scenario files."""
 
     ZONE_DOWN = "lose"  # the endpoints of `zone` are down
-    ZONE_FAILING = "fail"  # they answer with errors
-    ZONE_SLOW = "slow"  # they take `value` of their capacity
-    ZONE_FLAPPING = "flap"  # they are down for `every_s`, and up for `every_s`
-    ENDPOINTS_UNREACHABLE = "cut"  # endpoints of `to` are unreachable from `zone`
-    PARTITION = "apart"  # instances of `zones` and the others don't hear each other
-    ONE_WAY_LOSS = "deaf"  # instances of `zone` don't hear those of `to`
-    INSTANCE_STALLED = "stall"  # the processes of `who` are stopped
-    INSTANCE_KILLED = "kill"  # they are killed, and restarted in the end
-    FALSE_EVIDENCE = "lie"  # they report that all zones fail
-    DRAIN = "drain"  # an operator's request
-    DEMAND_SURGE = "surge"  # traffic of `zone` is `value` times as much
+    ZONE_FAILING = "fail"  # the endpoints of `zone` answer with errors
+    ZONE_SLOW = "slow"  # the capacity of `zone` is multiplied by `value`
+    ZONE_FLAPPING = "flap"  # the endpoints of `zone` are alternately down and up, for `every_s` each
+    ENDPOINTS_UNREACHABLE = "cut"  # the endpoints of `to` are unreachable from `zone`
+    PARTITION = "apart"  # the instances of `zones` are disconnected from all others
+    ONE_WAY_LOSS = "deaf"  # datagrams from instances of `to` to those of `zone` are lost
+    INSTANCE_STALLED = "stall"  # the processes of the instances `who` are suspended
+    INSTANCE_KILLED = "kill"  # the instances `who` are killed, and restarted at the end of the fault
+    FALSE_EVIDENCE = "lie"  # the instances `who` report that all zones fail
+    DRAIN = "drain"  # an operator requests a drain of `zone`
+    DEMAND_SURGE = "surge"  # the demand of `zone` is multiplied by `value`
 
 
 LEADER = "decides"
@@ -45,7 +48,7 @@
 
 
 class FaultScenario(_StrictModel):
-    """One fault: what happens, when, for how long and to what."""
+    """One fault: its kind, start, duration and target."""
 
     kind: FaultKind
     at_s: float = Field(ge=0)
@@ -53,13 +56,13 @@
     zone: str = ""
     zones: list[str] = Field(default_factory=list)
     other_zone: str = Field("", alias="to")
-    instances: str = Field(LEADER, alias="who")  # `LEADER`, `EVERY_SECOND_INSTANCE` or a number
+    instances: str = Field(LEADER, alias="who")  # `LEADER`, `EVERY_SECOND_INSTANCE` or an instance id
     value: float = 0.5
     every_s: float = Field(5.0, gt=0)
 
 
 class Scenario(_StrictModel):
-    """A scenario: zones, faults and the settings of failover."""
+    """A scenario: the zones, the faults and the failover settings."""
 
     name: str = "scenario"
     seconds: float = Field(60.0, gt=0, le=3600)
@@ -67,7 +70,7 @@
     slow_start_fraction: float = Field(0.2, gt=0, le=1, alias="cold_from")
     tolerated_pause_ms: int = Field(3000, ge=300, alias="bear_pause_ms")
     loss: float = Field(0.0, ge=0, lt=1)
-    is_joint: bool = Field(True, alias="together")  # false: each instance judges for itself
+    is_joint: bool = Field(True, alias="together")  # false: each instance relies on its local judgement only
     zones: list[ZoneScenario] = Field(min_length=1, max_length=8)
     faults: list[FaultScenario] = Field(default_factory=list)
 
@@ -77,5 +80,5 @@
         for index, fault in enumerate(self.faults):
             for name in (fault.zone, fault.other_zone, *fault.zones):
                 if name and name not in names:
-                    raise ValueError(f"faults.{index}: no zone is {name[:MAX_SHOWN_NAME]}")
+                    raise ValueError(f"faults.{index}: zone {name[:MAX_SHOWN_NAME]!r} does not exist")
         return self
--- a/cressrail/failover/simulation/simulator.py
+++ b/cressrail/failover/simulation/simulator.py
@@ -1,4 +1,4 @@
-"""Joins clock, zones, fleet, faults and traffic to one simulation."""
+"""Combines clock, zones, fleet, faults and traffic into a simulation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 
 
 class FailoverSimulation:
-    """One run of a scenario."""
+    """One run of a scenario.
+
+    Attributes:
+        scenario: Simulated scenario.
+        fleet: Simulated instances.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -27,17 +32,17 @@
         self.fleet = SimulatedFleet(scenario, zones.topology, self._clock, rng, self._trace)
         faults = FaultInjector(self._clock, zones, self.fleet, self._trace)
         self._traffic = Traffic(scenario, self._clock, rng, zones, self.fleet)
-        # Events at the same time run in the order of scheduling: faults before the first tick.
+        # Simultaneous events run in the order of scheduling, so faults are scheduled before the first tick.
         for fault in scenario.faults:
             faults.schedule(fault)
         self._traffic.start()
 
     def run(self) -> None:
-        """Runs the scenario to its end."""
+        """Runs the scenario until its end."""
         self._clock.run_until(int(self.scenario.seconds * SECOND_US))
 
     def figures(self) -> dict[str, Any]:
-        """Returns the figures of what has run, with the keys that the JSON has."""
+        """Returns the figures of the run so far, under the keys of the JSON output."""
         return summarize(
             self.scenario,
             self._traffic.ticks,
@@ -48,7 +53,7 @@
 
 
 def simulate(scenario: Scenario, seed: int) -> dict[str, Any]:
-    """Runs a scenario and returns its figures."""
+    """Runs a scenario and returns its figures, under the keys of the JSON output."""
     simulation = FailoverSimulation(scenario, seed)
     simulation.run()
     return simulation.figures()
--- a/cressrail/failover/simulation/traffic.py
+++ b/cressrail/failover/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""Moves the traffic of all zones, one tick at a time, and gives each instance its evidence."""
+"""Simulates the traffic of all zones tick by tick, and provides each instance with its evidence."""
 
 from __future__ import annotations
 
@@ -15,22 +15,18 @@
 from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
-AVOIDANCE_FAILURE_RATIO = 0.5  # of attempts: from there on an instance avoids a zone by its own judgement
+AVOIDANCE_FAILURE_RATIO = 0.5  # share of failed attempts at which local judgement avoids a zone
 MIN_AVOIDANCE_US = 2 * SECOND_US
 AVOIDANCE_JITTER_US = 2 * SECOND_US
-MIN_FALSE_FAILURES = 50.0  # that an instance with false evidence reports at least
-MIN_ATTEMPTS_IF_USED = 0.5  # attempts in the window from which an instance counts as using a zone
-REPORTED_CAPACITY_IF_USED = (
-    0.9  # of its part of a zone's capacity, by the limits of an instance that uses it,
-)
-REPORTED_CAPACITY_IF_UNUSED = 0.75  # and of one that does not
-MIN_INBOUND_UTILIZATION = (
-    0.01  # of the capacity, from other zones, for a zone to count as loaded by decisions
-)
+MIN_FALSE_FAILURES = 50.0  # least number of failures in the reports of an instance with false evidence
+MIN_ATTEMPTS_IF_USED = 0.5  # attempts in the window above which an instance counts as using a zone
+REPORTED_CAPACITY_IF_USED = 0.9  # fraction of its capacity share that an instance using a zone reports
+REPORTED_CAPACITY_IF_UNUSED = 0.75  # the same for an instance that does not use the zone
+MIN_INBOUND_UTILIZATION = 0.01  # inbound utilization above which a load counts as caused by decisions
 
 
 class Served(NamedTuple):
-    """Attempts a second that end well: in all, in the own zone, and in the own region."""
+    """Successful attempts per second: in total, within the own zone and within the own region."""
 
     total: float
     in_zone: float
@@ -38,18 +34,18 @@
 
 
 class Loads(NamedTuple):
-    """Attempts a second to each zone: all, and those from other zones by decision."""
+    """Attempts per second to each zone: in total, and those sent from other zones by decisions."""
 
     total: list[float]
     inbound: list[float]
 
 
 class Traffic:
-    """The flow of requests from instances to zones.
+    """The traffic from instances to zones.
 
     Attributes:
         ticks: Figures of each tick.
-        disagreement_us: The longest time for which an instance lacked a decision.
+        disagreement_us: Longest time for which an instance lacked a decision, in microseconds.
     """
 
     def __init__(
@@ -96,7 +92,7 @@
     def _route(
         self, running: Sequence[SimulatedInstance], per_instance: Sequence[float]
     ) -> dict[int, list[float]]:
-        """Returns the attempts a second of each instance to each zone."""
+        """Returns the attempts per second from each instance to each zone, by instance id."""
         flows = {}
         for instance in running:
             self._fleet.update_membership(instance)
@@ -105,7 +101,10 @@
         return flows
 
     def _weights(self, instance: SimulatedInstance) -> list[float]:
-        """Returns the share of an instance's traffic to each zone: the decided, as far as that counts."""
+        """Returns the share of an instance's traffic to each zone.
+
+        Decided shares and those of local judgement are mixed in proportion to the freshness of the decision.
+        """
         own = self._own_weights(instance)
         if not self._scenario.is_joint:
             return own
@@ -117,7 +116,7 @@
         ]
 
     def _own_weights(self, instance: SimulatedInstance) -> list[float]:
-        """Returns the shares by the instance's own judgement: all to the closest zone it does not avoid."""
+        """Returns the shares by local judgement: all traffic goes to the closest zone that is not avoided."""
         count = len(self._indices)
 
         def closeness(zone: int) -> tuple[Proximity, int]:
@@ -148,7 +147,7 @@
         flows: dict[int, list[float]],
         on_time: Sequence[float],
     ) -> Served:
-        """Serves the traffic of all instances, which see how it ended."""
+        """Serves the traffic of all instances and records the outcomes at each instance."""
         total = in_zone = in_region = 0.0
         for instance in running:
             outcomes = []
@@ -175,7 +174,7 @@
         return ZoneTraffic(flow, 0.0, 0.0, flow * (1 - on_time))
 
     def _update_avoidance(self, instance: SimulatedInstance, zone: int, traffic: ZoneTraffic) -> None:
-        """An instance by itself avoids a zone of which half fails, and tries it again after a while."""
+        """Makes an instance avoid a zone for a while if at least half of its attempts there fail."""
         now_us = self._clock.now_us
         failed = traffic.connect_failures + traffic.failures + traffic.slow_attempts
         has_failed = traffic.sent > 0 and failed >= AVOIDANCE_FAILURE_RATIO * traffic.sent
@@ -220,7 +219,10 @@
 
 
 def _decided_overload(loads: Loads, capacity: Sequence[float]) -> float:
-    """Returns the greatest utilization of a zone that its own clients alone would not overload."""
+    """Returns the greatest utilization of a zone that is caused by decisions; 0 if there is none.
+
+    Only zones with traffic from other zones count, and only if their own clients alone do not overload them.
+    """
     utilizations = (
         load / limit
         for load, inbound, limit in zip(loads.total, loads.inbound, capacity, strict=True)
--- a/cressrail/failover/simulation/zones.py
+++ b/cressrail/failover/simulation/zones.py
@@ -1,4 +1,4 @@
-"""The simulated zones of endpoints: which are up, what they can take and what can be reached from where."""
+"""The simulated zones of endpoints: their availability, capacity and reachability."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 ALWAYS_WARM_US = -(1 << 50)
-SLOW_FROM_UTILIZATION = 0.85  # of the capacity in use: some attempts are slow from there on,
-SLOW_AT_CAPACITY = 0.1  # this share at the capacity,
-COLLAPSE_UTILIZATION = 1.3  # and above this a zone serves even less
+SLOW_FROM_UTILIZATION = 0.85  # utilization above which some attempts are slow
+SLOW_AT_CAPACITY = 0.1  # share of slow attempts at a utilization of 1
+COLLAPSE_UTILIZATION = 1.3  # utilization above which the on-time share is multiplied by COLLAPSE_FACTOR
 COLLAPSE_FACTOR = 0.7
-OVERLOADED_UTILIZATION = 2.0  # of a zone without capacity that is sent traffic
+OVERLOADED_UTILIZATION = 2.0  # assumed utilization of a zone without capacity that receives traffic
 
 
 @dataclass(slots=True)
 class SimulatedZone:
-    """State of one zone of endpoints and of its clients.
+    """State of one simulated zone of endpoints and of its clients.
 
     Attributes:
-        scenario: Its capacity and demand when nothing is wrong.
-        is_up: Whether its endpoints are up.
-        is_failing: Whether they answer with errors.
-        capacity_factor: Fraction of its capacity that it takes.
-        demand_factor: By how much its clients send more.
-        warm_up_start_us: When it last came up.
+        scenario: Capacity and demand of the zone without faults.
+        is_up: Whether the endpoints are up.
+        is_failing: Whether the endpoints answer with errors.
+        capacity_factor: Factor on the capacity of the zone.
+        demand_factor: Factor on the demand of the zone's clients.
+        warm_up_start_us: Time at which the endpoints last came up, in microseconds.
     """
 
     scenario: ZoneScenario
@@ -43,7 +43,7 @@
     Attributes:
         topology: Names and regions.
         zones: State of each zone.
-        unreachable: Pairs of a caller's zone and a zone of endpoints that is unreachable from there.
+        unreachable: Pairs of a caller's zone and a target zone that is unreachable from it.
     """
 
     def __init__(self, scenario: Scenario, clock: VirtualClock) -> None:
@@ -55,7 +55,7 @@
         self.unreachable: set[tuple[int, int]] = set()
 
     def set_down(self, zone: int, is_down: bool) -> None:
-        """Takes the endpoints of a zone down, or brings them up cold."""
+        """Takes the endpoints of a zone down, or brings them up with a cold start."""
         state = self.zones[zone]
         if is_down is state.is_up:
             state.is_up = not is_down
@@ -63,16 +63,16 @@
                 state.warm_up_start_us = self._clock.now_us
 
     def can_reach(self, source: int, target: int) -> bool:
-        """Whether there is a way from one zone to the endpoints of another."""
+        """Returns whether the endpoints of the target zone are reachable from the source zone."""
         return (source, target) not in self.unreachable
 
     def demand(self, zone: int) -> float:
-        """Returns the requests a second of the clients of a zone."""
+        """Returns the requests per second from the clients of a zone."""
         state = self.zones[zone]
         return state.scenario.demand * state.demand_factor
 
     def capacity(self, zone: int) -> float:
-        """Returns the attempts a second that a zone takes now."""
+        """Returns the current capacity of a zone in attempts per second."""
         state = self.zones[zone]
         if not state.is_up:
             return 0.0
@@ -82,7 +82,7 @@
 
 
 def on_time_share(load: float, capacity: float) -> float:
-    """Returns the share of attempts answered in time: less and less from a little below the capacity on."""
+    """Returns the share of attempts answered in time, which falls from `SLOW_FROM_UTILIZATION` on."""
     utilization = load / capacity if capacity else OVERLOADED_UTILIZATION * bool(load)
     if utilization <= SLOW_FROM_UTILIZATION:
         return 1.0
--- a/cressrail/failover/state_machine.py
+++ b/cressrail/failover/state_machine.py
@@ -1,4 +1,4 @@
-"""The failover state machine: dispatches events to election, leader and follower, and returns commands."""
+"""The failover state machine: dispatches events to the election, leader and follower roles."""
 
 from __future__ import annotations
 
@@ -26,13 +26,21 @@
 from cressrail.failover.settings import FailoverSettings
 from cressrail.policy.random_generator import RandomGenerator
 
-RELAYED = 0  # the sender of a message that arrived by gossip
+RELAYED = 0  # sender id of a message that arrived by gossip
 
 
 class FailoverStateMachine:
-    """One instance's part in deciding jointly. All times are in microseconds of one monotonic clock.
+    """The failover protocol at one instance. All times are in microseconds on one monotonic clock.
 
-    Methods that take an event return the commands that follow from it.
+    Methods that process an event return the commands that follow from it.
+
+    Attributes:
+        settings: Settings of failover at this instance.
+        own_id: Id of this instance.
+        local: Local view of the fleet and of this instance's evidence.
+        leadership: State about the current leader.
+        decisions: Decision in force and its freshness.
+        leader: Leader role, active only while this instance leads.
     """
 
     def __init__(self, settings: FailoverSettings, own_id: int, rng: RandomGenerator, now_us: int) -> None:
@@ -50,17 +58,17 @@
 
     @property
     def next_timer_us(self) -> int:
-        """When `on_timer` is due."""
+        """Time at which `on_timer` is due, in microseconds."""
         return self._timer_us
 
     @property
     def decision(self) -> Decision | None:
-        """The decision that holds here, or None before the first."""
+        """Decision in force at this instance, or None before the first one."""
         return self.decisions.decision
 
     @property
     def held_epoch(self) -> Epoch:
-        """Epoch of the decision that holds here."""
+        """Epoch of the decision in force at this instance."""
         return self.decisions.held_epoch
 
     @property
@@ -69,24 +77,25 @@
         return self.leadership.is_leader
 
     def freshness(self, now_us: int) -> float:
-        """How much the held decision counts, from 1 down to 0."""
+        """Returns the weight of the held decision against local judgement, from 1 (fresh) to 0 (expired)."""
         return self.decisions.freshness(now_us)
 
     def zone_weights(self, now_us: int) -> tuple[tuple[float, ...], float]:
-        """Returns the shares of the own zone's traffic to each zone, and how much they count (0 to 1).
+        """Returns the shares of the own zone's traffic for each zone, and their freshness from 0 to 1.
 
-        The unserved share, the rest to 1, is to be rejected.
+        If the shares add up to less than 1, the remaining share is unserved and is to be rejected. Without a
+        decision, the shares are empty and the freshness is 0.
         """
         if self.decision is None:
             return (), 0.0
         return self.decision.weights[self.settings.zone], self.freshness(now_us)
 
     def update_fleet(self, fleet: Fleet) -> None:
-        """Takes the fleet as membership sees it."""
+        """Updates the fleet as reported by membership."""
         self.local.update_fleet(fleet)
 
     def update_evidence(self, evidence: Evidence) -> None:
-        """Takes this instance's own evidence over the window."""
+        """Updates the evidence of this instance over the evidence window."""
         self.local.update_evidence(evidence)
 
     def start(self, now_us: int) -> list[Command]:
@@ -96,12 +105,12 @@
         return self._parts.outbox.take()
 
     def request_drain(self, now_us: int, zone: int, until_us: int) -> list[Command]:
-        """Takes an operator's request to drain a zone; `until_us` of 0 ends a drain."""
+        """Processes an operator's request to drain a zone; an `until_us` of 0 ends the drain."""
         self._parts.drains.request(now_us, zone, until_us)
         return self._parts.outbox.take()
 
     def on_timer(self, now_us: int) -> list[Command]:
-        """Leads, reports to the leader or becomes a candidate, once a report period."""
+        """Runs once per report period: leads, reports to the leader, or becomes a candidate."""
         period_us = self.settings.report_period_us
         if now_us - self._timer_us > period_us:
             self._on_pause(now_us)
@@ -118,7 +127,13 @@
         return self._parts.outbox.take()
 
     def on_message(self, now_us: int, sender: int, payload: bytes) -> list[Command]:
-        """Takes a message from an instance itself, or (`RELAYED`) by gossip; unreadable ones are ignored."""
+        """Processes a message; invalid messages are ignored.
+
+        Args:
+            now_us: Current time in microseconds.
+            sender: Id of the sending instance, or `RELAYED` if the message arrived by gossip.
+            payload: The encoded message.
+        """
         message = codec.decode(payload, now_us)
         if isinstance(message, Decision):
             self._follower.on_decision(now_us, message)
@@ -143,7 +158,7 @@
             self._election.on_vote_denied(now_us, message, self.leader)
 
     def _on_pause(self, now_us: int) -> None:
-        """This process was stopped: nothing that it knew of the others' answers counts any longer."""
+        """Handles a pause of this process, after which earlier answers of other instances are void."""
         self._parts.outbox.log(log_events.PROCESS_PAUSED, paused_ms=(now_us - self._timer_us) // 1000)
         self.leader.forget_answers()
         self._election.abandon()
--- a/cressrail/failover/topology.py
+++ b/cressrail/failover/topology.py
@@ -1,4 +1,4 @@
-"""The zones of a tier, the region of each, and how close two zones are."""
+"""The zones of a tier, their regions, and the proximity of zones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Proximity(IntEnum):
-    """How close one zone is to another; closer compares as less."""
+    """Proximity of two zones; closer zones have lower values."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneTopology:
-    """Zones in the order of the settings, each with its region.
+    """The zones of a tier and their regions, in the order of the settings.
 
     Attributes:
-        zones: Name of each zone.
-        regions: Name of the region of each zone, in the same order.
-        inter_region_rtt_us: Round trip time between two regions, in microseconds; none within a region.
+        zones: Names of the zones.
+        regions: Name of the region of each zone, in the order of `zones`.
+        inter_region_rtt_us: Round-trip time between two regions in microseconds; taken as 0 within a region.
     """
 
     zones: tuple[str, ...]
@@ -29,7 +29,7 @@
     inter_region_rtt_us: int = 0
 
     def proximity(self, zone: int, other: int) -> Proximity:
-        """Returns how close two zones, given by index, are to each other."""
+        """Returns the proximity of two zones, given by their indices."""
         if zone == other:
             return Proximity.SAME_ZONE
         if self.regions[zone] == self.regions[other]:
--- a/cressrail/failover/traffic_distribution.py
+++ b/cressrail/failover/traffic_distribution.py
@@ -1,7 +1,8 @@
 """Distributes the traffic of all callers' zones over the zones of endpoints, for one plan.
 
-Own zone first, then zones of the same region, then others; among these by the capacity that they have to
-spare, and never above it. What no zone can take stays unserved.
+Each zone serves its own traffic first. Excess traffic spills over to zones of the same region, then to zones
+of other regions, in proportion to their spare capacity and never above it. Traffic that no zone can take
+stays unserved.
 """
 
 from __future__ import annotations
@@ -13,23 +14,29 @@
 from cressrail.failover.topology import Proximity, ZoneTopology
 from cressrail.failover.zone_condition import SECOND_US, ZoneCondition
 
-SPARE_UTILIZATION = 0.9  # of its capacity up to which other zones send traffic to a zone
-MAX_INBOUND_GROWTH_PER_SECOND = 0.3  # of its capacity by which more is sent to a zone from outside
-PROBING_SHARE = 0.01  # of all traffic goes to a zone that is away, to find out whether it works again,
-MIN_PROBES_PER_SECOND = 2.0  # and at least this many attempts, from all instances together
-SPILLOVER_ROUNDS = 4  # in which excess traffic is offered to the zones of one proximity
-CHANGE_TOLERANCE = 0.05  # differences of a share below this are ignored
-NEGLIGIBLE_RATE = 1e-9  # attempts a second that count as none
+SPARE_UTILIZATION = 0.9  # utilization of a zone up to which other zones may send it traffic
+MAX_INBOUND_GROWTH_PER_SECOND = 0.3  # growth of traffic from other zones, as a fraction of the capacity
+PROBING_SHARE = 0.01  # share of all traffic sent to a zone that is away, to detect its recovery
+MIN_PROBES_PER_SECOND = 2.0  # lower bound of that rate, over all instances
+SPILLOVER_ROUNDS = 4  # rounds of offering excess traffic to the zones of one proximity
+CHANGE_TOLERANCE = 0.05  # smaller differences between shares are ignored
+NEGLIGIBLE_RATE = 1e-9  # attempts per second that are treated as 0
 
 
 class TrafficDistribution:
-    """Attempts a second from each zone to each zone.
+    """The traffic from each caller's zone to each zone of endpoints.
+
+    All rates are in attempts per second.
 
     Attributes:
-        unserved: For each caller's zone, requests a second that no zone takes.
-        flows: For each caller's zone, attempts a second to each zone.
-        loads: For each zone, attempts a second that it receives from all.
-        inbound: For each zone, attempts a second that it receives from others beyond probes.
+        topology: Zones and regions of the tier.
+        conditions: Condition of each zone.
+        evidence: Combined evidence of all instances.
+        zones: Indices of the zones.
+        unserved: Rate from each caller's zone that is not assigned; in the end, the rate that no zone takes.
+        flows: For each caller's zone, the rate to each zone.
+        loads: Total rate that each zone receives.
+        inbound: Rate that each zone receives from other zones, without probes.
     """
 
     def __init__(
@@ -49,8 +56,8 @@
         """Distributes all traffic.
 
         Args:
-            elapsed_us: Time since the last plan, which bounds how much more a zone receives from outside.
-            window_us: Length of the evidence window.
+            elapsed_us: Time since the last plan in microseconds, which bounds the growth of inbound traffic.
+            window_us: Length of the evidence window in microseconds.
         """
         self._assign_probes()
         self._assign_own_zones()
@@ -62,7 +69,7 @@
         self._assign_to_drained_zones()
 
     def service_reason(self, zone: int) -> ZoneReason:
-        """Returns why the clients of a zone are not all served there; `NONE` where they are."""
+        """Returns why the clients of a zone are not all served there, or `NONE` if they are."""
         demand = self.evidence.demand[zone]
         if self.unserved[zone] > CHANGE_TOLERANCE * demand:
             return ZoneReason.NO_CAPACITY_LEFT
@@ -71,9 +78,10 @@
         return ZoneReason.NONE
 
     def weights(self, zone: int) -> tuple[float, ...]:
-        """Returns the share of a caller's zone to each zone, in whole weight units and none above its flow.
+        """Returns the shares of a caller's zone for each zone, rounded to whole weight units.
 
-        A zone without traffic gets its own zone, or the closest that is open.
+        The shares add up to no more than 1. A caller's zone without traffic is assigned to the closest open
+        zone, which is its own if that is open, or to its own zone if none is open.
         """
         demand = self.evidence.demand[zone]
         if demand > NEGLIGIBLE_RATE:
@@ -91,7 +99,7 @@
         self.unserved[source] -= rate
 
     def _assign_probes(self) -> None:
-        """Sends a probing share to each zone that is away, from the zones closest to it."""
+        """Assigns probes to each zone that is away, preferably from the zones closest to it."""
         probes = max(MIN_PROBES_PER_SECOND, PROBING_SHARE * sum(self.evidence.demand))
         for target, condition in enumerate(self.conditions):
             if condition.state == ZoneState.AWAY:
@@ -110,16 +118,17 @@
         for zone, condition in enumerate(self.conditions):
             if self.evidence.unreachable_from[zone][zone] or condition.state == ZoneState.AWAY:
                 continue
-            # Traffic of the zone itself is not rejected on an estimate of the capacity alone.
+            # A zone rejects its own traffic only after an observed overload or while it is returning, never
+            # because of an estimated capacity alone.
             is_unlimited = not condition.is_capacity_limited and condition.ramp >= 1
             unserved = self.unserved[zone]
             rate = unserved if is_unlimited else min(unserved, max(0.0, condition.usable_capacity))
             self._assign(zone, zone, rate)
 
     def _spare_rate(self, zone: int, growth: float) -> float:
-        """Returns the attempts a second that a zone takes from others, which grows in steps only."""
+        """Returns the attempts per second that a zone can take from others, which grow only gradually."""
         if self.evidence.is_silent[zone]:
-            return 0.0  # what it serves already is not known
+            return 0.0  # the current load of the zone is unknown
         condition = self.conditions[zone]
         capacity = condition.usable_capacity
         return max(
@@ -128,7 +137,7 @@
         )
 
     def _spill_over(self, proximity: Proximity) -> None:
-        """Offers what each zone has left over to the zones of that proximity, by what they have to spare."""
+        """Offers the unserved traffic of each zone to the zones of one proximity, by their spare capacity."""
         wanted = [self._wanted_rates(source, proximity) for source in self.zones]
         for target in self.zones:
             total = sum(row[target] for row in wanted)
@@ -155,7 +164,7 @@
         return wanted
 
     def _assign_to_drained_zones(self) -> None:
-        """Leaves to a zone that is drained what no other zone can take."""
+        """Assigns to a drained zone its own traffic that no other zone can take, unless it is unusable."""
         for zone, condition in enumerate(self.conditions):
             is_unusable = (
                 self.evidence.is_failing[zone]
@@ -167,9 +176,9 @@
 
 
 def _rounded_flows(flows: Sequence[float], demand: float) -> list[float]:
-    """Rounds flows to whole weight units so that they add up to no more than the demand.
+    """Rounds flows to whole weight units, so that they add up to no more than the demand.
 
-    The largest remainders are rounded up first.
+    The flows with the largest remainders are rounded up first.
     """
     exact = [flow / demand * WEIGHT_UNITS for flow in flows]
     units = [int(share) for share in exact]
--- a/cressrail/failover/zone_condition.py
+++ b/cressrail/failover/zone_condition.py
@@ -1,4 +1,4 @@
-"""How each zone stands with the leader: its state, its estimated capacity and how much of that is in use."""
+"""The condition of each zone at the leader: its state, its estimated capacity and its ramp."""
 
 from __future__ import annotations
 
@@ -8,31 +8,33 @@
 from cressrail.failover.messages import ZoneReason, ZoneState
 
 SECOND_US = 1_000_000
-OVERLOAD_RATIO = 0.06  # slow and failed attempts: from there on a zone has more than its capacity
-OVERLOAD_REDUCTION = 0.97  # of what an overloaded zone served well is taken for its capacity
-GROWTH_UTILIZATION = 0.8  # of the capacity in use: it may be greater than seen so far,
-GROWTH_PER_SECOND = 0.12  # and the estimate grows by this part
-MEMORY_HALF_LIFE_US = 120 * SECOND_US  # in which half of the remembered failures is forgotten
-RECOVERY_SUCCESS_RATIO = 0.9  # of recent attempts to a zone that is away must end well,
-RECOVERY_ATTEMPTS = 5  # for this many attempts, before it may return
-RELAPSE_FAILURES = 0.5  # added where a zone fails again while it proves itself
-MAX_RECENT_FAILURES = 5.0  # each doubles the proof that is required, and the time of a return
+OVERLOAD_RATIO = 0.06  # share of slow and failed attempts above which a zone is overloaded
+OVERLOAD_REDUCTION = (
+    0.97  # fraction of the rate served successfully that an overloaded zone is assumed to sustain
+)
+GROWTH_UTILIZATION = 0.8  # utilization from which the capacity may exceed the estimate, which then grows
+GROWTH_PER_SECOND = 0.12  # relative growth of the estimate from that utilization on
+MEMORY_HALF_LIFE_US = 120 * SECOND_US  # half-life of recorded failures and of an unused capacity estimate
+RECOVERY_SUCCESS_RATIO = 0.9  # share of recent attempts to a zone that must succeed for it to recover
+RECOVERY_ATTEMPTS = 5  # attempts at that success ratio before a zone that is away may return
+RELAPSE_FAILURES = 0.5  # added to the recent failures if a zone fails again during its recovery
+MAX_RECENT_FAILURES = 5.0  # each failure after the first doubles the recovery attempts and the return time
 
 
 @dataclass(slots=True)
 class ZoneCondition:
-    """How one zone stands with the leader.
+    """The condition of one zone at the leader.
 
     Attributes:
-        state: How it is used.
-        reason: Why.
-        since_us: Since when.
-        capacity: Estimated attempts a second that it takes once warmed up.
-        ramp: Fraction of the capacity that is in use while it returns.
-        recent_failures: Number of recent outages, which decays.
-        is_capacity_limited: Whether it was seen overloaded, and is still in use.
-        recovery_attempts: Attempts while it is away, since recent ones last ended badly.
-        inbound_rate: Attempts a second from other zones, by the last plan.
+        state: State of the zone.
+        reason: Reason for the state.
+        since_us: Start of the state in microseconds.
+        capacity: Estimated capacity in attempts per second once warmed up.
+        ramp: Fraction of the capacity in use; below 1 while the zone is away, drained or returning.
+        recent_failures: Number of recent outages, decaying with `MEMORY_HALF_LIFE_US`.
+        is_capacity_limited: Whether the zone was overloaded and has remained in use since.
+        recovery_attempts: Number of attempts since the success ratio was last too low for a recovery.
+        inbound_rate: Attempts per second from other zones under the last plan.
     """
 
     state: ZoneState = ZoneState.SERVING
@@ -47,32 +49,38 @@
 
     @property
     def usable_capacity(self) -> float:
-        """Attempts a second that it takes at its present ramp."""
+        """Capacity at the current ramp, in attempts per second."""
         return self.capacity * self.ramp
 
     @property
     def slowdown(self) -> float:
-        """By how much a return needs more proof and time after repeated outages: doubles with each."""
+        """Factor on the recovery attempts and the return time, which doubles with each repeated outage."""
         return 2 ** max(0.0, self.recent_failures - 1)
 
     @property
     def is_open(self) -> bool:
-        """Whether other zones may send their excess traffic there."""
+        """Whether the zone may receive excess traffic of other zones."""
         return self.state not in (ZoneState.AWAY, ZoneState.DRAINED)
 
     def change_state(self, now_us: int, state: ZoneState, reason: ZoneReason) -> None:
-        """Enters a state, with the reason and the time."""
+        """Sets the state with its reason and its start."""
         self.state = state
         self.reason = reason
         self.since_us = now_us
 
     def add_failure(self, amount: float) -> None:
-        """Remembers an outage."""
+        """Adds an outage, or a fraction of one, to the recent failures up to `MAX_RECENT_FAILURES`."""
         self.recent_failures = min(MAX_RECENT_FAILURES, self.recent_failures + amount)
 
 
 class ConditionUpdater:
-    """Updates the condition of zones from aggregated evidence."""
+    """Updates the conditions of zones from aggregated evidence.
+
+    Attributes:
+        slow_start_fraction: Fraction of its capacity that a returning zone receives at first.
+        warm_up_us: Duration of a zone's first return in microseconds.
+        window_us: Length of the evidence window in microseconds.
+    """
 
     def __init__(self, slow_start_fraction: float, warm_up_us: int, window_us: int) -> None:
         self.slow_start_fraction = slow_start_fraction
@@ -80,7 +88,7 @@
         self.window_us = window_us
 
     def initial_ramp(self, condition: ZoneCondition) -> float:
-        """Returns the fraction of its capacity at which a zone that returns begins."""
+        """Returns the fraction of its capacity that a returning zone receives at first."""
         return self.slow_start_fraction / condition.slowdown
 
     def update(
@@ -92,15 +100,15 @@
         evidence: AggregatedEvidence,
         is_drained: bool,
     ) -> None:
-        """Brings the condition of one zone up to date.
+        """Updates the condition of one zone.
 
         Args:
-            now_us: Present time.
-            elapsed_us: Time since the last update.
+            now_us: Current time in microseconds.
+            elapsed_us: Time since the last update in microseconds.
             zone: Index of the zone.
-            condition: Its condition, which is changed.
-            evidence: Evidence of all instances.
-            is_drained: Whether operators want the zone empty.
+            condition: Condition of the zone, modified in place.
+            evidence: Combined evidence of all instances.
+            is_drained: Whether operators have drained the zone.
         """
         condition.recent_failures *= 0.5 ** (elapsed_us / MEMORY_HALF_LIFE_US)
         self._update_capacity(elapsed_us, zone, condition, evidence)
@@ -111,7 +119,7 @@
                 condition.change_state(now_us, ZoneState.DRAINED, ZoneReason.DRAIN_REQUESTED)
             condition.ramp = 0.0
         elif condition.state == ZoneState.DRAINED:
-            # Returns slowly, as after an outage: it may have been empty for long.
+            # Ramps up as after an outage, because the zone may have been without traffic for a long time.
             self._begin_return(now_us, condition)
         elif outage:
             self._mark_away(now_us, condition, outage)
@@ -140,7 +148,7 @@
             reduced = condition.ramp * (1 - elapsed_us / self.window_us / 2)
             condition.ramp = max(self.initial_ramp(condition), reduced)
         else:
-            # The first return takes the warm-up time of the settings, each further one twice that.
+            # The first return takes `warm_up_us`; each repeated outage doubles that time.
             condition.ramp += elapsed_us / self.warm_up_us / condition.slowdown
         if condition.ramp >= 1.0:
             condition.ramp = 1.0
@@ -149,11 +157,11 @@
     def _update_capacity(
         self, elapsed_us: int, zone: int, condition: ZoneCondition, evidence: AggregatedEvidence
     ) -> None:
-        """Estimates the capacity of a zone.
+        """Updates the estimated capacity of a zone.
 
-        It is what the limits of all instances say, until the zone is seen to serve more without slow
-        attempts, or less. The limits alone are too low where little was sent so far, and too high for a slow
-        zone, which would be filled and left by turns.
+        The estimate starts from the limits of all instances. It rises when the zone serves more without slow
+        attempts, and falls when the zone is overloaded. The limits alone are too low for a zone that has
+        received little traffic, and too high for a slow zone, which would alternately fill up and be avoided.
         """
         served = evidence.successes[zone] * SECOND_US / self.window_us
         reported = evidence.capacity[zone]
@@ -166,11 +174,11 @@
             condition.capacity += (target - condition.capacity) * window_part
             condition.is_capacity_limited = True
         elif condition.ramp < 1:
-            pass  # what it serves while it returns says nothing of its whole capacity
+            pass  # the rate served during a return does not indicate the full capacity
         elif served >= GROWTH_UTILIZATION * condition.capacity and overload_ratio < OVERLOAD_RATIO / 2:
             condition.capacity *= 1 + GROWTH_PER_SECOND * elapsed_us / SECOND_US
         else:
-            # Unused, the estimate goes back to what the limits say.
+            # The estimate of a zone that is little used decays towards the limits.
             is_used = served > GROWTH_UTILIZATION / 2 * condition.capacity
             condition.is_capacity_limited = condition.is_capacity_limited and is_used
             decayed_fraction = 1 - 0.5 ** (elapsed_us / MEMORY_HALF_LIFE_US)
@@ -181,7 +189,10 @@
     def _update_recovery_attempts(
         self, elapsed_us: int, zone: int, condition: ZoneCondition, evidence: AggregatedEvidence
     ) -> None:
-        """Counts attempts that prove that a zone that is away works again."""
+        """Counts the attempts that indicate the recovery of a zone, and restarts the count on failures.
+
+        A zone that is away and fails again during its recovery adds to its recent failures.
+        """
         has_succeeded = evidence.successes[zone] >= RECOVERY_SUCCESS_RATIO * evidence.attempts[zone]
         if condition.recovery_attempts >= 1 and not has_succeeded and condition.state == ZoneState.AWAY:
             condition.add_failure(RELAPSE_FAILURES)
