--- a/cressrail/failover/leader.py
+++ b/cressrail/failover/leader.py
@@ -22,9 +22,7 @@
 
 EVIDENCE_WINDOW_PERIODS = 3  # length of the evidence window in report periods
 HEARTBEAT_PERIODS = 2  # heartbeat interval in report periods
-MAX_PENDING_ACKNOWLEDGEMENTS = (
-    8192  # acknowledgements whose sending time is kept until a report confirms them
-)
+MAX_PENDING_ACKNOWLEDGEMENTS = 8192  # unconfirmed acknowledgements whose sending time is kept
 
 
 class ReceivedEvidence(NamedTuple):
@@ -46,9 +44,7 @@
         self._planner: Planner | None = None
         self._evidence: dict[int, ReceivedEvidence] = {}
         self._acknowledgement_sent_us: dict[int, int] = {}
-        self._answered_us: dict[
-            int, int
-        ] = {}  # by instance: sending time of the last message that it answered
+        self._answered_us: dict[int, int] = {}  # by instance: sending time of the last answered message
         self._had_majority_us = now_us
         self._heartbeat_us = now_us
 
--- a/cressrail/failover/leadership.py
+++ b/cressrail/failover/leadership.py
@@ -5,9 +5,7 @@
 from cressrail.failover.messages import NO_EPOCH, Epoch
 
 NO_LEADER = 0
-LEADER_TIMEOUT_PERIODS = (
-    3  # report periods without contact to a leader before an instance becomes a candidate
-)
+LEADER_TIMEOUT_PERIODS = 3  # report periods without contact to a leader before a candidacy
 
 
 class Leadership:
--- a/cressrail/failover/zone_condition.py
+++ b/cressrail/failover/zone_condition.py
@@ -9,9 +9,7 @@
 
 SECOND_US = 1_000_000
 OVERLOAD_RATIO = 0.06  # share of slow and failed attempts above which a zone is overloaded
-OVERLOAD_REDUCTION = (
-    0.97  # fraction of the rate served successfully that an overloaded zone is assumed to sustain
-)
+OVERLOAD_REDUCTION = 0.97  # fraction of its successful rate taken as the capacity of an overloaded zone
 GROWTH_UTILIZATION = 0.8  # utilization from which the capacity may exceed the estimate, which then grows
 GROWTH_PER_SECOND = 0.12  # relative growth of the estimate from that utilization on
 MEMORY_HALF_LIFE_US = 120 * SECOND_US  # half-life of recorded failures and of an unused capacity estimate
