--- a/tests/failover/__init__.py
+++ b/tests/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `cressrail.failover`, of its driver in `network` and of its part of the configuration."""
+"""Tests of `cressrail.failover`, of its driver in `cressrail.network` and of its configuration section."""
--- a/tests/failover/test_codec.py
+++ b/tests/failover/test_codec.py
@@ -1,4 +1,4 @@
-"""Failover messages as bytes."""
+"""Encoding and decoding of failover messages."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @given(EPOCHS, some.integers(1, MAX_ZONES), some.data())
-def test_decode_gives_what_was_encoded_and_messages_fit(epoch: Epoch, count: int, data: Any) -> None:
+def test_messages_round_trip_and_fit_into_the_size_limit(epoch: Epoch, count: int, data: Any) -> None:
     units = some.integers(0, WEIGHT_UNITS // count)
     now = 10_000 * SECOND
     zones = tuple(
--- a/tests/failover/test_configuration.py
+++ b/tests/failover/test_configuration.py
@@ -1,4 +1,4 @@
-"""The part `failover` of a configuration."""
+"""The `failover` section of a configuration."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
         (7, "failover is neither a part nor"),
     ],
 )
-def test_read_failover_section_refuses_what_cannot_be_used_with_one_line(
+def test_read_failover_section_rejects_invalid_sections_with_one_line(
     tmp_path: Path, part: Any, reason: str
 ) -> None:
     with pytest.raises(ConfigurationError, match=reason):
         read_failover_section(part, str(tmp_path / "c.json"), SETTINGS, 3 * SECOND)
 
 
-def test_read_failover_section_gives_the_topology_and_needs_membership(tmp_path: Path) -> None:
+def test_read_failover_section_returns_the_topology_and_requires_membership(tmp_path: Path) -> None:
     part = {"regions": {"n": ["a", "b"], "s": ["c"]}, "way_ms": 30}
     settings = read_failover_section(part, "c.json", SETTINGS, 3 * SECOND)
     assert settings.topology == ZoneTopology(("a", "b", "c"), ("n", "n", "s"), 30_000)
--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -13,7 +13,7 @@
     ("reports", "unreachable_from", "failing", "unreachable"),
     [
         (healthy(0) + healthy(1) + healthy(2), [], [], []),
-        # A zone that is cut off from another does not condemn that for all.
+        # A zone that is unreachable from one other zone does not count as unreachable for all.
         (healthy(0, b=UNREACHABLE) + healthy(1) + healthy(2), [(0, 1)], [], []),
         (
             healthy(0, a=UNREACHABLE) + healthy(1, a=UNREACHABLE) + healthy(2, a=UNREACHABLE),
@@ -22,26 +22,29 @@
             [0],
         ),
         (healthy(0, a=FAILING) + healthy(1, a=FAILING) + healthy(2), [], [0], []),
-        # What one zone sees is not what most see.
+        # Failures seen from a minority of the zones do not make a zone failing.
         (healthy(0) + healthy(1, a=FAILING) + healthy(2), [], [], []),
-        # One broken sidecar of four,
+        # Wrong evidence from one of four sidecars has no effect.
         (healthy(0, 3) + healthy(0, 1, a=UNREACHABLE, b=UNREACHABLE, c=UNREACHABLE), [], [], []),
-        # with however many attempts.
+        # The number of attempts in wrong evidence from one of four sidecars makes no difference.
         ([*healthy(0, 3), evidence(*[observation(60000, failures=60000)] * 3)], [], [], []),
-        # Too few attempts to judge by.
+        # Too few attempts for an assessment.
         (healthy(0, 4, a=observation(1, connect_failures=1)), [], [], []),
     ],
 )
-def test_aggregate_tells_unreachable_zones_from_failing_ones(
+def test_aggregate_distinguishes_unreachable_zones_from_failing_ones(
     reports: list[Evidence],
     unreachable_from: list[tuple[int, int]],
     failing: list[int],
     unreachable: list[int],
 ) -> None:
-    seen = aggregate(reports, 3)
+    aggregated = aggregate(reports, 3)
     cut_off = [
-        (source, zone) for source in range(3) for zone in range(3) if seen.unreachable_from[source][zone]
+        (source, zone)
+        for source in range(3)
+        for zone in range(3)
+        if aggregated.unreachable_from[source][zone]
     ]
     assert cut_off == unreachable_from
-    assert [zone for zone in range(3) if seen.is_failing[zone]] == failing
-    assert [zone for zone in range(3) if seen.is_unreachable[zone]] == unreachable
+    assert [zone for zone in range(3) if aggregated.is_failing[zone]] == failing
+    assert [zone for zone in range(3) if aggregated.is_unreachable[zone]] == unreachable
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -1,4 +1,4 @@
-"""Planning of zone weights from aggregated evidence."""
+"""Planning of zone states and zone weights from aggregated evidence."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     now: int = 0,
     drained: frozenset[int] = frozenset(),
 ) -> Plan | None:
-    """Plans twice a second on the same evidence, and returns the last plan."""
+    """Plans twice per second from the same evidence, and returns the last plan."""
     plan = None
     for _ in range(int(seconds * 2)):
         now += SECOND // 2
@@ -41,7 +41,7 @@
     return plan
 
 
-def test_silent_instances_count_as_the_others_and_silent_zones_get_no_spillover() -> None:
+def test_missing_reports_are_extrapolated_and_silent_zones_get_no_spillover() -> None:
     half = aggregate(healthy(0, 2) + healthy(1) + healthy(2), 3, [4, 4, 4])
     assert half.demand == (60, 60, 60)
     assert half.attempts[0] == half.attempts[1]
@@ -58,8 +58,8 @@
 
 RATES = some.floats(0, 200, allow_nan=False)
 OBSERVATIONS = some.builds(
-    lambda attempts, unconnected, failed, slow, capacity: ZoneObservation(
-        attempts, attempts * unconnected // 9, attempts * failed // 9, attempts * slow // 9, capacity
+    lambda attempts, connect_failures, failed, slow, capacity: ZoneObservation(
+        attempts, attempts * connect_failures // 9, attempts * failed // 9, attempts * slow // 9, capacity
     ),
     some.integers(0, 300),
     some.integers(0, 3),
@@ -76,7 +76,7 @@
 
 
 def check_weights(planner: Planner, plan: Plan, unreachable_from: tuple[tuple[bool, ...], ...]) -> None:
-    """Weights are parts of a whole, and zones that are away or unreachable get no more than probes."""
+    """Asserts that weights add up to at most 1, and that zones away or unreachable receive only probes."""
     for source, row in enumerate(plan.weights):
         demand = planner.demand[source]
         assert all(0 <= weight <= 1 for weight in row)
@@ -92,7 +92,7 @@
 
 
 def check_loads(planner: Planner, plan: Plan) -> None:
-    """No zone gets more from others than it can take."""
+    """Asserts that no zone receives more traffic from other zones than its capacity allows."""
     for zone, load in enumerate(plan.loads):
         condition = planner.conditions[zone]
         own = plan.weights[zone][zone] * planner.demand[zone]
@@ -104,21 +104,21 @@
 
 @effort(max_examples=300)
 @given(ROUNDS)
-def test_plan_gives_no_zone_more_than_its_capacity_and_weights_that_are_parts_of_a_whole(
+def test_plan_respects_zone_capacities_and_weights_add_up_to_at_most_one(
     rounds: list[tuple[list[Evidence], frozenset[int]]],
 ) -> None:
     planner, now = new_planner(), 0
     for reports, drained in rounds:
         now += SECOND // 2
-        seen = aggregate(reports, 3)
-        plan = planner.plan(now, seen, drained)
-        check_weights(planner, plan, seen.unreachable_from)
+        aggregated = aggregate(reports, 3)
+        plan = planner.plan(now, aggregated, drained)
+        check_weights(planner, plan, aggregated.unreachable_from)
         check_loads(planner, plan)
 
 
 def test_plan_moves_only_excess_traffic_and_prefers_zones_of_the_same_region() -> None:
     planner = new_planner()
-    overloaded = observation(45, 100 / 12, slow_attempts=10)  # of 30 a second
+    overloaded = observation(45, 100 / 12, slow_attempts=10)  # at a demand of 30 per second
     calm = plan_for(planner, 2, ALL_HEALTHY)
     assert calm is not None
     assert calm.weights == ((1, 0, 0), (0, 1, 0), (0, 0, 1))
@@ -131,7 +131,7 @@
     assert plan.weights[1] == (0, 1, 0)
 
 
-def test_plan_sends_more_traffic_from_outside_only_in_steps() -> None:
+def test_plan_increases_inbound_traffic_only_gradually() -> None:
     planner = new_planner()
     plan_for(planner, 2, ALL_HEALTHY)
     before, now = 0.0, 2 * SECOND
@@ -147,7 +147,7 @@
     assert planner.conditions[0].reason == ZoneReason.UNREACHABLE
 
 
-def test_each_return_of_a_zone_takes_more_proof_and_time_until_failures_are_forgotten() -> None:
+def test_each_return_of_a_zone_takes_longer_until_its_failures_decay() -> None:
     planner, now = new_planner(), 0
     durations = []
     back = healthy(0, a=observation(1, 100 / 12)) + healthy(1) + healthy(2)
--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -1,4 +1,4 @@
-"""Failover among processes: one decision for all, and what operators ask of it."""
+"""Failover between real sidecar processes: shared decisions, and the operators' commands."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def adopted_decisions(folder: Path) -> Iterator[dict[str, Any]]:
-    """The log events of all sidecars by which a decision holds."""
+    """Yields the log events of all sidecars that report the adoption of a decision."""
     event = f'"event":"{DECISION_ADOPTED}"'.encode()
     for log in sorted(folder.glob("door*.log")):
         for line in log.read_bytes().splitlines():
@@ -67,28 +67,28 @@
     for attempt in range(3):
         folder = tmp_path / str(attempt)
         result = run_scenario(fleet_scenario, folder)
-        verdicts = collect_membership_evidence(read_events(folder / "fleet.jsonl"))
-        if verdicts.invalid_reason:
+        membership_evidence = collect_membership_evidence(read_events(folder / "fleet.jsonl"))
+        if membership_evidence.invalid_reason:
             continue
         assert result.violations == []
         assert not result.evidence.failed
-        found = list(adopted_decisions(folder))
-        for name in {row["sidecar"] for row in found}:
-            epochs = [row["epoch"] for row in found if row["sidecar"] == name]
+        adopted = list(adopted_decisions(folder))
+        for name in {row["sidecar"] for row in adopted}:
+            epochs = [row["epoch"] for row in adopted if row["sidecar"] == name]
             assert epochs == sorted(epochs) or process_faults
-        changes = {row["epoch"]: row["zones"] for row in found if row["zones"]}
+        changes = {row["epoch"]: row["zones"] for row in adopted if row["zones"]}
         states = [zones["a"] for _, zones in sorted(changes.items()) if "a" in zones]
         assert "away: failing" in states
         assert any(state.startswith("returning") for state in states)
-        last = {row["sidecar"]: row["epoch"] for row in found}
+        last = {row["sidecar"]: row["epoch"] for row in adopted}
         assert len(last) == 6
         assert len(set(last.values())) == 1
-        assert [row["at_us"] for row in found if row["zones"].get("a") == "away: failing"]
+        assert [row["at_us"] for row in adopted if row["zones"].get("a") == "away: failing"]
         return
-    pytest.skip(verdicts.invalid_reason)
+    pytest.skip(membership_evidence.invalid_reason)
 
 
-def test_operators_watch_drain_undrain_and_explain_at_any_sidecar(tmp_path: Path) -> None:
+def test_operators_watch_drain_undrain_and_explain_through_any_sidecar(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
         def address(sidecar: int) -> str:
             return "{}:{}".format(*running.sidecars[sidecar].admin_address)
--- a/tests/failover/test_simulation.py
+++ b/tests/failover/test_simulation.py
@@ -1,4 +1,4 @@
-"""Failover on a virtual clock: the scenarios in example/failover."""
+"""Simulated failover: the scenarios in example/failover stay within their bounds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,13 @@
 
 
 class Bounds(NamedTuple):
-    """The slowest recovery, the least goodput of what could be served, and the most moves of zones."""
+    """Bounds on the figures of a scenario.
+
+    Attributes:
+        recovery_s: Longest time to recovery in seconds.
+        of_best: Least fraction of the servable traffic that is served.
+        moves: Greatest number of zone moves.
+    """
 
     recovery_s: float
     of_best: float
@@ -47,16 +53,16 @@
 def test_scenario_recovers_within_its_bounds(file: Path) -> None:
     simulation = FailoverSimulation(read_scenario(file, Scenario), 2)
     simulation.run()
-    found = simulation.figures()
+    figures = simulation.figures()
     bounds = BOUNDS.get(file.stem, OTHER_BOUNDS)
-    assert found["disagreed_s"] <= 2
-    # Instances without a majority go over to their own judgement, which has no such bound.
-    assert found["peak_over_bound"] <= (1.2 if file.stem == "halves" else 1.1)
-    assert found["recovery_s"] is not None
-    assert found["recovery_s"] <= bounds.recovery_s
-    assert found["of_best"] >= bounds.of_best
-    assert found["moves"] <= bounds.moves
-    assert found["near_share"] == 1 or file.stem == "uneven"
+    assert figures["disagreed_s"] <= 2
+    # Instances without a majority fall back to local judgement, which does not respect this bound.
+    assert figures["peak_over_bound"] <= (1.2 if file.stem == "halves" else 1.1)
+    assert figures["recovery_s"] is not None
+    assert figures["recovery_s"] <= bounds.recovery_s
+    assert figures["of_best"] >= bounds.of_best
+    assert figures["moves"] <= bounds.moves
+    assert figures["near_share"] == 1 or file.stem == "uneven"
 
 
 def test_simulate_gives_equal_digests_for_equal_seeds_only(tmp_path: Path) -> None:
--- a/tests/failover/test_state_machine.py
+++ b/tests/failover/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Elections, decisions and drain requests among state machines."""
+"""Elections, decisions and drain requests between state machines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_election_gives_each_term_one_leader_and_epochs_never_go_back(seed: int) -> None:
+def test_each_term_has_one_leader_and_epochs_never_decrease(seed: int) -> None:
     network = InstanceNetwork(5, seed)
     for turn in range(3000):
         network.step(0.15)
@@ -38,13 +38,13 @@
     assert all(machine.freshness(network.now) == 1 for machine in network.instances.values())
 
 
-def test_without_a_majority_nothing_new_is_decided_and_the_last_decision_fades() -> None:
+def test_without_a_majority_no_decision_is_taken_and_the_last_one_fades() -> None:
     network = InstanceNetwork(5, 3)
     for _ in range(600):
         network.step(0.0)
     last = network.instances[1].held_epoch
     assert last > Epoch(0, 0)
-    network.partition = {instance: instance for instance in network.instances}  # each is alone
+    network.partition = {instance: instance for instance in network.instances}  # every instance is isolated
     for instance, machine in network.instances.items():
         network.update_fleet(instance)
         machine.update_evidence(healthy(instance % 3, 1, a=UNREACHABLE)[0])
@@ -59,7 +59,7 @@
     assert 0 < freshness[len(freshness) // 2] < 1
 
 
-def test_drain_request_reaches_all_becomes_a_decision_and_ends() -> None:
+def test_drain_request_reaches_all_instances_takes_effect_and_expires() -> None:
     network = InstanceNetwork(3, 5)
     for _ in range(500):
         network.step(0.0)
@@ -83,7 +83,7 @@
 
 @effort(max_examples=500)
 @given(some.binary(max_size=120), some.integers(0, 9), some.integers(0, 3))
-def test_malformed_messages_make_no_instance_leader_and_no_decision_of_other_zones(
+def test_malformed_messages_elect_no_leader_and_set_no_decision_for_other_zones(
     data: bytes, kind: int, sender: int
 ) -> None:
     machine = FailoverStateMachine(FailoverSettings(TOPOLOGY, 0), 1, RandomGenerator(1), 0)
--- a/tests/failover/test_zone_weights.py
+++ b/tests/failover/test_zone_weights.py
@@ -1,4 +1,4 @@
-"""The load balancer goes by decided zone weights."""
+"""Routing of requests by the load balancer according to decided zone weights."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     [
         ((0.2, 0.8), 1.0, 0.15, 0.25, 0.0),
         ((0.0, 1.0), 1.0, 0.0, 0.0, 0.0),
-        ((0.0, 1.0), 0.0, 1.0, 1.0, 0.0),  # no longer fresh: own judgement
+        ((0.0, 1.0), 0.0, 1.0, 1.0, 0.0),  # an expired decision is replaced by local judgement
         ((0.0, 1.0), 0.5, 0.4, 0.6, 0.0),
-        ((0.3, 0.2), 1.0, 0.25, 0.35, 0.5),  # the unserved share is rejected at once
+        ((0.3, 0.2), 1.0, 0.25, 0.35, 0.5),  # the unserved share is rejected immediately
     ],
 )
-def test_requests_go_to_zones_by_their_weights(
+def test_requests_are_routed_by_zone_weights(
     weights: tuple[float, ...], freshness: float, least: float, most: float, rejected: float
 ) -> None:
     load_balancer = make_load_balancer([make_entry(index, index % 2) for index in range(8)])
     load_balancer.apply_zone_weights(weights, freshness)
-    sent, turned_down = [0, 0], 0
+    sent, rejected_count = [0, 0], 0
     for number in range(1000):
         request = load_balancer.start_request(number * 10_000, make_request_class(), -1, 4 * SECOND)
         for decision in request.route(number * 10_000):
@@ -40,13 +40,13 @@
                 sent[load_balancer.endpoints[decision.endpoint_index].zone] += 1
                 request.on_attempt_finished(0, number * 10_000, Outcome.SUCCEEDED, 10_000, True)
             else:
-                turned_down += isinstance(decision, RejectRequest)
+                rejected_count += isinstance(decision, RejectRequest)
     assert least <= sent[0] / 1000 <= most
-    assert turned_down / 1000 == pytest.approx(rejected, abs=0.06)
-    assert sum(sent) + turned_down == 1000
+    assert rejected_count / 1000 == pytest.approx(rejected, abs=0.06)
+    assert sum(sent) + rejected_count == 1000
 
 
-def test_small_weight_probes_a_zone_that_fails_here_and_a_large_one_does_not() -> None:
+def test_small_weight_probes_a_locally_failing_zone_and_a_large_weight_does_not() -> None:
     for weight, is_probed in ((0.05, True), (0.5, False)):
         load_balancer = make_load_balancer([make_entry(index, index % 2) for index in range(8)])
         for endpoint in load_balancer.endpoints.values():
@@ -65,7 +65,7 @@
         assert (sent > 8) is is_probed
 
 
-def test_retry_within_a_key_scope_stays_in_its_zone_whatever_is_decided() -> None:
+def test_retry_within_a_key_scope_stays_in_its_zone_under_any_zone_weights() -> None:
     load_balancer = make_load_balancer([make_entry(index, index % 2) for index in range(8)])
     send_successes(load_balancer)
     load_balancer.apply_zone_weights((0.0, 1.0), 1.0)
