--- a/cressrail/failover/settings.py
+++ b/cressrail/failover/settings.py
@@ -37,7 +37,7 @@
 
     @property
     def freshness_us(self) -> int:
-        """Time for which a decision keeps its full weight without confirmation by its leader."""
+        """Time for which a decision keeps full weight without confirmation by a leader with a majority."""
         return 3 * self.tolerated_pause_us
 
     @property
