--- a/cressrail/policy/__init__.py
+++ b/cressrail/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Every decision about a request: where an attempt goes, whether it is retried, queued or rejected.
+"""Load-balancing policy: where attempts are sent, and which requests are retried, queued or rejected.
 
-Called by the proxy and by the simulator's adapter, which build a `LoadBalancer` from its parts and carry out
-the decisions that it returns. Imports the standard library alone; knows no wire, no clock and no other
-instance: the same calls with the same times and the same seed give the same decisions.
+The proxy and the simulator's adapter build a `LoadBalancer` from its parts, call it, and carry out the
+decisions that it returns. The package imports only the standard library and does no I/O: it has no access to
+a network, a clock or other instances. The same calls with the same times and the same seed therefore give the
+same decisions.
 """
--- a/cressrail/policy/admission.py
+++ b/cressrail/policy/admission.py
@@ -1,7 +1,8 @@
-"""Admission in the mesh, where each client process has an instance of its own.
+"""Admission control for the mesh deployment, in which each client process has its own instance.
 
-So many instances have too little traffic each for limits of attempts in flight. In their place each zone
-admits a fraction of the requests, which moves with the latencies seen there.
+With that many instances, each one has too little traffic for limits on the attempts in flight to work. Each
+zone therefore admits a fraction of the requests, and the fraction is adjusted by the latencies observed in
+that zone.
 """
 
 from __future__ import annotations
@@ -13,52 +14,71 @@
     from cressrail.policy.routed_request import RoutedRequest
 
 MAX_ADMITTED = 2.0
-"""Requests of the least weight have half of this, so that all of them can be admitted."""
+"""Upper bound of the admitted fraction. Only half of it applies to requests of the lowest weight, so at 2.0
+all of them can be admitted."""
 
 MIN_ADMITTED = 0.05
-"""So that a zone's recovery is noticed."""
+"""Lower bound of the admitted fraction: some requests are always sent, so that the recovery of a zone is
+noticed."""
 
 TARGET_LATENCY = 0.38
-"""The geometric mean of latencies, in latency objectives, that a zone is held to."""
+"""Target for the geometric mean of a zone's latencies, as a fraction of the latency objective."""
 
 ADJUSTMENT = 0.8
-"""How far one latency moves the fraction at an attempt a second, by the logarithm of latency over target."""
+"""Gain of the adjustment: at one attempt per second, the relative change of the admitted fraction is this
+factor times the logarithm of target over latency."""
 
 MIN_ADJUSTMENT_FACTOR = 0.5
-"""One latency leaves this part of the fraction at the least."""
+"""Smallest factor that a single latency can multiply the admitted fraction by."""
 
 MAX_LATENCY_RATIO = 16
-"""Latencies below the target divided by this count alike."""
+"""Latencies below the target divided by this ratio are all treated as equal to that quotient."""
 
 OVERDUE_FRACTION = 0.5
-"""Of the latency objective: an attempt in flight for longer signals overload before it ends."""
+"""Fraction of the latency objective after which an attempt still in flight counts as a sign of overload."""
 
 RATE_SMOOTHING = 4
-"""Seconds that the rate of attempts looks back on."""
+"""Time constant, in seconds, of the moving average of the attempt rate."""
 
 MIN_ATTEMPTS_PER_S = 1.0
-"""Instances with less traffic move the fraction by no more than this rate does."""
+"""Lowest attempt rate used to scale the adjustment. Instances with less traffic use this rate, which bounds
+their step size."""
 
 
 class ZoneAdmission:
-    """The fraction of requests that one zone admits, times what is open to a request by its weight."""
+    """Admission state of one zone.
+
+    A request is admitted with a probability of `admitted_fraction` times the request's `open_fraction`, which
+    depends on its weight, divided by the current surge of requests.
+
+    Attributes:
+        admitted_fraction: Between `MIN_ADMITTED` and `MAX_ADMITTED`, or 0 while it is unknown.
+        attempts_this_second: Attempts started since the last call of `on_second`.
+        attempts_per_s: Moving average of the attempt rate.
+    """
 
     __slots__ = ("admitted_fraction", "attempts_per_s", "attempts_this_second")
 
     def __init__(self) -> None:
-        self.admitted_fraction = 0.0  # 0: unknown
+        self.admitted_fraction = 0.0
         self.attempts_this_second = 0
-        self.attempts_per_s = 0.0  # moving average
+        self.attempts_per_s = 0.0
 
     def begin(self, even_load: float) -> None:
-        """Starts with what the zone can take of an even load, unless it has a fraction from latencies."""
+        """Sets the initial admitted fraction to `even_load`, unless the fraction is already known.
+
+        Args:
+            even_load: Capacity of the zone relative to the mean of all zones, that is, the part of its share
+                of an evenly spread load that the zone can serve.
+        """
         self.admitted_fraction = self.admitted_fraction or min(MAX_ADMITTED, even_load)
 
     def record_latency(self, latency: float) -> None:
-        """Moves the admitted fraction by one latency, in latency objectives.
+        """Adjusts the admitted fraction by one latency, given as a fraction of the latency objective.
 
-        The logarithm counts because work varies so much that the mean is high at idle endpoints, too. The
-        step is larger where attempts are few, so that instances with little traffic adapt in as many seconds.
+        The logarithm of the latency is used because the work per request varies so much that the arithmetic
+        mean is high even at idle endpoints. The step is larger where attempts are few, so that instances with
+        little traffic adapt within the same number of seconds.
         """
         step = ADJUSTMENT / max(MIN_ATTEMPTS_PER_S, self.attempts_per_s)
         step *= log(TARGET_LATENCY / max(TARGET_LATENCY / MAX_LATENCY_RATIO, latency))
@@ -66,13 +86,13 @@
         self.admitted_fraction = min(MAX_ADMITTED, max(MIN_ADMITTED, moved))
 
     def on_second(self) -> None:
-        """Takes the past second's attempts into their rate."""
+        """Updates the attempt rate with the attempts of the past second."""
         self.attempts_per_s += (self.attempts_this_second - self.attempts_per_s) / RATE_SMOOTHING
         self.attempts_this_second = 0
 
 
 class OverdueAttempts:
-    """The attempts in flight, with the times from which they count as overdue."""
+    """Tracks the attempts in flight and the time at which each becomes overdue."""
 
     __slots__ = ("overdue_us",)
 
@@ -80,16 +100,16 @@
         self.overdue_us: dict[tuple[RoutedRequest, int], int] = {}  # by request and attempt number
 
     def add(self, request: RoutedRequest, attempt_number: int, now_us: int) -> None:
-        """Begins to watch an attempt."""
+        """Starts tracking an attempt that is sent at `now_us`."""
         allowed_us = int(OVERDUE_FRACTION * request.request_class.latency_objective_us)
         self.overdue_us[request, attempt_number] = now_us + allowed_us
 
     def remove(self, request: RoutedRequest, attempt_number: int) -> bool:
-        """Ends to watch an attempt and returns whether it was watched, that is, was not overdue yet."""
+        """Stops tracking an attempt and returns whether it was still tracked, that is, not overdue yet."""
         return self.overdue_us.pop((request, attempt_number), None) is not None
 
     def take_overdue(self, now_us: int) -> list[tuple[RoutedRequest, int]]:
-        """Returns the attempts that have become overdue, once each."""
+        """Stops tracking the attempts that have become overdue and returns them."""
         overdue = [attempt for attempt, due_us in self.overdue_us.items() if due_us <= now_us]
         for attempt in overdue:
             del self.overdue_us[attempt]
--- a/cressrail/policy/attempt_feedback.py
+++ b/cressrail/policy/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its endpoint and of the zone."""
+"""Updates the state of endpoints and zones from the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -9,20 +9,27 @@
 from cressrail.policy.zone_subset import ZoneSubset
 
 AVERAGE_MEMORY = 8
-"""Outcomes that an endpoint's averages look back on."""
+"""Number of outcomes over which an endpoint's moving averages extend."""
 
 PER_CLIENT_AVERAGE_MEMORY = 4
-"""The same for success rates in the mesh, where each instance sees few outcomes."""
+"""Same as `AVERAGE_MEMORY`, for success rates in the mesh, where each instance sees few outcomes."""
 
 MAX_CONNECT_FAILURES = 4
-"""Successes that an endpoint is to show at most, two for each failed connection."""
+"""Upper bound of an endpoint's `connect_failures` counter. A failed connection adds two, and a success
+subtracts one."""
 
 _SUCCESSES_FOR_CONNECT_FAILURE = 2
-_OVERDUE_LATENCY = 1.0  # in latency objectives: what an attempt without an outcome counts as at the least
+# Latency, in latency objectives, that is recorded for an overdue attempt; also the lower bound for an attempt
+# that signalled overload without succeeding.
+_OVERDUE_LATENCY = 1.0
 
 
 class AttemptFeedback:
-    """Records outcomes: success rates, latencies, and limits or the admitted fraction of the zone."""
+    """Records outcomes in success rates, latencies, and concurrency limits or admitted fractions.
+
+    In the mesh, the admitted fraction of the zone is adjusted; elsewhere, the concurrency limit of the
+    endpoint.
+    """
 
     def __init__(
         self,
@@ -40,7 +47,10 @@
         self.success_memory = PER_CLIENT_AVERAGE_MEMORY if is_per_client else AVERAGE_MEMORY
 
     def record_overdue(self, subset: ZoneSubset, endpoint: Endpoint, now_us: int) -> None:
-        """An attempt has become overdue: a silent or overloaded endpoint shows before its attempts end."""
+        """Records that an attempt in flight has become overdue.
+
+        This detects an unresponsive or overloaded endpoint before its attempts end.
+        """
         if not endpoint.accepts_requests:
             return
         was_available = endpoint.is_available(now_us)
@@ -60,16 +70,17 @@
         latency_objective_us: int,
         was_overdue: bool,
     ) -> None:
-        """Records how an attempt ended.
+        """Records the outcome of an attempt.
 
         Args:
-            subset: The endpoint's zone.
-            endpoint: The endpoint.
-            now_us: The present time.
+            subset: Zone subset of the endpoint.
+            endpoint: Endpoint that the attempt was sent to.
+            now_us: Current time in microseconds.
             outcome: How the attempt ended.
-            latency_us: How long it took.
-            latency_objective_us: That of its request's class.
-            was_overdue: Whether it was recorded as overdue before: it then counts as a failure only once.
+            latency_us: Duration of the attempt in microseconds.
+            latency_objective_us: Latency objective of the request's class, in microseconds.
+            was_overdue: Whether the attempt was already recorded as overdue. Its failure and its latency are
+                then not recorded a second time.
         """
         if outcome in UNINFORMATIVE_OUTCOMES:
             return
@@ -82,7 +93,7 @@
             if not is_overloaded:
                 endpoint.last_prompt_sent_us = max(endpoint.last_prompt_sent_us, now_us - latency_us)
         if not endpoint.accepts_requests:
-            return  # the endpoint, or its whole zone, has left the list since
+            return  # the endpoint or its whole zone has been removed from the list since
         if was_available is not endpoint.is_available(now_us):
             subset.choose(now_us)
         if self.is_per_client:
@@ -106,13 +117,14 @@
         )
         endpoint.connect_failures = max(0, min(MAX_CONNECT_FAILURES, connect_failures))
         endpoint.last_outcome_us = now_us
-        # In the mesh a rejection counts as a failure: an endpoint that hangs with all places taken rejects at
-        # once and has few attempts in flight, so it would be preferred.
+        # In the mesh, a rejection counts as a failure. An endpoint that hangs while all its worker slots are
+        # taken rejects requests at once and so has few attempts in flight, which would make it the preferred
+        # choice.
         has_failed = not has_succeeded and (self.is_per_client or outcome is not Outcome.REJECTED_BY_ENDPOINT)
         if not (has_failed and was_overdue):
             target = 0.0 if has_failed else 1.0
             endpoint.success_rate += (target - endpoint.success_rate) / self.success_memory
-        if self.is_per_client and has_connect_failed:  # it is down, or its table of connections is full
+        if self.is_per_client and has_connect_failed:  # the process is down, or its connection table is full
             endpoint.unavailable_until_us = now_us + EJECTION_US
 
     def _record_success(self, subset: ZoneSubset, endpoint: Endpoint, now_us: int, latency: float) -> None:
@@ -126,27 +138,32 @@
     def _signals_overload(
         self, endpoint: Endpoint, now_us: int, outcome: Outcome, latency: float, latency_us: int
     ) -> bool:
-        """Whether the outcome says that the endpoint, or a tier behind it, has too much to do."""
+        """Returns whether the outcome indicates that the endpoint, or a tier behind it, is overloaded."""
         if outcome is Outcome.REJECTED_BY_ENDPOINT or self._is_error_below(outcome):
             return True
         if latency <= self.latency_baseline.threshold:
             return False
-        # A lost answer is no overload: attempts that were sent later were answered in time. Otherwise limits
-        # would shrink to nothing where answers are lost now and then.
+        # A timeout does not indicate overload if a later attempt was answered in time: the answer was lost.
+        # Without this rule, limits would shrink to their minimum wherever answers are lost occasionally.
         is_lost = outcome is Outcome.TIMED_OUT and endpoint.last_prompt_sent_us > now_us - latency_us
         return not is_lost
 
     def _is_error_below(self, outcome: Outcome) -> bool:
-        """An error of a tier that calls another one: first attempts must not go on to an overloaded tier."""
+        """Returns whether the outcome is an error of a tier that calls another tier.
+
+        Such errors count as overload so that first attempts are not sent on to an overloaded tier.
+        """
         return outcome is Outcome.ERROR and not self.is_last_tier
 
     def _cut_limit(
         self, subset: ZoneSubset, endpoint: Endpoint, now_us: int, outcome: Outcome, latency_us: int
     ) -> None:
-        # Attempts that were in flight together cut once, but each that timed out cuts.
+        # Attempts that were in flight at the same time cut the limit only once, except that every timeout
+        # cuts it.
         if outcome is not Outcome.TIMED_OUT and now_us - latency_us < endpoint.limit_cut_us:
             return
         endpoint.limit_cut_us = now_us
-        # An error among successes cuts less, or a few invalid answers would cut limits.
+        # The cut is smaller while most attempts succeed; otherwise a few invalid answers would reduce the
+        # limit.
         exponent = min(1.0, 2 - 2 * endpoint.success_rate) if self._is_error_below(outcome) else 1.0
         self.limiter.cut(subset, endpoint, exponent)
--- a/cressrail/policy/decision.py
+++ b/cressrail/policy/decision.py
@@ -1,4 +1,4 @@
-"""What the caller is to do for a request, one type for each."""
+"""The decisions about a request that the caller has to carry out, one type for each kind."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class StartAttempt(NamedTuple):
-    """Send the request to an endpoint; its attempts are numbered from 0 in the order of these decisions."""
+    """Send the request to an endpoint.
+
+    The attempts of a request are numbered from 0 in the order of these decisions.
+    """
 
     request: RoutedRequest
     endpoint_index: int
@@ -24,14 +27,14 @@
 
 
 class RejectRequest(NamedTuple):
-    """Answer that the request had no effect and may safely be sent again."""
+    """Tell the client that the request had no effect and may safely be sent again."""
 
     request: RoutedRequest
-    retry_after_us: int  # how long the client should wait; 0: no advice
+    retry_after_us: int  # how long the client should wait before it retries; 0: give no advice
 
 
 class FailRequest(NamedTuple):
-    """Answer that the request failed and may have taken effect."""
+    """Tell the client that the request failed and may have taken effect."""
 
     request: RoutedRequest
 
--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to: in the first zone with room, the better of two random choices."""
+"""Selects the endpoint of an attempt: in the first zone with room, the better of two random choices."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from cressrail.policy.zone_subset import ZoneSubset
 
 RANDOM_PICKS = 8
-"""Endpoints looked at at random, before those that follow on the ring are gone through."""
+"""Number of random draws for each choice before the endpoints that follow on the ring are tried in order."""
 
 MAX_STEPS = RANDOM_PICKS**2
-"""Endpoints that are gone through at most for a first attempt; a retry may be bound to a few of many."""
+"""Maximum number of endpoints tried in ring order for a first attempt. A repeat has no such limit, because it
+may be restricted to a few endpoints among many."""
 
 
 class EndpointSelector:
-    """Two random choices among the endpoints that are open to a request."""
+    """Chooses the better of two random endpoints among those that a request may use."""
 
     def __init__(
         self,
@@ -30,27 +31,37 @@
         slow_start: SlowStart,
         is_per_client: bool,
     ) -> None:
-        """`zone_subsets` is shared with the table that adds zones to it."""
+        """Initializes the selector with the mechanisms that restrict its choice.
+
+        Args:
+            zone_subsets: Zone subsets by zone. The list is shared with the endpoint table, which appends new
+                zones to it.
+            spillover: Determines the order of the zones.
+            retry_policy: Restricts the endpoints of repeats.
+            slow_start: Restricts the attempts at endpoints that are warming up.
+            is_per_client: Whether each client process has an instance of its own (the mesh).
+        """
         self.zone_subsets = zone_subsets
         self.spillover = spillover
         self.random_generator = spillover.random_generator
         self.retry_policy = retry_policy
         self.slow_start = slow_start
         self.is_per_client = is_per_client
-        self.surge = 1.0  # recent request rate over the usual one, in the mesh only
+        self.surge = 1.0  # recent request rate over the usual one; stays 1 outside the mesh
 
     def select(self, request: RoutedRequest, now_us: int) -> Endpoint | None:
-        """Returns an endpoint for the request's next attempt, None if no zone has room.
+        """Returns an endpoint for the request's next attempt, or None if no zone has room.
 
-        Zones are tried in the order of the spillover, those that fail last.
+        Zones are tried in spillover order, failing zones last.
         """
         random_value = request.random_value
         for subset in self._ordered_subsets(request):
             if self.is_per_client:
-                # A surge counts at once: latencies show it only after many requests have got through.
+                # Dividing by the surge takes effect at once. Latencies would reveal the surge only after many
+                # requests had been sent.
                 admitted = request.open_fraction * subset.admission.admitted_fraction / self.surge
                 if random_value >= admitted:
-                    random_value = (random_value - admitted) / (1 - admitted)  # uniform again
+                    random_value = (random_value - admitted) / (1 - admitted)  # uniformly distributed again
                     continue
             elif not self._has_room(subset, request):
                 continue
@@ -90,11 +101,12 @@
         return first if first_load < second_load else second
 
     def _has_room(self, subset: ZoneSubset, request: RoutedRequest) -> bool:
-        """Whether the sum of limits allows one more attempt.
+        """Returns whether the sum of the subset's limits allows one more attempt.
 
-        An instance with nothing in flight anywhere may send one; one for each zone would overload endpoints.
-        Of a limit between whole attempts the fraction is open to that part of the requests; otherwise
-        requests over quota would get as much of a limit below one as others.
+        An instance with no attempt in flight in any zone may send one. Allowing one for each zone would
+        overload endpoints. Where the limit is not a whole number, its fractional part admits that fraction of
+        the requests, by their random value. Otherwise requests over quota would get as much of a limit below
+        one as other requests.
         """
         limit = subset.limit
         if limit < 1.0 and not any(other.in_flight for other in self.zone_subsets):
@@ -104,7 +116,11 @@
     def _pick(
         self, subset: ZoneSubset, request: RoutedRequest, now_us: int, excluded: Endpoint | None
     ) -> Endpoint | None:
-        """Returns one of those open to the request: at random, or else the next one on the ring."""
+        """Returns an endpoint that the request may use, or None if none is found.
+
+        The endpoint is drawn at random; if no draw succeeds, the endpoints that follow on the ring are tried
+        in order.
+        """
         is_repeat = request.fixed_endpoint is not None
         candidates = subset.endpoints if is_repeat else subset.in_use
         count = len(candidates)
@@ -125,7 +141,8 @@
             return False
         if not self.slow_start.is_warming_up(endpoint, now_us):
             return True
-        # Only in the subset: its part of the warm-up work is computed for the instances that use it.
+        # An endpoint that is warming up is used only by instances that have it in their subset, because the
+        # shares of its warm-up work are computed for those instances.
         return endpoint.is_in_subset and self.slow_start.accrue_credit(
             endpoint, now_us, subset, endpoint.zone == self.spillover.own_zone
         )
--- a/cressrail/policy/endpoint_table.py
+++ b/cressrail/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""All endpoints, by zone, and how many of each zone this instance uses."""
+"""The endpoints by zone, and the number of endpoints in each zone that this instance uses."""
 
 from __future__ import annotations
 
@@ -12,31 +12,37 @@
 from cressrail.policy.zone_subset import RING_BITS, ZoneSubset
 
 NO_CONNECTION_LIMIT = 1 << 50
+"""Value of `max_connections` for an instance whose number of connections is not limited."""
 
 MIN_SUBSET_SIZE = 4
-"""Endpoints of a zone that an instance uses at least, while there are so many."""
+"""Minimum number of endpoints of a zone that an instance uses, if the zone has that many. Not used in the
+mesh."""
 
 CONNECTIONS_PER_ENDPOINT = 4
-"""Connections for which there must be room, to each endpoint in use."""
+"""Number of connections that must be available for each endpoint in use."""
 
 ENDPOINTS_PER_ATTEMPT_RATE = 0.5
-"""Endpoints of a zone in use for each attempt a second, in the mesh."""
+"""Number of endpoints of a zone in use for each attempt per second, in the mesh."""
 
 MIN_OWN_ZONE_SUBSET_SIZE = 2
 MIN_OTHER_ZONE_SUBSET_SIZE = 1
-"""In the mesh; each is a connection, of which an endpoint accepts few."""
+"""Minimum subset sizes for the own zone and for other zones in the mesh. They are small because each endpoint
+in use takes a connection and an endpoint accepts only a few."""
 
 MIN_SCALE = 1e-9
+"""Lower bound of an endpoint's scale, which avoids divisions by zero."""
 
 PEER_EJECTED_SUCCESS_RATE = MIN_SUCCESS_RATE - 1 / AVERAGE_MEMORY
-"""What an endpoint ejected on peers' reports counts as at the most."""
+"""Upper bound of the success rate that is set for an endpoint ejected because of reports from peers."""
 
-_GOLDEN_RATIO = 2654435769  # times 2 to the power of 32: spreads any run of numbers evenly on the ring
+# 2**32 divided by the golden ratio. Its multiples modulo 2**32 spread any run of consecutive instance numbers
+# evenly on the ring.
+_GOLDEN_RATIO = 2654435769
 _RING_MASK = (1 << RING_BITS) - 1
 
 
 class EndpointTable:
-    """The endpoints by index and the zone subsets by zone, kept up to date with the list."""
+    """The endpoints by index and the zone subsets by zone, kept up to date with the endpoint list."""
 
     def __init__(
         self,
@@ -49,12 +55,15 @@
         max_connections: int,
         is_per_client: bool,
     ) -> None:
-        """Makes an empty table; see `LoadBalancer`. New zones are appended to `zone_order`."""
+        """Creates an empty table.
+
+        New zones are appended to `zone_order`. The other arguments are described at `LoadBalancer`.
+        """
         self.zone_order = zone_order
         self.random_generator = random_generator
         self.slow_start = slow_start
         self.instance_count: float = instance_count
-        self.instance_count_in_zone = 0.0  # in the own zone; 0: unknown
+        self.instance_count_in_zone = 0.0  # number of instances in the own zone; 0: unknown
         self.ring_position = instance_number * _GOLDEN_RATIO & _RING_MASK
         self.max_connections = max_connections
         self.is_per_client = is_per_client
@@ -62,7 +71,14 @@
         self.zone_subsets = [ZoneSubset() for _ in zone_order]
 
     def update(self, now_us: int, entries: Iterable[EndpointUpdate], is_complete: bool) -> None:
-        """Takes in the list, or changes to it."""
+        """Applies the complete endpoint list or changes to it.
+
+        Args:
+            now_us: Current time in microseconds.
+            entries: The entries of the list, or those that have changed.
+            is_complete: Whether `entries` is the whole list. All other endpoints then stop accepting
+                requests.
+        """
         named: list[Endpoint] = []
         zones: dict[int, None] = dict.fromkeys(self.zone_order if is_complete else ())
         for entry in entries:
@@ -87,12 +103,13 @@
             subset.choose(now_us)
 
     def _apply_entry(self, entry: EndpointUpdate, now_us: int, zones: dict[int, None]) -> Endpoint:
-        """Updates one endpoint and adds the zones that it leaves and enters to `zones`."""
+        """Applies one entry, and adds the zones that the endpoint leaves and enters to `zones`."""
         endpoint = self.endpoints.get(entry.endpoint_index)
         if endpoint is None or endpoint.started_us != entry.started_us:
             if endpoint is None:
                 endpoint = self.endpoints[entry.endpoint_index] = Endpoint(entry.endpoint_index)
-            # Randomized so that instances do not all send their first attempt when a start is announced.
+            # The initial credit is random, so that the instances do not all send their first attempt as soon
+            # as a start is announced.
             endpoint.restart(entry.started_us, now_us, self.random_generator.fraction())
         zones[endpoint.zone] = zones[entry.zone] = None
         endpoint.zone = entry.zone
@@ -121,7 +138,7 @@
         self.set_sizes_by_rate()
 
     def set_sizes_by_rate(self) -> None:
-        """Sets the subsets' sizes for the mesh, by the rate of attempts in each zone."""
+        """Sets the subset sizes for the mesh from the rate of attempts in each zone."""
         for zone, subset in enumerate(self.zone_subsets):
             is_own_zone = zone == self.zone_order[0]
             least = MIN_OWN_ZONE_SUBSET_SIZE if is_own_zone else MIN_OTHER_ZONE_SUBSET_SIZE
@@ -129,7 +146,10 @@
             subset.target_size = min(len(subset.endpoints), max(least, by_rate))
 
     def set_instance_count(self, now_us: int, instance_count: float, instance_count_in_zone: float) -> None:
-        """Sets how many instances share the endpoints; what all may have in flight together stays."""
+        """Sets the number of instances that share the endpoints, in total and in the own zone.
+
+        The limits are rescaled, so that the limits of all instances together stay the same.
+        """
         self.instance_count = instance_count
         self.instance_count_in_zone = instance_count_in_zone
         sharing_before = [subset.sharing_instances for subset in self.zone_subsets]
@@ -140,11 +160,12 @@
             subset.choose(now_us)
 
     def _estimate_sharing(self) -> None:
-        """Sets the subsets' sizes and how many instances use an endpoint of each zone.
+        """Sets the subset sizes and the estimate of how many instances use an endpoint of each zone.
 
-        The size makes this instance's part of a first limit one attempt, if all instances keep to their own
-        zone. Endpoints of the own zone count as used by its own instances only, so that traffic that comes
-        mostly in one zone is not held to the limits of an even spread.
+        The size is chosen so that this instance's share of an initial limit is one attempt, if all instances
+        use only their own zone. Endpoints of the own zone are assumed to be used only by instances of that
+        zone. Traffic that arrives mostly in one zone is therefore not restricted to the limits of an even
+        spread.
         """
         total = sum(len(subset.endpoints) for subset in self.zone_subsets)
         by_connections = self.max_connections // CONNECTIONS_PER_ENDPOINT
@@ -162,13 +183,13 @@
             subset.sharing_instances = users * subset.target_size / max(1, candidates)
 
     def apply_peer_warmup_load(self, work_by_index: Mapping[int, tuple[float, float]]) -> None:
-        """See `LoadBalancer.apply_peer_warmup_load`."""
+        """Implements `LoadBalancer.apply_peer_warmup_load`."""
         for endpoint in self.endpoints.values():
             work = work_by_index.get(endpoint.index) if endpoint.accepts_requests else None
             endpoint.peer_work_per_us, endpoint.warmed_up_work_per_us = work or (-1.0, 0.0)
 
     def apply_peer_ejections(self, now_us: int, endpoint_indices: Iterable[int]) -> None:
-        """See `LoadBalancer.apply_peer_ejections`."""
+        """Implements `LoadBalancer.apply_peer_ejections`."""
         for index in endpoint_indices:
             endpoint = self.endpoints[index]
             has_recent_outcome = now_us - endpoint.last_outcome_us <= EJECTION_US
@@ -184,14 +205,14 @@
                 self.zone_subsets[endpoint.zone].choose(now_us)
 
     def mark_gone(self, now_us: int, index: int) -> None:
-        """Leaves an endpoint out for a while whose process is gone."""
+        """Makes an endpoint unavailable for `EJECTION_US` because its process is gone."""
         endpoint = self.endpoints[index]
         endpoint.unavailable_until_us = now_us + EJECTION_US
         if endpoint.accepts_requests:
             self.zone_subsets[endpoint.zone].choose(now_us)
 
     def unavailable_indices(self, now_us: int) -> list[int]:
-        """Returns the endpoints that get nothing now, or only where nothing else is left."""
+        """Implements `LoadBalancer.unavailable_endpoints`."""
         return [
             endpoint.index
             for endpoint in self.endpoints.values()
--- a/cressrail/policy/list_polling.py
+++ b/cressrail/policy/list_polling.py
@@ -1,20 +1,22 @@
-"""When to ask for the endpoint list where it is not sent without asking."""
+"""Schedules polls of the endpoint list, for deployments where the list is not pushed."""
 
 from __future__ import annotations
 
 from cressrail.policy.random_generator import RandomGenerator
 
 MAX_BACKOFF_DOUBLINGS = 4
-"""Well inside the time after which the platform holds an instance to the newer list."""
+"""Maximum number of times that the backoff doubles. The longest wait stays well below the time after which
+the platform expects an instance to use the newer list."""
 
-_FIRST_POLL_SPREAD = 8  # the first poll comes within this part of the interval
-_BACKOFF_PARTS = 64  # the first backoff, before it doubles, is this part of the interval
-_INTERVALS_AFTER_SUCCESS = 4
-_ANSWER_WAIT_PARTS = 2  # a poll without an answer is repeated after this part of the interval
+_FIRST_POLL_SPREAD = 8  # The first poll is sent within the interval divided by this number.
+# The backoff after k failures in a row is 2**k times the interval divided by this number.
+_BACKOFF_PARTS = 64
+_INTERVALS_AFTER_SUCCESS = 4  # number of intervals from a received list to the next poll
+_ANSWER_WAIT_PARTS = 2  # A poll that gets no answer is repeated after the interval divided by this number.
 
 
 class EndpointListPoller:
-    """Keeps the time of the next poll, with a randomized backoff after failures."""
+    """Keeps the time of the next poll, with a randomized exponential backoff after failures."""
 
     def __init__(self, is_polling: bool, interval_us: int, random_generator: RandomGenerator) -> None:
         self.interval_us = interval_us
@@ -23,15 +25,16 @@
         self.next_poll_us = (
             random_generator.below(interval_us // _FIRST_POLL_SPREAD + 1) if is_polling else -1
         )
-        """Counted from the start until `start` is called; -1: the list comes without asking."""
+        """Time of the next poll, in microseconds; relative to the start until `start` is called. -1: polling
+        is off, because the list is pushed."""
 
     def start(self, now_us: int) -> None:
-        """Begins to count time."""
+        """Sets the start of the schedule; to be called once."""
         if self.next_poll_us >= 0:
             self.next_poll_us += now_us
 
     def on_answer(self, now_us: int, has_failed: bool) -> None:
-        """Sets the next poll after a list came or a poll failed."""
+        """Schedules the next poll after a list was received or a poll failed."""
         if self.next_poll_us < 0:
             return
         if has_failed:
@@ -43,7 +46,7 @@
             self.next_poll_us = now_us + self.interval_us * _INTERVALS_AFTER_SUCCESS
 
     def take_due_poll(self, now_us: int) -> bool:
-        """Returns whether to poll now, and then puts the next poll off until an answer can have come."""
+        """Returns whether to poll now. If so, schedules a repeat in case no answer is received."""
         if self.next_poll_us < 0 or now_us < self.next_poll_us:
             return False
         self.next_poll_us = now_us + self.interval_us // _ANSWER_WAIT_PARTS
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -1,16 +1,16 @@
-"""Joins the mechanisms of the policy into one load balancer; docs/interface.md says how to call it.
+"""Combines the mechanisms of the policy into one load balancer; docs/interface.md describes how to call it.
 
-Retries follow only owned errors, inside a budget. Zones are tried own zone first, and of two endpoints chosen
-at random the one with fewer own attempts in flight is taken. Beside that, in the chain of tiers:
+Only owned errors are retried, within a budget. The own zone is tried first, and of two endpoints chosen at
+random, the one with fewer own attempts in flight is used. In the chain of tiers, these mechanisms are added:
 
-1. a limit of attempts in flight at each endpoint (`concurrency_limit`)
-2. a queue with early rejection (`request_queue`)
-3. tenant quotas (`tenant_quota`)
-4. a subset of each zone for each instance (`zone_subset`)
-5. nothing to a process that is gone (`on_connection_lost`; called by sidecars only)
+1. A limit on the attempts in flight at each endpoint (`concurrency_limit`).
+2. A queue with early rejection (`request_queue`).
+3. Tenant quotas (`tenant_quota`).
+4. A subset of each zone for each instance (`zone_subset`).
+5. No attempts to a process that is gone (`on_connection_lost`; called by sidecars only).
 
-In the mesh, with an instance for each client process, the first is the fraction of requests that a zone
-admits (`admission`), and there is no queue.
+In the mesh, with an instance for each client process, the first is replaced by the fraction of requests that
+a zone admits (`admission`), and there is no queue.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 from cressrail.policy.zone_spillover import ZoneSpillover
 
 ADJUSTMENT_INTERVAL_US = 1_000_000
-"""Between adjustments of spillover, subsets and rates."""
+"""Interval between adjustments of spillover, subset sizes and rates."""
 
 QUEUE_CHECK_ROUNDS = 4
-"""Rounds of the caller's clock after which a queue is looked at again."""
+"""Number of rounds (`round_us`) after which a queue is checked again."""
 
 
 class LoadBalancer:
-    """Decides for one instance. All times are whole microseconds on the caller's clock."""
+    """Makes the decisions of one instance. All times are integer microseconds on the caller's clock."""
 
     def __init__(
         self,
@@ -73,27 +73,27 @@
         is_per_client: bool = False,
         max_connections: int = NO_CONNECTION_LIMIT,
     ) -> None:
-        """Joins the parts.
+        """Combines the given parts and creates the others.
 
         Args:
-            random_generator: The source of all random choices.
-            zone: The zone of this instance.
-            zone_count: How many zones there are at first.
-            remaining_tiers_fraction: The part of all tiers that a request still has to pass from here.
+            random_generator: Source of all random choices.
+            zone: Index of the zone of this instance.
+            zone_count: Initial number of zones.
+            remaining_tiers_fraction: Fraction of all tiers that a request still has to pass from here.
             is_last_tier: Whether the endpoints call no further tier.
-            is_ingress: Whether requests come from outside, rather than from another tier.
-            round_us: How long a message to the caller and back may take.
-            max_retry_after_us: The longest wait to advise a rejected client; 0: no advice.
+            is_ingress: Whether requests come from outside rather than from another tier.
+            round_us: Maximum time that a message to the caller and back may take, in microseconds (a round).
+            max_retry_after_us: Longest wait that a rejected client is advised, in microseconds; 0: no advice.
             may_cancel: Whether attempts in flight can be cancelled.
-            list_poller: When to ask for the endpoint list.
-            retry_policy: Which requests may be attempted again.
-            slow_start: What starting endpoints get.
-            quotas: The tenants' quotas.
-            instance_count: How many instances there are, until `update_instance_count` is called.
-            instance_number: The number of this one among them.
-            now_us: The present time.
+            list_poller: Schedules polls of the endpoint list.
+            retry_policy: Decides which requests may be attempted again.
+            slow_start: Limits the attempts at endpoints that are warming up.
+            quotas: Quotas of the tenants.
+            instance_count: Number of instances, until `update_instance_count` is called.
+            instance_number: Number of this instance among them.
+            now_us: Current time in microseconds.
             is_per_client: Whether each client process has an instance of its own (the mesh).
-            max_connections: How many connections to endpoints this instance may hold.
+            max_connections: Number of connections to endpoints that this instance may hold.
         """
         self.is_per_client = is_per_client
         self.is_last_tier = is_last_tier
@@ -127,23 +127,25 @@
         self.feedback = AttemptFeedback(
             self.latency_baseline, ConcurrencyLimiter(is_ingress), slow_start, is_last_tier, is_per_client
         )
-        self.overdue_attempts = OverdueAttempts()  # in the mesh only
+        self.overdue_attempts = OverdueAttempts()  # used in the mesh only
         self.adjusted_us = now_us
         self.wake_us = now_us
         list_poller.start(now_us)
 
-    # What the caller learns from others
+    # Updates from discovery, peers and connections
 
     def update_endpoints(
         self, now_us: int, entries: Iterable[EndpointUpdate], is_complete: bool, is_poll_answer: bool = True
     ) -> None:
-        """Takes in the endpoint list, or changes to it.
+        """Applies the endpoint list or changes to it.
 
         Args:
-            now_us: The present time.
-            entries: The entries.
-            is_complete: Whether they are the whole list; endpoints that are not named are gone then.
-            is_poll_answer: False for a list held since the start: it may be old, so polling goes on.
+            now_us: Current time in microseconds.
+            entries: The entries of the list, or those that have changed.
+            is_complete: Whether `entries` is the whole list. Endpoints that it does not contain are then
+                removed.
+            is_poll_answer: False for a list that has been held since the start. It may be old, so polling
+                goes on.
         """
         if is_poll_answer:
             self.list_poller.on_answer(now_us, False)
@@ -152,62 +154,86 @@
     def update_instance_count(
         self, now_us: int, instance_count: float, instance_count_in_zone: float
     ) -> None:
-        """Sets how many instances are up, in all and in the own zone (0: unknown)."""
+        """Sets the number of running instances.
+
+        Args:
+            now_us: Current time in microseconds.
+            instance_count: Number of instances in all zones.
+            instance_count_in_zone: Number of instances in the own zone; 0: unknown.
+        """
         self.quotas.set_instance_count(instance_count)
         self.slow_start.set_even_rate(self.quotas.total_per_us)
         self.table.set_instance_count(now_us, instance_count, instance_count_in_zone)
         self.wake_us = now_us
 
     def apply_peer_warmup_load(self, work_by_index: Mapping[int, tuple[float, float]]) -> None:
-        """Takes in the work that endpoints get while they warm up, by index, in attempts a microsecond.
+        """Sets the work that endpoints get while they warm up, as reported by peers.
 
-        Each pair: what all other instances send, and what all instances would send if it were warmed up.
+        Args:
+            work_by_index: For each endpoint index, two rates in attempts per microsecond: what all other
+                instances send, and what all instances would send if the endpoint were warmed up.
         """
         self.table.apply_peer_warmup_load(work_by_index)
 
     def apply_zone_weights(self, zone_weights: Sequence[float], fraction: float) -> None:
-        """Sets the weights decided in common: parts of the own zone's traffic by zone, for this fraction."""
+        """Sets the zone weights that the sidecars have agreed on.
+
+        Args:
+            zone_weights: Fractions of the own zone's traffic, by zone.
+            fraction: Fraction of the requests to which the weights apply.
+        """
         self.spillover.apply_zone_weights(zone_weights, fraction)
 
     def apply_peer_ejections(self, now_us: int, endpoint_indices: Iterable[int]) -> None:
         """Ejects endpoints that several peers report as failing, unless there are recent outcomes here.
 
-        After the ejection an endpoint has to be tried here before reports count again.
+        After an ejection, reports about the endpoint are ignored until this instance has tried it again.
         """
         self.table.apply_peer_ejections(now_us, endpoint_indices)
 
     def unavailable_endpoints(self, now_us: int) -> list[int]:
-        """Returns the indices of endpoints that get nothing now, or only where nothing else is left."""
+        """Returns the indices of the endpoints that are currently unavailable.
+
+        Such endpoints get no attempts, or only if nothing else is left.
+        """
         return self.table.unavailable_indices(now_us)
 
     def yield_to_successor(self, has_yielded: bool) -> None:
-        """Leaves retries and starting endpoints to another process of this instance, or takes them back."""
+        """Stops retries and attempts at starting endpoints, or allows them again.
+
+        Args:
+            has_yielded: Whether another process of this instance, its successor, takes them over.
+        """
         self.slow_start.has_yielded = self.budget.has_yielded = has_yielded
 
     def forget_endpoint(self, index: int) -> None:
-        """Forgets an endpoint that has left the list and has no attempt in flight."""
+        """Removes the state of an endpoint that has left the list and has no attempt in flight."""
         del self.endpoints[index]
 
     def on_list_failed(self, now_us: int) -> None:
-        """A poll for the endpoint list failed."""
+        """Handles the failure of a poll for the endpoint list."""
         self.list_poller.on_answer(now_us, True)
 
     def on_connection_lost(self, now_us: int, index: int) -> None:
-        """An endpoint refused a connection or reset an idle one: its process counts as gone for a while."""
+        """Handles an endpoint that refused a connection or reset an idle one.
+
+        Its process is assumed to be gone for some time.
+        """
         self.table.mark_gone(now_us, index)
 
-    # What happens to requests
+    # Requests and attempts
 
     def start_request(
         self, now_us: int, request_class: RequestClass, tenant: int, remaining_us: int
     ) -> RoutedRequest:
-        """Makes the handle of a request that has come in; `RoutedRequest.route` is to be called next.
+        """Creates the handle of an incoming request; `RoutedRequest.route` has to be called next.
 
         Args:
-            now_us: The present time.
-            request_class: Its class.
-            tenant: The tenant's index, -1 for none.
-            remaining_us: The time to its deadline; below 0 while the client still sends it.
+            now_us: Current time in microseconds.
+            request_class: Class of the request.
+            tenant: Index of the tenant; -1: none.
+            remaining_us: Time to the deadline in microseconds; below 0 while the client is still sending the
+                request.
         """
         self.budget.count_request(now_us)
         if self.is_per_client:
@@ -217,7 +243,7 @@
         return RoutedRequest(self, request_class, tenant, now_us, remaining_us)
 
     def route(self, request: RoutedRequest, now_us: int) -> list[Decision]:
-        """Sends a request, queues it, or gives it up."""
+        """Starts the first attempt of a request, queues it, or rejects or fails it."""
         if request.deadline_us <= now_us or (
             self.spillover.weighted_fraction and self.spillover.draw_unserved(request.open_fraction)
         ):
@@ -243,15 +269,15 @@
         latency_us: int,
         is_complete: bool,
     ) -> list[Decision]:
-        """Takes in how an attempt ended; decisions may concern queued requests, too.
+        """Handles the end of an attempt; the returned decisions may also concern queued requests.
 
         Args:
             request: The request.
-            attempt_number: The number of its attempt.
-            now_us: The present time.
+            attempt_number: Number of the attempt.
+            now_us: Current time in microseconds.
             outcome: How the attempt ended.
-            latency_us: The time since it was sent.
-            is_complete: Whether the client has its answer.
+            latency_us: Time since the attempt was sent, in microseconds.
+            is_complete: Whether the client has received its answer.
         """
         endpoint = request.attempts[attempt_number]
         if request.in_flight.pop(attempt_number, None) is None:
@@ -282,7 +308,7 @@
         return decisions
 
     def on_timer(self, now_us: int) -> list[Decision]:
-        """Does what is due by time; to be called at `wake_us` or soon after."""
+        """Performs the periodic adjustments and serves the queue; to be called at `wake_us` or soon after."""
         if now_us - self.adjusted_us >= ADJUSTMENT_INTERVAL_US:
             self.adjusted_us = now_us
             if self.is_per_client:
@@ -302,11 +328,11 @@
         return decisions
 
     def add_in_flight(self, endpoint: Endpoint, change: int) -> None:
-        """Changes an endpoint's attempts in flight."""
+        """Adds `change` to the number of attempts in flight at an endpoint."""
         self.zone_subsets[endpoint.zone].add_in_flight(endpoint, change)
 
     def give_up(self, request: RoutedRequest) -> Decision:
-        """Answers a request now: rejected if it can safely be sent again, else failed."""
+        """Ends a request: rejects it if it can safely be sent again, and fails it otherwise."""
         request.is_finished = True
         latency_objective_us = request.request_class.latency_objective_us
         if not request.attempts and not request.is_over_quota:
@@ -320,7 +346,11 @@
     def _retry_or_give_up(
         self, request: RoutedRequest, endpoint: Endpoint, now_us: int, outcome: Outcome
     ) -> Decision:
-        """The last attempt in flight has failed: an owned error is retried elsewhere, inside the budget."""
+        """Decides what to do after the last attempt in flight of a request has failed.
+
+        An owned error is retried at another endpoint, within the budget. Otherwise the request is rejected or
+        failed.
+        """
         if (
             self._is_owned_error(endpoint, now_us, outcome)
             and now_us < request.deadline_us
@@ -332,9 +362,10 @@
         return self.give_up(request)
 
     def _is_owned_error(self, endpoint: Endpoint, now_us: int, outcome: Outcome) -> bool:
-        """Whether the error is the endpoint's own, so that another one would do better.
+        """Returns whether the error is the endpoint's own, so that another endpoint is likely to do better.
 
-        Errors of a tier that calls another one are its own only while no other endpoint of it fails.
+        Errors and timeouts of a tier that calls another tier count as owned only while no other endpoint of
+        the tier is failing.
         """
         if outcome in ENDPOINT_OWNED_OUTCOMES:
             return True
@@ -361,12 +392,12 @@
         return StartAttempt(request, endpoint.index, request.deadline_us - now_us)
 
     def _queue_wait_us(self, request: RoutedRequest) -> float:
-        """Estimates the wait by the recent successes of this instance."""
+        """Estimates the time that a request would wait in the queue from this instance's recent successes."""
         slow_start = self.slow_start
         return self.queue.count_ahead(request) * slow_start.warmup_us / max(1.0, slow_start.recent_successes)
 
     def _serve_queue(self, now_us: int) -> list[Decision]:
-        """Gives up queued requests whose time is up, and sends those for which there is room."""
+        """Gives up queued requests whose time is over, and starts attempts while there is room."""
         expired = self.queue.take_expired(now_us)
         decisions = [self.give_up(request) for request in expired if not request.is_finished]
         waiting = self.queue.requests
--- a/cressrail/policy/outcome.py
+++ b/cressrail/policy/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt can end, and what each ending says."""
+"""The possible outcomes of an attempt, and the groups that the policy distinguishes."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
     CONNECTION_RESET = "connection_reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    INVALID_REQUEST = "invalid_request"  # rejected for what the request is: not the endpoint's fault
+    # rejected because the request itself is invalid, which is not the endpoint's fault
+    INVALID_REQUEST = "invalid_request"
 
 
 NEVER_RAN_OUTCOMES = (Outcome.REJECTED_BY_ENDPOINT, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-"""The request had no effect: it may be sent again whatever its class."""
+"""Outcomes after which the request had no effect, so that it may be sent again regardless of its class."""
 
 ENDPOINT_OWNED_OUTCOMES = (Outcome.REJECTED_BY_ENDPOINT, Outcome.CONNECT_FAILED, Outcome.CONNECTION_RESET)
-"""The fault is the endpoint's own, not that of a tier behind it."""
+"""Outcomes caused by the endpoint itself, not by a tier behind it."""
 
 UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.INVALID_REQUEST)
-"""They say nothing about the endpoint."""
+"""Outcomes that give no information about the endpoint."""
--- a/cressrail/policy/request_class.py
+++ b/cressrail/policy/request_class.py
@@ -1,4 +1,4 @@
-"""What the deployment says of a class of requests: whether it may be repeated, its times and its weight."""
+"""Settings of a class of requests: idempotency, key scope, times and weights."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run can be sent again."""
+    """Whether a request that may already have run can be sent again."""
 
     IDEMPOTENT = "idempotent"
     WITH_KEY = "idempotent with key"
@@ -16,7 +16,7 @@
 
 
 class KeyScope(Enum):
-    """Which endpoints recognize an idempotency key that another endpoint has seen."""
+    """Which endpoints recognize an idempotency key that another endpoint has already seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,15 +24,15 @@
 
 
 class RequestClass(NamedTuple):
-    """The settings shared by all requests of one class; times in microseconds."""
+    """Settings shared by all requests of one class. Times are in microseconds."""
 
     idempotency: Idempotency
     key_scope: KeyScope
     idempotency_window_us: int
     latency_objective_us: int
     deadline_us: int
-    priority_weight: float  # value per unit of endpoint time, relative to the best class
-    overdue_weight: float = 1.0  # part of the value that an answer after the latency objective still has
+    priority_weight: float  # value per unit of endpoint time, relative to the class with the highest value
+    overdue_weight: float = 1.0  # fraction of its value that an answer after the latency objective still has
 
 
 def priority_weights(
@@ -41,17 +41,20 @@
     is_value_per_work: bool,
     worst_class_weight: float,
 ) -> list[float]:
-    """Computes the priority weight of each class, relative to the best one.
+    """Computes the priority weight of each class, relative to the class with the highest value.
 
-    Where value is counted for each request, a longer latency objective stands for more work. The weight of
-    the worst-served class in the users' measure counts for all classes alike, so that the class of least
-    value is not starved outright.
+    Where the value is given per request, a longer latency objective is taken to mean more work. Every class
+    gets at least `worst_class_weight`, so that the class with the lowest value is not starved.
 
     Args:
-        revenues: The value of a request of each class.
-        latency_objectives_us: The latency objective of each class.
-        is_value_per_work: Whether `revenues` are for a unit of work rather than for a request.
-        worst_class_weight: The part of the users' measure, 0 to 1, that goes by the worst-served class.
+        revenues: Value of a request, or of a unit of work, of each class.
+        latency_objectives_us: Latency objective of each class, in microseconds.
+        is_value_per_work: Whether `revenues` are given per unit of work rather than per request.
+        worst_class_weight: Fraction, from 0 to 1, of the users' performance measure that depends on the
+            worst-served class.
+
+    Returns:
+        One weight for each class, between `worst_class_weight` and 1.
     """
     values = [
         revenue if is_value_per_work else revenue / objective_us
--- a/cressrail/policy/retry_budget.py
+++ b/cressrail/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The bound on retries: a fixed share of the requests in a sliding window."""
+"""Limits retries to a fixed fraction of the requests in a sliding window."""
 
 from __future__ import annotations
 
@@ -6,33 +6,42 @@
 from collections import deque
 
 RETRY_WINDOW_US = 10_000_000
-"""Long enough for instances with little traffic to be allowed a retry at all."""
+"""Length of the window. It is long enough for instances with little traffic to be allowed a retry at all."""
 
 REQUESTS_PER_RETRY = 10
-"""One retry for so many requests in the window, rounded down, without a minimum."""
+"""Number of requests in the window for each allowed retry. The result is rounded down, and there is no
+minimum."""
 
 SURGE_SPAN_US = RETRY_WINDOW_US // 5
-"""The recent part of the window that is compared with the whole of it."""
+"""Length of the recent part of the window, whose request rate is compared with that of the whole window."""
 
 _MIN_REQUESTS_PER_US = 1e-6
 
 
 class RetryBudget:
-    """Allows a retry only while all retries in the window, this one included, stay within the share."""
+    """Allows a retry only if the retries in the window, including the new one, stay within the budget.
+
+    Attributes:
+        window_us: Length of the window in microseconds.
+        has_yielded: Whether another process of this instance spends the budget; no retry is then allowed
+            here.
+        request_times_us: Arrival times of the requests in the window.
+        retry_times_us: Times of the retries in the window.
+    """
 
     def __init__(self, window_us: int = RETRY_WINDOW_US) -> None:
         self.window_us = window_us
-        self.has_yielded = False  # another process of this instance spends the budget
+        self.has_yielded = False
         self.request_times_us: deque[int] = deque()
         self.retry_times_us: deque[int] = deque()
 
     def count_request(self, now_us: int) -> None:
-        """Counts a request that has come in."""
+        """Counts an incoming request."""
         self.request_times_us.append(now_us)
         self._trim(now_us)
 
     def spend(self, now_us: int) -> bool:
-        """Counts a retry if there is budget for it, and returns whether there was."""
+        """Counts a retry if the budget allows it, and returns whether it does."""
         self._trim(now_us)
         if self.has_yielded:
             return False
@@ -42,11 +51,11 @@
         return True
 
     def surge(self, now_us: int, age_us: int) -> float:
-        """Returns the recent request rate over that of the whole window, 1 at the least.
+        """Returns the recent request rate divided by the rate over the whole window, but at least 1.
 
         Args:
-            now_us: The present time.
-            age_us: How long requests have been counted.
+            now_us: Current time in microseconds.
+            age_us: Time for which requests have been counted, in microseconds.
         """
         self._trim(now_us)
         requests = len(self.request_times_us)
--- a/cressrail/policy/retry_policy.py
+++ b/cressrail/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""The one place that says whether a request may be attempted again or be rejected as without effect."""
+"""Safety rules for repeats: the only code that decides whether a request may run or be sent again."""
 
 from __future__ import annotations
 
@@ -12,15 +12,20 @@
 
 
 class RetryPolicy:
-    """The safety rules for repeats; whether there is budget for one is decided elsewhere."""
+    """Decides whether a repeat is safe. Whether the budget allows it is decided by `RetryBudget`."""
 
     def __init__(self, max_attempts: int, may_hedge: bool) -> None:
-        """`may_hedge`: two attempts of a request may be in flight at once."""
+        """Sets the limits of the deployment.
+
+        Args:
+            max_attempts: Maximum number of attempts for a request.
+            may_hedge: Whether two attempts of a request may be in flight at the same time.
+        """
         self.max_attempts = max_attempts
         self.may_hedge = may_hedge
 
     def may_retry(self, request: RoutedRequest, now_us: int) -> bool:
-        """Whether the request may have one more attempt now."""
+        """Returns whether the request may have another attempt now."""
         if request.is_body_gone or len(request.attempts) >= self.max_attempts:
             return False
         if request.in_flight and not self.may_hedge:
@@ -28,7 +33,11 @@
         return self.may_run_again(request, now_us)
 
     def may_run_again(self, request: RoutedRequest, now_us: int) -> bool:
-        """Whether another run of the request is harmless: none has run, or repeats are recognized."""
+        """Returns whether another run of the request is harmless.
+
+        It is harmless if no attempt can have run, if the request is idempotent, or if its idempotency key is
+        still recognized.
+        """
         request_class = request.request_class
         return (
             request.fixed_endpoint is None
@@ -40,7 +49,7 @@
         )
 
     def may_use_endpoint(self, request: RoutedRequest, endpoint: Endpoint) -> bool:
-        """Whether a repeat at this endpoint lies in the scope of the request's idempotency key."""
+        """Returns whether a repeat at this endpoint is within the scope of the request's idempotency key."""
         fixed = request.fixed_endpoint
         request_class = request.request_class
         if fixed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -52,11 +61,11 @@
         return endpoint.cell == fixed.cell
 
     def may_reject(self, request: RoutedRequest, may_have_run: bool = False) -> bool:
-        """Whether the client can be told that sending the request again is harmless.
+        """Returns whether the client can be told that it is harmless to send the request again.
 
         Args:
             request: The request.
-            may_have_run: Ask for the time after an attempt that may have run, rather than for now.
+            may_have_run: Whether to assume that an attempt may have run, even if none has yet.
         """
         request_class = request.request_class
         return (
--- a/cressrail/policy/routed_request.py
+++ b/cressrail/policy/routed_request.py
@@ -1,4 +1,4 @@
-"""The handle of one request."""
+"""Handle of one request."""
 
 from __future__ import annotations
 
@@ -14,18 +14,23 @@
     from cressrail.policy.load_balancer import LoadBalancer
 
 NO_DEADLINE_US = 1 << 50
-"""The remaining time of a request whose clock has not started, from now on."""
+"""Remaining time that is assumed for a request whose clock has not started because the client is still
+sending it."""
 
 OPEN_TO_ALL = 0.5
-"""Of a limit; the rest opens with a request's weight relative to the best class."""
+"""Fraction of a limit that requests of every weight may use. The rest is available in proportion to the
+weight relative to the class with the highest value."""
 
-_DEADLINE_SPARE_PARTS = 64  # the deadline is kept short by this part of the remaining time,
-_DEADLINE_SPARE_ROUNDS = 2  # or by so many rounds of the caller's clock, if that is less
-_OBJECTIVE_SPARE_ROUNDS = 4  # rounds for a rejection to arrive within the latency objective
+# The deadline is brought forward by the remaining time divided by the first number, or by the second number
+# of rounds (`LoadBalancer.round_us`) if that is less.
+_DEADLINE_SPARE_PARTS = 64
+_DEADLINE_SPARE_ROUNDS = 2
+# Rounds that are reserved for a rejection to arrive within the latency objective.
+_OBJECTIVE_SPARE_ROUNDS = 4
 
 
 class RoutedRequest:
-    """A request from its arrival to its answer, and until its last attempt ends."""
+    """State of a request from its arrival until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "attempts",
@@ -53,18 +58,19 @@
         now_us: int,
         remaining_us: int,
     ) -> None:
-        """See `LoadBalancer.start_request`."""
+        """The arguments are described at `LoadBalancer.start_request`."""
         self.load_balancer = load_balancer
         self.tenant = tenant
         self.request_class = request_class
         self.deadline_us: int = 0
-        self.is_finished = False  # it has its answer
-        self.is_body_gone = False  # what another attempt would send is no longer there
-        self.in_flight: dict[int, int] = {}  # attempt number to the time it was sent
-        self.is_uploading = remaining_us < 0  # the client still sends it, and no endpoint works on it
+        self.is_finished = False  # whether the request has been answered
+        self.is_body_gone = False  # whether the body is no longer available for another attempt
+        self.in_flight: dict[int, int] = {}  # time at which each attempt was sent, by attempt number
+        # while the client is still sending the request, no endpoint works on it
+        self.is_uploading = remaining_us < 0
         self.start_clock(now_us, NO_DEADLINE_US if self.is_uploading else remaining_us)
-        self.fixed_endpoint: Endpoint | None = None  # of the first attempt that may have run,
-        self.fixed_us = 0  # and when that was sent
+        self.fixed_endpoint: Endpoint | None = None  # endpoint of the first attempt that may have run
+        self.fixed_us = 0  # time at which that attempt was sent
         if load_balancer.is_per_client:
             self._shorten_deadline(now_us)
         self.queue_until_us: int = min(
@@ -80,7 +86,11 @@
         self.attempts: list[Endpoint] = []
 
     def _shorten_deadline(self, now_us: int) -> None:
-        """In the mesh, ends attempts in time for a rejection where a late answer is worth nothing."""
+        """In the mesh, shortens the deadline of requests for which a late answer has no value.
+
+        If the request may be rejected even after an attempt has run, its attempts end early enough for a
+        rejection to arrive within the latency objective.
+        """
         may_reject = self.load_balancer.retry_policy.may_reject(self, may_have_run=True)
         if may_reject and not self.request_class.overdue_weight:
             objective_us = self.request_class.latency_objective_us
@@ -88,11 +98,16 @@
             self.deadline_us = min(self.deadline_us, now_us + max(objective_us // 2, objective_us - spare_us))
 
     def route(self, now_us: int) -> list[Decision]:
-        """Decides on the first attempt; to be called once, right after the start."""
+        """Decides on the first attempt; to be called once, right after the request was created."""
         return self.load_balancer.route(self, now_us)
 
     def start_clock(self, now_us: int, remaining_us: int) -> None:
-        """Starts the request's time, which stood still while the client sent it, and that of its attempts."""
+        """Starts the deadline clock of the request and its attempts, which stands still during the upload.
+
+        Args:
+            now_us: Current time in microseconds.
+            remaining_us: Time to the deadline in microseconds.
+        """
         if self.is_uploading and remaining_us < NO_DEADLINE_US:
             self.is_uploading = False
             for attempt_number in self.in_flight:
@@ -103,19 +118,19 @@
         self.deadline_us = now_us + remaining_us - spare_us
 
     def on_response_started(self, attempt_number: int) -> list[Decision]:
-        """The response streams to the client from this attempt: the others are cancelled."""
+        """Handles a response that has started to stream to the client: cancels all other attempts."""
         return self.cancel_others(attempt_number)
 
     def on_attempt_finished(
         self, attempt_number: int, now_us: int, outcome: Outcome, latency_us: int, is_complete: bool
     ) -> list[Decision]:
-        """An attempt ended; see `LoadBalancer.on_attempt_finished`."""
+        """Handles the end of an attempt; see `LoadBalancer.on_attempt_finished`."""
         return self.load_balancer.on_attempt_finished(
             self, attempt_number, now_us, outcome, latency_us, is_complete
         )
 
     def may_send(self, attempt_number: int, now_us: int) -> bool:
-        """Whether what allowed an attempt still holds just before its first byte is sent."""
+        """Returns whether the attempt is still allowed, to be checked just before its first byte is sent."""
         endpoint = self.attempts[attempt_number]
         policy = self.load_balancer.retry_policy
         return (
@@ -125,16 +140,16 @@
         )
 
     def finish_now(self) -> list[Decision]:
-        """Answers the request now. Attempts in flight are cancelled and may have run."""
+        """Rejects or fails the request now. Attempts in flight are cancelled and may have run."""
         return [self.load_balancer.give_up(self), *self.cancel_others(None)]
 
     def on_client_disconnected(self) -> list[Decision]:
-        """The client is gone: nothing is to be answered."""
+        """Handles the disconnection of the client: no answer is needed any more."""
         self.is_finished = True
         return self.cancel_others(None)
 
     def cancel_others(self, attempt_number: int | None) -> list[Decision]:
-        """Cancels all attempts in flight but this one, where the deployment allows to cancel."""
+        """Cancels all attempts in flight except this one, if the deployment allows cancellation."""
         if not self.load_balancer.may_cancel:
             return []
         return [CancelAttempt(self, other) for other in self.in_flight if other != attempt_number]
--- a/cressrail/policy/zone_spillover.py
+++ b/cressrail/policy/zone_spillover.py
@@ -1,4 +1,4 @@
-"""In which order zones are tried for a request."""
+"""The order in which zones are tried for a request."""
 
 from __future__ import annotations
 
@@ -9,30 +9,40 @@
 from cressrail.policy.zone_subset import ZoneSubset
 
 SPILLOVER_STEP = 1 / 16
-"""By which the spilled fraction of the traffic moves a second."""
+"""Change of the spilled fraction of the traffic per second."""
 
 MAX_SPILLOVER = 1 / 2
+"""Largest fraction of the traffic that is spilled."""
 
 RAISE_LATENCY_RATIO = 2.0
-"""Own latency over that of the best other zone, above which more is spilled."""
+"""Ratio of the own zone's latency to that of the best other zone above which the spilled fraction is raised.
+"""
 
 LOWER_LATENCY_RATIO = 1.5
-"""The same ratio, below which less is spilled."""
+"""Ratio below which the spilled fraction is lowered."""
 
 PROBING_SHARE = 1 / 16
-"""A zone with a smaller weight gets its share to find out whether it has recovered."""
+"""Zone weight below which a zone gets traffic only to find out whether it has recovered."""
 
 
 class ZoneSpillover:
-    """The own zone first, unless part of the traffic spills over or zone weights were decided in common."""
+    """Orders the zones: the own zone first, unless traffic spills over or agreed zone weights apply.
+
+    Attributes:
+        zone_order: The own zone, then the others, near ones first.
+        zone_weights: Fractions of the own zone's traffic, by zone, as agreed by the sidecars.
+        weighted_fraction: Fraction of the requests to which the weights apply.
+        spilled_fraction: Fraction of the requests that try `next_zone` first.
+        next_zone: The other zone with the lowest latency; -1: unknown.
+    """
 
     def __init__(self, own_zone: int, zone_count: int, random_generator: RandomGenerator) -> None:
         self.zone_order = [(own_zone + step) % zone_count for step in range(zone_count)]
         self.random_generator = random_generator
-        self.zone_weights: Sequence[float] = ()  # parts of the own zone's traffic, by zone
-        self.weighted_fraction = 0.0  # of requests, to which the weights apply
+        self.zone_weights: Sequence[float] = ()
+        self.weighted_fraction = 0.0
         self.spilled_fraction = 0.0
-        self.next_zone = -1  # of all others the one with the lowest latency; -1: unknown
+        self.next_zone = -1
 
     @property
     def own_zone(self) -> int:
@@ -40,16 +50,16 @@
         return self.zone_order[0]
 
     def apply_zone_weights(self, zone_weights: Sequence[float], fraction: float) -> None:
-        """Sets the weights decided in common, and the fraction of requests to which they apply."""
+        """Sets the agreed zone weights and the fraction of requests to which they apply."""
         self.zone_weights = zone_weights
         self.weighted_fraction = fraction
 
     def draw_weighted(self) -> bool:
-        """Decides at random whether the weights apply; to be called where `weighted_fraction` is not 0."""
+        """Decides at random whether the weights apply; to be called if `weighted_fraction` is not 0."""
         return self.random_generator.fraction() < self.weighted_fraction
 
     def weighted_order(self) -> list[int]:
-        """Returns a zone drawn by the weights, then the others that have one, near ones first."""
+        """Returns a zone drawn by the weights, then the others with a weight above 0, near ones first."""
         random_value = self.random_generator.fraction() * sum(self.zone_weights)
         drawn = self.zone_order[0]
         for zone, weight in enumerate(self.zone_weights):
@@ -60,22 +70,22 @@
         return [drawn, *(zone for zone in others if any(self.zone_weights[zone : zone + 1]))]
 
     def is_probing(self, zone: int) -> bool:
-        """Whether the zone's weight is only there to find out whether it has recovered."""
+        """Returns whether the zone's weight serves only to find out whether it has recovered."""
         return self.zone_weights[zone] < PROBING_SHARE
 
     def draw_spillover(self) -> bool:
-        """Decides at random whether to spill; to be called where `spilled_fraction` is not 0."""
+        """Decides at random whether to spill; to be called if `spilled_fraction` is not 0."""
         return self.next_zone >= 0 and self.random_generator.fraction() < self.spilled_fraction
 
     def spilled_order(self) -> list[int]:
-        """Returns the next zone, then the others, near ones first."""
+        """Returns `next_zone`, then the others, near ones first."""
         return [self.next_zone, *(zone for zone in self.zone_order if zone != self.next_zone)]
 
     def shuffled_order(self, subsets: Sequence[ZoneSubset]) -> list[int]:
-        """Returns the own zone, then the others at random, weighted by scale and admitted fraction.
+        """Returns the own zone, then the others in a random order weighted by scale and admitted fraction.
 
-        The draw is that of Efraimidis and Spirakis. Without it, all that one zone does not admit would go to
-        the one that comes next.
+        The draw uses the method of Efraimidis and Spirakis. In a fixed order, all traffic that one zone does
+        not admit would go to the zone that comes next.
         """
 
         def random_key(zone: int) -> float:
@@ -85,9 +95,11 @@
         return self.zone_order[:1] + sorted(self.zone_order[1:], key=random_key)
 
     def draw_unserved(self, open_fraction: float) -> bool:
-        """Decides at random whether no zone is to serve a request, by the share that the weights leave over.
+        """Decides at random whether a request is not served by any zone.
 
-        Requests of the least weight go first, at once, so that no queue of them builds up.
+        The probability follows from the share of the traffic that the zone weights leave unassigned. It is
+        higher for requests of low weight, and the decision is made at once, so that no queue of such requests
+        builds up.
         """
         unserved_share = self.weighted_fraction * max(0.0, 1 - sum(self.zone_weights))
         return unserved_share > 0 and self.random_generator.fraction() < unserved_share * (
@@ -95,9 +107,10 @@
         )
 
     def adjust(self, now_us: int, subsets: Sequence[ZoneSubset]) -> None:
-        """Moves the spilled fraction by a step, by the own zone's mean latency against the best other one's.
+        """Moves the spilled fraction by one step, by the mean latencies of the own and the best other zone.
 
-        A zone without recent outcomes gives nothing to compare; the overflow of full endpoints brings some.
+        A zone without recent outcomes cannot be compared, but the overflow from full endpoints provides some
+        outcomes.
         """
         means = [_mean_latency(now_us, subsets[zone]) for zone in self.zone_order]
         best, self.next_zone = min(
@@ -111,7 +124,7 @@
 
 
 def _mean_latency(now_us: int, subset: ZoneSubset) -> float:
-    """Returns the mean over the endpoints with recent outcomes, 0 without any."""
+    """Returns the mean latency over the endpoints with recent outcomes, or 0 if there are none."""
     latencies = [
         endpoint.latency
         for endpoint in subset.endpoints
--- a/cressrail/policy/zone_subset.py
+++ b/cressrail/policy/zone_subset.py
@@ -7,13 +7,13 @@
 from cressrail.policy.admission import ZoneAdmission
 from cressrail.policy.endpoint import Endpoint
 
-RING_BITS = 32  # ring positions of instances are below 2 to this power
+RING_BITS = 32  # ring positions of instances are below 2**RING_BITS
 
 
 class ZoneSubset:
-    """A zone's endpoints in ring order and the subset in use, with sums kept as they change.
+    """The endpoints of a zone in ring order and the subset in use, with incrementally updated sums.
 
-    No request walks the endpoints, so the work for one does not grow with the fleet.
+    No request iterates over all endpoints, so the work per request does not grow with the fleet.
     """
 
     __slots__ = (
@@ -37,26 +37,28 @@
         self.endpoints: list[Endpoint] = []
         self.in_use: list[Endpoint] = []
         self.total_scale = 0.0
-        self.ring_start = 0  # the place in `endpoints` from which the subset is chosen
+        self.ring_start = 0  # index in `endpoints` at which the subset starts
         self.target_size = 0
-        self.sharing_instances = 1.0  # estimate of how many instances use one of these endpoints
+        self.sharing_instances = 1.0  # estimated number of instances that use each endpoint in the subset
         self.scale_in_use = 0.0
         self.limit = 0.0  # sum over the endpoints in use
         self.in_flight = 0  # sum over the endpoints in use
-        self.unavailable_count = 0  # passed over in the last choice
-        self.is_failing = False  # more than half of those looked at in the last choice are unavailable
+        # number of endpoints skipped as unavailable when the subset was last chosen
+        self.unavailable_count = 0
+        # whether more than half of the endpoints examined in the last choice were unavailable
+        self.is_failing = False
         self.admission = ZoneAdmission()
-        self.successes_per_scale = 0.0  # succeeded attempts for a unit of scale, decaying
+        self.successes_per_scale = 0.0  # successful attempts per unit of scale, decaying
         self.successes_us = 0
 
     def set_endpoints(self, endpoints: Iterable[Endpoint], instance_ring_position: int) -> None:
-        """Replaces the endpoints; `choose` has to follow.
+        """Replaces the endpoints; `choose` has to be called afterwards.
 
         Args:
             endpoints: All endpoints of the zone that accept requests.
-            instance_ring_position: This instance's place on the ring, below 2 to the power of 32.
+            instance_ring_position: Position of this instance on the ring, below 2**RING_BITS.
         """
-        for endpoint in self.in_use:  # also those that have left: their attempts still end
+        for endpoint in self.in_use:  # includes endpoints that have left, whose attempts have yet to end
             endpoint.is_in_subset = False
         self.endpoints = sorted(endpoints, key=lambda endpoint: endpoint.ring_position)
         self.in_use = []
@@ -64,9 +66,9 @@
         self.ring_start = instance_ring_position * len(self.endpoints) >> RING_BITS
 
     def choose(self, now_us: int) -> None:
-        """Chooses the subset: from the ring start on, as many available endpoints as the target says.
+        """Chooses the subset: the first `target_size` available endpoints from the ring start on.
 
-        To be called when an endpoint comes, goes, fails or recovers, and now and then.
+        To be called when an endpoint is added, removed, fails or recovers, and periodically.
         """
         for endpoint in self.in_use:
             endpoint.is_in_subset = False
@@ -83,7 +85,8 @@
                 self.unavailable_count += 1
         self.is_failing = 2 * self.unavailable_count > len(examined)
         if self.is_failing:
-            # The zone is tried last, but it is tried; only endpoints known to be gone stay out.
+            # A failing zone is tried last, but it is still tried. Only endpoints known to be gone are left
+            # out.
             self.in_use = [endpoint for endpoint in examined if now_us >= endpoint.unavailable_until_us]
         for endpoint in self.in_use:
             endpoint.is_in_subset = True
@@ -92,13 +95,13 @@
         self.in_flight = sum(endpoint.in_flight for endpoint in self.in_use)
 
     def add_in_flight(self, endpoint: Endpoint, change: int) -> None:
-        """Changes an endpoint's attempts in flight."""
+        """Adds `change` to the number of attempts in flight at an endpoint."""
         endpoint.in_flight += change
         if endpoint.is_in_subset:
             self.in_flight += change
 
     def set_limit(self, endpoint: Endpoint, limit: float) -> None:
-        """Sets an endpoint's limit of attempts in flight."""
+        """Sets the limit on the attempts in flight at an endpoint."""
         if endpoint.is_in_subset:
             self.limit += limit - endpoint.limit
         endpoint.limit = limit
