--- a/cressrail/wirehost/__init__.py
+++ b/cressrail/wirehost/__init__.py
@@ -1,5 +1,6 @@
-"""The decisions of the policy on the wire of the users' simulator.
+"""Adapter that makes the policy available to the users' simulator over its wire protocol.
 
-The simulator starts `python -m cressrail.wirehost`; `codec` reads and writes the wire's lines and names,
-`instance` and `host` call the policy. Imports the policy and the configuration; nothing is decided here.
+The simulator starts `python -m cressrail.wirehost`. `codec` reads and writes the lines and names of the wire;
+`instance` and `host` call the policy. The package imports the policy and the configuration and makes no
+decisions of its own.
 """
--- a/cressrail/wirehost/__main__.py
+++ b/cressrail/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""The adapter's process: batches on standard input, replies on standard output."""
+"""Process of the adapter: reads batches from standard input and writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Serves until the input ends and returns the exit status."""
+    """Serves batches until the input ends, and returns the exit status."""
     source = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     sink = io.TextIOWrapper(sys.stdout.buffer, encoding="utf-8", newline="\n")
     try:
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -1,6 +1,10 @@
-"""The lines of the wire, read and written; the wire's own names stand here and in the handlers' table alone.
+"""Reads and writes the lines of the wire.
 
-A line is a name and fields, `NAME key=value key=value`. A batch is the lines from BEGIN_BATCH to OVER_TO_YOU.
+The wire's own names occur only here, in the tables of message names in `host` and `instance`, and where
+fields are read.
+
+A line consists of a name and fields, `NAME key=value key=value`. A batch consists of the lines from
+BEGIN_BATCH to OVER_TO_YOU.
 """
 
 from __future__ import annotations
@@ -18,7 +22,7 @@
 LIST = "INVENTORY"
 LIST_ENTRY = "ITEM"
 
-MAX_QUOTED = 40  # characters of a faulty value that an error repeats
+MAX_QUOTED = 40  # maximum number of characters of an invalid value that an error message quotes
 
 OUTCOME_BY_ENDING = {
     "200": Outcome.SUCCEEDED,
@@ -33,7 +37,7 @@
 
 
 class EndpointCondition(NamedTuple):
-    """What an entry's condition means."""
+    """Meaning of the condition of a list entry."""
 
     accepts_requests: bool
     is_gone: bool
@@ -47,40 +51,40 @@
 
 
 class MalformedLineError(Exception):
-    """A line that the wire does not allow."""
+    """A line that does not conform to the wire format. Its number is part of the message."""
 
     def __init__(self, line: int, reason: str) -> None:
         super().__init__(f"line {line}: {reason}")
 
 
 class Message(NamedTuple):
-    """One line; its methods read a field and raise `MalformedLineError` if it has another form."""
+    """One line. Its methods read a field and raise `MalformedLineError` if it is invalid."""
 
     line: int  # counted from 1
     name: str
     fields: dict[str, str]
 
     def text(self, field: str) -> str:
-        """Returns a field that must be there."""
+        """Returns the value of a required field."""
         try:
             return self.fields[field]
         except KeyError:
-            raise MalformedLineError(self.line, f"{field} is missing") from None
+            raise self._missing(field) from None
 
     def number(self, field: str, default: int | None = None) -> int:
-        """Returns a whole number; without a default the field must be there."""
+        """Returns the value of an integer field, which is required if there is no default."""
         value = self.fields.get(field)
         if value is None:
             if default is None:
-                raise MalformedLineError(self.line, f"{field} is missing")
+                raise self._missing(field)
             return default
         try:
             return int(value)
         except ValueError:
-            raise self._fault(f"{field} is not a whole number", value) from None
+            raise self._fault(f"{field} is not an integer", value) from None
 
     def ratio(self, field: str, default: float) -> float:
-        """Returns a number, which may be missing."""
+        """Returns the value of an optional numeric field."""
         value = self.fields.get(field)
         if value is None:
             return default
@@ -90,63 +94,72 @@
             raise self._fault(f"{field} is not a number", value) from None
 
     def flag(self, field: str) -> bool:
-        """Returns whether the field is 1; it may be missing."""
+        """Returns the value of an optional flag, 0 or 1."""
         value = self.fields.get(field, "0")
         if value not in ("0", "1"):
             raise self._fault(f"{field} is neither 0 nor 1", value)
         return value == "1"
 
     def outcome(self) -> Outcome:
-        """Returns how an attempt ended."""
+        """Returns the outcome of an attempt."""
         value = self.text("ending")
         try:
             return OUTCOME_BY_ENDING[value]
         except KeyError:
-            raise self._fault("ending is no known outcome", value) from None
+            raise self._fault("ending is not a known outcome code", value) from None
 
     def condition(self) -> EndpointCondition:
-        """Returns what an entry's condition means."""
+        """Returns the condition of a list entry."""
         value = self.text("condition")
         try:
             return CONDITIONS[value]
         except KeyError:
-            raise self._fault("condition is none of on, fading, off", value) from None
+            raise self._fault("condition is not one of on, fading, off", value) from None
 
     def check_load_report(self) -> None:
-        """Checks the load report that may have come along, which is not used."""
+        """Checks the format of the optional load report, which is otherwise ignored."""
         for pair in self.fields.get("gauge", "").split(","):
             if pair:
                 _, separator, value = pair.partition(":")
                 try:
                     float(value)
                 except ValueError:
-                    raise self._fault("gauge is not name:value pairs", pair) from None
+                    raise self._fault("gauge entry is not of the form name:value", pair) from None
                 if not separator:
-                    raise self._fault("gauge is not name:value pairs", pair)
+                    raise self._fault("gauge entry is not of the form name:value", pair)
+
+    def _missing(self, field: str) -> MalformedLineError:
+        return MalformedLineError(self.line, f"{self.name[:MAX_QUOTED]} has no field {field}")
 
     def _fault(self, reason: str, value: str) -> MalformedLineError:
         return MalformedLineError(self.line, f"{reason}: '{value[:MAX_QUOTED]}'")
 
 
 class Batch(NamedTuple):
-    """What happened at one moment."""
+    """The messages that belong to one point in time."""
 
     now_us: int
     messages: list[Message]
 
 
 class BatchReader:
-    """Splits the input into batches; counts lines so that errors can name them."""
+    """Splits the input into batches and counts lines, so that errors can give the line number."""
 
     def __init__(self, source: TextIO) -> None:
         self.source = source
         self.line = 0
 
     def batches(self) -> Iterator[Batch]:
-        """Yields batches until the input ends; raises `MalformedLineError`."""
+        """Yields batches until the input ends.
+
+        Raises:
+            MalformedLineError: A line does not conform to the wire format, or the input ends inside a batch.
+        """
         while (message := self._next_message()) is not None:
             if message.name != BATCH_START:
-                raise MalformedLineError(message.line, f"expected {BATCH_START}, found {message.name}")
+                raise MalformedLineError(
+                    message.line, f"expected {BATCH_START}, found '{message.name[:MAX_QUOTED]}'"
+                )
             now_us = message.number("clock_us")
             yield Batch(now_us, list(self._messages_of_batch()))
 
@@ -154,7 +167,7 @@
         while True:
             message = self._next_message()
             if message is None:
-                raise MalformedLineError(self.line + 1, "input ends inside a batch")
+                raise MalformedLineError(self.line + 1, f"input ends inside a batch, before {BATCH_END}")
             if message.name == BATCH_END:
                 return
             yield message
@@ -168,17 +181,20 @@
         for pair in pairs:
             key, separator, value = pair.partition("=")
             if not separator or not key:
-                raise MalformedLineError(self.line, f"{name}: '{pair[:MAX_QUOTED]}' is not name=value")
+                raise MalformedLineError(
+                    self.line,
+                    f"{name[:MAX_QUOTED]}: field '{pair[:MAX_QUOTED]}' is not of the form name=value",
+                )
             fields[key] = value
         return Message(self.line, name, fields)
 
     def _next_text(self) -> str | None:
-        """Returns the next line that is not empty, None at the end."""
+        """Returns the next line that is not empty, or None at the end of the input."""
         while True:
             try:
                 text = self.source.readline()
             except UnicodeDecodeError:
-                raise MalformedLineError(self.line + 1, "not UTF-8") from None
+                raise MalformedLineError(self.line + 1, "input is not valid UTF-8") from None
             if not text:
                 return None
             self.line += 1
@@ -188,7 +204,14 @@
 
 
 def encode_decision(decision: Decision, instance_name: str, request_id: str, address: str) -> str:
-    """Writes a decision as a line; `address` is that of the endpoint where an attempt starts."""
+    """Encodes a decision as a line.
+
+    Args:
+        decision: The decision.
+        instance_name: Name of the instance that made it.
+        request_id: Id of the request on the wire.
+        address: Address of the endpoint, for the start of an attempt only.
+    """
     target = f"i={instance_name} xid={request_id}"
     if isinstance(decision, StartAttempt):
         return f"ISSUE {target} timeout_us={decision.timeout_us} endpoint={address}"
@@ -201,16 +224,16 @@
 
 
 def encode_poll(instance_name: str) -> str:
-    """Writes that an instance asks for the endpoint list."""
+    """Encodes an instance's request for the endpoint list."""
     return f"LISTEN i={instance_name} active=1"
 
 
 def encode_timer(instance_name: str, wake_us: int) -> str:
-    """Writes when an instance wants to be called; the cookie tells later timers from earlier ones."""
+    """Encodes an instance's request for a timer; the cookie distinguishes later timers from earlier ones."""
     return f"REMIND i={instance_name} at_us={wake_us} cookie={wake_us}"
 
 
 def encode_fault(instance_name: str, fault_name: str, fault: Exception) -> str:
-    """Writes that an instance is faulty, with white space in the reason made single spaces."""
+    """Encodes that an instance has failed, with each run of white space in the reason replaced by a space."""
     reason = " ".join(f"{fault_name}: {fault}".split())
     return f"BUG i={instance_name} msg={reason}"
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Hosts the instances of one process; each has its own load balancer and shares nothing with the others."""
+"""Hosts the instances of one process. Each has its own load balancer and shares no state with the others."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 KNOWN_MESSAGES = {*EVENT_HANDLERS, INSTANCE_START, INSTANCE_END, LIST_UPDATE}
 
 WIRE_FAULT_NAMES: dict[type[Exception], str] = {ConfigurationError: "Unfit"}
-"""Faults that BUG messages have always named so; the names are part of the wire."""
+"""Names under which BUG messages report some exceptions. The names are part of the wire and differ from those
+of the classes."""
 
 
 def _wire_fault_name(fault: Exception) -> str:
@@ -24,16 +25,21 @@
 
 
 class Host:
-    """The instances by name and the endpoint lists by number."""
+    """Keeps the instances by name and the endpoint lists by number."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, Instance | None] = {}  # None: faulty, and reported
+        # None: the instance has failed, and this has been reported
+        self.instances: dict[str, Instance | None] = {}
         self.lists: dict[int, list[ListEntry]] = {}
 
     def handle(self, batch: Batch) -> list[str]:
-        """Handles a batch and returns the lines of the reply, but for its end.
+        """Handles a batch and returns the lines of the reply, except its last line.
 
-        Raises `MalformedLineError`. Any other fault makes its instance faulty and is reported.
+        Any exception other than `MalformedLineError` marks its instance as failed and is reported to the
+        simulator.
+
+        Raises:
+            MalformedLineError: A message of the batch is invalid.
         """
         lines: list[str] = []
         touched: dict[str, None] = {}
@@ -46,7 +52,7 @@
                 continue
             if message.name not in KNOWN_MESSAGES:
                 quoted = message.name[: codec.MAX_QUOTED]
-                raise MalformedLineError(message.line, f"unknown message {quoted}")
+                raise MalformedLineError(message.line, f"unknown message name '{quoted}'")
             name = message.text("i")
             touched[name] = None
             lines += self._handle_safely(message, name, batch.now_us)
@@ -61,7 +67,7 @@
             return self._handle_event(message, name, now_us)
         except MalformedLineError:
             raise
-        except Exception as fault:  # one faulty instance must not end the others
+        except Exception as fault:  # a failed instance must not stop the others
             self.instances[name] = None
             return [codec.encode_fault(name, _wire_fault_name(fault), fault)]
 
@@ -77,7 +83,7 @@
         if instance is None:
             if name not in self.instances:
                 quoted = name[: codec.MAX_QUOTED]
-                raise MalformedLineError(message.line, f"{message.name} for {quoted}, which was not born")
+                raise MalformedLineError(message.line, f"{message.name} for unknown instance '{quoted}'")
             return []
         if message.name == LIST_UPDATE:
             return instance.encode(instance.on_list(message, now_us, self.lists))
@@ -86,7 +92,7 @@
         return lines
 
     def _read_list(self, message: Message, messages: list[Message], position: int) -> int:
-        """Reads the entries of a list, which follow its line, and returns the position after them."""
+        """Reads the entries that follow the line of a list, and returns the position after them."""
         number, count = message.number("slot"), message.number("nodes_list")
         entries: list[ListEntry] = []
         for item in messages[position : position + count]:
@@ -96,7 +102,7 @@
         if len(entries) != count:
             raise MalformedLineError(
                 message.line,
-                f"{codec.LIST} names {count} entries, {len(entries)} {codec.LIST_ENTRY} lines follow",
+                f"{codec.LIST} announces {count} entries, but {len(entries)} {codec.LIST_ENTRY} lines follow",
             )
         self.lists[number] = entries
         return position + count
@@ -118,7 +124,11 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answers batches until the input ends; raises `MalformedLineError`."""
+    """Answers batches until the input ends.
+
+    Raises:
+        MalformedLineError: A line of the input is invalid.
+    """
     host = Host()
     for batch in BatchReader(source).batches():
         reply = [*host.handle(batch), codec.BATCH_REPLY_END]
--- a/cressrail/wirehost/instance.py
+++ b/cressrail/wirehost/instance.py
@@ -1,4 +1,4 @@
-"""One instance on the wire: request ids to handles on the way in, decisions to lines on the way out."""
+"""One instance on the wire: maps request ids to handles, and decisions to lines."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     ring_position: int
 
 
-EndpointLists = Mapping[int, list[ListEntry]]  # by the number that updates name
+EndpointLists = Mapping[int, list[ListEntry]]  # by the list number to which list updates refer
 
 LIST_FAILED = "X"
 LIST_CHANGES = "D"
@@ -38,10 +38,20 @@
 
 
 class Instance:
-    """One load balancer and its ids; shares nothing with other instances."""
+    """One load balancer with its wire ids; shares no state with other instances."""
 
     def __init__(self, name: str, seed: int, now_us: int, settings: SettingsReader) -> None:
-        """Raises `ConfigurationError` for settings of which no load balancer can be made."""
+        """Builds the load balancer from the settings.
+
+        Args:
+            name: Name of the instance on the wire.
+            seed: Seed of all random choices.
+            now_us: Current time in microseconds.
+            settings: Settings of the deployment.
+
+        Raises:
+            ConfigurationError: No load balancer can be built from the settings.
+        """
         self.name = name
         self.request_classes = policy_factory.read_request_classes(settings)
         quotas = policy_factory.read_tenant_quotas(settings)
@@ -54,14 +64,17 @@
         self.endpoint_indices: dict[str, int] = {}  # by address
         self.requests: dict[str, RoutedRequest] = {}
         self.request_ids: dict[RoutedRequest, str] = {}
-        self.timer_us: int | None = None  # the pending timer that counts
+        # time of the pending timer, which is also its cookie; None: no timer is pending
+        self.timer_us: int | None = None
 
     def on_request(self, message: Message, now_us: int) -> list[Decision]:
-        """A request came in."""
+        """Handles an incoming request."""
         request_id, class_name = message.text("xid"), message.text("type")
         if class_name not in self.request_classes:
             quoted = class_name[: codec.MAX_QUOTED]
-            raise MalformedLineError(message.line, f"type is no known profile: '{quoted}'")
+            raise MalformedLineError(
+                message.line, f"type is not the name of a configured profile: '{quoted}'"
+            )
         tenant = self.tenants.get(message.fields.get("team", ""), NO_TENANT)
         remaining_us = message.number("remaining_us")
         request = self.load_balancer.start_request(
@@ -72,12 +85,12 @@
         return request.route(now_us)
 
     def on_response_started(self, message: Message, _now_us: int) -> list[Decision]:
-        """A response began to stream to the client."""
+        """Handles a response that has started to stream to the client."""
         request = self.requests.get(message.text("xid"))
         return request.on_response_started(message.number("n")) if request else []
 
     def on_attempt_finished(self, message: Message, now_us: int) -> list[Decision]:
-        """An attempt ended."""
+        """Handles the end of an attempt."""
         request_id, attempt_number = message.text("xid"), message.number("n")
         outcome, latency_us = message.outcome(), message.number("cost_time_us")
         is_complete = message.flag("complete")
@@ -88,12 +101,12 @@
         return request.on_attempt_finished(attempt_number, now_us, outcome, latency_us, is_complete)
 
     def on_client_disconnected(self, message: Message, _now_us: int) -> list[Decision]:
-        """A client is gone."""
+        """Handles the disconnection of a client."""
         request = self.requests.get(message.text("xid"))
         return request.on_client_disconnected() if request else []
 
     def on_timer(self, message: Message, now_us: int) -> list[Decision]:
-        """A timer ran out; only the latest one that was asked for counts."""
+        """Handles the expiry of a timer; only the latest requested one takes effect."""
         cookie = message.text("cookie")
         if self.timer_us is None or cookie != str(self.timer_us):
             return []
@@ -101,20 +114,20 @@
         return self.load_balancer.on_timer(now_us)
 
     def on_probe_result(self, message: Message, _now_us: int) -> list[Decision]:
-        """Checks the result of a probe; none is asked for."""
+        """Checks the format of a probe result; the adapter requests no probes."""
         message.text("endpoint")
         message.outcome()
         message.check_load_report()
         return []
 
     def on_peer_message(self, message: Message, _now_us: int) -> list[Decision]:
-        """Checks a message of another instance; none is sent."""
+        """Checks the format of a message from another instance; the adapter sends none."""
         message.number("from")
         message.text("msg")
         return []
 
     def on_list(self, message: Message, now_us: int, lists: EndpointLists) -> list[Decision]:
-        """The endpoint list came, changes to it did, or a poll failed."""
+        """Handles a received endpoint list, changes to it, or a failed poll."""
         form = message.text("form")
         message.number("epoch", default=0)
         if form == LIST_FAILED:
@@ -122,10 +135,10 @@
             return []
         if form not in LIST_FORMS:
             quoted = form[: codec.MAX_QUOTED]
-            raise MalformedLineError(message.line, f"form is none of D, F, C, X: '{quoted}'")
+            raise MalformedLineError(message.line, f"form is not one of D, F, C, X: '{quoted}'")
         number = message.number("slot")
         if number not in lists:
-            raise MalformedLineError(message.line, f"slot {number} holds no list")
+            raise MalformedLineError(message.line, f"slot {number} holds no endpoint list")
         updates = [update for entry in lists[number] if (update := self._update(entry)) is not None]
         self.load_balancer.update_endpoints(
             now_us, updates, is_complete=form != LIST_CHANGES, is_poll_answer=form != LIST_UNASKED
@@ -133,7 +146,10 @@
         return []
 
     def _update(self, entry: ListEntry) -> EndpointUpdate | None:
-        """Returns an entry with indices for names, None if it went before it was ever named."""
+        """Returns an entry with indices in place of names.
+
+        Returns None for an endpoint that is gone and was never listed before.
+        """
         index = self.endpoint_indices.get(entry.address)
         if index is None:
             if entry.is_gone:
@@ -151,7 +167,7 @@
         )
 
     def encode(self, decisions: list[Decision]) -> list[str]:
-        """Writes decisions as lines, and forgets requests that are done with them."""
+        """Encodes decisions as lines, and removes the requests that are finished."""
         lines = []
         for decision in decisions:
             address = ""
@@ -165,7 +181,10 @@
         return lines
 
     def encode_polls_and_timers(self, now_us: int) -> list[str]:
-        """Writes what is to be asked for after a batch; a new timer only if it is to run out earlier."""
+        """Encodes the requests for a poll and a timer after a batch.
+
+        A timer is requested only if it expires earlier than the pending one.
+        """
         lines = []
         if self.load_balancer.list_poller.take_due_poll(now_us):
             lines.append(codec.encode_poll(self.name))
@@ -176,7 +195,7 @@
         return lines
 
     def release(self, request_id: str | None) -> None:
-        """Forgets a request that has its answer and no attempt in flight."""
+        """Removes a request that has been answered and has no attempt in flight."""
         request = self.requests.get(request_id) if request_id else None
         if request_id and request and request.is_finished and not request.in_flight:
             del self.requests[request_id], self.request_ids[request]
@@ -193,4 +212,4 @@
     "HEALTH_RESULT": Instance.on_probe_result,
     "PEER": Instance.on_peer_message,
 }
-"""What is called for each event of the wire."""
+"""Handler of each event of the wire, by message name."""
--- a/tests/wirehost/__init__.py
+++ b/tests/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the simulator's wire."""
+"""Tests of the adapter for the simulator's wire protocol."""
--- a/tests/wirehost/support.py
+++ b/tests/wirehost/support.py
@@ -1,4 +1,4 @@
-"""Lines of the wire, and the replies to them."""
+"""Lines of the wire, and a function that returns the replies to them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def replies_to(*events: str) -> list[str]:
-    """The lines of the reply to one batch, but for timers."""
+    """Returns the lines of the reply to one batch, except requests for timers."""
     sink = io.StringIO()
     serve(io.StringIO("BEGIN_BATCH clock_us=5\n" + "\n".join(events) + "\nOVER_TO_YOU\n"), sink)
     return [line for line in sink.getvalue().split("\n") if line and not line.startswith("REMIND")]
--- a/tests/wirehost/test_codec.py
+++ b/tests/wirehost/test_codec.py
@@ -1,4 +1,4 @@
-"""What the adapter says of input that cannot be read."""
+"""Errors that the adapter reports for malformed input."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 @pytest.mark.parametrize(
     ("events", "fault"),
     [
-        (["NONSENSE i=sidecar/0"], "line 2: unknown message NONSENSE"),
-        ([BORN, "DEMAND i=sidecar/0 xid=t1 type=read"], "line 3: remaining_us is missing"),
+        (["NONSENSE i=sidecar/0"], "line 2: unknown message name 'NONSENSE'"),
+        ([BORN, "DEMAND i=sidecar/0 xid=t1 type=read"], "line 3: DEMAND has no field remaining_us"),
         (
             [BORN, REQUEST.replace("remaining_us=1000000", "remaining_us=soon")],
-            "line 3: remaining_us is not a whole number: 'soon'",
+            "line 3: remaining_us is not an integer: 'soon'",
         ),
-        ([BORN, "ALARM i=sidecar/0 cookie"], "line 3: ALARM: 'cookie' is not name=value"),
+        ([BORN, "ALARM i=sidecar/0 cookie"], "line 3: ALARM: field 'cookie' is not of the form name=value"),
         (
             ["INVENTORY slot=0 nodes_list=2\nITEM endpoint=1:1 condition=on"],
-            "line 2: INVENTORY names 2 entries, 1 ITEM lines follow",
+            "line 2: INVENTORY announces 2 entries, but 1 ITEM lines follow",
         ),
-        ([REQUEST], "line 2: DEMAND for sidecar/0, which was not born"),
-        ([BORN, "BEGIN_BATCH clock_us=6"], "line 3: unknown message BEGIN_BATCH"),
+        ([REQUEST], "line 2: DEMAND for unknown instance 'sidecar/0'"),
+        ([BORN, "BEGIN_BATCH clock_us=6"], "line 3: unknown message name 'BEGIN_BATCH'"),
     ],
     ids=[
         "unknown-message",
@@ -46,9 +46,9 @@
 @pytest.mark.parametrize(
     ("text", "fault"),
     [
-        ("BEGIN_BATCH clock_us=5\n", "line 2: input ends inside a batch"),
+        ("BEGIN_BATCH clock_us=5\n", "line 2: input ends inside a batch, before OVER_TO_YOU"),
         ("", None),
-        ("OVER_TO_YOU\n", "line 1: expected BEGIN_BATCH, found OVER_TO_YOU"),
+        ("OVER_TO_YOU\n", "line 1: expected BEGIN_BATCH, found 'OVER_TO_YOU'"),
     ],
     ids=["inside-batch", "between-batches", "end-without-begin"],
 )
--- a/tests/wirehost/test_host.py
+++ b/tests/wirehost/test_host.py
@@ -1,4 +1,4 @@
-"""What the adapter answers, and how it follows the list."""
+"""Replies of the adapter to events, and its use of the endpoint list."""
 
 from __future__ import annotations
 
@@ -45,5 +45,5 @@
         "setting-out-of-range",
     ],
 )
-def test_serve_answers_events_as_expected(events: list[str], reply: str) -> None:
+def test_serve_replies_to_events(events: list[str], reply: str) -> None:
     assert replies_to(*events)[0] == reply
