--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -69,7 +69,7 @@
 class SlowStartState(NamedTuple):
     """What slow start has counted; its fields are written in this order."""
 
-    born_us: int
+    created_us: int
     recent_successes: float
     recent_successes_us: int
 
@@ -122,7 +122,7 @@
         ),
         RETRY_BUDGET: [list(balancer.budget.request_times_us), list(balancer.budget.retry_times_us)],
         SLOW_START: list(
-            SlowStartState(slow_start.born_us, slow_start.recent_successes, slow_start.recent_successes_us)
+            SlowStartState(slow_start.created_us, slow_start.recent_successes, slow_start.recent_successes_us)
         ),
         TENANT_QUOTAS: list(
             TenantQuotasState(
@@ -224,7 +224,7 @@
 
 def _restore_slow_start(state: SlowStartState, balancer: LoadBalancer) -> None:
     slow_start = balancer.slow_start
-    slow_start.born_us = state.born_us
+    slow_start.created_us = state.created_us
     slow_start.recent_successes = state.recent_successes
     slow_start.recent_successes_us = state.recent_successes_us
     own_subset = balancer.zone_subsets[balancer.spillover.own_zone]
@@ -250,13 +250,13 @@
         endpoints = [_parse_endpoint(values) for values in fields[ENDPOINTS]]
         latency_baseline = _parse_latency_baseline(fields[LATENCY_BASELINE])
         request_times_us, retry_times_us = (sorted(_whole_numbers(times)) for times in fields[RETRY_BUDGET])
-        born_us, successes, successes_us = fields[SLOW_START]
+        created_us, successes, successes_us = fields[SLOW_START]
         return HandoverState(
             {endpoint.name: endpoint for endpoint in endpoints},
             latency_baseline,
             request_times_us,
             retry_times_us,
-            SlowStartState(_whole_number(born_us), _number(successes), _whole_number(successes_us)),
+            SlowStartState(_whole_number(created_us), _number(successes), _whole_number(successes_us)),
             _parse_quotas(fields[TENANT_QUOTAS]),
             [
                 ZoneSubsetState(_number(admits), _whole_number(attempts), _number(attempts_per_s))
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -84,7 +84,7 @@
     def _traffic(now_us: int, load_balancer: LoadBalancer) -> int:
         budget = load_balancer.budget
         requests = sum(1 for taken_us in budget.request_times_us if taken_us > now_us - budget.window_us)
-        span_us = max(1, min(budget.window_us, now_us - load_balancer.slow_start.born_us))
+        span_us = max(1, min(budget.window_us, now_us - load_balancer.slow_start.created_us))
         return int(requests / span_us * PER_SECOND_THOUSANDTHS)
 
     @staticmethod
--- a/cressrail/policy/admission.py
+++ b/cressrail/policy/admission.py
@@ -64,7 +64,7 @@
         self.attempts_this_second = 0
         self.attempts_per_s = 0.0
 
-    def begin(self, even_load: float) -> None:
+    def initialize(self, even_load: float) -> None:
         """Sets the initial admitted fraction to `even_load`, unless the fraction is already known.
 
         Args:
@@ -82,8 +82,8 @@
         """
         step = ADJUSTMENT / max(MIN_ATTEMPTS_PER_S, self.attempts_per_s)
         step *= log(TARGET_LATENCY / max(TARGET_LATENCY / MAX_LATENCY_RATIO, latency))
-        moved = self.admitted_fraction * max(MIN_ADJUSTMENT_FACTOR, 1 + step)
-        self.admitted_fraction = min(MAX_ADMITTED, max(MIN_ADMITTED, moved))
+        adjusted = self.admitted_fraction * max(MIN_ADJUSTMENT_FACTOR, 1 + step)
+        self.admitted_fraction = min(MAX_ADMITTED, max(MIN_ADMITTED, adjusted))
 
     def on_second(self) -> None:
         """Updates the attempt rate with the attempts of the past second."""
--- a/cressrail/policy/attempt_feedback.py
+++ b/cressrail/policy/attempt_feedback.py
@@ -139,7 +139,7 @@
         self, endpoint: Endpoint, now_us: int, outcome: Outcome, latency: float, latency_us: int
     ) -> bool:
         """Returns whether the outcome indicates that the endpoint, or a tier behind it, is overloaded."""
-        if outcome is Outcome.REJECTED_BY_ENDPOINT or self._is_error_below(outcome):
+        if outcome is Outcome.REJECTED_BY_ENDPOINT or self._is_downstream_error(outcome):
             return True
         if latency <= self.latency_baseline.threshold:
             return False
@@ -148,7 +148,7 @@
         is_lost = outcome is Outcome.TIMED_OUT and endpoint.last_prompt_sent_us > now_us - latency_us
         return not is_lost
 
-    def _is_error_below(self, outcome: Outcome) -> bool:
+    def _is_downstream_error(self, outcome: Outcome) -> bool:
         """Returns whether the outcome is an error of a tier that calls another tier.
 
         Such errors count as overload so that first attempts are not sent on to an overloaded tier.
@@ -165,5 +165,5 @@
         endpoint.limit_cut_us = now_us
         # The cut is smaller while most attempts succeed; otherwise a few invalid answers would reduce the
         # limit.
-        exponent = min(1.0, 2 - 2 * endpoint.success_rate) if self._is_error_below(outcome) else 1.0
+        exponent = min(1.0, 2 - 2 * endpoint.success_rate) if self._is_downstream_error(outcome) else 1.0
         self.limiter.cut(subset, endpoint, exponent)
--- a/cressrail/policy/concurrency_limit.py
+++ b/cressrail/policy/concurrency_limit.py
@@ -77,14 +77,14 @@
         self.mean += (latency - self.mean) * weight
         self.mean_deviation += (abs(latency - self.mean) / self.mean - self.mean_deviation) * weight
         if self.sample_count >= BASELINE_SAMPLES:
-            risen = self.baseline * (1 + (now_us - self.updated_us) / BASELINE_RISE_US)
-            if not risen or self.mean <= risen:
+            risen_baseline = self.baseline * (1 + (now_us - self.updated_us) / BASELINE_RISE_US)
+            if not risen_baseline or self.mean <= risen_baseline:
                 # The tolerance is updated only together with the baseline: overload widens the deviation and
                 # would otherwise widen the tolerance as well.
                 self.baseline = self.mean
                 self.tolerance = TOLERATED_DEVIATIONS * self.mean_deviation
             else:
-                self.baseline = risen
+                self.baseline = risen_baseline
             self.threshold = min(MAX_THRESHOLD, self.baseline * (1 + self.tolerance))
         self.updated_us = now_us
 
--- a/cressrail/policy/endpoint_table.py
+++ b/cressrail/policy/endpoint_table.py
@@ -79,23 +79,23 @@
             is_complete: Whether `entries` is the whole list. All other endpoints then stop accepting
                 requests.
         """
-        named: list[Endpoint] = []
+        updated: list[Endpoint] = []
         zones: dict[int, None] = dict.fromkeys(self.zone_order if is_complete else ())
         for entry in entries:
             endpoint = self._apply_entry(entry, now_us, zones)
             if entry.zone not in self.zone_order:
                 self.zone_order.append(entry.zone)
-            named.append(endpoint)
+            updated.append(endpoint)
         self.zone_subsets += [ZoneSubset() for _ in self.zone_order[len(self.zone_subsets) :]]
         if is_complete:
-            kept = dict.fromkeys(named)
+            kept = dict.fromkeys(updated)
             for endpoint in self.endpoints.values():
                 endpoint.accepts_requests = endpoint.accepts_requests and endpoint in kept
         for zone in zones:
-            self._fill_zone(zone, named, is_complete)
-        self._begin_zones(now_us)
+            self._fill_zone(zone, updated, is_complete)
+        self._initialize_zones(now_us)
         self._estimate_sharing()
-        for endpoint in named:
+        for endpoint in updated:
             if endpoint.accepts_requests:
                 subset = self.zone_subsets[endpoint.zone]
                 endpoint.limit = endpoint.limit or FIRST_LIMIT / subset.sharing_instances
@@ -119,31 +119,31 @@
         endpoint.ring_position = entry.ring_position
         return endpoint
 
-    def _fill_zone(self, zone: int, named: list[Endpoint], is_complete: bool) -> None:
+    def _fill_zone(self, zone: int, updated: list[Endpoint], is_complete: bool) -> None:
         subset = self.zone_subsets[zone]
         candidates: Iterable[Endpoint] = (
-            self.endpoints.values() if is_complete else dict.fromkeys([*subset.endpoints, *named])
+            self.endpoints.values() if is_complete else dict.fromkeys([*subset.endpoints, *updated])
         )
         subset.set_endpoints(
             [endpoint for endpoint in candidates if endpoint.accepts_requests and endpoint.zone == zone],
             self.ring_position,
         )
 
-    def _begin_zones(self, now_us: int) -> None:
+    def _initialize_zones(self, now_us: int) -> None:
         total_scale = sum(subset.total_scale for subset in self.zone_subsets)
         self.slow_start.record_total_scale(now_us, total_scale)
         for subset in self.zone_subsets:
             even_load = subset.total_scale * len(self.zone_subsets) / max(MIN_SCALE, total_scale)
-            subset.admission.begin(even_load)
+            subset.admission.initialize(even_load)
         self.set_sizes_by_rate()
 
     def set_sizes_by_rate(self) -> None:
         """Sets the subset sizes for the mesh from the rate of attempts in each zone."""
         for zone, subset in enumerate(self.zone_subsets):
             is_own_zone = zone == self.zone_order[0]
-            least = MIN_OWN_ZONE_SUBSET_SIZE if is_own_zone else MIN_OTHER_ZONE_SUBSET_SIZE
-            by_rate = int(subset.admission.attempts_per_s * ENDPOINTS_PER_ATTEMPT_RATE)
-            subset.target_size = min(len(subset.endpoints), max(least, by_rate))
+            min_size = MIN_OWN_ZONE_SUBSET_SIZE if is_own_zone else MIN_OTHER_ZONE_SUBSET_SIZE
+            size_by_rate = int(subset.admission.attempts_per_s * ENDPOINTS_PER_ATTEMPT_RATE)
+            subset.target_size = min(len(subset.endpoints), max(min_size, size_by_rate))
 
     def set_instance_count(self, now_us: int, instance_count: float, instance_count_in_zone: float) -> None:
         """Sets the number of instances that share the endpoints, in total and in the own zone.
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -33,7 +33,7 @@
 )
 from cressrail.policy.random_generator import RandomGenerator
 from cressrail.policy.request_class import RequestClass
-from cressrail.policy.request_queue import QUEUE_WAIT_PARTS, RequestQueue
+from cressrail.policy.request_queue import QUEUE_WAIT_DIVISOR, RequestQueue
 from cressrail.policy.retry_budget import RetryBudget
 from cressrail.policy.retry_policy import RetryPolicy
 from cressrail.policy.routed_request import RoutedRequest
@@ -248,11 +248,11 @@
             self.spillover.weighted_fraction and self.spillover.draw_unserved(request.open_fraction)
         ):
             return [self.give_up(request)]
-        if not self.queue.is_behind(request):
+        if not self.queue.must_wait(request):
             endpoint = self.selector.select(request, now_us)
             if endpoint is not None:
                 return [self._start_attempt(request, endpoint, now_us)]
-        max_wait_us = request.request_class.latency_objective_us // QUEUE_WAIT_PARTS
+        max_wait_us = request.request_class.latency_objective_us // QUEUE_WAIT_DIVISOR
         if self.is_per_client or request.is_over_quota or self._queue_wait_us(request) > max_wait_us:
             return [self.give_up(request)]
         self.queue.add(request)
@@ -315,7 +315,7 @@
                 for subset in self.zone_subsets:
                     subset.admission.on_second()
                 self.table.set_sizes_by_rate()
-                age_us = now_us - self.slow_start.born_us
+                age_us = now_us - self.slow_start.created_us
                 self.selector.surge = self.budget.surge(now_us, age_us)
             for subset in self.zone_subsets:
                 subset.choose(now_us)
@@ -339,7 +339,7 @@
             self.quotas.on_rejected(latency_objective_us)
         if self.retry_policy.may_reject(request, bool(request.in_flight)):
             return RejectRequest(
-                request, min(self.max_retry_after_us, latency_objective_us // QUEUE_WAIT_PARTS)
+                request, min(self.max_retry_after_us, latency_objective_us // QUEUE_WAIT_DIVISOR)
             )
         return FailRequest(request)
 
--- a/cressrail/policy/request_queue.py
+++ b/cressrail/policy/request_queue.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from cressrail.policy.routed_request import RoutedRequest
 
-QUEUE_WAIT_PARTS = 4
+QUEUE_WAIT_DIVISOR = 4
 """A request waits for at most its latency objective divided by this number."""
 
 
@@ -28,7 +28,7 @@
         self.requests: list[RoutedRequest] = []
         self.next_expiry_us = now_us  # no queued request expires before this time
 
-    def is_behind(self, request: RoutedRequest) -> bool:
+    def must_wait(self, request: RoutedRequest) -> bool:
         """Returns whether a request of the same or a greater weight is already waiting."""
         return bool(self.requests) and self.requests[0].open_fraction >= request.open_fraction
 
--- a/cressrail/policy/routed_request.py
+++ b/cressrail/policy/routed_request.py
@@ -8,7 +8,7 @@
 from cressrail.policy.endpoint import Endpoint
 from cressrail.policy.outcome import Outcome
 from cressrail.policy.request_class import RequestClass
-from cressrail.policy.request_queue import QUEUE_WAIT_PARTS
+from cressrail.policy.request_queue import QUEUE_WAIT_DIVISOR
 
 if TYPE_CHECKING:
     from cressrail.policy.load_balancer import LoadBalancer
@@ -17,16 +17,16 @@
 """Remaining time that is assumed for a request whose clock has not started because the client is still
 sending it."""
 
-OPEN_TO_ALL = 0.5
+MIN_OPEN_FRACTION = 0.5
 """Fraction of a limit that requests of every weight may use. The rest is available in proportion to the
 weight relative to the class with the highest value."""
 
 # The deadline is brought forward by the remaining time divided by the first number, or by the second number
 # of rounds (`LoadBalancer.round_us`) if that is less.
-_DEADLINE_SPARE_PARTS = 64
-_DEADLINE_SPARE_ROUNDS = 2
+_DEADLINE_MARGIN_DIVISOR = 64
+_DEADLINE_MARGIN_ROUNDS = 2
 # Rounds that are reserved for a rejection to arrive within the latency objective.
-_OBJECTIVE_SPARE_ROUNDS = 4
+_OBJECTIVE_MARGIN_ROUNDS = 4
 
 
 class RoutedRequest:
@@ -74,14 +74,14 @@
         if load_balancer.is_per_client:
             self._shorten_deadline(now_us)
         self.queue_until_us: int = min(
-            self.deadline_us, now_us + request_class.latency_objective_us // QUEUE_WAIT_PARTS
+            self.deadline_us, now_us + request_class.latency_objective_us // QUEUE_WAIT_DIVISOR
         )
         quotas = load_balancer.quotas
         self.is_over_quota: bool = quotas.check_over_quota(tenant, now_us)
         weight = request_class.priority_weight * (quotas.over_quota_weight if self.is_over_quota else 1.0)
         self.open_fraction: float = 1.0
         if load_balancer.is_ingress:
-            self.open_fraction = OPEN_TO_ALL + (1 - OPEN_TO_ALL) * weight
+            self.open_fraction = MIN_OPEN_FRACTION + (1 - MIN_OPEN_FRACTION) * weight
         self.random_value: float = load_balancer.random_generator.fraction()
         self.attempts: list[Endpoint] = []
 
@@ -94,8 +94,10 @@
         may_reject = self.load_balancer.retry_policy.may_reject(self, may_have_run=True)
         if may_reject and not self.request_class.overdue_weight:
             objective_us = self.request_class.latency_objective_us
-            spare_us = _OBJECTIVE_SPARE_ROUNDS * self.load_balancer.round_us
-            self.deadline_us = min(self.deadline_us, now_us + max(objective_us // 2, objective_us - spare_us))
+            margin_us = _OBJECTIVE_MARGIN_ROUNDS * self.load_balancer.round_us
+            self.deadline_us = min(
+                self.deadline_us, now_us + max(objective_us // 2, objective_us - margin_us)
+            )
 
     def route(self, now_us: int) -> list[Decision]:
         """Decides on the first attempt; to be called once, right after the request was created."""
@@ -112,10 +114,10 @@
             self.is_uploading = False
             for attempt_number in self.in_flight:
                 self.load_balancer.add_in_flight(self.attempts[attempt_number], 1)
-        spare_us = min(
-            remaining_us // _DEADLINE_SPARE_PARTS, self.load_balancer.round_us * _DEADLINE_SPARE_ROUNDS
+        margin_us = min(
+            remaining_us // _DEADLINE_MARGIN_DIVISOR, self.load_balancer.round_us * _DEADLINE_MARGIN_ROUNDS
         )
-        self.deadline_us = now_us + remaining_us - spare_us
+        self.deadline_us = now_us + remaining_us - margin_us
 
     def on_response_started(self, attempt_number: int) -> list[Decision]:
         """Handles a response that has started to stream to the client: cancels all other attempts."""
--- a/cressrail/policy/slow_start.py
+++ b/cressrail/policy/slow_start.py
@@ -5,7 +5,7 @@
 from cressrail.policy.endpoint import Endpoint
 from cressrail.policy.zone_subset import ZoneSubset
 
-RATE_PARTS = 2
+RATE_TERMS = 2
 """Number of terms of the credit rate, which get equal parts of the tolerated multiple: half of it is granted
 by observed throughput, half by even shares of the total."""
 
@@ -22,7 +22,7 @@
 OTHER_ZONE_WEIGHT = 0.5
 """Factor of the even share for instances in other zones."""
 
-_MIN_SPAN_PARTS = 8  # rates are computed over at least the warm-up time divided by this number
+_MIN_SPAN_DIVISOR = 8  # rates are computed over at least the warm-up time divided by this number
 _CREDIT_FOR_ATTEMPT = 1.0
 
 
@@ -57,12 +57,12 @@
             overload_multiple: Multiple of its current capacity at which a starting endpoint fails.
             overload_span_us: Span over which that multiple is measured, in microseconds.
         """
-        self.born_us = now_us
+        self.created_us = now_us
         self.initial_fraction = initial_fraction
         self.warmup_us = warmup_us
         self.even_rate_per_us = even_rate_per_us
         self.max_even_rate_per_us = even_rate_per_us
-        self.rate_multiple = overload_multiple / RATE_PARTS
+        self.rate_multiple = overload_multiple / RATE_TERMS
         self.credit_lifetime_us = CREDIT_LIFETIME_SPANS * overload_span_us
         self.has_yielded = False  # another process of this instance spends the credit
         self.recent_successes = 0.0  # successful attempts, decaying over the warm-up time
@@ -116,7 +116,7 @@
         It is at least a fixed part of the warm-up time, so that rates are not exaggerated just after the
         start.
         """
-        return min(self.warmup_us, max(self.warmup_us // _MIN_SPAN_PARTS, until_us - self.born_us))
+        return min(self.warmup_us, max(self.warmup_us // _MIN_SPAN_DIVISOR, until_us - self.created_us))
 
     def is_warming_up(self, endpoint: Endpoint, now_us: int) -> bool:
         """Returns whether the endpoint is warming up.
@@ -151,9 +151,9 @@
         )
         # Without the even share, a fleet that is mostly warming up would grant itself less and less.
         zone_weight = OWN_ZONE_WEIGHT if is_own_zone else OTHER_ZONE_WEIGHT
-        even_part = min(1.0, zone_weight * subset.total_scale / self.largest_scale) / subset.scale_in_use
+        even_share = min(1.0, zone_weight * subset.total_scale / self.largest_scale) / subset.scale_in_use
         even_rate = self.even_rate_per_us or max(1.0, self.recent_successes) / self.observed_span_us(now_us)
-        rate = by_throughput + work * even_rate * even_part
+        rate = by_throughput + work * even_rate * even_share
         if endpoint.peer_work_per_us >= 0:
             # Reports from peers can only lower the even share, so wrong reports cannot take away what the
             # observed throughput grants.
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -69,19 +69,19 @@
         try:
             return self.fields[field]
         except KeyError:
-            raise self._missing(field) from None
+            raise self._missing_field(field) from None
 
     def number(self, field: str, default: int | None = None) -> int:
         """Returns the value of an integer field, which is required if there is no default."""
         value = self.fields.get(field)
         if value is None:
             if default is None:
-                raise self._missing(field)
+                raise self._missing_field(field)
             return default
         try:
             return int(value)
         except ValueError:
-            raise self._fault(f"{field} is not an integer", value) from None
+            raise self._invalid_value(f"{field} is not an integer", value) from None
 
     def ratio(self, field: str, default: float) -> float:
         """Returns the value of an optional numeric field."""
@@ -91,13 +91,13 @@
         try:
             return float(value)
         except ValueError:
-            raise self._fault(f"{field} is not a number", value) from None
+            raise self._invalid_value(f"{field} is not a number", value) from None
 
     def flag(self, field: str) -> bool:
         """Returns the value of an optional flag, 0 or 1."""
         value = self.fields.get(field, "0")
         if value not in ("0", "1"):
-            raise self._fault(f"{field} is neither 0 nor 1", value)
+            raise self._invalid_value(f"{field} is neither 0 nor 1", value)
         return value == "1"
 
     def outcome(self) -> Outcome:
@@ -106,7 +106,7 @@
         try:
             return OUTCOME_BY_ENDING[value]
         except KeyError:
-            raise self._fault("ending is not a known outcome code", value) from None
+            raise self._invalid_value("ending is not a known outcome code", value) from None
 
     def condition(self) -> EndpointCondition:
         """Returns the condition of a list entry."""
@@ -114,7 +114,7 @@
         try:
             return CONDITIONS[value]
         except KeyError:
-            raise self._fault("condition is not one of on, fading, off", value) from None
+            raise self._invalid_value("condition is not one of on, fading, off", value) from None
 
     def check_load_report(self) -> None:
         """Checks the format of the optional load report, which is otherwise ignored."""
@@ -124,14 +124,14 @@
                 try:
                     float(value)
                 except ValueError:
-                    raise self._fault("gauge entry is not of the form name:value", pair) from None
+                    raise self._invalid_value("gauge entry is not of the form name:value", pair) from None
                 if not separator:
-                    raise self._fault("gauge entry is not of the form name:value", pair)
+                    raise self._invalid_value("gauge entry is not of the form name:value", pair)
 
-    def _missing(self, field: str) -> MalformedLineError:
+    def _missing_field(self, field: str) -> MalformedLineError:
         return MalformedLineError(self.line, f"{self.name[:MAX_QUOTED]} has no field {field}")
 
-    def _fault(self, reason: str, value: str) -> MalformedLineError:
+    def _invalid_value(self, reason: str, value: str) -> MalformedLineError:
         return MalformedLineError(self.line, f"{reason}: '{value[:MAX_QUOTED]}'")
 
 
