--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy: each mechanism alone, and all of them joined in a load balancer."""
+"""Tests of the policy: of each mechanism on its own, and of all of them combined in a load balancer."""
--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -1,6 +1,7 @@
-"""Many load balancers in virtual time beside a model of endpoints, to see what starting endpoints get.
+"""Simulates many load balancers and model endpoints in virtual time, to measure work at starting endpoints.
 
-A zone is lost for some seconds and comes back; each instance learns of starts at a moment of its own.
+The endpoints of one zone are lost for some seconds and return. Each instance learns of their starts at a
+different time.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 WARMUP_US = 24 * SECOND
 OVERLOAD_MULTIPLE = 2.5
 OVERLOAD_SPAN_US = SECOND
-ENDPOINT_RATE_PER_S = 20.0  # requests that a warmed-up endpoint can take
+ENDPOINT_RATE_PER_S = 20.0  # requests per second that a warmed-up endpoint can serve
 END_US = 14 * SECOND
 LOST_US = 4 * SECOND
 LOST_ZONE = 1
@@ -33,47 +34,49 @@
 
 @dataclass
 class Scenario:
-    """What the fleet goes through."""
+    """Parameters of a simulated outage of one zone."""
 
     instances: int
     zones: int = 4
     endpoints: int = 48
-    skew: float = 1.0  # the busiest instance's traffic over that of the least busy
+    skew: float = 1.0  # ratio of the traffic of the busiest instance to that of the least busy one
     load: float = 0.7
     lost_s: float = 5.0
-    return_span_s: float = 0.0  # over which the zone comes back
-    is_removed: bool = False  # its endpoints leave the list while they are away
-    restarts_instances: bool = False  # all of them, a second before the return
-    wave: float = 1.0  # times the load, for a second from the return on
-    heavy: float = 0.0  # part of requests that are three times the work; the others are lighter
+    return_span_s: float = 0.0  # time over which the endpoints of the zone return
+    is_removed: bool = False  # whether the endpoints leave the list while they are away
+    restarts_instances: bool = False  # whether all instances restart, a second before the return
+    wave: float = 1.0  # factor of the load for a second from the return on
+    heavy: float = 0.0  # fraction of requests with three times the mean work; the others have less
     has_quotas: bool = True
-    list_delay_s: float = 0.0  # from a start to the list that says so
+    list_delay_s: float = 0.0  # delay from a start to the list entry that announces it
 
 
 @dataclass
 class FleetModel:
-    """The instances, and endpoints that answer so many requests a second each."""
+    """The instances, and endpoints that each serve a fixed rate of requests."""
 
     scenario: Scenario
     seed: int = 1
     load_balancers: list[LoadBalancer] = field(default_factory=list)
     events: list[Any] = field(default_factory=list)
     order: count[int] = field(default_factory=count)
-    starts_us: dict[int, int] = field(default_factory=dict)  # of the lost zone's endpoints
+    # start times of the endpoints in the lost zone, by index
+    starts_us: dict[int, int] = field(default_factory=dict)
     traffic_weights: list[float] = field(default_factory=list)  # by instance
-    recent_us: dict[int, deque[int]] = field(default_factory=dict)  # attempts of the last second
+    # times of the attempts of the last second, by endpoint
+    recent_us: dict[int, deque[int]] = field(default_factory=dict)
     warmup_work: dict[int, list[tuple[int, float]]] = field(default_factory=dict)
     overloads: list[str] = field(default_factory=list)
-    given: float = 0.0  # work that starting endpoints got
-    capacity: float = 0.0  # work that they could have done
+    given: float = 0.0  # work that starting endpoints received
+    capacity: float = 0.0  # work that starting endpoints could have done
 
     def random_value(self) -> float:
-        """From 0 up to 1."""
+        """Returns a pseudo-random number in the half-open interval from 0 to 1."""
         self.seed = self.seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1
         return (self.seed >> 32) / (1 << 32)
 
     def make_entry(self, index: int, started_us: int = 0, accepts_requests: bool = True) -> EndpointUpdate:
-        """The list's entry of an endpoint."""
+        """Returns the list entry of an endpoint."""
         return EndpointUpdate(
             index,
             index % self.scenario.zones,
@@ -85,7 +88,7 @@
         )
 
     def make_instance(self, number: int, now_us: int) -> LoadBalancer:
-        """An instance that has just started, with the list of before the loss."""
+        """Returns an instance that has just started and has the list from before the loss."""
         scenario = self.scenario
         total_per_s = 0.85 * ENDPOINT_RATE_PER_S * scenario.endpoints
         quotas = TenantQuotas([total_per_s] if scenario.has_quotas else [], scenario.instances, 0.1)
@@ -108,11 +111,11 @@
         return load_balancer
 
     def schedule(self, at_us: int, event: str, *details: object) -> None:
-        """Adds an event; the first detail is the instance's number."""
+        """Schedules an event; the first detail is the number of the instance."""
         heapq.heappush(self.events, (at_us, next(self.order), event, details))
 
     def run(self) -> None:
-        """Plays the scenario and adds up what starting endpoints got."""
+        """Runs the scenario and sums up the work and the capacity of the starting endpoints."""
         scenario = self.scenario
         back_us = LOST_US + int(scenario.lost_s * SECOND)
         self.starts_us = {
@@ -136,7 +139,7 @@
                 self.capacity += ENDPOINT_RATE_PER_S / 10 * _capacity_fraction(at_us - started_us)
 
     def schedule_events_of(self, number: int, back_us: int) -> None:
-        """Schedules an instance's first request and timer, and what it learns of the lost zone."""
+        """Schedules the first request and timer of an instance, and its list updates about the lost zone."""
         scenario = self.scenario
         self.schedule(int(self.random_value() * SECOND * scenario.instances / 100), "request", number)
         self.schedule(int(self.random_value() * SECOND), "timer", number)
@@ -150,7 +153,7 @@
             self.schedule(list_us, "list", number, [self.make_entry(index, started_us)])
 
     def handle(self, now_us: int, event: str, back_us: int, details: tuple[Any, ...]) -> list[Decision]:
-        """Passes an event to its instance."""
+        """Passes an event to its instance and returns the decisions."""
         number: int = details[0]
         load_balancer = self.load_balancers[number]
         if event == "request":
@@ -168,7 +171,7 @@
         return load_balancer.on_timer(now_us)
 
     def time_to_next_request(self, number: int, now_us: int, back_us: int) -> int:
-        """Random, by the instance's part of the traffic."""
+        """Returns a random time to the next request, by the instance's fraction of the traffic."""
         scenario = self.scenario
         rate = scenario.load * ENDPOINT_RATE_PER_S * scenario.endpoints / SECOND
         wave = scenario.wave if back_us <= now_us < back_us + SECOND else 1.0
@@ -177,7 +180,7 @@
         return int(2 * mean_us * self.random_value())
 
     def send(self, now_us: int, number: int, decisions: Iterable[Decision]) -> None:
-        """Lets the endpoints answer the attempts that the decisions start."""
+        """Simulates the endpoints' replies to the attempts that the decisions start."""
         for start in starts_in(decisions):
             index = start.endpoint_index
             attempt = (start.request, len(start.request.attempts) - 1)
@@ -197,7 +200,7 @@
             self.schedule(now_us + SECOND // 10, "end", number, *attempt, outcome, now_us)
 
     def count_warmup_work(self, index: int, started_us: int, now_us: int) -> None:
-        """Counts an attempt at a starting endpoint, and whether that is too much for it."""
+        """Records the work of an attempt at a starting endpoint, and whether it overloads the endpoint."""
         heavy = self.scenario.heavy
         work = 3.0 if self.random_value() < heavy else (1 - 3 * heavy) / (1 - heavy)
         done = self.warmup_work.setdefault(index, [])
@@ -207,7 +210,9 @@
         allowed = OVERLOAD_MULTIPLE * capacity * OVERLOAD_SPAN_US / SECOND
         if recent > allowed + 3 * allowed**0.5 + 3:
             age_s = (now_us - started_us) / SECOND
-            self.overloads.append(f"{index} at the age of {age_s:.2f} s: {recent:.1f} of {allowed:.1f}")
+            self.overloads.append(
+                f"endpoint {index} {age_s:.2f} s after its start: work {recent:.1f}, allowed {allowed:.1f}"
+            )
 
 
 def _capacity_fraction(age_us: int) -> float:
--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -1,4 +1,4 @@
-"""A load balancer with a small fleet, and short forms of its parts."""
+"""Factories for a load balancer with a small fleet and for its parts."""
 
 from __future__ import annotations
 
@@ -26,24 +26,28 @@
     key_scope: KeyScope = KeyScope.ALL,
     priority_weight: float = 1.0,
 ) -> RequestClass:
-    """Idempotency window 5 s, latency objective 1 s, deadline 4 s."""
+    """Returns a class with an idempotency window of 5 s, a latency objective of 1 s and a deadline of 4 s."""
     return RequestClass(idempotency, key_scope, 5 * SECOND, SECOND, 4 * SECOND, priority_weight)
 
 
 def make_entry(
     index: int, zone: int = 0, cell: int = 0, accepts_requests: bool = True, started_us: int = 0
 ) -> EndpointUpdate:
-    """An entry of the endpoint list, of scale 1."""
+    """Returns an entry of the endpoint list with scale 1."""
     return EndpointUpdate(index, zone, cell, 1.0, accepts_requests, started_us, index)
 
 
 def make_slow_start(even_rate_per_us: float = 0.0, now_us: int = 0) -> SlowStart:
-    """A fifth of capacity at first, warmed up within 10 s, overloaded at four times its capacity for 2 s."""
+    """Returns a slow start with a short warm-up.
+
+    Endpoints start with a fifth of their capacity, are warmed up after 10 s, and are overloaded by four times
+    their capacity over 2 s.
+    """
     return SlowStart(0.2, 10 * SECOND, now_us, even_rate_per_us, 4.0, 2 * SECOND)
 
 
 def make_load_balancer(entries: Iterable[EndpointUpdate], **parts: Any) -> LoadBalancer:
-    """A load balancer of the ingress tier that has the list; `parts` replace its arguments."""
+    """Returns a load balancer of the ingress tier that has the list; `parts` override its arguments."""
     random_generator = RandomGenerator(7)
     arguments: dict[str, Any] = dict(
         random_generator=random_generator,
@@ -69,12 +73,12 @@
 
 
 def starts_in(decisions: Iterable[Decision]) -> list[StartAttempt]:
-    """Those of the decisions that start an attempt."""
+    """Returns the decisions that start an attempt."""
     return [decision for decision in decisions if isinstance(decision, StartAttempt)]
 
 
 def send_successes(load_balancer: LoadBalancer, count: int = 100, now_us: int = 0) -> None:
-    """So many requests that succeed at once, for the budget and the averages to go by."""
+    """Sends requests that succeed at once, which fills the retry budget and the moving averages."""
     for _ in range(count):
         request = load_balancer.start_request(now_us, make_request_class(), NO_TENANT, 4 * SECOND)
         for _ in starts_in(request.route(now_us)):
@@ -98,7 +102,13 @@
 def make_mesh_load_balancer(
     entries: Iterable[EndpointUpdate] = MESH_FLEET, admitted_fraction: float = 1.0, **parts: Any
 ) -> LoadBalancer:
-    """One of 400 instances in the mesh; each zone admits this fraction, or what it starts with for 0."""
+    """Returns one of 400 instances in the mesh.
+
+    Args:
+        entries: The endpoint list.
+        admitted_fraction: Admitted fraction of every zone; 0: keep the initial ones.
+        **parts: Override the arguments of the load balancer.
+    """
     load_balancer = make_load_balancer(entries, **{"is_per_client": True, "instance_count": 400, **parts})
     for subset in load_balancer.zone_subsets:
         admission = subset.admission
@@ -112,5 +122,5 @@
     request_class: RequestClass | None = None,
     remaining_us: int = 4 * SECOND,
 ) -> RoutedRequest:
-    """A request without a tenant, of the class that is idempotent unless another is given."""
+    """Returns a request without a tenant; its class is idempotent unless another one is given."""
     return load_balancer.start_request(now_us, request_class or make_request_class(), NO_TENANT, remaining_us)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The mesh, with an instance for each client process: many instances, each with little traffic."""
+"""Admission in the mesh, where each client process has an instance: many instances with little traffic."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     ("sizes", "fractions"),
     [((3, 3), (1.0, 1.0)), ((1, 3), (0.5, 1.5)), ((1, 9), (0.2, 1.8)), ((0, 3), (0.0, 2.0))],
 )
-def test_zone_starts_with_what_it_can_take_of_an_even_load(
+def test_initial_admitted_fraction_is_the_zone_capacity_relative_to_the_mean(
     sizes: tuple[int, int], fractions: tuple[float, float]
 ) -> None:
     load_balancer = make_mesh_load_balancer(
@@ -37,7 +37,7 @@
     ("attempts_per_s", "latency_ratio", "factor"),
     [(0.0, 1, 1.0), (0.0, 0.5, 1.55), (0.0, 4, 0.5), (10.0, 0.5, 1.055), (10.0, 4, 0.889)],
 )
-def test_record_latency_moves_the_admitted_fraction_more_where_attempts_are_few(
+def test_record_latency_adjusts_the_admitted_fraction_more_at_low_attempt_rates(
     attempts_per_s: float, latency_ratio: float, factor: float
 ) -> None:
     admission = make_mesh_load_balancer().zone_subsets[0].admission
@@ -46,7 +46,7 @@
     assert admission.admitted_fraction == pytest.approx(0.5 * factor, rel=0.01)
 
 
-def test_admitted_fraction_and_rate_outlast_a_list() -> None:
+def test_admitted_fraction_and_rate_survive_a_list_update() -> None:
     load_balancer = make_mesh_load_balancer()
     subset = load_balancer.zone_subsets[0]
     subset.admission.admitted_fraction, subset.admission.attempts_per_s = 0.3, 9.0
@@ -71,12 +71,14 @@
     for subset in load_balancer.zone_subsets:
         subset.admission.admitted_fraction = 0.5
     sent = sum(len(starts_in(start_request(load_balancer, now_us).route(now_us))) for now_us in range(400))
-    assert 270 < sent < 330  # three quarters: half in the own zone, and half of the rest in the other
+    # three quarters: half in the own zone, and half of the remaining requests in the other zone
+    assert 270 < sent < 330
 
 
 @pytest.mark.parametrize(("attempts_per_s", "size"), [(0.0, 2), (4.0, 2), (10.0, 5), (100.0, 6)])
 def test_subset_size_follows_the_rate_of_attempts(attempts_per_s: float, size: int) -> None:
-    # A connection stays open a minute, and 400 instances with twelve each filled tables of 85.
+    # Connections stay open for a minute, and 400 instances with twelve connections each filled connection
+    # tables of 85 entries.
     load_balancer = make_mesh_load_balancer()
     own, other = load_balancer.zone_subsets
     own.admission.attempts_per_s, own.admission.attempts_this_second = attempts_per_s, int(attempts_per_s)
@@ -135,7 +137,7 @@
 @pytest.mark.parametrize(
     ("calm", "recent", "surge"), [(80, 10, 1.0), (80, 100, 2.78), (0, 1, 1.0), (0, 30, 5.0)]
 )
-def test_surge_of_own_requests_cuts_what_zones_admit_at_once(calm: int, recent: int, surge: float) -> None:
+def test_surge_of_own_requests_reduces_admission_at_once(calm: int, recent: int, surge: float) -> None:
     load_balancer = make_mesh_load_balancer(slow_start=make_slow_start(now_us=-SECOND))
     for number in range(calm):
         start_request(load_balancer, number * SECOND // 10, remaining_us=SECOND)
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How limits grow and are cut, and the latency above which they are."""
+"""Growth and cuts of concurrency limits, and the latency threshold above which they are cut."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("errors", [1, 2, 8])
-def test_errors_of_inner_tiers_cut_limits_by_how_frequent_they_are(errors: int) -> None:
+def test_cut_for_errors_of_inner_tiers_depends_on_their_frequency(errors: int) -> None:
     load_balancer = make_load_balancer([make_entry(0)], is_last_tier=False)
     for now_us in range(errors):
         request = start_request(load_balancer, now_us)
@@ -100,7 +100,9 @@
 
 
 @pytest.mark.parametrize(("is_ingress", "floor"), [(True, 1.0), (False, 6.0)])
-def test_limits_behind_the_ingress_tier_never_go_below_the_first_ones(is_ingress: bool, floor: float) -> None:
+def test_limits_behind_the_ingress_tier_never_fall_below_the_initial_ones(
+    is_ingress: bool, floor: float
+) -> None:
     load_balancer = make_load_balancer([make_entry(0)], is_ingress=is_ingress)
     for _ in range(40):
         request = start_request(load_balancer)
@@ -125,7 +127,7 @@
     [
         ([0.2], [], 0.2),
         ([0.1, 0.3], [], 0.4),
-        ([0.1, 0.3], [0.05, 1.2], 0.4),  # wider deviations move nothing
+        ([0.1, 0.3], [0.05, 1.2], 0.4),  # overload widens the deviation, but not the tolerance
         ([0.4, 0.6], [], 0.5),
         ([0.9], [], 0.5),
     ],
--- a/tests/policy/test_endpoint.py
+++ b/tests/policy/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The record of one endpoint."""
+"""State of one endpoint."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to."""
+"""Selection of the endpoint for an attempt."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("weight", "least", "most"), [(1.0, 200, 200), (0.0, 70, 130)])
-def test_limit_below_one_is_open_to_a_part_of_the_requests_of_low_weight(
+def test_limit_below_one_admits_a_fraction_of_the_requests_of_low_weight(
     weight: float, least: int, most: int
 ) -> None:
     load_balancer = make_load_balancer([make_entry(0)], instance_count=100)
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""How endpoints are shared among instances."""
+"""Sharing of the endpoints among instances."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("zone_count", "own_limit", "other_limit"), [(1, 2.0, None), (2, 4.0, 2.0), (3, 6.0, 2.0)]
 )
-def test_first_limits_of_the_own_zone_are_shared_by_its_own_instances_only(
+def test_initial_limits_of_the_own_zone_are_shared_by_its_own_instances_only(
     zone_count: int, own_limit: float, other_limit: float | None
 ) -> None:
     load_balancer = make_load_balancer(
--- a/tests/policy/test_list_polling.py
+++ b/tests/policy/test_list_polling.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is asked for."""
+"""Schedule of the polls of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""What holds for all mechanisms together."""
+"""Properties of the load balancer as a whole."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
     assert [type(decision) is StartAttempt for decision in decisions] == [is_owned]
 
 
-def test_chain_keeps_limits_in_flight_and_the_queue() -> None:
+def test_request_is_queued_when_the_limit_is_reached() -> None:
     load_balancer = make_load_balancer([make_entry(0)])
     load_balancer.endpoints[0].limit = load_balancer.zone_subsets[0].limit = 1.0
     requests = [start_request(load_balancer) for _ in range(2)]
--- a/tests/policy/test_request_class.py
+++ b/tests/policy/test_request_class.py
@@ -1,4 +1,4 @@
-"""The weights of request classes."""
+"""Priority weights of request classes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     ("is_value_per_work", "worst_class_weight", "weights"),
     [(False, 0.0, [1.0, 1 / 6]), (True, 0.0, [1.0, 0.25]), (False, 0.4, [1.0, 0.5]), (True, 1.0, [1.0, 1.0])],
 )
-def test_priority_weights_leave_the_least_class_its_part(
+def test_priority_weights_give_every_class_at_least_the_worst_class_weight(
     is_value_per_work: bool, worst_class_weight: float, weights: list[float]
 ) -> None:
     found = priority_weights([8.0, 2.0], [2 * SECOND, 3 * SECOND], is_value_per_work, worst_class_weight)
--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests for which no endpoint has room."""
+"""Queue of the requests for which no endpoint has room."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The bound on retries."""
+"""Limit on the number of retries."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request may be attempted again, or be rejected as without effect."""
+"""Safety rules for retries, and for rejections that declare a request to be without effect."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def request_after(idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome) -> RoutedRequest:
-    """A request whose first attempt ended so in zone 0 and cell 0."""
+    """Returns a request whose only attempt ended with `outcome` at an endpoint in zone 0 and cell 0."""
     load_balancer = make_load_balancer([make_entry(0, zone=0, cell=0)], retry_policy=RetryPolicy(3, False))
     request = start_request(load_balancer, 0, make_request_class(idempotency, key_scope))
     request.route(0)
@@ -71,7 +71,7 @@
         (False, 0, 3, False),
     ],
 )
-def test_retry_respects_attempts_in_flight_and_in_all(
+def test_retry_respects_attempts_in_flight_and_maximum_attempts(
     may_hedge: bool, in_flight: int, attempts: int, is_allowed: bool
 ) -> None:
     load_balancer = make_load_balancer([make_entry(0)])
--- a/tests/policy/test_routed_request.py
+++ b/tests/policy/test_routed_request.py
@@ -1,4 +1,4 @@
-"""The times of one request."""
+"""Deadlines, timeouts and in-flight counts of one request."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         (Idempotency.IDEMPOTENT, KeyScope.ALL, 0.0, False, 3_990_000),
     ],
 )
-def test_attempt_ends_at_the_objective_where_late_is_worthless_and_reject_is_allowed(
+def test_timeout_ends_at_the_objective_if_late_answers_are_worthless_and_reject_is_allowed(
     idempotency: Idempotency, key_scope: KeyScope, overdue_weight: float, is_per_client: bool, timeout_us: int
 ) -> None:
     load_balancer = make_mesh_load_balancer(is_per_client=is_per_client, instance_count=1)
@@ -47,7 +47,7 @@
 
 
 def test_request_counts_as_in_flight_only_once_its_clock_runs() -> None:
-    """Slow uploads and slow readers would else use up the limits of endpoints that have nothing to do."""
+    """Otherwise slow uploads and slow readers would use up the limits of idle endpoints."""
     load_balancer = make_load_balancer([make_entry(0)])
     endpoint, subset = load_balancer.endpoints[0], load_balancer.zone_subsets[0]
     request = load_balancer.start_request(0, make_request_class(), NO_TENANT, -1)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What one instance gives to endpoints that have just started."""
+"""Attempts that one instance sends to endpoints that have just started."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(("age_s", "most"), [(0, 8), (5, 24), (9, 38)])
-def test_starting_endpoint_gets_its_part_of_what_a_warmed_up_one_gets(age_s: int, most: int) -> None:
+def test_starting_endpoint_gets_a_fraction_of_what_a_warmed_up_one_gets(age_s: int, most: int) -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1)], slow_start=make_slow_start())
     for now_us in range(0, 20 * SECOND, 50 * MILLISECOND):
         send_successes(load_balancer, 1, now_us)
@@ -53,7 +53,8 @@
 @pytest.mark.parametrize(
     ("busy_s", "starved_s", "even_rate_per_s", "least", "most"),
     [
-        # 10 a second at each, 0.2 to 0.6 of that for 5 s, times at most 4, which is the multiple: 80
+        # The bound is 80 attempts: 10 per second at each endpoint, 0.2 to 0.6 of that for 5 s, times the
+        # overload multiple of 4.
         (20, 0, 0.0, 40, 65),
         (20, 5, 0.0, 25, 45),
         (20, 200, 0.0, 0, 3),
@@ -73,7 +74,7 @@
     endpoint, subset = load_balancer.endpoints[0], load_balancer.zone_subsets[0]
     for number in range(busy_s * 40):
         slow_start.record_success(number * SECOND // 40, subset)
-    for second in range(starved_s):  # one a second gets through
+    for second in range(starved_s):  # one success per second
         slow_start.record_success((busy_s + second) * SECOND, subset)
     endpoint.started_us = endpoint.slow_start_credit_us = started_us
     attempts = 0
@@ -100,7 +101,7 @@
         load_balancer._start_attempt(request, endpoint, 0)
         request.on_attempt_finished(0, 1000, outcome, 1000, outcome is Outcome.SUCCEEDED)
     assert load_balancer.slow_start.is_warming_up(endpoint, 1000) is is_warming_up
-    # The list names the start: from now on the time since then counts.
+    # Once the list gives a start time, the warm-up is measured from it.
     load_balancer.update_endpoints(2000, [make_entry(0, started_us=1)], False)
     assert endpoint.connect_failures == 0
     assert load_balancer.slow_start.is_warming_up(endpoint, 2000)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""What all instances together give to endpoints that come back, against what the settings allow."""
+"""Load that all instances together put on returning endpoints, compared with the limits in the settings."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     ],
     ids=str,
 )
-def test_all_instances_together_overload_no_starting_endpoint_and_yet_it_comes_back(
+def test_instances_together_use_starting_endpoints_without_overloading_them(
     scenario: Scenario, least: float
 ) -> None:
     model = FleetModel(scenario)
--- a/tests/policy/test_tenant_quota.py
+++ b/tests/policy/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Which requests are over their tenant's quota."""
+"""Detection of requests over their tenant's quota."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 @pytest.mark.parametrize(("is_short", "least"), [(False, 0), (True, 100)])
-def test_quota_fills_by_what_is_sent_while_capacity_is_short(is_short: bool, least: int) -> None:
+def test_buckets_fill_with_sent_requests_while_capacity_is_short(is_short: bool, least: int) -> None:
     quotas = TenantQuotas([50.0, 50.0], 1, 0.1)
     found = 0
-    for number in range(400):  # the first tenant alone sends, at a fifth of both quotas together
+    for number in range(400):  # only the first tenant sends, at a fifth of the sum of both quotas
         if is_short:
             quotas.on_rejected(SECOND)
         is_over_quota = quotas.check_over_quota(0, number * SECOND // 20)
--- a/tests/policy/test_zone_spillover.py
+++ b/tests/policy/test_zone_spillover.py
@@ -1,4 +1,4 @@
-"""In which order zones are tried."""
+"""Order in which zones are tried."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_zone_subset.py
+++ b/tests/policy/test_zone_subset.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a zone an instance uses."""
+"""Choice of the endpoints of a zone that an instance uses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("restarts", "after_us", "is_in_use"), [(False, 0, False), (False, 3 * SECOND, True), (True, 0, True)]
 )
-def test_lost_endpoint_is_left_out_until_it_restarts_or_for_a_while(
+def test_lost_endpoint_is_unused_until_it_restarts_or_its_ejection_ends(
     restarts: bool, after_us: int, is_in_use: bool
 ) -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1), make_entry(2)])
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(("instance_count", "size"), [(1, 20), (6, 20), (24, 5), (1000, 4)])
-def test_choose_fills_the_subset_up_when_an_endpoint_fails(instance_count: int, size: int) -> None:
+def test_choose_replaces_a_failing_endpoint(instance_count: int, size: int) -> None:
     load_balancer = make_load_balancer(
         [make_entry(index) for index in range(20)], instance_count=instance_count
     )
--- a/tests/wirehost/test_codec.py
+++ b/tests/wirehost/test_codec.py
@@ -32,9 +32,9 @@
         "unknown-message",
         "missing-value",
         "malformed-value",
-        "no-name",
-        "missing-items",
-        "unknown-sidecar",
+        "field-without-value",
+        "missing-entries",
+        "unknown-instance",
         "batch-in-batch",
     ],
 )
