--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -45,8 +45,8 @@
     return_span_s: float = 0.0  # time over which the endpoints of the zone return
     is_removed: bool = False  # whether the endpoints leave the list while they are away
     restarts_instances: bool = False  # whether all instances restart, a second before the return
-    wave: float = 1.0  # factor of the load for a second from the return on
-    heavy: float = 0.0  # fraction of requests with three times the mean work; the others have less
+    surge_factor: float = 1.0  # factor of the load for a second from the return on
+    heavy_fraction: float = 0.0  # fraction of requests with three times the mean work; the others have less
     has_quotas: bool = True
     list_delay_s: float = 0.0  # delay from a start to the list entry that announces it
 
@@ -67,7 +67,7 @@
     recent_us: dict[int, deque[int]] = field(default_factory=dict)
     warmup_work: dict[int, list[tuple[int, float]]] = field(default_factory=dict)
     overloads: list[str] = field(default_factory=list)
-    given: float = 0.0  # work that starting endpoints received
+    granted_work: float = 0.0  # work that starting endpoints received
     capacity: float = 0.0  # work that starting endpoints could have done
 
     def random_value(self) -> float:
@@ -117,9 +117,9 @@
     def run(self) -> None:
         """Runs the scenario and sums up the work and the capacity of the starting endpoints."""
         scenario = self.scenario
-        back_us = LOST_US + int(scenario.lost_s * SECOND)
+        return_us = LOST_US + int(scenario.lost_s * SECOND)
         self.starts_us = {
-            index: back_us + int(scenario.return_span_s * SECOND * self.random_value())
+            index: return_us + int(scenario.return_span_s * SECOND * self.random_value())
             for index in range(scenario.endpoints)
             if index % scenario.zones == LOST_ZONE
         }
@@ -129,16 +129,16 @@
         ]
         self.recent_us = {index: deque() for index in range(scenario.endpoints)}
         for number in range(scenario.instances):
-            self.schedule_events_of(number, back_us)
+            self.schedule_events_of(number, return_us)
         while self.events and self.events[0][0] < END_US:
             now_us, _, event, details = heapq.heappop(self.events)
-            self.send(now_us, details[0], self.handle(now_us, event, back_us, details))
+            self.send(now_us, details[0], self.handle(now_us, event, return_us, details))
         for index, started_us in self.starts_us.items():
-            self.given += sum(work for _, work in self.warmup_work.get(index, []))
+            self.granted_work += sum(work for _, work in self.warmup_work.get(index, []))
             for at_us in range(started_us, min(END_US, started_us + WARMUP_US), SECOND // 10):
                 self.capacity += ENDPOINT_RATE_PER_S / 10 * _capacity_fraction(at_us - started_us)
 
-    def schedule_events_of(self, number: int, back_us: int) -> None:
+    def schedule_events_of(self, number: int, return_us: int) -> None:
         """Schedules the first request and timer of an instance, and its list updates about the lost zone."""
         scenario = self.scenario
         self.schedule(int(self.random_value() * SECOND * scenario.instances / 100), "request", number)
@@ -147,17 +147,19 @@
             removed = [self.make_entry(index, accepts_requests=False) for index in self.starts_us]
             self.schedule(LOST_US + SECOND + int(self.random_value() * SECOND // 10), "list", number, removed)
         if scenario.restarts_instances:
-            self.schedule(back_us - SECOND + int(self.random_value() * SECOND // 10), "restart", number)
+            self.schedule(return_us - SECOND + int(self.random_value() * SECOND // 10), "restart", number)
         for index, started_us in self.starts_us.items():
             list_us = started_us - 1 + int((scenario.list_delay_s - self.random_value() / 20) * SECOND)
             self.schedule(list_us, "list", number, [self.make_entry(index, started_us)])
 
-    def handle(self, now_us: int, event: str, back_us: int, details: tuple[Any, ...]) -> list[Decision]:
+    def handle(self, now_us: int, event: str, return_us: int, details: tuple[Any, ...]) -> list[Decision]:
         """Passes an event to its instance and returns the decisions."""
         number: int = details[0]
         load_balancer = self.load_balancers[number]
         if event == "request":
-            self.schedule(now_us + 1 + self.time_to_next_request(number, now_us, back_us), "request", number)
+            self.schedule(
+                now_us + 1 + self.time_to_next_request(number, now_us, return_us), "request", number
+            )
             return start_request(load_balancer, now_us, remaining_us=SECOND).route(now_us)
         if event == "end":
             return _finish_attempt(now_us, *details[1:])
@@ -170,13 +172,13 @@
         self.schedule(now_us + SECOND // 4, "timer", number)
         return load_balancer.on_timer(now_us)
 
-    def time_to_next_request(self, number: int, now_us: int, back_us: int) -> int:
+    def time_to_next_request(self, number: int, now_us: int, return_us: int) -> int:
         """Returns a random time to the next request, by the instance's fraction of the traffic."""
         scenario = self.scenario
         rate = scenario.load * ENDPOINT_RATE_PER_S * scenario.endpoints / SECOND
-        wave = scenario.wave if back_us <= now_us < back_us + SECOND else 1.0
+        surge_factor = scenario.surge_factor if return_us <= now_us < return_us + SECOND else 1.0
         weights = self.traffic_weights
-        mean_us = scenario.instances * sum(weights) / len(weights) / weights[number] / (rate * wave)
+        mean_us = scenario.instances * sum(weights) / len(weights) / weights[number] / (rate * surge_factor)
         return int(2 * mean_us * self.random_value())
 
     def send(self, now_us: int, number: int, decisions: Iterable[Decision]) -> None:
@@ -201,8 +203,10 @@
 
     def count_warmup_work(self, index: int, started_us: int, now_us: int) -> None:
         """Records the work of an attempt at a starting endpoint, and whether it overloads the endpoint."""
-        heavy = self.scenario.heavy
-        work = 3.0 if self.random_value() < heavy else (1 - 3 * heavy) / (1 - heavy)
+        heavy_fraction = self.scenario.heavy_fraction
+        work = (
+            3.0 if self.random_value() < heavy_fraction else (1 - 3 * heavy_fraction) / (1 - heavy_fraction)
+        )
         done = self.warmup_work.setdefault(index, [])
         done.append((now_us, work))
         recent = sum(work for at_us, work in done if at_us > now_us - OVERLOAD_SPAN_US)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -63,9 +63,9 @@
     assert start.endpoint_index == selected
 
 
-@pytest.mark.parametrize(("weight", "least", "most"), [(1.0, 200, 200), (0.0, 70, 130)])
+@pytest.mark.parametrize(("weight", "minimum", "maximum"), [(1.0, 200, 200), (0.0, 70, 130)])
 def test_limit_below_one_admits_a_fraction_of_the_requests_of_low_weight(
-    weight: float, least: int, most: int
+    weight: float, minimum: int, maximum: int
 ) -> None:
     load_balancer = make_load_balancer([make_entry(0)], instance_count=100)
     attempts = 0
@@ -76,7 +76,7 @@
         if started:
             request.on_attempt_finished(0, 0, Outcome.SUCCEEDED, 1000, True)
         load_balancer.queue.requests.clear()
-    assert least <= attempts <= most
+    assert minimum <= attempts <= maximum
 
 
 @pytest.mark.parametrize(("requests", "attempts"), [(1, 1), (2, 1), (6, 1)])
--- a/tests/policy/test_request_class.py
+++ b/tests/policy/test_request_class.py
@@ -15,5 +15,7 @@
 def test_priority_weights_give_every_class_at_least_the_worst_class_weight(
     is_value_per_work: bool, worst_class_weight: float, weights: list[float]
 ) -> None:
-    found = priority_weights([8.0, 2.0], [2 * SECOND, 3 * SECOND], is_value_per_work, worst_class_weight)
-    assert found == pytest.approx(weights)
+    weights_found = priority_weights(
+        [8.0, 2.0], [2 * SECOND, 3 * SECOND], is_value_per_work, worst_class_weight
+    )
+    assert weights_found == pytest.approx(weights)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -18,8 +18,8 @@
 MILLISECOND = 1000
 
 
-@pytest.mark.parametrize(("age_s", "most"), [(0, 8), (5, 24), (9, 38)])
-def test_starting_endpoint_gets_a_fraction_of_what_a_warmed_up_one_gets(age_s: int, most: int) -> None:
+@pytest.mark.parametrize(("age_s", "maximum"), [(0, 8), (5, 24), (9, 38)])
+def test_starting_endpoint_gets_a_fraction_of_what_a_warmed_up_one_gets(age_s: int, maximum: int) -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1)], slow_start=make_slow_start())
     for now_us in range(0, 20 * SECOND, 50 * MILLISECOND):
         send_successes(load_balancer, 1, now_us)
@@ -32,26 +32,26 @@
         for start in starts_in(request.route(now_us)):
             sent += start.endpoint_index == 1
             request.on_attempt_finished(0, now_us, Outcome.SUCCEEDED, SECOND // 10, True)
-    assert sent <= most
+    assert sent <= maximum
 
 
-@pytest.mark.parametrize(("born_s", "least", "most"), [(19, 1, 3), (0, 0, 1)])
+@pytest.mark.parametrize(("created_s", "minimum", "maximum"), [(19, 1, 3), (0, 0, 1)])
 def test_instance_started_among_starting_endpoints_sends_some_attempts(
-    born_s: int, least: int, most: int
+    created_s: int, minimum: int, maximum: int
 ) -> None:
     started_us = 19 * SECOND
-    load_balancer = make_load_balancer([], slow_start=make_slow_start(now_us=born_s * SECOND))
+    load_balancer = make_load_balancer([], slow_start=make_slow_start(now_us=created_s * SECOND))
     load_balancer.update_endpoints(started_us, [make_entry(0, started_us=started_us)], True)
     sent = 0
     for now_us in range(started_us, started_us + 2 * SECOND, 10 * MILLISECOND):
         decisions = load_balancer.on_timer(now_us)
         decisions += start_request(load_balancer, now_us, remaining_us=SECOND).route(now_us)
         sent += len(starts_in(decisions))
-    assert least <= sent <= most
+    assert minimum <= sent <= maximum
 
 
 @pytest.mark.parametrize(
-    ("busy_s", "starved_s", "even_rate_per_s", "least", "most"),
+    ("busy_s", "starved_s", "even_rate_per_s", "minimum", "maximum"),
     [
         # The bound is 80 attempts: 10 per second at each endpoint, 0.2 to 0.6 of that for 5 s, times the
         # overload multiple of 4.
@@ -64,7 +64,7 @@
     ],
 )
 def test_credit_does_not_shrink_with_the_throughput_of_a_starting_fleet(
-    busy_s: int, starved_s: int, even_rate_per_s: float, least: int, most: int
+    busy_s: int, starved_s: int, even_rate_per_s: float, minimum: int, maximum: int
 ) -> None:
     slow_start = make_slow_start(even_rate_per_s / SECOND)
     started_us = (busy_s + starved_s) * SECOND
@@ -82,7 +82,7 @@
         if slow_start.accrue_credit(endpoint, now_us, subset, True):
             attempts += 1
             endpoint.slow_start_credit = 0.0
-    assert least <= attempts <= most
+    assert minimum <= attempts <= maximum
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("scenario", "least"),
+    ("scenario", "min_fraction"),
     [
         (Scenario(3), 0.5),
         (Scenario(33), 0.5),
@@ -25,22 +25,22 @@
             0.4,
         ),
         (Scenario(1024, restarts_instances=True, is_removed=True), 0.1),
-        (Scenario(33, wave=3.0), 0.6),
-        (Scenario(230, wave=3.0, skew=10.0, zones=6), 0.3),
-        (Scenario(33, heavy=0.2, wave=3.0), 0.6),
-        (Scenario(230, heavy=0.2, zones=8), 0.3),
+        (Scenario(33, surge_factor=3.0), 0.6),
+        (Scenario(230, surge_factor=3.0, skew=10.0, zones=6), 0.3),
+        (Scenario(33, heavy_fraction=0.2, surge_factor=3.0), 0.6),
+        (Scenario(230, heavy_fraction=0.2, zones=8), 0.3),
         (Scenario(33, has_quotas=False), 0.15),
         (Scenario(33, list_delay_s=0.8), 0.3),
         (Scenario(33, list_delay_s=1.6, zones=2, return_span_s=2.0), 0.3),
         (Scenario(230, list_delay_s=1.6, skew=4.0), 0.2),
-        (Scenario(230, zones=8, endpoints=40, wave=3.0, is_removed=True, return_span_s=3.0), 0.2),
+        (Scenario(230, zones=8, endpoints=40, surge_factor=3.0, is_removed=True, return_span_s=3.0), 0.2),
     ],
     ids=str,
 )
 def test_instances_together_use_starting_endpoints_without_overloading_them(
-    scenario: Scenario, least: float
+    scenario: Scenario, min_fraction: float
 ) -> None:
     model = FleetModel(scenario)
     model.run()
     assert not model.overloads, model.overloads[:3]
-    assert model.given > least * model.capacity, model.given / model.capacity
+    assert model.granted_work > min_fraction * model.capacity, model.granted_work / model.capacity
--- a/tests/policy/test_tenant_quota.py
+++ b/tests/policy/test_tenant_quota.py
@@ -13,13 +13,13 @@
 )
 def test_requests_beyond_the_quota_are_over_quota(rate_per_s: int, is_sent: bool, over_quota: int) -> None:
     quotas = TenantQuotas([20.0], 2, 0.1)
-    found = 0
+    over_quota_count = 0
     for number in range(rate_per_s * 11):
         is_over_quota = quotas.check_over_quota(0, number * SECOND // rate_per_s)
-        found += is_over_quota
+        over_quota_count += is_over_quota
         if is_sent and not is_over_quota:
             quotas.on_sent(0, False)
-    assert abs(found - over_quota) <= 1
+    assert abs(over_quota_count - over_quota) <= 1
 
 
 @pytest.mark.parametrize("instance_count", [1, 40, 1000])
@@ -30,14 +30,14 @@
         quotas.on_sent(0, False)
 
 
-@pytest.mark.parametrize(("is_short", "least"), [(False, 0), (True, 100)])
-def test_buckets_fill_with_sent_requests_while_capacity_is_short(is_short: bool, least: int) -> None:
+@pytest.mark.parametrize(("is_short", "min_over_quota"), [(False, 0), (True, 100)])
+def test_buckets_fill_with_sent_requests_while_capacity_is_short(is_short: bool, min_over_quota: int) -> None:
     quotas = TenantQuotas([50.0, 50.0], 1, 0.1)
-    found = 0
+    over_quota_count = 0
     for number in range(400):  # only the first tenant sends, at a fifth of the sum of both quotas
         if is_short:
             quotas.on_rejected(SECOND)
         is_over_quota = quotas.check_over_quota(0, number * SECOND // 20)
         quotas.on_sent(0, is_over_quota)
-        found += is_over_quota
-    assert found >= least if is_short else found == 0
+        over_quota_count += is_over_quota
+    assert over_quota_count >= min_over_quota if is_short else over_quota_count == 0
