--- a/cressrail/policy/concurrency_limit.py
+++ b/cressrail/policy/concurrency_limit.py
@@ -124,8 +124,9 @@
 
         What an attempt shows about its endpoint also applies to the other endpoints of the subset, to the
         extent that the endpoint's limit is below one attempt. Instances with that few attempts would
-        otherwise stay at the initial limits. Behind the ingress tier, a rejected request wastes the work of
-        the tiers before it, so limits never fall below the initial ones there.
+        otherwise stay at the initial limits. In the ingress tier, limits never fall below one attempt over
+        all instances. Behind it, a rejected request wastes the work of the tiers before it, so limits never
+        fall below the initial ones there.
         """
         floor = (1.0 if self.is_ingress else FIRST_LIMIT) / subset.sharing_instances
         shared = max(0.0, 1 - endpoint.limit)
--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -104,9 +104,9 @@
         """Returns whether the sum of the subset's limits allows one more attempt.
 
         An instance with no attempt in flight in any zone may send one. Allowing one for each zone would
-        overload endpoints. Where the limit is not a whole number, its fractional part admits that fraction of
-        the requests, by their random value. Otherwise requests over quota would get as much of a limit below
-        one as other requests.
+        overload endpoints. If the usable limit (`open_fraction` times the limit) is not a whole number, its
+        fractional part admits that fraction of the requests, by their random value. Otherwise requests over
+        quota would get as much of a limit below one as other requests.
         """
         limit = subset.limit
         if limit < 1.0 and not any(other.in_flight for other in self.zone_subsets):
--- a/cressrail/policy/request_queue.py
+++ b/cressrail/policy/request_queue.py
@@ -29,7 +29,7 @@
         self.next_expiry_us = now_us  # no queued request expires before this time
 
     def must_wait(self, request: RoutedRequest) -> bool:
-        """Returns whether a request of the same or a greater weight is already waiting."""
+        """Returns whether a request of the same or a greater weight is waiting ahead of this one."""
         return bool(self.requests) and self.requests[0].open_fraction >= request.open_fraction
 
     def count_ahead(self, request: RoutedRequest) -> int:
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -124,7 +124,11 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answers batches until the input ends.
+    """Reads batches and writes the replies until the input ends.
+
+    Args:
+        source: Text stream from which batches are read.
+        sink: Text stream to which the replies are written; it is flushed after each reply.
 
     Raises:
         MalformedLineError: A line of the input is invalid.
--- a/cressrail/wirehost/instance.py
+++ b/cressrail/wirehost/instance.py
@@ -31,10 +31,11 @@
 
 EndpointLists = Mapping[int, list[ListEntry]]  # by the list number to which list updates refer
 
-LIST_FAILED = "X"
-LIST_CHANGES = "D"
-LIST_UNASKED = "C"
-LIST_FORMS = (LIST_CHANGES, "F", LIST_UNASKED)
+# Forms of a list update. "F" is the complete list in answer to a poll.
+LIST_FAILED = "X"  # the poll failed
+LIST_CHANGES = "D"  # only the entries that have changed
+LIST_UNSOLICITED = "C"  # the complete list, sent without a poll
+LIST_FORMS = (LIST_CHANGES, "F", LIST_UNSOLICITED)
 
 
 class Instance:
@@ -141,7 +142,7 @@
             raise MalformedLineError(message.line, f"slot {number} holds no endpoint list")
         updates = [update for entry in lists[number] if (update := self._update(entry)) is not None]
         self.load_balancer.update_endpoints(
-            now_us, updates, is_complete=form != LIST_CHANGES, is_poll_answer=form != LIST_UNASKED
+            now_us, updates, is_complete=form != LIST_CHANGES, is_poll_answer=form != LIST_UNSOLICITED
         )
         return []
 
