--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -1,6 +1,7 @@
-"""Many load balancers in virtual time beside a model of endpoints, to see what starting endpoints get.
+"""Simulates many load balancers and model endpoints in virtual time, to measure work at starting endpoints.
 
-A zone is lost for some seconds and comes back; each instance learns of starts at a moment of its own.
+The endpoints of one zone are lost for some seconds and return. Each instance learns of their starts at a
+different time.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 WARMUP_US = 24 * SECOND
 OVERLOAD_MULTIPLE = 2.5
 OVERLOAD_SPAN_US = SECOND
-ENDPOINT_RATE_PER_S = 20.0  # requests that a warmed-up endpoint can take
+ENDPOINT_RATE_PER_S = 20.0  # requests per second that a warmed-up endpoint can serve
 END_US = 14 * SECOND
 LOST_US = 4 * SECOND
 LOST_ZONE = 1
@@ -33,47 +34,49 @@
 
 @dataclass
 class Scenario:
-    """What the fleet goes through."""
+    """Parameters of a simulated outage of one zone."""
 
     instances: int
     zones: int = 4
     endpoints: int = 48
-    skew: float = 1.0  # the busiest instance's traffic over that of the least busy
+    skew: float = 1.0  # ratio of the traffic of the busiest instance to that of the least busy one
     load: float = 0.7
     lost_s: float = 5.0
-    return_span_s: float = 0.0  # over which the zone comes back
-    is_removed: bool = False  # its endpoints leave the list while they are away
-    restarts_instances: bool = False  # all of them, a second before the return
-    wave: float = 1.0  # times the load, for a second from the return on
-    heavy: float = 0.0  # part of requests that are three times the work; the others are lighter
+    return_span_s: float = 0.0  # time over which the endpoints of the zone return
+    is_removed: bool = False  # whether the endpoints leave the list while they are away
+    restarts_instances: bool = False  # whether all instances restart, a second before the return
+    surge_factor: float = 1.0  # factor of the load for a second from the return on
+    heavy_fraction: float = 0.0  # fraction of requests with three times the mean work; the others have less
     has_quotas: bool = True
-    list_delay_s: float = 0.0  # from a start to the list that says so
+    list_delay_s: float = 0.0  # delay from a start to the list entry that announces it
 
 
 @dataclass
 class FleetModel:
-    """The instances, and endpoints that answer so many requests a second each."""
+    """The instances, and endpoints that each serve a fixed rate of requests."""
 
     scenario: Scenario
     seed: int = 1
     load_balancers: list[LoadBalancer] = field(default_factory=list)
     events: list[Any] = field(default_factory=list)
     order: count[int] = field(default_factory=count)
-    starts_us: dict[int, int] = field(default_factory=dict)  # of the lost zone's endpoints
+    # start times of the endpoints in the lost zone, by index
+    starts_us: dict[int, int] = field(default_factory=dict)
     traffic_weights: list[float] = field(default_factory=list)  # by instance
-    recent_us: dict[int, deque[int]] = field(default_factory=dict)  # attempts of the last second
+    # times of the attempts of the last second, by endpoint
+    recent_us: dict[int, deque[int]] = field(default_factory=dict)
     warmup_work: dict[int, list[tuple[int, float]]] = field(default_factory=dict)
     overloads: list[str] = field(default_factory=list)
-    given: float = 0.0  # work that starting endpoints got
-    capacity: float = 0.0  # work that they could have done
+    granted_work: float = 0.0  # work that starting endpoints received
+    capacity: float = 0.0  # work that starting endpoints could have done
 
     def random_value(self) -> float:
-        """From 0 up to 1."""
+        """Returns a pseudo-random number in the half-open interval from 0 to 1."""
         self.seed = self.seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1
         return (self.seed >> 32) / (1 << 32)
 
     def make_entry(self, index: int, started_us: int = 0, accepts_requests: bool = True) -> EndpointUpdate:
-        """The list's entry of an endpoint."""
+        """Returns the list entry of an endpoint."""
         return EndpointUpdate(
             index,
             index % self.scenario.zones,
@@ -85,7 +88,7 @@
         )
 
     def make_instance(self, number: int, now_us: int) -> LoadBalancer:
-        """An instance that has just started, with the list of before the loss."""
+        """Returns an instance that has just started and has the list from before the loss."""
         scenario = self.scenario
         total_per_s = 0.85 * ENDPOINT_RATE_PER_S * scenario.endpoints
         quotas = TenantQuotas([total_per_s] if scenario.has_quotas else [], scenario.instances, 0.1)
@@ -108,15 +111,15 @@
         return load_balancer
 
     def schedule(self, at_us: int, event: str, *details: object) -> None:
-        """Adds an event; the first detail is the instance's number."""
+        """Schedules an event; the first detail is the number of the instance."""
         heapq.heappush(self.events, (at_us, next(self.order), event, details))
 
     def run(self) -> None:
-        """Plays the scenario and adds up what starting endpoints got."""
+        """Runs the scenario and sums up the work and the capacity of the starting endpoints."""
         scenario = self.scenario
-        back_us = LOST_US + int(scenario.lost_s * SECOND)
+        return_us = LOST_US + int(scenario.lost_s * SECOND)
         self.starts_us = {
-            index: back_us + int(scenario.return_span_s * SECOND * self.random_value())
+            index: return_us + int(scenario.return_span_s * SECOND * self.random_value())
             for index in range(scenario.endpoints)
             if index % scenario.zones == LOST_ZONE
         }
@@ -126,17 +129,17 @@
         ]
         self.recent_us = {index: deque() for index in range(scenario.endpoints)}
         for number in range(scenario.instances):
-            self.schedule_events_of(number, back_us)
+            self.schedule_events_of(number, return_us)
         while self.events and self.events[0][0] < END_US:
             now_us, _, event, details = heapq.heappop(self.events)
-            self.send(now_us, details[0], self.handle(now_us, event, back_us, details))
+            self.send(now_us, details[0], self.handle(now_us, event, return_us, details))
         for index, started_us in self.starts_us.items():
-            self.given += sum(work for _, work in self.warmup_work.get(index, []))
+            self.granted_work += sum(work for _, work in self.warmup_work.get(index, []))
             for at_us in range(started_us, min(END_US, started_us + WARMUP_US), SECOND // 10):
                 self.capacity += ENDPOINT_RATE_PER_S / 10 * _capacity_fraction(at_us - started_us)
 
-    def schedule_events_of(self, number: int, back_us: int) -> None:
-        """Schedules an instance's first request and timer, and what it learns of the lost zone."""
+    def schedule_events_of(self, number: int, return_us: int) -> None:
+        """Schedules the first request and timer of an instance, and its list updates about the lost zone."""
         scenario = self.scenario
         self.schedule(int(self.random_value() * SECOND * scenario.instances / 100), "request", number)
         self.schedule(int(self.random_value() * SECOND), "timer", number)
@@ -144,17 +147,19 @@
             removed = [self.make_entry(index, accepts_requests=False) for index in self.starts_us]
             self.schedule(LOST_US + SECOND + int(self.random_value() * SECOND // 10), "list", number, removed)
         if scenario.restarts_instances:
-            self.schedule(back_us - SECOND + int(self.random_value() * SECOND // 10), "restart", number)
+            self.schedule(return_us - SECOND + int(self.random_value() * SECOND // 10), "restart", number)
         for index, started_us in self.starts_us.items():
             list_us = started_us - 1 + int((scenario.list_delay_s - self.random_value() / 20) * SECOND)
             self.schedule(list_us, "list", number, [self.make_entry(index, started_us)])
 
-    def handle(self, now_us: int, event: str, back_us: int, details: tuple[Any, ...]) -> list[Decision]:
-        """Passes an event to its instance."""
+    def handle(self, now_us: int, event: str, return_us: int, details: tuple[Any, ...]) -> list[Decision]:
+        """Passes an event to its instance and returns the decisions."""
         number: int = details[0]
         load_balancer = self.load_balancers[number]
         if event == "request":
-            self.schedule(now_us + 1 + self.time_to_next_request(number, now_us, back_us), "request", number)
+            self.schedule(
+                now_us + 1 + self.time_to_next_request(number, now_us, return_us), "request", number
+            )
             return start_request(load_balancer, now_us, remaining_us=SECOND).route(now_us)
         if event == "end":
             return _finish_attempt(now_us, *details[1:])
@@ -167,17 +172,17 @@
         self.schedule(now_us + SECOND // 4, "timer", number)
         return load_balancer.on_timer(now_us)
 
-    def time_to_next_request(self, number: int, now_us: int, back_us: int) -> int:
-        """Random, by the instance's part of the traffic."""
+    def time_to_next_request(self, number: int, now_us: int, return_us: int) -> int:
+        """Returns a random time to the next request, by the instance's fraction of the traffic."""
         scenario = self.scenario
         rate = scenario.load * ENDPOINT_RATE_PER_S * scenario.endpoints / SECOND
-        wave = scenario.wave if back_us <= now_us < back_us + SECOND else 1.0
+        surge_factor = scenario.surge_factor if return_us <= now_us < return_us + SECOND else 1.0
         weights = self.traffic_weights
-        mean_us = scenario.instances * sum(weights) / len(weights) / weights[number] / (rate * wave)
+        mean_us = scenario.instances * sum(weights) / len(weights) / weights[number] / (rate * surge_factor)
         return int(2 * mean_us * self.random_value())
 
     def send(self, now_us: int, number: int, decisions: Iterable[Decision]) -> None:
-        """Lets the endpoints answer the attempts that the decisions start."""
+        """Simulates the endpoints' replies to the attempts that the decisions start."""
         for start in starts_in(decisions):
             index = start.endpoint_index
             attempt = (start.request, len(start.request.attempts) - 1)
@@ -197,9 +202,11 @@
             self.schedule(now_us + SECOND // 10, "end", number, *attempt, outcome, now_us)
 
     def count_warmup_work(self, index: int, started_us: int, now_us: int) -> None:
-        """Counts an attempt at a starting endpoint, and whether that is too much for it."""
-        heavy = self.scenario.heavy
-        work = 3.0 if self.random_value() < heavy else (1 - 3 * heavy) / (1 - heavy)
+        """Records the work of an attempt at a starting endpoint, and whether it overloads the endpoint."""
+        heavy_fraction = self.scenario.heavy_fraction
+        work = (
+            3.0 if self.random_value() < heavy_fraction else (1 - 3 * heavy_fraction) / (1 - heavy_fraction)
+        )
         done = self.warmup_work.setdefault(index, [])
         done.append((now_us, work))
         recent = sum(work for at_us, work in done if at_us > now_us - OVERLOAD_SPAN_US)
@@ -207,7 +214,9 @@
         allowed = OVERLOAD_MULTIPLE * capacity * OVERLOAD_SPAN_US / SECOND
         if recent > allowed + 3 * allowed**0.5 + 3:
             age_s = (now_us - started_us) / SECOND
-            self.overloads.append(f"{index} at the age of {age_s:.2f} s: {recent:.1f} of {allowed:.1f}")
+            self.overloads.append(
+                f"endpoint {index} {age_s:.2f} s after its start: work {recent:.1f}, allowed {allowed:.1f}"
+            )
 
 
 def _capacity_fraction(age_us: int) -> float:
