--- a/cressrail/proxy/__init__.py
+++ b/cressrail/proxy/__init__.py
@@ -1,7 +1,7 @@
-"""The proxy's state: events go in, commands come out, and nothing here reads or writes a socket.
+"""The proxy core as a state machine: events go in, commands come out, and no code here does socket I/O.
 
-`network` calls the methods of `state_machine.StateMachine` as things happen and carries out the commands they
-return. Each resource has one owner here (clients, requests, attempts, connections to endpoints, the endpoint
-list, the life of the process). May import `policy`, `discovery`, `handover.state`, `http1` and `buffers`;
-never `network`.
+The `network` package reports each event by calling a method of `state_machine.StateMachine` and executes the
+commands that the method returns. Each resource (clients, requests, attempts, connections to endpoints, the
+endpoint list, the process life cycle) is owned by exactly one class of this package. This package may import
+`policy`, `discovery`, `handover.state`, `http1` and `buffers`; it must never import `network`.
 """
--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -1,4 +1,4 @@
-"""The operators' calls: which there are, and what is answered to them."""
+"""The calls of the admin API and their responses."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class AdminResponse(NamedTuple):
-    """The answer to an operator's call.
+    """The response to a call of the admin API.
 
     Attributes:
         status: HTTP status.
-        body: Text, or the JSON of another part of the program.
+        body: Plain text, or JSON that another component has produced.
         kind: Content type of the body.
-        allow: The method that the path takes, where it was called by another one.
+        allow: The method that the path supports, for the Allow header of a 405 response; empty otherwise.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
 
 def refusal_of(method: bytes, path: bytes) -> AdminResponse | None:
-    """Returns the answer to a call that there is none of; None for one that there is."""
+    """Returns the error response to an unknown path or a wrong method; None if the call is valid."""
     allowed = METHODS.get(path)
     if allowed is None:
         return AdminResponse(404, b"no such call\n")
@@ -52,7 +52,7 @@
 
 
 class AdminCalls:
-    """Answers operators' calls."""
+    """Handles the calls of the admin API."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.counters = counters
 
     def answer(self, now_us: int, method: bytes, path: bytes) -> tuple[AdminResponse, list[Command]]:
-        """Returns the answer to a call, and the commands; there are some only if it has changed something."""
+        """Returns the response to a call, and commands, which are empty unless the call changed the state."""
         refusal = refusal_of(method, path)
         if refusal is not None:
             return refusal, []
@@ -82,14 +82,14 @@
         if path == READY_PATH:
             is_ready = self.lifecycle.rules.is_ready and self.endpoint_watch.can_serve(now_us)
             return IS_READY if is_ready else IS_NOT_READY, []
-        if self.lifecycle.has_handed_over:  # a change would end with this process
+        if self.lifecycle.has_handed_over:  # the change would be lost when this process exits
             return HAS_HANDED_OVER, []
         if path == OUT_OF_SERVICE_PATH:
             return IS_OUT_OF_SERVICE, self._leave_service(now_us)
         return IS_IN_SERVICE, self._return_to_service()
 
     def counters_text(self, now_us: int) -> bytes:
-        """Returns the counters in the form in which operators read them."""
+        """Returns the counters and gauges in the text exposition format of Prometheus."""
         unavailable = self.load_balancer.unavailable_endpoints(now_us)
         unavailable_count = sum(self.registry.is_listed(endpoint) for endpoint in unavailable)
         return self.counters.text(
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: requests that have been given to an endpoint's connection and have not ended there."""
+"""The attempts in flight: requests that were assigned to a connection to an endpoint and have not ended."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     """An attempt in flight.
 
     Attributes:
-        routed_request: The request that it is for.
-        number: Its number among the attempts of the request.
+        routed_request: The request that the attempt belongs to.
+        number: Number of the attempt among those of its request, from 0.
         endpoint: Index of the endpoint.
-        connection: The connection that it goes over.
-        sent_us: When it was given to the connection; of a request that its client still sends, when all was
-            sent.
+        connection: Id of the connection that carries the attempt.
+        sent_us: Time at which the attempt was assigned to the connection; if the client was still sending the
+            request then, the time at which the last byte was sent to the endpoint.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: What the endpoint made of it.
+        outcome: The outcome that the load balancer is notified of.
         is_connection_reusable: Whether the connection may carry another attempt.
-        body: Of the answer, if there is one.
-        content_type: Of the body.
-        reason: For the log, where the attempt did not succeed.
-        has_endpoint_refused: Whether the endpoint refused or reset the connection before it was up.
+        body: Body of the response; None if there is no response or it was streamed to the client.
+        content_type: Content type of the body.
+        reason: Why the attempt did not succeed, for the log.
+        has_endpoint_refused: Whether the endpoint refused or reset the connection before it was established.
     """
 
     outcome: Outcome
@@ -63,11 +63,11 @@
 
 
 class Attempts:
-    """Owns the attempts in flight, and what they tell of endpoints.
+    """Owns the attempts in flight and reports what they reveal about the availability of endpoints.
 
     Attributes:
-        in_flight: By id.
-        zone_statistics: Counts by zone, where a failover leader goes by them.
+        in_flight: The attempts in flight, by id.
+        zone_statistics: Counts of attempts by zone, for the failover leader; None if they are not collected.
     """
 
     def __init__(
@@ -95,9 +95,8 @@
         """Starts the next attempt of a request at an endpoint.
 
         Returns:
-            The attempt's number among those of its request, and the commands. There is no `SendAttempt` among
-            them
-            if no connection can be had.
+            The attempt's number among those of its request, and the commands. They contain no `SendAttempt`
+            if no connection is available.
         """
         attempt = self.ids.next_id()
         number = pending.take_number()
@@ -123,26 +122,26 @@
         return number, commands
 
     def set_sent(self, attempt: int, now_us: int) -> None:
-        """The last byte of an attempt has gone whose request was still coming when it started."""
+        """Records when the last byte of an attempt was sent whose request was incomplete at its start."""
         self.in_flight[attempt].sent_us = now_us
 
     def remove(self, attempt: int) -> Attempt:
-        """The attempt has ended. Returns what it was."""
+        """Removes an attempt that has ended, and returns it."""
         return self.in_flight.pop(attempt)
 
     def cancel(self, attempt: int) -> list[Command]:
-        """Returns the command to cancel an attempt, if it is in flight."""
+        """Returns the command to cancel an attempt; empty if the attempt is not in flight."""
         cancelled = self.in_flight.get(attempt)
         return [] if cancelled is None else [CancelAttempt(cancelled.connection, attempt)]
 
     def check_before_send(self, now_us: int, attempt: int) -> tuple[Outcome, str] | None:
-        """Returns how an attempt ends without being sent, and why; None if it may be sent.
+        """Returns the outcome and reason if an attempt must not be sent any more; None if it may be sent.
 
-        Asked just before the first byte of each attempt, as much may have changed while it waited for a
-        connection.
+        Called just before the first byte of each attempt is sent, because the request and the endpoint may
+        have changed state while the attempt waited for its connection.
         """
         checked = self.in_flight[attempt]
-        if checked.routed_request.is_finished:  # also where attempts in flight may not be cancelled
+        if checked.routed_request.is_finished:  # also if attempts in flight may not be cancelled
             return Outcome.CANCELLED, "request already answered, or client disconnected"
         registered = self.registry.endpoints[checked.endpoint]
         accepts_requests = self.load_balancer.endpoints[checked.endpoint].accepts_requests
@@ -155,7 +154,7 @@
     def log_failure(
         self, now_us: int, attempt: Attempt, pending: PendingRequest, result: AttemptResult
     ) -> Command:
-        """Returns the log line for an attempt that did not succeed."""
+        """Returns the command to log an attempt that did not succeed."""
         return LogEvent(
             events.ATTEMPT_FAILED,
             {
@@ -168,23 +167,28 @@
         )
 
     def count_by_zone(self, now_us: int, attempt: Attempt, result: AttemptResult) -> None:
-        """Counts an attempt that ended, where a failover leader goes by such counts."""
+        """Counts an attempt that has ended, if zone statistics are collected."""
         if self.zone_statistics is None:
             return
         routed_request = attempt.routed_request
         took_us = now_us - attempt.sent_us
-        # Not the limits' latency threshold, which follows the baseline: what endangers the latency objective.
+        # The latency threshold of the concurrency limits would be wrong here, since it follows the latency
+        # baseline: an attempt is late if it endangers the latency objective.
         late_us = MAX_THRESHOLD * routed_request.request_class.latency_objective_us
         is_late = result.body is not None and took_us > late_us
         zone = routed_request.attempts[attempt.number].zone
         self.zone_statistics.on_attempt_finished(zone, result.outcome, took_us, is_late)
 
     def set_zone_statistics(self, zone_statistics: ZoneStatistics | None) -> None:
-        """Attempts are counted by zone from now on, or (None) no more."""
+        """Starts to count attempts by zone, or stops if `zone_statistics` is None."""
         self.zone_statistics = zone_statistics
 
     def report_unavailable(self, now_us: int, connection: int) -> list[Command]:
-        """The process that a connection was made to is gone, unless a later one is listed by now."""
+        """Marks the endpoint of a lost connection as unavailable.
+
+        Does nothing if discovery has since listed the endpoint with another address or start time: the
+        connection then says nothing about the process listed now.
+        """
         lost = self.connections.open[connection]
         registered = self.registry.endpoints.get(lost.endpoint)
         if registered is None or not lost.leads_to(registered):
@@ -194,10 +198,10 @@
         return [] if is_known else [LogEvent(events.ENDPOINT_UNAVAILABLE, {"endpoint": registered.name})]
 
     def forget_if_removed(self, endpoint: int) -> None:
-        """Drops the records of an endpoint that has left the list, once no attempt to it is in flight.
+        """Drops the records of an endpoint removed from the list, unless an attempt to it is in flight.
 
-        The load balancer's count of attempts in flight is not asked: it leaves those out whose request still
-        comes.
+        The load balancer's count of attempts in flight can't be used for this check: it leaves out attempts
+        whose request the client is still sending.
         """
         registered = self.registry.endpoints.get(endpoint)
         if registered is None or not registered.entry.is_removed:
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: which are open, which are idle, and which may be closed to make room."""
+"""The connections of clients: which are open, which are idle, and which may be closed to make room."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 from cressrail.proxy.commands import CloseClient
 from cressrail.proxy.connection_limits import ConnectionLimits
 
-CLIENT_STALL_US = 1_000_000  # without a byte of its request; from then on a client may be closed for room
-CLIENT_SILENCE_LIMIT_US = 2_500_000  # then it is closed also where there is room: services send at once
+# A client that has sent no byte of its request for this long may be closed to make room for another one.
+CLIENT_STALL_US = 1_000_000
+# After this long it is closed even if there is room: services send their request as soon as they connect.
+CLIENT_SILENCE_LIMIT_US = 2_500_000
 
 
 def silence_limit_us(keeps_idle_clients: bool) -> int:
-    """How long a client may send nothing of a request before it is closed."""
+    """Returns how long a client may send no byte of a due request before it is closed."""
     return CLIENT_SILENCE_LIMIT_US if keeps_idle_clients else CLIENT_STALL_US
 
 
@@ -20,8 +22,9 @@
 
     Attributes:
         keep_alive: Whether the connection may carry a request after the current one.
-        is_over_limit: Whether it came beyond the limit: its requests are answered, not forwarded.
-        routed_request: The request that it waits for the answer of.
+        is_over_limit: Whether the client connected beyond the connection limit; its requests are answered
+            with 503 instead of being forwarded.
+        routed_request: The request whose response the client waits for, if any.
     """
 
     def __init__(self) -> None:
@@ -31,13 +34,13 @@
 
 
 class Clients:
-    """Owns the clients' connections.
+    """Owns the connections of clients.
 
     Attributes:
-        open: All connections, by the client's number.
-        idle: Clients between two requests, the longest idle first.
-        receiving: Clients that are new or in the middle of a request, and since when (in us) no byte of it
-            has come. Those that wait longest come first.
+        open: All connections, by the client's id.
+        idle: Ids of clients between two requests, the longest idle first (a dict used as an ordered set).
+        receiving: Clients that are new or in the middle of a request, each with the time in us since which it
+            has sent no byte. The client that has been silent longest comes first.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
@@ -47,7 +50,10 @@
         self.receiving: dict[int, int] = {}
 
     def connect(self, now_us: int, client: int) -> CloseClient | None:
-        """Adds a new client. Beyond the limit, returns the command to close another one if one may be."""
+        """Adds a new client. Beyond the limit, returns the command to close another one if possible.
+
+        If no other client may be closed, the new one is marked as over the limit.
+        """
         connected = self.open[client] = Client()
         closed = None
         if len(self.open) > self.limits.clients:
@@ -60,45 +66,45 @@
         return closed
 
     def start_receiving(self, now_us: int, client: int) -> None:
-        """The first byte of a request has come. A first request is due from when its client connected."""
+        """Records the first byte of a request; the silence of a new client counts from its connect."""
         if client not in self.receiving:
             self.idle.pop(client, None)
             self.receiving[client] = now_us
 
     def note_progress(self, now_us: int, client: int) -> None:
-        """More of a request has come: a slow client is not closed before one that has stopped sending."""
+        """Records more bytes of a request: slow clients are closed after those that have stopped sending."""
         if self.receiving.pop(client, None) is not None:
             self.receiving[client] = now_us
 
     def finish_receiving(self, client: int) -> None:
-        """No more of a request is awaited, or the client is asked to close."""
+        """Stops waiting for bytes of a request: all of it has arrived."""
         self.receiving.pop(client, None)
 
     def forget_waiting(self, client: int) -> None:
-        """The client counts neither as idle nor as sending a request any more."""
+        """Stops counting the client as idle or as sending a request."""
         self.idle.pop(client, None)
         self.receiving.pop(client, None)
 
     def set_request(self, client: int, routed_request: RoutedRequest) -> None:
-        """The client waits for the answer of a request."""
+        """Records the request whose response the client waits for."""
         self.open[client].routed_request = routed_request
 
     def clear_request(self, client: int) -> RoutedRequest | None:
-        """The client waits for no answer any more. Returns the request that it waited for, if any."""
+        """Records that the client waits for no response. Returns the request that it waited for, if any."""
         waiting = self.open[client]
         routed_request, waiting.routed_request = waiting.routed_request, None
         return routed_request
 
     def set_keep_alive(self, client: int, keep_alive: bool) -> None:
-        """Whether the connection may carry a request after the current one."""
+        """Sets whether the connection may carry a request after the current one."""
         self.open[client].keep_alive = keep_alive
 
     def rest(self, client: int) -> None:
-        """The client has its answer, and may send another request."""
+        """Marks the client as idle: it has its response and may send another request."""
         self.idle[client] = None
 
     def remove(self, client: int) -> Client:
-        """The connection is closed; the one place where it stops counting. Returns what it was."""
+        """Removes a closed connection, and returns it. Only here does it stop counting against the limit."""
         removed = self.open.pop(client)
         self.forget_waiting(client)
         return removed
@@ -106,8 +112,8 @@
     def find_spare(self, now_us: int) -> int | None:
         """Returns a client that may be closed to make room: one that is idle or has stopped sending.
 
-        A new client whose first request is on its way is not closed, but a client that vanished amid a
-        request does not hold its place either.
+        A new client gets `CLIENT_STALL_US` to send its first request, while a client that vanishes in the
+        middle of a request does not keep its place.
         """
         if self.idle:
             return next(iter(self.idle))
@@ -115,7 +121,7 @@
         return oldest if oldest is not None and self.receiving[oldest] + CLIENT_STALL_US <= now_us else None
 
     def close_if_idle(self, client: int) -> CloseClient:
-        """Returns the command to close a client, unless a request of it has begun meanwhile."""
+        """Returns the command to close a client unless it has begun to send a request in the meantime."""
         self.forget_waiting(client)
         return CloseClient(client, only_if_idle=True)
 
@@ -124,20 +130,20 @@
         return [self.close_if_idle(client) for client in list(self.idle)]
 
     def close_silent(self, now_us: int, limit_us: int) -> list[CloseClient]:
-        """Returns the commands to close clients that sent nothing of a request for `limit_us`."""
+        """Returns the commands to close clients that have sent no byte of a due request for `limit_us`."""
         silent = [client for client, since_us in self.receiving.items() if since_us + limit_us <= now_us]
         return [self.close_if_idle(client) for client in silent]
 
     def silent_since_us(self) -> int:
-        """Since when the client that waits longest, new or in the middle of its request, has sent nothing."""
+        """Returns since when the client in `receiving` that has been silent longest has sent no byte."""
         return next(iter(self.receiving.values()))
 
     def is_full(self) -> bool:
-        """Whether new clients may have to wait until another one closes."""
+        """Returns whether new clients may have to wait until another one closes."""
         return len(self.open) >= self.limits.clients
 
     def may_accept(self, now_us: int) -> bool:
-        """Whether another client can be accepted: there is room, or one that is open may be closed for it."""
+        """Returns whether another client can be accepted: there is room, or one may be closed for it."""
         return (
             len(self.open) < self.limits.clients + self.limits.extra_clients
             or self.find_spare(now_us) is not None
--- a/cressrail/proxy/commands.py
+++ b/cressrail/proxy/commands.py
@@ -1,4 +1,4 @@
-"""What the state machine asks for. Reading and writing are among it; nothing here does any."""
+"""The commands that the state machine returns for the `network` package to execute."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class AcceptClients(NamedTuple):
-    """Accept clients, or pause.
+    """Start or pause accepting clients.
 
     Attributes:
-        on: Whether clients are accepted from now on.
-        closed: Whether the listening socket is closed, so that no client is accepted any more.
+        is_accepting: Whether clients are accepted from now on.
+        is_final: Whether to close the listening socket, so that no client can be accepted any more.
     """
 
     is_accepting: bool
@@ -28,13 +28,13 @@
 
 
 class SendResponse(NamedTuple):
-    """Send an answer to a client.
+    """Send a response to a client.
 
     Attributes:
-        client: The client's number.
-        response: The answer.
-        closes_connection: Whether the connection is closed after it.
-        is_http11: Whether the client reads HTTP/1.1.
+        client: The client's id.
+        response: The response.
+        closes_connection: Whether to announce that the connection closes after the response.
+        is_http11: Whether the client's request was HTTP/1.1.
     """
 
     client: int
@@ -47,8 +47,9 @@
     """Close a client's connection.
 
     Attributes:
-        client: The client's number.
-        only_if_idle: Only if no request has begun meanwhile, or its rest does not come.
+        client: The client's id.
+        only_if_idle: Whether to close it only if the client has not begun to send a request in the meantime,
+            or has stopped sending one.
     """
 
     client: int
@@ -56,17 +57,17 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send a request over a connection to an endpoint, which is there already or is to be made.
+    """Send a request over a connection to an endpoint.
 
     Attributes:
-        connection: The connection's number.
-        is_new_connection: Whether it is to be made.
+        connection: The connection's id.
+        is_new_connection: Whether the connection must be established first.
         attempt: The attempt's id.
-        host: Where the connection leads.
-        port: Where the connection leads.
-        request: What is sent.
-        until_us: When the attempt times out.
-        not_before_us: When it may be sent at the earliest.
+        host: Host that the connection leads to.
+        port: Port that the connection leads to.
+        request: The request to send.
+        timeout_at_us: When the attempt times out.
+        not_before_us: Earliest time at which the attempt may be sent.
     """
 
     connection: int
@@ -80,7 +81,7 @@
 
 
 class CancelAttempt(NamedTuple):
-    """End an attempt without waiting for its answer; its connection is closed."""
+    """Cancel an attempt without waiting for its response, and close its connection."""
 
     connection: int
     attempt: int
@@ -93,7 +94,7 @@
 
 
 class ReleaseBody(NamedTuple):
-    """Give the buffers of a body back."""
+    """Return the buffers of a body to the pool."""
 
     body: BufferChain
 
@@ -102,10 +103,10 @@
     """Open the watch on discovery's endpoint list.
 
     Attributes:
-        after_revision: Changes after this one are sent; the complete list first if it is -1.
-        at_us: When the watch is to be opened.
+        after_revision: Revision after which discovery sends changes; -1 to receive the complete list first.
+        at_us: Time at which to open the watch.
         source: Host and port of discovery.
-        consecutive_failures: Watches in a row that ended without an update.
+        consecutive_failures: Number of watches in a row that ended without an update.
     """
 
     after_revision: int
@@ -115,24 +116,24 @@
 
 
 class SetTimer(NamedTuple):
-    """Call `StateMachine.on_timer` at this time, and not at one set before."""
+    """Call `StateMachine.on_timer` at this time; replaces any earlier timer."""
 
     at_us: int
 
 
 class BeginTakeover(NamedTuple):
-    """Ask the predecessor process, which serves so far, to hand over."""
+    """Ask the predecessor process to hand over."""
 
 
 class LogEvent(NamedTuple):
-    """Write a line to the log. Names of events are in `events`."""
+    """Write a line to the log; `cressrail.logs.events` defines the event names."""
 
     event: str
     fields: dict[str, Any]
 
 
 class Exit(NamedTuple):
-    """End the process: all is done."""
+    """Exit the process: no work remains, or its time is up."""
 
 
 Command = (
--- a/cressrail/proxy/connection_limits.py
+++ b/cressrail/proxy/connection_limits.py
@@ -1,15 +1,15 @@
-"""How many connections may be open on each side."""
+"""Limits on the number of open connections to clients and to endpoints."""
 
 from __future__ import annotations
 
 
 class ConnectionLimits:
-    """Limits by side, so that neither side can use up the descriptors of the other.
+    """Separate limits for clients and endpoints, so that neither side can exhaust the other's descriptors.
 
     Attributes:
-        clients: Clients whose requests are forwarded.
-        extra_clients: Clients beyond these that are accepted and answered with 503 at once.
-        endpoint_connections: Connections to endpoints.
+        clients: Maximum number of clients whose requests are forwarded.
+        extra_clients: Number of clients above `clients` that are accepted and answered with 503 at once.
+        endpoint_connections: Maximum number of connections to endpoints.
     """
 
     def __init__(self, clients: int, extra_clients: int, endpoint_connections: int) -> None:
@@ -18,15 +18,15 @@
         self.endpoint_connections = endpoint_connections
 
     def lend(self, clients: int, endpoint_connections: int) -> None:
-        """Takes out what another process still holds. At least one connection stays on each side."""
+        """Subtracts connections that another process still holds, but leaves at least one on each side."""
         self.clients = max(1, self.clients - clients)
         self.endpoint_connections = max(1, self.endpoint_connections - endpoint_connections)
 
     def keep_part(self, parts: int, open_connections: int) -> None:
-        """Keeps one of so many parts of the connections to endpoints, and at least those that are open."""
+        """Divides the limit on connections to endpoints by `parts`, but not below the number of open ones."""
         self.endpoint_connections = max(open_connections, self.endpoint_connections // parts)
 
     def regain(self, clients: int, endpoint_connections: int) -> None:
-        """Adds what the other process held until it exited."""
+        """Adds back the connections that the other process held until it exited."""
         self.clients += clients
         self.endpoint_connections += endpoint_connections
--- a/cressrail/proxy/endpoint_connections.py
+++ b/cressrail/proxy/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: which are open, and which of them an attempt may go over."""
+"""The connections to endpoints: which are open, and which of them may carry an attempt."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from cressrail.proxy.endpoint_registry import EndpointRegistry, RegisteredEndpoint
 from cressrail.proxy.id_sequence import IdSequence
 
-CONNECTION_SETTLE_US = 5_000  # an endpoint may send a second answer some milliseconds after its first
+# Delay before a connection is reused: an endpoint may send a second response milliseconds after the first.
+CONNECTION_SETTLE_US = 5_000
 
 
 class EndpointConnection:
-    """A connection, and the process that it was made to.
+    """A connection, with the address and start time of the endpoint process that it was opened to.
 
     Attributes:
         endpoint: Index of the endpoint.
-        host: Where it was made to.
-        port: Where it was made to.
-        started_us: When the process behind it was started, as listed when the connection was made.
-        settled_us: From then on it may carry another attempt.
+        host: Host that the connection was opened to.
+        port: Port that the connection was opened to.
+        started_us: Start time of the endpoint's process, as listed when the connection was opened.
+        settled_us: Time from which the connection may carry another attempt.
     """
 
     def __init__(self, endpoint: int, host: str, port: int, started_us: int) -> None:
@@ -29,7 +30,7 @@
         self.settled_us = 0
 
     def leads_to(self, endpoint: RegisteredEndpoint) -> bool:
-        """Whether the endpoint is still the process that the connection was made to."""
+        """Returns whether the endpoint is still the process that the connection was opened to."""
         return (endpoint.host, endpoint.port, endpoint.entry.started_us) == (
             self.host,
             self.port,
@@ -38,11 +39,12 @@
 
 
 class EndpointConnections:
-    """Owns the connections to endpoints, and the list of idle ones of each registered endpoint.
+    """Owns the connections to endpoints, and the list of idle connections of each registered endpoint.
 
     Attributes:
-        open: All connections, by their numbers.
-        idle: Connections with no attempt in flight, the longest idle first.
+        open: All connections, by id.
+        idle: Ids of connections with no attempt in flight, the longest idle first (a dict used as an ordered
+            set).
     """
 
     def __init__(self, registry: EndpointRegistry, limits: ConnectionLimits, ids: IdSequence) -> None:
@@ -53,11 +55,11 @@
         self.idle: dict[int, None] = {}
 
     def acquire(self, now_us: int, endpoint: int, commands: list[Command]) -> tuple[int, bool]:
-        """Returns a connection to the endpoint, and whether it is new; (-1, False) at the limit.
+        """Returns a connection to the endpoint, and whether it is new; (-1, False) if none is available.
 
-        Of idle connections the one that was used last is taken, so that others may end; if possible one that
-        has settled. At the limit the connection that is idle longest is closed, by a command that is
-        appended.
+        The idle connection that was used last is preferred, so that superfluous ones stay idle and can be
+        closed; a connection whose settle time has passed is preferred over one that must still wait. At the
+        limit, the command to close the connection that has been idle longest is appended to `commands`.
         """
         registered = self.registry.endpoints[endpoint]
         if registered.idle:
@@ -76,11 +78,11 @@
         return connection, True
 
     def release(self, now_us: int, connection: int) -> list[Command]:
-        """No attempt is in flight on a connection any more.
+        """Makes a connection idle after its attempt has ended.
 
-        It is closed if its endpoint has left or moved. Else it may be used once it has settled, so that a
-        second answer to this attempt is not taken for the answer to the next: answers do not name their
-        requests.
+        Returns the command to close the connection if its endpoint was removed or has another address now.
+        Otherwise the connection may be reused after `CONNECTION_SETTLE_US`, so that a second response to this
+        attempt is not mistaken for the response to the next one: responses don't name their requests.
         """
         released = self.open[connection]
         released.settled_us = now_us + CONNECTION_SETTLE_US
@@ -93,7 +95,7 @@
         return []
 
     def claim(self, connection: int) -> bool:
-        """Takes a connection out of the idle ones. Returns whether it was one."""
+        """Removes a connection from the idle ones. Returns whether it was idle."""
         if connection not in self.idle:
             return False
         del self.idle[connection]
@@ -101,7 +103,7 @@
         return True
 
     def close_longest_idle(self) -> list[Command]:
-        """Returns the command to close the connection that is idle longest, if any is idle."""
+        """Returns the command to close the connection that has been idle longest, if any is idle."""
         if not self.idle:
             return []
         oldest = next(iter(self.idle))
@@ -113,6 +115,6 @@
         return [CloseEndpointConnection(connection) for connection in connections if self.claim(connection)]
 
     def remove(self, connection: int) -> None:
-        """A connection is closed; the one place where it stops counting."""
+        """Removes a closed connection. Only here does it stop counting against the limit."""
         self.claim(connection)
         del self.open[connection]
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list: which revision is held, and when the watch is opened again."""
+"""The watch on discovery's endpoint list: the revision held, and when the watch is reopened."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from cressrail.proxy.commands import WatchEndpoints
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
-READY_WITHOUT_LIST_US = 500_000  # a start without an answer of discovery goes by the configured list then
-WATCH_RETRY_US = 50_000  # the first pause before the watch is opened again; doubles
-WATCH_RETRY_DOUBLINGS = 4
-WATCH_RETRY_DRAIN_PARTS = 4  # no pause is longer than this part of a drain's notice, else the drain is missed
-WATCH_STABLE_US = 2_000_000  # a watch that lasted so long is opened again at once
-COMPLETE_LIST = -1  # in place of a revision: the whole list is to be sent first
+READY_WITHOUT_LIST_US = 500_000  # wait for discovery's list at a start before the configured list is used
+WATCH_RETRY_US = 50_000  # first delay before the watch is reopened; doubles with each failure
+WATCH_RETRY_DOUBLINGS = 4  # the delay doubles at most this often
+WATCH_RETRY_DRAIN_PARTS = 4  # no delay exceeds 1/4 of the drain notice, otherwise a drain would be missed
+WATCH_STABLE_US = 2_000_000  # a watch that lasted this long is reopened without delay
+COMPLETE_LIST = -1  # in place of a revision: asks discovery to send the complete list first
 
 
 class EndpointListWatch:
-    """Owns the revision of the list, and the retries of the watch on it.
+    """Owns the revision of the endpoint list and the retries of the watch on it.
 
     Attributes:
         discovery: Host and port of discovery.
-        revision: Of the list that is held.
+        revision: Revision of the list that this process holds.
         has_list: Whether discovery has sent a list since the start.
-        consecutive_failures: Watches in a row that ended without an update.
+        consecutive_failures: Number of watches in a row that ended without an update.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.has_list = False
         self.consecutive_failures = 0
         self.opened_us = now_us
-        self.needs_complete_list = True  # the source may count revisions otherwise than the one before
+        self.needs_complete_list = True  # the known list may come from a source with other revisions
 
     def open(self, at_us: int) -> WatchEndpoints:
         """Returns the command to open the watch at `at_us`."""
@@ -51,15 +51,15 @@
         return WatchEndpoints(revision, at_us, self.discovery, self.consecutive_failures)
 
     def start(self, now_us: int, revision: int) -> WatchEndpoints:
-        """Opens the first watch; `revision` is that of the list known before."""
+        """Opens the first watch; `revision` is the revision of the list known at the start."""
         self.revision = revision
         return self.open(now_us)
 
     def accept(self, update: EndpointListUpdate) -> bool:
-        """Returns whether an update is to be applied: its revision is not older than the one held.
+        """Returns whether to apply an update: partial updates older than the revision held are rejected.
 
-        An older revision means that discovery counts from the start again. The complete list is asked for
-        then: else drains would be missed until discovery's revision has passed the one held.
+        An older revision means that discovery has restarted its count. The next watch then asks for the
+        complete list: otherwise drains would be missed until discovery's revision exceeds the one held.
         """
         self.consecutive_failures = 0
         self.has_list = True
@@ -71,11 +71,11 @@
         return True
 
     def open_after_old_revision(self, now_us: int) -> WatchEndpoints:
-        """Opens the watch anew after a pause, as discovery may go on sending old revisions."""
+        """Reopens the watch after a delay, since discovery might keep sending old revisions."""
         return self.open(now_us + WATCH_RETRY_US)
 
     def retry_delay_us(self, now_us: int) -> int:
-        """Counts a watch that ended; returns the pause before the next one, exponential and randomized."""
+        """Counts a watch that has ended; returns the randomized exponential backoff before the next one."""
         longest_us = max(WATCH_RETRY_US, self.drain_notice_us // WATCH_RETRY_DRAIN_PARTS)
         pause_us = min(
             WATCH_RETRY_US << min(self.consecutive_failures, WATCH_RETRY_DOUBLINGS),
@@ -88,7 +88,7 @@
         return pause_us
 
     def change_discovery(self, now_us: int, discovery: tuple[str, int]) -> list[WatchEndpoints]:
-        """Watches the complete list at another address, if it is another one."""
+        """Opens a watch on the complete list at a new address; empty if the address is unchanged."""
         if discovery == self.discovery:
             return []
         self.discovery = discovery
@@ -97,14 +97,18 @@
         return [self.open(now_us)]
 
     def is_settled(self, now_us: int) -> bool:
-        """Whether discovery has sent the list, or has been silent for so long that none is waited for."""
+        """Returns whether the wait for discovery's first list is over: it has arrived, or timed out."""
         return self.has_list or now_us - self.started_us >= READY_WITHOUT_LIST_US
 
     def can_serve(self, now_us: int) -> bool:
-        """Whether requests can be routed: the list is known, or none is waited for and some are known."""
+        """Returns whether requests can be routed.
+
+        This requires discovery's list, or endpoints known from elsewhere once the wait for the list has timed
+        out.
+        """
         return self.has_list or (bool(self.registry.endpoints) and self.is_settled(now_us))
 
     @property
     def settles_us(self) -> int:
-        """From when on no list is waited for."""
+        """The time at which the wait for discovery's first list times out."""
         return self.started_us + READY_WITHOUT_LIST_US
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints' names and addresses, with indices on this side and discovery's ids on the other."""
+"""The registry of endpoints, which maps discovery's ids (names) to the indices that the policy uses."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 
 
 class RegisteredEndpoint:
-    """How an endpoint is reached; what decisions go by is in the load balancer's record of it.
+    """An endpoint's address and idle connections.
+
+    The data that routing decisions use is in the load balancer's `Endpoint` record.
 
     Attributes:
-        name: Its id at discovery.
-        host: Address that connections are made to.
-        port: Port that connections are made to.
-        entry: As it was listed last.
-        idle: Connections with no attempt in flight, the latest used last; `EndpointConnections` alone changes
-            it.
+        name: The endpoint's id at discovery.
+        host: Host that connections are opened to.
+        port: Port that connections are opened to.
+        entry: The endpoint's entry in the latest list that contained it.
+        idle: Ids of connections with no attempt in flight, the most recently used last; only
+            `EndpointConnections` changes this list.
     """
 
     def __init__(self, name: str, host: str, port: int, entry: EndpointEntry) -> None:
@@ -30,12 +32,12 @@
 
 
 class RegistryChanges(NamedTuple):
-    """What an update of the list changes.
+    """The changes that an update of the endpoint list has caused.
 
     Attributes:
-        updates: For the load balancer.
+        updates: The changed endpoints, for the load balancer.
         stale_connections: Idle connections to addresses or processes that are no longer listed.
-        removed: Indices of endpoints that have left the list.
+        removed: Indices of the endpoints that were removed from the list.
     """
 
     updates: list[EndpointUpdate]
@@ -44,12 +46,12 @@
 
 
 class EndpointRegistry:
-    """Gives each listed endpoint an index, and keeps its address and entry.
+    """Assigns an index to each listed endpoint, and keeps its address and list entry.
 
     Attributes:
-        zones: Indices of the zones, by their names.
-        indices: Indices of the endpoints, by their names.
-        endpoints: By index.
+        zones: Indices of the zones, by name.
+        indices: Indices of the endpoints, by name.
+        endpoints: The endpoints, by index.
     """
 
     def __init__(self, zones: list[str]) -> None:
@@ -59,7 +61,7 @@
         self.next_index = 0
 
     def apply(self, update: EndpointListUpdate) -> RegistryChanges:
-        """Takes an update of the list over. Entries that could not be read stay as they were."""
+        """Applies an update of the list. Endpoints whose new entry is unreadable keep their current entry."""
         changes = RegistryChanges([], [], [])
         kept = [
             self.endpoints[self.indices[name]].entry
@@ -76,7 +78,7 @@
     def _apply_entry(self, entry: EndpointEntry, changes: RegistryChanges) -> None:
         index = self.indices.get(entry.name)
         if index is None:
-            if entry.is_removed:  # it has left before it was ever listed
+            if entry.is_removed:  # removed before this process ever saw it listed
                 return
             index = self._add(entry)
         registered = self.endpoints[index]
@@ -115,15 +117,15 @@
                 changes.removed.append(index)
 
     def names(self) -> dict[int, str]:
-        """The endpoints' names, by index."""
+        """Returns the endpoints' names, by index."""
         return {index: registered.name for index, registered in self.endpoints.items()}
 
     def listed_count(self) -> int:
-        """How many endpoints are listed now."""
+        """Returns how many endpoints are listed now."""
         return sum(not registered.entry.is_removed for registered in self.endpoints.values())
 
     def is_listed(self, index: int) -> bool:
-        """Whether an endpoint is listed now."""
+        """Returns whether an endpoint is listed now."""
         return index in self.endpoints and not self.endpoints[index].entry.is_removed
 
     def forget(self, index: int) -> None:
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""What happens to a request between its client and the endpoints, as the load balancer decides."""
+"""Forwarding of requests from clients to endpoints, and of responses back, as the load balancer decides."""
 
 from __future__ import annotations
 
@@ -27,15 +27,16 @@
     PendingRequests,
 )
 
-CLIENT_CHECK_AGE_US = 100_000  # the client of an older request may have left: looked for before a first byte
+# Before an attempt of a request older than this is sent, the client is checked: it may have disconnected.
+CLIENT_CHECK_AGE_US = 100_000
 SUCCESS_STATUS = 200
 INVALID_REQUEST_STATUS = 400
-FAILED_STATUS = 502  # may have taken effect
-REJECTED_STATUS = 503  # has had no effect
+FAILED_STATUS = 502  # the request may have taken effect
+REJECTED_STATUS = 503  # the request has had no effect
 
 
 class RequestForwarder:
-    """Turns decisions of the load balancer into commands, and ends of attempts into answers."""
+    """Turns the load balancer's decisions into commands, and the results of attempts into responses."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
     # Decisions
 
     def _apply_decisions(self, now_us: int, decisions: list[Decision]) -> list[Command]:
-        """Turns decisions into commands. What follows from one at once is decided after those at hand."""
+        """Turns decisions into commands; further decisions that result from one are appended to the queue."""
         commands: list[Command] = []
         remaining = deque(decisions)
         while remaining:
@@ -88,7 +89,7 @@
         commands += started
         if number in pending.attempts:
             return []
-        # No connection can be had: nothing was sent, and the endpoint is not to blame.
+        # No connection is available: nothing was sent, and the endpoint is not at fault.
         decisions = routed_request.on_attempt_finished(number, now_us, Outcome.NOT_SENT, 0, False)
         open_connections = len(self.attempts.connections.open)
         commands.append(
@@ -99,7 +100,7 @@
     def _end_request(
         self, now_us: int, routed_request: RoutedRequest, is_rejected: bool, retry_after_us: int
     ) -> list[Command]:
-        """Answers a request that no endpoint has answered."""
+        """Sends an error response to a request that no endpoint has answered."""
         pending = self.requests.pending[routed_request]
         status = REJECTED_STATUS if is_rejected else FAILED_STATUS
         if pending.is_invalid:
@@ -120,13 +121,13 @@
         return commands + self.requests.release(routed_request)
 
     def on_timer(self, now_us: int) -> list[Command]:
-        """Asks the load balancer for what is decided by time alone."""
+        """Applies the load balancer's timed decisions, if any are due."""
         if now_us < self.load_balancer.wake_us:
             return []
         return self._apply_decisions(now_us, self.load_balancer.on_timer(now_us))
 
     def has_unanswered(self) -> bool:
-        """Whether a client waits for an answer that has not begun."""
+        """Returns whether a client waits for a response that has not begun."""
         return any(
             client.routed_request is not None
             and not self.requests.pending[client.routed_request].streaming_attempt
@@ -134,7 +135,7 @@
         )
 
     def finish_all_now(self, now_us: int) -> list[Command]:
-        """Answers all that is not answered, before the platform's kill would cut it off."""
+        """Answers all open requests whose response has not begun, before the platform kills the process."""
         waiting = [
             client.routed_request
             for client in self.clients.open.values()
@@ -146,16 +147,16 @@
                 commands += self._apply_decisions(now_us, routed_request.finish_now())
         return commands
 
-    # Answers
+    # Responses
 
     def closes_after_response(self, client: Client) -> bool:
-        """Whether the answer that a client is sent is the last on its connection."""
+        """Returns whether the client's connection closes after the response that is sent now."""
         return self.lifecycle.rules.closes_after_response or client.is_over_limit or not client.keep_alive
 
     def reply(
         self, client: int, status: int, body: BufferChain | None, request_class: str | None = None
     ) -> list[Command]:
-        """Answers a request that is not forwarded; counted under its request class, if one is given."""
+        """Responds to a request that is not forwarded, and counts it if a request class is given."""
         if request_class is not None:
             self.counters.on_final_answer(request_class, status)
         commands: list[Command] = [ReleaseBody(body)] if body else []
@@ -168,7 +169,7 @@
         return [SendResponse(client, response, self.closes_after_response(self.clients.open[client]))]
 
     def _finish(self, routed_request: RoutedRequest, status: int) -> None:
-        """Its answer is final; the one place where a forwarded request is counted."""
+        """Completes a request whose response is final. Forwarded requests are counted only here."""
         pending = self.requests.pending[routed_request]
         self.clients.clear_request(pending.client)
         self.counters.on_final_answer(pending.class_name, status)
@@ -183,10 +184,10 @@
         return self._apply_decisions(now_us, routed_request.route(now_us))
 
     def complete(self, now_us: int, client: int, arrived_us: int) -> bool:
-        """The last byte of a request has come that was forwarded before: its time runs from here.
+        """Handles the last byte of a request that is forwarded while it arrives: its time limit starts now.
 
         Returns:
-            Whether the request still waits for its answer.
+            Whether the request still waits for its response.
         """
         routed_request = self.clients.open[client].routed_request
         if routed_request is None or routed_request.is_finished:
@@ -198,12 +199,12 @@
         return True
 
     def abort(self, now_us: int, client: int, status: int) -> list[Command]:
-        """A request was forwarded before all of it had come, and the rest never will come.
+        """Ends a request that was forwarded while it arrived, after its client failed to send the rest.
 
-        An endpoint begins nothing that is incomplete, so nothing of it has run.
+        Endpoints don't begin to process an incomplete request, so it has had no effect.
         """
         routed_request = self.clients.open[client].routed_request
-        if routed_request is None or routed_request.is_finished:  # it has its answer already
+        if routed_request is None or routed_request.is_finished:  # it already has its response
             return []
         request_class = self.requests.pending[routed_request].class_name
         self.requests.release_id(routed_request)
@@ -213,7 +214,7 @@
         return commands + self.reply(client, status, None, request_class)
 
     def drop_request(self, now_us: int, routed_request: RoutedRequest | None) -> list[Command]:
-        """A client has left: the attempts of its request, if any, are cancelled where that is allowed."""
+        """Drops the request of a client that has left, and cancels its attempts where that is allowed."""
         if routed_request is None:
             return []
         self.requests.release_id(routed_request)
@@ -224,27 +225,27 @@
         return commands + self.requests.release(routed_request)
 
     def waiting_client(self, now_us: int, attempt: int) -> int:
-        """Returns the client of an attempt if it has waited so long that it may have left; else 0."""
+        """Returns the client of an attempt if it has waited so long that it may have left; otherwise 0."""
         routed_request = self.attempts.in_flight[attempt].routed_request
         if routed_request.is_finished:
             return 0
         pending = self.requests.pending[routed_request]
         return pending.client if now_us - pending.arrived_us >= CLIENT_CHECK_AGE_US else 0
 
-    # Ends of attempts
+    # Results of attempts
 
     def on_attempt_sent(self, now_us: int, attempt: int) -> None:
-        """The last byte of an attempt has gone to its endpoint, which begins a request only then."""
+        """Records the last byte of an attempt; the endpoint processes the request only from then on."""
         self.counters.on_attempt_sent()
         sent = self.attempts.in_flight[attempt]
         if self.requests.pending[sent.routed_request].request.is_streaming:
             self.attempts.set_sent(attempt, now_us)
 
     def on_response_started(self, now_us: int, attempt: int, response: Response) -> list[Command]:
-        """An answer too large to keep has begun. From here on it is the request's only answer.
+        """Starts to stream a response that is too large to buffer. It becomes the request's only response.
 
-        To the load balancer the attempt has ended, as the endpoint's work is done: slow readers would hold
-        limits while endpoints have nothing to do.
+        For the load balancer the attempt ends here, since the endpoint's work is done: otherwise clients that
+        read slowly would use up concurrency limits while the endpoints are idle.
         """
         started = self.attempts.in_flight[attempt]
         routed_request = started.routed_request
@@ -252,9 +253,8 @@
         pending.begin_stream(attempt)
         request, client = pending.request, self.clients.open[pending.client]
         if response.content_length is None and not request.is_http11:
-            self.clients.set_keep_alive(
-                pending.client, False
-            )  # only the connection's end tells the answer's end
+            # HTTP/1.0 has no chunked encoding: only closing the connection marks the end of the body.
+            self.clients.set_keep_alive(pending.client, False)
         decisions = routed_request.on_attempt_finished(
             started.number, now_us, Outcome.SUCCEEDED, now_us - started.sent_us, True
         )
@@ -264,7 +264,7 @@
         return commands
 
     def on_attempt_finished(self, now_us: int, attempt: int, result: AttemptResult) -> list[Command]:
-        """Answers the request if the attempt has, else does what the load balancer decides."""
+        """Answers the request if the attempt succeeded; otherwise the load balancer decides what follows."""
         ended = self.attempts.remove(attempt)
         routed_request = ended.routed_request
         pending = self.requests.pending[routed_request]
@@ -299,7 +299,7 @@
     def _finish_stream(
         self, routed_request: RoutedRequest, pending: PendingRequest, has_succeeded: bool
     ) -> None:
-        """An answer that was passed on has ended or broken off; there is no other one."""
+        """Completes a request whose response was streamed, whether the stream ended normally or broke off."""
         pending.end_stream()
         if self.requests.is_answer_due(pending):
             self._finish(routed_request, SUCCESS_STATUS if has_succeeded else FAILED_STATUS)
--- a/cressrail/proxy/id_sequence.py
+++ b/cressrail/proxy/id_sequence.py
@@ -1,10 +1,10 @@
-"""Numbers for attempts and connections to endpoints, from one sequence."""
+"""The sequence of ids that attempts and connections to endpoints share."""
 
 from __future__ import annotations
 
 
 class IdSequence:
-    """Hands out 1, 2, 3, ..."""
+    """Generates unique ids: 1, 2, 3, ..."""
 
     __slots__ = ("last",)
 
@@ -12,6 +12,6 @@
         self.last = 0
 
     def next_id(self) -> int:
-        """Returns a number that was never returned before."""
+        """Returns the next id, which was never returned before."""
         self.last += 1
         return self.last
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -1,4 +1,4 @@
-"""What is done with a request as it comes in: answered at once, or forwarded."""
+"""Intake of requests from clients: each is either answered at once or forwarded."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 UNKNOWN_PATH_STATUS = 404
 OVER_LIMIT_STATUS = 503
 NO_TENANT = -1
-STILL_COMING = -1  # in place of a request's remaining time, which does not run yet
+STILL_COMING = -1  # remaining time of a request that its client is still sending: its clock is not running
 
 
 class RequestIntake:
-    """Answers health checks and invalid requests, and forwards the others."""
+    """Answers health checks and invalid requests, and forwards all others."""
 
     def __init__(
         self,
@@ -55,14 +55,15 @@
         self.forwarder = forwarder
 
     def is_healthy(self, now_us: int) -> bool:
-        """Whether the ingress is to send clients here, as the health check says."""
+        """Returns whether the health check succeeds, so that the ingress tier sends clients here."""
         return self.lifecycle.rules.is_healthy and self.endpoint_watch.can_serve(now_us)
 
     def take(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """Takes a request complete at `arrived_us`, or one that is forwarded as it comes."""
-        # If it is answered before all of it has come, it is the last: what is left of it may never come.
+        """Handles a request that was complete at `arrived_us`, or one that is forwarded while it arrives."""
+        # A request that is answered before all of it has arrived is the last on its connection, since the
+        # rest of it may never arrive.
         self.clients.set_keep_alive(client, request.keep_alive and not request.is_streaming)
-        self.clients.finish_receiving(client)  # also if it was asked to close just now
+        self.clients.finish_receiving(client)  # has no effect if a close was just requested
         if request.path == HEALTH_PATH:
             status = HEALTHY_STATUS if self.is_healthy(now_us) else UNHEALTHY_STATUS
             return self.forwarder.reply(client, status, request.body)
@@ -88,7 +89,7 @@
     def _time_limit_us(
         self, now_us: int, request: Request, request_id: str, request_class: RequestClass
     ) -> int | None:
-        """Returns the time that a request has; None if its deadline is invalid or its id is in use."""
+        """Returns a request's time limit in us; None if its deadline is invalid or its id is in use."""
         deadline = request.header_text(DEADLINE_FIELD)
         limit_us = parse_duration_us(deadline) if deadline is not None else request_class.deadline_us
         if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
--- a/cressrail/proxy/lifecycle.py
+++ b/cressrail/proxy/lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of the process: who takes clients in, how far a stop has come, and whether it is out of service.
+"""The life cycle of the process: ownership of the listening socket, phases of a stop, and service state.
 
-A state has three parts that change independently: `Ownership` (of the listening socket, which one process
-hands over to the next), `StopPhase`, and whether an operator took the process out of service. `rules_of` is
-the table of what each state answers. What depends on the endpoint list and on room for clients is asked
-elsewhere besides.
+A state has three parts that change independently: `Ownership` of the listening socket, which one process
+hands over to the next; `StopPhase`; and whether an operator has taken the process out of service. `rules_of`
+returns the behaviour that each state prescribes. Conditions that depend on the endpoint list or on room for
+clients are checked elsewhere, in addition to these rules.
 """
 
 from __future__ import annotations
@@ -11,46 +11,45 @@
 from enum import Enum
 from typing import NamedTuple
 
-STOP_GRACE_MIN_US = 600_000  # clients are accepted so long after a stop was requested,
-STOP_GRACE_QUIET_US = 300_000  # or so long after the last one connected,
-STOP_GRACE_MAX_US = 700_000  # but no longer than this
-STOP_KILL_US = 3_000_000  # the platform kills so long after that, or the longest deadline if that is less
-STOP_KILL_MARGIN_US = 200_000  # before the kill every request is to have its answer
-HANDED_OVER_IDLE_US = (
-    8_000_000  # so long a client may send one more request to a process that has handed over
-)
-OUT_OF_SERVICE_IDLE_US = 500_000  # by then the ingress has seen the health check fail: clients go elsewhere
-NEVER_US = 1 << 62  # a time on the clock that does not come
+STOP_GRACE_MIN_US = 600_000  # after a stop request, clients are accepted for at least this long
+STOP_GRACE_QUIET_US = 300_000  # the grace period ends once no client has connected for this long,
+STOP_GRACE_MAX_US = 700_000  # but this long after the stop request at the latest
+# After `STOP_GRACE_MAX_US` the platform waits this long, or for the longest deadline if shorter, and kills.
+STOP_KILL_US = 3_000_000
+STOP_KILL_MARGIN_US = 200_000  # all requests are answered this long before the platform kills the process
+HANDED_OVER_IDLE_US = 8_000_000  # after a hand-over, idle clients may send one more request for this long
+OUT_OF_SERVICE_IDLE_US = 500_000  # by then the ingress tier has seen the health check fail
+NEVER_US = 1 << 62  # a time that is never reached
 
 
 class Ownership(Enum):
     """Which process accepts clients on the listening socket."""
 
-    TAKING_OVER = "taking over"  # the predecessor does, until it has handed over
-    SERVING = "serving"  # this one does
-    HANDED_OVER = "handed over"  # the successor does
+    TAKING_OVER = "taking over"  # the predecessor process, until it has handed over
+    SERVING = "serving"  # this process
+    HANDED_OVER = "handed over"  # the successor process
 
 
 class StopPhase(Enum):
-    """How far a requested stop has come."""
+    """The phases of a stop, in order."""
 
-    RUNNING = "running"  # none was requested
-    GRACE = "grace"  # clients still connect, since the ingress learns of the stop late
-    CLOSING = "closing"  # no client is accepted; those that are connected may send requests
-    LAST_ANSWERS = "last answers"  # each answer is the last on its connection, idle connections are closed
+    RUNNING = "running"  # no stop was requested
+    GRACE = "grace"  # clients are still accepted, since the ingress tier notices the stop with a delay
+    CLOSING = "closing"  # no client is accepted; connected clients may still send requests
+    LAST_ANSWERS = "last answers"  # each connection closes after its next response; idle ones are closed
     ENDED = "ended"  # the process may exit
 
 
 class StateRules(NamedTuple):
-    """What a state answers.
+    """The behaviour that a state prescribes.
 
     Attributes:
-        is_healthy: To the ingress' health check, if requests can be served: whether to send clients here.
-        is_ready: To the operators' readiness check, if requests can be served.
-        accepts_clients: To a new client, if there is room.
-        keeps_idle_clients: To clients that send nothing: whether they may stay as long as there is room.
-        closes_after_response: To a client that has its answer: whether the connection is closed.
-        starts_stop: To a signal: whether a stop begins by it.
+        is_healthy: Whether the ingress tier's health check succeeds, provided that requests can be served.
+        is_ready: Whether the operators' readiness check succeeds, provided that requests can be served.
+        accepts_clients: Whether new clients are accepted, provided that there is room.
+        keeps_idle_clients: Whether clients that send nothing may stay connected while there is room.
+        closes_after_response: Whether a client's connection is closed after its next response.
+        starts_stop: Whether a stop signal starts a stop.
     """
 
     is_healthy: bool
@@ -67,7 +66,7 @@
 
 # A process that has handed over stays healthy as it stops: its successor serves at the same address.
 _IN_SERVICE = {
-    #                                        healthy ready  accepts keeps  closes starts stop
+    #                                        healthy ready  accepts keeps  closes starts_stop
     (_TAKING_OVER, _RUNNING): StateRules(True, False, False, True, False, True),
     (_TAKING_OVER, _GRACE): StateRules(False, False, False, True, False, False),
     (_TAKING_OVER, _CLOSING): StateRules(False, False, False, False, False, False),
@@ -87,10 +86,10 @@
 
 
 def rules_of(ownership: Ownership, stop_phase: StopPhase, is_out_of_service: bool) -> StateRules:
-    """Returns what a state answers.
+    """Returns the behaviour that a state prescribes.
 
-    Out of service, clients that still come are served, but each answer is the last on its connection, and the
-    health check sends others elsewhere.
+    Out of service, clients that still connect are served, but their connection closes after each response,
+    and the health check fails so that the ingress tier sends further clients elsewhere.
     """
     rules = _IN_SERVICE[ownership, stop_phase]
     if is_out_of_service:
@@ -99,20 +98,19 @@
 
 
 class Lifecycle:
-    """Owns the state of the process, and the times of its changes.
+    """Owns the state of the process and the times of its transitions.
 
     Attributes:
-        ownership: Who accepts clients.
-        stop_phase: How far a stop has come.
-        is_out_of_service: Whether an operator took the process out of service.
-        rules: What the state answers.
-        is_taking_over: Whether another process serves until it has handed over to this one.
-        has_handed_over: Whether another process has taken over from this one.
+        ownership: Which process accepts clients.
+        stop_phase: The current phase of a stop.
+        is_out_of_service: Whether an operator has taken the process out of service.
+        rules: The behaviour that the current state prescribes.
+        is_taking_over: Whether the predecessor still serves and has yet to hand over to this process.
+        has_handed_over: Whether the successor has taken over from this process.
         is_stopping: Whether a stop was requested.
-        has_open_listener: Whether the listener may be told to accept clients or to pause: no stop has closed
-            it.
-        has_asked_predecessor: Whether the predecessor has been asked to hand over.
-        is_accepting: Whether the listener was last told to accept clients.
+        has_open_listener: Whether no stop has closed the listener, so that it can accept clients or pause.
+        has_asked_predecessor: Whether the predecessor was asked to hand over.
+        is_accepting: Whether the listener was last commanded to accept clients rather than to pause.
     """
 
     def __init__(self, now_us: int, max_deadline_us: int) -> None:
@@ -126,10 +124,10 @@
         self.handed_over_us = NEVER_US
         self.stop_requested_us = NEVER_US
         self.last_client_us = now_us
-        self.last_answers_us = NEVER_US  # of a stop: when `LAST_ANSWERS` begins
-        self.end_us = NEVER_US  # of a stop: whoever has not finished by then is cut off
+        self.last_answers_us = NEVER_US  # when a stop enters `LAST_ANSWERS`
+        self.end_us = NEVER_US  # when a stop ends even if work remains
         self.out_of_service_us = NEVER_US
-        self.has_closed_idle_clients = False  # for being out of service
+        self.has_closed_idle_clients = False  # because the process is out of service
 
     def _enter(
         self,
@@ -137,7 +135,7 @@
         stop_phase: StopPhase | None = None,
         is_out_of_service: bool | None = None,
     ) -> None:
-        """Changes the parts of the state that are given."""
+        """Changes those parts of the state that are not None."""
         if ownership is not None:
             self.ownership = ownership
         if stop_phase is not None:
@@ -147,7 +145,7 @@
         self._derive()
 
     def _derive(self) -> None:
-        """Sets what follows from the state. Plain attributes, as each event asks for them."""
+        """Recomputes what follows from the state. Plain attributes are fast: each event reads them."""
         self.rules = rules_of(self.ownership, self.stop_phase, self.is_out_of_service)
         self.is_taking_over = self.ownership is Ownership.TAKING_OVER
         self.has_handed_over = self.ownership is Ownership.HANDED_OVER
@@ -155,31 +153,35 @@
         self.has_open_listener = self.stop_phase in (StopPhase.RUNNING, StopPhase.GRACE)
 
     def set_accepting(self, is_accepting: bool) -> None:
-        """The listener is told to accept clients, or to pause."""
+        """Records whether the listener was commanded to accept clients or to pause."""
         self.is_accepting = is_accepting
 
     # Hand-over between two processes
 
     def wait_for_predecessor(self) -> None:
-        """Another process serves, and is to be asked to hand over."""
+        """Enters the state in which the predecessor still serves and has to be asked to hand over."""
         self._enter(ownership=Ownership.TAKING_OVER)
 
     def ask_predecessor(self) -> None:
-        """The predecessor is asked to hand over; once only."""
+        """Records that the predecessor was asked to hand over, so that it is asked only once."""
         self.has_asked_predecessor = True
 
     def take_over(self) -> None:
-        """The predecessor accepts no clients any more."""
+        """Makes this process the owner: the predecessor no longer accepts clients."""
         if self.is_taking_over:
             self._enter(ownership=Ownership.SERVING)
 
     def hand_over(self, now_us: int) -> None:
-        """The successor accepts clients from here on."""
+        """Makes the successor the owner: it accepts clients from now on."""
         self.handed_over_us = now_us
         self._enter(ownership=Ownership.HANDED_OVER)
 
     def resume_ownership(self) -> bool:
-        """The successor never served, or has died. Returns whether this process serves again."""
+        """Makes this process the owner again after its successor failed or died.
+
+        Returns:
+            Whether this process serves again; false if it had not handed over or is stopping.
+        """
         if not self.has_handed_over or self.is_stopping:
             return False
         self.handed_over_us = NEVER_US
@@ -187,7 +189,7 @@
         return True
 
     def closes_idle_clients_handed_over(self, now_us: int) -> bool:
-        """Whether clients had time enough for one more request to the process that has handed over."""
+        """Returns whether to close idle clients, since `HANDED_OVER_IDLE_US` passed after the hand-over."""
         return (
             self.has_handed_over
             and not self.is_stopping
@@ -197,7 +199,7 @@
     # Out of service
 
     def leave_service(self, now_us: int) -> bool:
-        """Takes the process out of service. Returns false if it was already."""
+        """Takes the process out of service. Returns false if it already was out of service."""
         if self.is_out_of_service:
             return False
         self.out_of_service_us = now_us
@@ -205,12 +207,12 @@
         return True
 
     def inherit_out_of_service(self, now_us: int) -> None:
-        """The predecessor was out of service, so this process is from now on."""
+        """Takes the process out of service because its predecessor was."""
         self.out_of_service_us = now_us
         self._enter(is_out_of_service=True)
 
     def return_to_service(self) -> bool:
-        """Puts the process back into service. Returns false if it was in service."""
+        """Puts the process back into service. Returns false if it already was in service."""
         if not self.is_out_of_service:
             return False
         self.out_of_service_us = NEVER_US
@@ -219,9 +221,10 @@
         return True
 
     def close_idle_out_of_service(self, now_us: int) -> bool:
-        """Returns true once: when idle clients are to be closed since the process is out of service.
+        """Returns true once, when it is time to close idle clients of a process that is out of service.
 
-        Not sooner: until the ingress has seen the health check fail, they would only come again.
+        If they were closed sooner, they would reconnect here: the ingress tier stops sending clients only
+        after it has seen the health check fail.
         """
         if now_us < self.idle_close_us:
             return False
@@ -230,7 +233,7 @@
 
     @property
     def idle_close_us(self) -> int:
-        """When idle clients are to be closed, out of service."""
+        """When to close idle clients because the process is out of service; `NEVER_US` if not at all."""
         if not self.is_out_of_service or self.has_closed_idle_clients:
             return NEVER_US
         return self.out_of_service_us + OUT_OF_SERVICE_IDLE_US
@@ -238,11 +241,11 @@
     # A stop
 
     def note_client(self, now_us: int) -> None:
-        """A client has connected."""
+        """Records when a client connected."""
         self.last_client_us = now_us
 
     def request_stop(self, now_us: int) -> bool:
-        """Begins a stop. Returns false if it has begun before."""
+        """Starts a stop. Returns false if one has already started."""
         if not self.rules.starts_stop:
             return False
         self.stop_requested_us = now_us
@@ -250,19 +253,19 @@
         return True
 
     def close_listener(self, now_us: int) -> bool:
-        """Ends the grace of a stop once its time has come. Returns whether it has."""
+        """Ends the grace period of a stop when it is due. Returns whether it ended now."""
         if self.stop_phase is not StopPhase.GRACE or now_us < self.grace_end_us:
             return False
-        # Clients that are connected are served for half of the time until the kill, their last requests for
-        # the rest.
+        # The first half of the time until the kill is for requests of connected clients, the second half for
+        # their last responses.
         self.last_answers_us = now_us + min(self.max_deadline_us, STOP_KILL_US) // 2
         self._enter(stop_phase=StopPhase.CLOSING)
         return True
 
     def begin_last_answers(self, now_us: int) -> bool:
-        """Returns whether it is time for each client's last answer, as of now.
+        """Enters `LAST_ANSWERS` when it is due. Returns whether it was entered now.
 
-        Not sooner: clients may have nobody else to go to while other instances restart.
+        It is not entered sooner because clients may have no other instance to use while others restart.
         """
         if self.stop_phase is not StopPhase.CLOSING or now_us < self.last_answers_us:
             return False
@@ -271,9 +274,9 @@
         return True
 
     def end(self, now_us: int, has_work: bool) -> bool:
-        """Returns true once: when the process may exit, all being done or time being up.
+        """Returns true once, when the process may exit because no work remains or its time is up.
 
-        A stop does not wait for a client that never sends the rest of its request.
+        The time limit keeps a client that never sends the rest of its request from blocking the stop.
         """
         if self.stop_phase is StopPhase.CLOSING:
             may_end = not has_work
@@ -287,7 +290,7 @@
 
     @property
     def grace_end_us(self) -> int:
-        """When clients are not accepted any more; at once if another process does that."""
+        """When the grace period of a stop ends; at once if the successor already accepts clients."""
         if self.has_handed_over:
             return self.stop_requested_us
         quiet_us = max(self.stop_requested_us + STOP_GRACE_MIN_US, self.last_client_us + STOP_GRACE_QUIET_US)
@@ -295,7 +298,7 @@
 
     @property
     def next_stop_phase_us(self) -> int:
-        """When the next phase of a stop begins."""
+        """When the next phase of a stop begins; `NEVER_US` if no stop was requested."""
         if self.stop_phase is StopPhase.RUNNING:
             return NEVER_US
         if self.stop_phase is StopPhase.GRACE:
@@ -304,7 +307,7 @@
 
     @property
     def answer_all_us(self) -> int:
-        """When every request is to have its answer, since the platform kills soon after."""
+        """When all open requests must be answered, because the platform kills the process soon after."""
         if not self.is_stopping:
             return NEVER_US
         kill_after_us = STOP_GRACE_MAX_US + min(self.max_deadline_us, STOP_KILL_US)
--- a/cressrail/proxy/listener_control.py
+++ b/cressrail/proxy/listener_control.py
@@ -1,4 +1,4 @@
-"""When the listener accepts clients, and when it pauses."""
+"""Control of the listener: decides when it accepts clients and when it pauses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class ListenerControl:
-    """Accepts clients while the process may, and there is room for one, also by closing another one.
+    """Lets the listener accept clients while the life cycle allows it and there is room for another one.
 
-    Not before the list has come, if it comes: clients wait in the system's queue meanwhile, rather than being
-    sent to endpoints that have begun to drain since the list was configured.
+    There is also room if an open client may be closed. After a start, the listener stays paused until the
+    first endpoint list has arrived or the wait for it has timed out. Meanwhile clients wait in the kernel's
+    accept queue, so that no request goes to an endpoint that began to drain after the list was configured.
     """
 
     def __init__(self, lifecycle: Lifecycle, endpoint_watch: EndpointListWatch, clients: Clients) -> None:
@@ -21,7 +22,7 @@
         self.clients = clients
 
     def update(self, now_us: int) -> AcceptClients | None:
-        """Returns the command to accept clients or to pause, if that changes."""
+        """Returns the command to accept clients or to pause; None if nothing changes."""
         lifecycle = self.lifecycle
         if not lifecycle.has_open_listener:
             return None
--- a/cressrail/proxy/process_handover.py
+++ b/cressrail/proxy/process_handover.py
@@ -1,4 +1,4 @@
-"""What one process hands over to the next, as this one's state goes into it or comes from it."""
+"""Capture of this process's state for its successor, and restore of the state of its predecessor."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from cressrail.proxy.lifecycle import Lifecycle
 from cressrail.proxy.requests import PendingRequests
 
-# Names in the hand-over frames.
+# Member names in the hand-over frames.
 OPEN_REQUEST_IDS = "open"
 IS_OUT_OF_SERVICE = "drained"
 
 
 class ProcessHandover:
-    """Captures the state for a successor, and goes on from that of a predecessor."""
+    """Captures the state for a successor process, and restores the state of a predecessor."""
 
     def __init__(
         self,
@@ -35,12 +35,12 @@
         self.lifecycle = lifecycle
 
     def endpoint_list(self, revision: int) -> dict[str, Any]:
-        """Returns the endpoint list in discovery's form."""
+        """Returns the endpoint list in the format that discovery sends."""
         entries = (registered.entry for registered in self.registry.endpoints.values())
         return encode_endpoint_list(entries, revision)
 
     def capture(self) -> dict[str, Any]:
-        """Returns what the successor goes on from."""
+        """Returns the state that the successor starts from."""
         return {
             **handover_state.capture(self.load_balancer, self.registry.names()),
             OPEN_REQUEST_IDS: list(self.requests.open_ids),
@@ -48,7 +48,7 @@
         }
 
     def restore(self, now_us: int, state: dict[str, Any], clients_held: int) -> Command:
-        """Goes on from the predecessor's state, unless it is malformed. Returns the log line of it."""
+        """Restores the predecessor's state unless it is malformed. Returns the command to log the result."""
         try:
             handover_state.restore(state, self.load_balancer, self.registry.names(), now_us)
         except HandoverError as fault:
--- a/cressrail/proxy/request_counters.py
+++ b/cressrail/proxy/request_counters.py
@@ -1,22 +1,22 @@
-"""Counts of final answers and of sent attempts, as operators read them."""
+"""Counters of completed requests and sent attempts, exposed to operators."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 METRIC_PREFIX = "app_"
-ANSWERED, DEFERRED, ERRORED = "answered", "deferred", "errored"  # names that operators read
+ANSWERED, DEFERRED, ERRORED = "answered", "deferred", "errored"  # metric names
 FINAL_ANSWERS = (ANSWERED, DEFERRED, ERRORED)
 SUCCESS_STATUS = 200
-DEFERRED_STATUSES = (429, 503)  # the client may try again later
+DEFERRED_STATUSES = (429, 503)  # responses after which the client may retry later
 
 
 class RequestCounters:
     """Counts since the start of the process.
 
     Attributes:
-        final: For each request class, how many requests ended with which kind of answer.
-        sends: Attempts whose last byte was written.
+        final: Number of completed requests, by request class and kind of final response.
+        sends: Number of attempts whose last byte was written.
     """
 
     def __init__(self, request_classes: Iterable[str]) -> None:
@@ -24,7 +24,7 @@
         self.sends = 0
 
     def on_final_answer(self, request_class: str, status: int) -> None:
-        """Counts a request; called once for each, when its answer, with this HTTP status, is final."""
+        """Counts a completed request by its HTTP status; called exactly once per request."""
         answer = (
             ANSWERED if status == SUCCESS_STATUS else DEFERRED if status in DEFERRED_STATUSES else ERRORED
         )
@@ -35,7 +35,7 @@
         self.sends += 1
 
     def text(self, open_requests: int, listed_endpoints: int, unavailable_endpoints: int) -> bytes:
-        """Returns the counts in the text exposition format of Prometheus, one a line."""
+        """Returns counters and gauges in the text exposition format of Prometheus, one per line."""
         lines = [
             f'{METRIC_PREFIX}{answer}{{group="{_escaped(name)}"}} {counts[answer]}'
             for answer in FINAL_ANSWERS
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their answer, or whose last attempt is still to end."""
+"""The requests that wait for their response or still have an attempt in flight."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 
 
 class PendingRequest:
-    """A forwarded request, with what the load balancer does not need to know of it.
+    """A forwarded request, with the data that the load balancer does not need.
 
     Attributes:
-        client: The client that sent it.
-        request: As it came.
-        request_id: Its id, no other request's while it waits for its answer.
-        class_name: Name of its request class.
-        arrived_us: When its last byte came, or its head where it goes on before it is complete.
-        time_limit_us: The time it has once the client has sent all of it.
-        attempts: This process's attempt ids, by the load balancer's numbers of the request's attempts.
-        attempt_count: How many attempts were made.
-        is_invalid: Whether the last attempt that ended said that the request itself is wrong.
-        streaming_attempt: The attempt whose answer is being passed on; 0 if none. To the load balancer it has
-            ended.
+        client: Id of the client that sent the request.
+        request: The request as received.
+        request_id: The request's id, which no other request may use while this one waits for its response.
+        class_name: Name of the request class.
+        arrived_us: Time at which the last byte arrived, or the head if the request is forwarded while it
+            arrives.
+        time_limit_us: Time limit in us, which starts when the client has sent the whole request.
+        attempts: Ids of the request's attempts, by the load balancer's attempt numbers.
+        attempt_count: Number of attempts made.
+        is_invalid: Whether the last attempt that ended reported that the request itself is invalid.
+        streaming_attempt: Id of the attempt whose response is being streamed to the client; 0 if none. For
+            the load balancer this attempt has ended.
     """
 
     def __init__(
@@ -59,19 +60,19 @@
         return number
 
     def add_attempt(self, number: int, attempt: int) -> None:
-        """The attempt of this number is in flight under the id `attempt`."""
+        """Records the id of the attempt with this number."""
         self.attempts[number] = attempt
 
     def begin_stream(self, attempt: int) -> None:
-        """The answer of an attempt is being passed on."""
+        """Records that the response of an attempt is being streamed to the client."""
         self.streaming_attempt = attempt
 
     def end_stream(self) -> None:
-        """The answer that was being passed on has ended or broken off."""
+        """Records that the response is no longer being streamed, whether it is complete or broke off."""
         self.streaming_attempt = 0
 
     def set_invalid(self, is_invalid: bool) -> None:
-        """Keeps whether the last attempt that ended said that the request itself is wrong."""
+        """Records whether the last attempt that ended reported the request itself as invalid."""
         self.is_invalid = is_invalid
 
 
@@ -79,10 +80,10 @@
     """Owns the requests and their ids.
 
     Attributes:
-        pending: Requests that are not answered, or have an attempt in flight.
-        open_ids: The clients, by the ids of their requests that wait for an answer.
-        predecessor_ids: Ids of requests that wait for an answer at the predecessor process, and until when at
-            most.
+        pending: Requests that are unanswered or have an attempt in flight.
+        open_ids: Ids of the requests that wait for a response, with the client of each.
+        predecessor_ids: Ids of the requests that wait for a response at the predecessor process, each with
+            the time in us at which its reservation ends at the latest.
     """
 
     def __init__(self) -> None:
@@ -91,24 +92,24 @@
         self.predecessor_ids: dict[str, int] = {}
 
     def add(self, routed_request: RoutedRequest, pending: PendingRequest) -> None:
-        """Adds a request, and takes its id."""
+        """Adds a request and reserves its id."""
         self.pending[routed_request] = pending
         self.open_ids[pending.request_id] = pending.client
 
     def is_id_in_use(self, now_us: int, request_id: str) -> bool:
-        """Whether a request with this id waits for its answer, here or at the predecessor process."""
+        """Returns whether a request with this id waits for its response, here or at the predecessor."""
         return request_id in self.open_ids or self.predecessor_ids.get(request_id, 0) > now_us
 
     def release_id(self, routed_request: RoutedRequest) -> None:
-        """Another request may have this one's id: it has its answer, or its client has left."""
+        """Makes the request's id available to other requests: it was answered, or its client has left."""
         del self.open_ids[self.pending[routed_request].request_id]
 
     def is_answer_due(self, pending: PendingRequest) -> bool:
-        """Whether the request's client still waits, so that its id is in use."""
+        """Returns whether the request's client still waits for a response, so that the id is in use."""
         return self.open_ids.get(pending.request_id) == pending.client
 
     def release(self, routed_request: RoutedRequest) -> list[Command]:
-        """Forgets a request that is answered and has no attempt in flight; releases its body."""
+        """Removes a request and releases its body, if it is answered and has no attempt in flight."""
         pending = self.pending.get(routed_request)
         if (
             pending is None
@@ -121,9 +122,9 @@
         return [ReleaseBody(pending.request.body)]
 
     def add_predecessor_ids(self, request_ids: Iterable[object], until_us: int) -> None:
-        """Keeps the ids that are in use at the predecessor process, until `until_us` at most."""
+        """Reserves the ids that are in use at the predecessor process, until `until_us` at most."""
         self.predecessor_ids = {str(request_id): until_us for request_id in request_ids}
 
     def drop_predecessor_ids(self) -> None:
-        """The predecessor process has exited."""
+        """Releases the ids in use at the predecessor process, which has exited."""
         self.predecessor_ids = {}
--- a/cressrail/proxy/settings.py
+++ b/cressrail/proxy/settings.py
@@ -1,4 +1,4 @@
-"""What the state machine is configured with."""
+"""The settings of the state machine."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 class ProxySettings(NamedTuple):
-    """Settings that hold for the life of the process.
+    """Settings that stay fixed for the life of the process.
 
     Attributes:
-        request_classes: By the name that a request's `req-kind` field gives.
-        tenants: Indices of the tenants, by the name that a request's `req-owner` field gives.
-        max_deadline_us: The longest deadline of any request class.
-        discovery: Host and port that the endpoint list is watched at first.
-        drain_notice_us: Time within which no more requests may be sent to an endpoint listed as draining.
+        request_classes: The request classes, by the name in a request's `req-kind` header field.
+        tenants: Indices of the tenants, by the name in a request's `req-owner` header field.
+        max_deadline_us: The longest deadline of any request class, in us.
+        discovery: Host and port of discovery at the start; a later configuration may change them.
+        drain_notice_us: Time in us after an endpoint is listed as draining within which this process must
+            stop sending requests to it.
     """
 
     request_classes: dict[str, RequestClass]
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -1,7 +1,8 @@
-"""The proxy as one state machine: each method is an event, and returns the commands that follow from it.
+"""The proxy as one state machine: each event is a method call that returns the commands to execute.
 
-Clients and connections to endpoints are numbers, handed out by whoever opens them; so are attempts. The
-sockets behind them belong to the tasks in `network` that carry the commands out. Times are in us.
+Clients, connections to endpoints and attempts are identified by integer ids. `network` assigns the ids of
+clients, and the state machine assigns the others. The sockets belong to the tasks in `network` that execute
+the commands. Times are in us.
 """
 
 from __future__ import annotations
@@ -37,24 +38,24 @@
 if TYPE_CHECKING:
     from cressrail.proxy.zone_statistics import ZoneStatistics
 
-LOGGED_FAULTS = 3  # of an update's entries that can't be read
+LOGGED_FAULTS = 3  # maximum number of unreadable entries to log per update of the endpoint list
 
 
 class StateMachine:
-    """Joins the owners of the proxy's resources.
+    """Connects the owners of the proxy's resources.
 
     Attributes:
-        load_balancer: Decides which endpoint a request goes to, and when it is answered without one.
+        load_balancer: Decides which endpoint a request is sent to, and when to answer it without one.
         registry: The endpoints' addresses.
-        limits: How many connections may be open.
+        limits: The limits on open connections.
         lifecycle: The state of the process.
         endpoint_watch: The watch on the endpoint list.
-        clients: The clients' connections.
+        clients: The connections of clients.
         connections: The connections to endpoints.
-        requests: Requests that wait for their answer.
-        attempts: Attempts in flight.
-        counters: What operators read.
-        timer_us: When `on_timer` is to be called.
+        requests: The requests that wait for their response or have an attempt in flight.
+        attempts: The attempts in flight.
+        counters: The counters that operators read.
+        timer_us: Time of the next `on_timer` call; -1 before the first timer is set.
     """
 
     def __init__(
@@ -109,7 +110,7 @@
     # The endpoint list
 
     def start(self, now_us: int, known: EndpointListUpdate, has_predecessor: bool = False) -> list[Command]:
-        """Begins with the list that is known; `has_predecessor`: another process is to hand over first."""
+        """Starts with a known endpoint list; with `has_predecessor`, another process must hand over first."""
         if has_predecessor:
             self.lifecycle.wait_for_predecessor()
         updates, _, _ = self.registry.apply(known)
@@ -117,7 +118,7 @@
         return self._complete(now_us, [self.endpoint_watch.start(now_us, known.revision)])
 
     def on_endpoint_list(self, now_us: int, update: EndpointListUpdate) -> list[Command]:
-        """Discovery has sent the list, or changes of it."""
+        """Handles a complete or partial update of the endpoint list from discovery."""
         out: list[Command] = [
             LogEvent(events.MALFORMED_MESSAGE, {"from": "discovery", "reason": fault})
             for fault in update.errors[:LOGGED_FAULTS]
@@ -138,45 +139,52 @@
         return self._complete(now_us, out)
 
     def on_watch_ended(self, now_us: int, reason: str) -> list[Command]:
-        """The watch on the list has ended, and is opened again after a pause."""
+        """Handles the end of the watch on the endpoint list; reopens it after a delay."""
         self.load_balancer.on_list_failed(now_us)
         delay_us = self.endpoint_watch.retry_delay_us(now_us)
         line = LogEvent(events.WATCH_ENDED, {"reason": reason, "retry_in_us": delay_us})
         return self._complete(now_us, [line, self.endpoint_watch.open(now_us + delay_us)])
 
     def on_discovery_address(self, now_us: int, discovery: tuple[str, int]) -> list[Command]:
-        """The configuration was read again, and names this address of discovery."""
+        """Handles a reload of the configuration, which names this address of discovery."""
         watches = self.endpoint_watch.change_discovery(now_us, discovery)
         return self._complete(now_us, [*watches]) if watches else []
 
     def endpoint_list(self) -> dict[str, Any]:
-        """Returns the list in discovery's form, for the successor process."""
+        """Returns the endpoint list in the format that discovery sends, for the successor process."""
         return self.handover.endpoint_list(self.endpoint_watch.revision)
 
     # Other instances
 
     def on_instance_count(self, now_us: int, total: float, in_zone: float) -> list[Command]:
-        """So many instances of this load balancer are up, and so many of them in its own zone."""
+        """Handles a change in the number of running instances, in total and in this instance's own zone."""
         self.load_balancer.update_instance_count(now_us, total, in_zone)
         return self._complete(now_us, [])
 
     def set_zone_statistics(self, now_us: int, zone_statistics: ZoneStatistics | None) -> list[Command]:
-        """Attempts are counted by zone from now on, or (None) no more.
+        """Starts to count attempts by zone, or stops if `zone_statistics` is None.
 
-        Zone weights go with it, as nobody would renew them.
+        This also clears the zone weights, since without a failover leader they would not be updated.
         """
         self.attempts.set_zone_statistics(zone_statistics)
         return self.on_zone_weights(now_us, (), 0.0)
 
     def on_zone_weights(self, now_us: int, weights: Sequence[float], share: float) -> list[Command]:
-        """The failover leader gives this share of the own zone's traffic to the zones, by weight."""
+        """Applies the failover leader's zone weights to this share of the own zone's traffic."""
         self.load_balancer.apply_zone_weights(weights, share)
         return self._complete(now_us, [])
 
     def on_peer_reports(
         self, now_us: int, ejected: list[int], warmup_load: dict[int, tuple[float, float]]
     ) -> list[Command]:
-        """Peers report endpoints as failing, and how much they send to those that warm up; by index."""
+        """Handles reports of other instances on failing endpoints and on endpoints that warm up.
+
+        Args:
+            now_us: The current time.
+            ejected: Indices of the endpoints that other instances report as failing.
+            warmup_load: Load on each endpoint that is warming up, by index, as two rates in attempts per us:
+                what all other instances send, and what all instances would send if it were warmed up.
+        """
         self.load_balancer.apply_peer_warmup_load(warmup_load)
         self.load_balancer.apply_peer_ejections(now_us, ejected)
         return self._complete(now_us, [])
@@ -184,111 +192,111 @@
     # Clients
 
     def on_client_connected(self, now_us: int, client: int) -> list[Command]:
-        """A client was accepted; another one may have to close for it."""
+        """Handles a newly accepted client; another one may be closed to make room."""
         self.lifecycle.note_client(now_us)
         closed = self.clients.connect(now_us, client)
         read = commands.ReadRequest(client)
         return self._complete(now_us, [read] if closed is None else [closed, read])
 
     def on_request_started(self, now_us: int, client: int) -> list[Command]:
-        """The first byte of a request has come."""
+        """Handles the first byte of a request."""
         self.clients.start_receiving(now_us, client)
         return self._complete(now_us, [])
 
     def on_request_progress(self, now_us: int, client: int) -> list[Command]:
-        """More of a request has come."""
+        """Handles further bytes of a request."""
         self.clients.note_progress(now_us, client)
         return self._complete(now_us, [])
 
     def has_client_stalled(self, now_us: int, last_progress_us: int) -> bool:
-        """Whether a client may be closed, the last byte of whose incomplete request came at that time."""
+        """Returns whether a client may be closed whose incomplete request made its last progress then."""
         return now_us - last_progress_us >= clients.CLIENT_STALL_US
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
-        """A complete request has come at `arrived_us`, or the head of one that is forwarded as it comes."""
+        """Handles a request complete at `arrived_us`, or the head of one that is forwarded as it arrives."""
         return self._complete(now_us, self.intake.take(now_us, client, request, arrived_us))
 
     def on_request_complete(self, now_us: int, client: int, arrived_us: int) -> list[Command]:
-        """The last byte has come of a request that was forwarded before."""
+        """Handles the last byte of a request that is forwarded while it arrives."""
         is_waiting = self.forwarder.complete(now_us, client, arrived_us)
         return self._complete(now_us, []) if is_waiting else []
 
     def on_request_aborted(self, now_us: int, client: int, status: int, reason: str) -> list[Command]:
-        """The rest of a request that was forwarded before will not come."""
+        """Handles a request that is forwarded while it arrives and that its client fails to complete."""
         self.clients.set_keep_alive(client, False)
         line = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
         return self._complete(now_us, [line, *self.forwarder.abort(now_us, client, status)])
 
     def on_malformed_request(self, now_us: int, client: int, status: int, reason: str) -> list[Command]:
-        """What a client sent is no request, or too slow or large to be one."""
+        """Handles input from a client that is malformed, too slow or too large."""
         self.clients.set_keep_alive(client, False)
         self.clients.forget_waiting(client)
         line = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
         return self._complete(now_us, [line, *self.forwarder.reply(client, status, None)])
 
     def on_response_written(self, now_us: int, client: int) -> list[Command]:
-        """An answer has gone to its client."""
+        """Handles a response that was written to its client completely."""
         if self.forwarder.closes_after_response(self.clients.open[client]):
             return self._complete(now_us, [commands.CloseClient(client, only_if_idle=False)])
         self.clients.rest(client)
         return self._complete(now_us, [commands.ReadRequest(client)])
 
     def on_client_closed(self, now_us: int, client: int) -> list[Command]:
-        """The connection of a client has ended, by whichever side."""
+        """Handles the end of a client's connection, whichever side closed it."""
         routed_request = self.clients.remove(client).routed_request
         return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def on_client_disconnected(self, now_us: int, client: int) -> list[Command]:
-        """A client has closed its connection, which its task has not noticed yet."""
+        """Handles a client that has closed its connection before its task has noticed."""
         routed_request = self.clients.clear_request(client)
         return self._complete(now_us, self.forwarder.drop_request(now_us, routed_request))
 
     def is_full(self) -> bool:
-        """Whether new clients may have to wait until another one closes."""
+        """Returns whether new clients may have to wait until another one closes."""
         return self.clients.is_full()
 
     # Attempts
 
     def attempt_deadline_us(self, attempt: int) -> int:
-        """Until when an attempt is waited for, once all of its request has come."""
+        """Returns when an attempt times out, given that its request has arrived completely."""
         return self.attempts.in_flight[attempt].routed_request.deadline_us
 
     def waiting_client(self, now_us: int, attempt: int) -> int:
-        """Returns the client of an attempt if it has waited so long that it may have left; else 0."""
+        """Returns the client of an attempt if it has waited so long that it may have left; otherwise 0."""
         return self.forwarder.waiting_client(now_us, attempt)
 
     def check_before_send(self, now_us: int, attempt: int) -> tuple[Outcome, str] | None:
-        """Returns how an attempt ends without being sent, and why; None if its first byte may be sent now."""
+        """Returns the outcome and reason if an attempt must not be sent any more; None if it may be sent."""
         return self.attempts.check_before_send(now_us, attempt)
 
     def on_attempt_sent(self, now_us: int, attempt: int) -> None:
-        """The last byte of an attempt has gone to its endpoint."""
+        """Handles the last byte of an attempt having been sent to its endpoint."""
         self.forwarder.on_attempt_sent(now_us, attempt)
 
     def on_response_started(self, now_us: int, attempt: int, response: Response) -> list[Command]:
-        """An answer too large to keep has begun, and is passed on as it comes."""
+        """Handles the start of a response that is too large to buffer and is streamed to the client."""
         if self.attempts.in_flight[attempt].routed_request.is_finished:
             return self.attempts.cancel(attempt)
         return self._complete(now_us, self.forwarder.on_response_started(now_us, attempt, response))
 
     def on_attempt_finished(self, now_us: int, attempt: int, result: AttemptResult) -> list[Command]:
-        """An attempt has ended, by an answer or without one."""
+        """Handles the end of an attempt, with or without a response."""
         return self._complete(now_us, self.forwarder.on_attempt_finished(now_us, attempt, result))
 
     # Connections to endpoints
 
     def on_idle_connection_reset(self, now_us: int, connection: int) -> list[Command]:
-        """A connection with no attempt in flight was reset: the process behind it has died."""
+        """Handles the reset of an idle connection, which means that the endpoint's process has died."""
         self.connections.claim(connection)
         return self._complete(now_us, self.attempts.report_unavailable(now_us, connection))
 
     def on_connection_closed(self, connection: int) -> list[Command]:
-        """A connection to an endpoint is closed."""
+        """Handles a connection to an endpoint having been closed."""
         self.connections.remove(connection)
         return []
 
     def on_descriptors_exhausted(self, now_us: int) -> list[Command]:
-        """The system has no descriptor left: one idle connection on each side is closed."""
+        """Handles a lack of file descriptors by closing one idle connection on each side."""
         open_counts = {
             "clients": len(self.clients.open),
             "endpoint_connections": len(self.connections.open),
@@ -305,16 +313,16 @@
     def on_admin_call(
         self, now_us: int, method: bytes, path: bytes
     ) -> tuple[admin.AdminResponse, list[Command]]:
-        """Answers an operator's call; returns the answer and the commands."""
+        """Handles a call of the admin API; returns the response and the commands."""
         response, out = self.admin_calls.answer(now_us, method, path)
         return response, self._complete(now_us, out) if out else []
 
     def is_ready(self, now_us: int) -> bool:
-        """Whether the ingress is to send clients here, as the health check says."""
+        """Returns whether the health check succeeds, so that the ingress tier sends clients here."""
         return self.intake.is_healthy(now_us)
 
     def can_serve(self, now_us: int) -> bool:
-        """Whether requests can be routed by what is known of endpoints."""
+        """Returns whether enough is known of the endpoints to route requests."""
         return self.endpoint_watch.can_serve(now_us)
 
     def _open_counts(self) -> dict[str, int]:
@@ -325,10 +333,17 @@
     def take_over(
         self, now_us: int, state: dict[str, Any] | None, clients_held: int, connections_held: int
     ) -> list[Command]:
-        """The predecessor process accepts no clients any more.
+        """Takes over from the predecessor process, which no longer accepts clients.
+
+        Args:
+            now_us: The current time.
+            state: The predecessor's hand-over state; None if the predecessor has gone or does not respond.
+            clients_held: Number of client descriptors that the predecessor keeps until
+                `on_predecessor_exited`.
+            connections_held: Number of connections to endpoints that it keeps until then.
 
-        `state` is its hand-over state; None if it has gone or does not answer. So many of its clients and
-        connections stay with it until `on_predecessor_exited`.
+        Returns:
+            The commands to execute.
         """
         out: list[Command] = []
         self.lifecycle.take_over()
@@ -338,16 +353,16 @@
         return self._complete(now_us, out)
 
     def on_predecessor_exited(self, now_us: int, clients_held: int, connections_held: int) -> list[Command]:
-        """The predecessor process has exited, and holds these connections no longer."""
+        """Handles the exit of the predecessor process, which frees the connections that it held."""
         self.limits.regain(clients_held, connections_held)
         self.requests.drop_predecessor_ids()
         return self._complete(now_us, [])
 
     def hand_over(self, now_us: int) -> tuple[dict[str, Any], list[Command]]:
-        """Another process accepts clients from here on; returns the hand-over state and the commands.
+        """Hands over to the successor process; returns the hand-over state and the commands.
 
-        No idle client is closed for it. Each answer is the last on its connection, so no close crosses a
-        request, and clients that send another request connect to the successor.
+        Idle clients are not closed. Instead each connection closes after its next response, so that no close
+        crosses a request on its way, and clients reconnect to the successor for further requests.
         """
         state = self.handover.capture()
         self.load_balancer.yield_to_successor(True)
@@ -355,33 +370,40 @@
         return state, self._complete(now_us, [LogEvent(events.HANDED_OVER, self._open_counts())])
 
     def keep_connections(self, parts: int) -> int:
-        """Leaves all but one of so many parts of connections to the successor; returns how many stay."""
+        """Leaves a part of this process's limit on connections to endpoints to the successor.
+
+        Args:
+            parts: Divisor of the limit. It does not fall below the number of open connections.
+
+        Returns:
+            The limit that this process keeps.
+        """
         self.limits.keep_part(parts, len(self.connections.open))
         return self.limits.endpoint_connections
 
     def on_successor_failed(self, now_us: int) -> list[Command]:
-        """The successor never served, or has died: this process serves again, unless it is to stop."""
+        """Handles the failure of the successor: this process serves again, unless it is stopping."""
         if not self.lifecycle.resume_ownership():
             return []
         self.load_balancer.yield_to_successor(False)
         return self._complete(now_us, [LogEvent(events.SUCCESSOR_FAILED, {})])
 
-    # Time and the end
+    # Timers and stop
 
     def on_stop_requested(self, now_us: int) -> list[Command]:
-        """A signal asks the process to stop. Clients still connect for a while: the ingress learns late."""
+        """Handles a stop signal. Clients are accepted for a while: the ingress tier notices with a delay."""
         if not self.lifecycle.request_stop(now_us):
             return []
         return self._complete(now_us, [LogEvent(events.STOPPING, self._open_counts())])
 
     def on_timer(self, now_us: int) -> list[Command]:
-        """The time that `SetTimer` named has come, or any other."""
+        """Handles the expiry of the timer; may also be called at any other time."""
         return self._complete(now_us, self.timers.run_due(now_us))
 
-    # What every event may bring
+    # Common to all events
 
     def _complete(self, now_us: int, out: list[Command]) -> list[Command]:
-        """Adds what follows from any event: the listener, a hand-over to ask for, the timer, and the end."""
+        """Appends the commands that any event may require: for listener, take-over, timer and exit."""
         accept = self.listener_control.update(now_us)
         if accept is not None:
             out.append(accept)
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -1,4 +1,4 @@
-"""What is due at which time: steps of a stop, idle clients to close, and the load balancer's own timer."""
+"""Timed work: the phases of a stop, the closing of idle clients, and the load balancer's timer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Timers:
-    """Does what is due, and tells when something is due next."""
+    """Performs the timed work that is due, and computes when more becomes due."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self.forwarder = forwarder
 
     def run_due(self, now_us: int) -> list[Command]:
-        """Returns the commands of all that is due."""
+        """Performs all work that is due; returns the commands to execute."""
         lifecycle = self.lifecycle
         out = self.forwarder.on_timer(now_us)
         if now_us >= lifecycle.answer_all_us:
@@ -38,7 +38,7 @@
             out += self.clients.close_all_idle()
         if lifecycle.close_listener(now_us):
             out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
-            if not lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
+            if not lifecycle.has_handed_over:  # after a hand-over, the accept queue belongs to the successor
                 out.append(AcceptClients(False, is_final=True))
         if lifecycle.begin_last_answers(now_us):
             out += self.clients.close_all_idle()
@@ -48,7 +48,7 @@
         return out
 
     def next_us(self, now_us: int) -> int:
-        """Returns when something is due next."""
+        """Returns the time at which work is due next."""
         lifecycle = self.lifecycle
         next_us = self.load_balancer.wake_us
         has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
--- a/cressrail/proxy/zone_statistics.py
+++ b/cressrail/proxy/zone_statistics.py
@@ -1,4 +1,4 @@
-"""Counts of how attempts at each zone ended, for the failover leader; kept only where it is on."""
+"""Counts of attempts by zone and outcome for the failover leader; collected only if failover is enabled."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class AttemptCounts(NamedTuple):
-    """Counts of attempts at one zone since the start.
+    """Counts of attempts at endpoints of one zone since the start.
 
     Attributes:
-        attempts: All that tell something of the zone.
-        connect_failed: No connection came up.
-        failed: Ended otherwise without an answer, or with an error.
-        late: Rejected by the endpoint, or answered later than the caller allows.
-        succeeded: Answered.
-        took_us: Time that those which succeeded took, in all.
+        attempts: Attempts whose outcome says something about the zone.
+        connect_failed: Attempts whose connection could not be established.
+        failed: Attempts that ended with an error or, apart from `connect_failed`, without a response.
+        late: Attempts that the endpoint rejected, or that succeeded too late, which the caller determines.
+        succeeded: Attempts that succeeded, late ones included.
+        took_us: Total duration of the succeeded attempts, in us.
     """
 
     attempts: int = 0
@@ -27,18 +27,18 @@
     took_us: int = 0
 
     def since(self, before: AttemptCounts) -> AttemptCounts:
-        """Returns what was counted after `before`."""
+        """Returns the counts that were added after the earlier counts `before`."""
         return AttemptCounts(*(now - then for now, then in zip(self, before, strict=True)))
 
 
 class ZoneStatistics:
-    """Counts by the index of the zone."""
+    """Counts of attempts, by the index of the zone."""
 
     def __init__(self) -> None:
         self.zones: dict[int, AttemptCounts] = {}
 
     def on_attempt_finished(self, zone: int, outcome: Outcome, took_us: int, is_late: bool) -> None:
-        """Counts an attempt that ended, unless its outcome says nothing of the endpoint."""
+        """Counts an attempt that has ended, unless its outcome says nothing about the endpoint."""
         if outcome in UNINFORMATIVE_OUTCOMES:
             return
         counts = self.zones.get(zone, AttemptCounts())
