--- a/cressrail/handover/__init__.py
+++ b/cressrail/handover/__init__.py
@@ -1,6 +1,6 @@
-"""The hand-over of a listening socket and of state from a sidecar's process to its successor.
+"""Hand-over of a listening socket and of state from one process of a sidecar to its successor.
 
-`frame` encodes and reads the messages between the two processes; `state` captures what the predecessor's
-policy has learned and restores it in the successor. Called by `proxy` and `network`, which own the sockets.
-May import `policy` and `discovery`.
+`frame` encodes and decodes the messages between the two processes. `state` captures what the predecessor's
+policy has learned, and restores it in the successor. The callers are `proxy` and `network`; the sockets
+belong to `network`. This package may import `policy` and `discovery`.
 """
--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -1,7 +1,7 @@
-"""Frames between the predecessor and the successor process of one sidecar.
+"""The frames that the predecessor and the successor process of a sidecar exchange.
 
-A frame is a header (magic, format version, length and CRC-32 of the body; all big-endian) and a body, a JSON
-object whose member `kind` says what the frame is.
+A frame consists of a header (magic, format version, length and CRC-32 of the body, all big-endian) and a
+body, which is a JSON object with the kind of the frame in its member `kind`.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import orjson
 
 MAGIC = b"CrHo"
-VERSION = 1  # of the hand-over state's form
-MAX_FRAME_BYTES = 8 << 20  # of a body
+VERSION = 1  # format version of the hand-over state
+MAX_FRAME_BYTES = 8 << 20  # maximum length of a body
 HEADER = struct.Struct("!4sHII")  # magic, version, body length in bytes, CRC-32 of the body
 KIND = "kind"
 
@@ -23,19 +23,19 @@
 class FrameKind(StrEnum):
     """Kinds of frames, in the order in which they are exchanged."""
 
-    HELLO = "hello"  # the successor asks, and names its address
+    HELLO = "hello"  # the successor requests a hand-over and sends its listen address
     LISTENING = "here"  # the predecessor sends its listening socket and the endpoint list
-    TAKE_OVER = "take"  # the successor is ready and asks for the state
-    STATE = "estate"  # the predecessor has stopped accepting and sends its state
-    EXITED = "bye"  # one side is done
+    TAKE_OVER = "take"  # the successor is ready and requests the state
+    STATE = "estate"  # the predecessor has stopped accepting clients and sends its state
+    EXITED = "bye"  # one of the processes exits
 
 
 class Frame(NamedTuple):
-    """One frame that was read.
+    """A decoded frame.
 
     Attributes:
-        kind: A `FrameKind`, or the word of a kind that this version does not know.
-        fields: The body, `kind` included.
+        kind: A value of `FrameKind`, or another string for a kind that this version does not know.
+        fields: The members of the body, including `kind`.
     """
 
     kind: str
@@ -43,58 +43,65 @@
 
 
 class HandoverError(Exception):
-    """What the other process sent can't be used."""
+    """The other process sent data that can't be used."""
 
 
 class MalformedFrameError(HandoverError):
-    """A frame that is torn or none."""
+    """The received data is not a frame, or the frame is damaged."""
 
 
 class FrameVersionError(HandoverError):
-    """A frame of a version with which this one can't exchange state."""
+    """The frame has a format version that this process does not support."""
 
 
 class MalformedStateError(HandoverError):
-    """A hand-over state with a missing or impossible value."""
+    """The hand-over state has a missing or invalid value."""
 
 
 def encode_frame(kind: FrameKind, fields: dict[str, Any]) -> bytes:
-    """Returns a whole frame with these members in its body."""
+    """Encodes a frame of this kind with the given members in its body."""
     body = orjson.dumps({KIND: kind, **fields})
     return HEADER.pack(MAGIC, VERSION, len(body), crc32(body)) + body
 
 
 class FrameReader:
-    """Collects received bytes, in pieces of any size, and returns whole frames."""
+    """Assembles frames from received bytes, which may arrive in pieces of any size."""
 
     def __init__(self) -> None:
         self._received = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Adds received bytes."""
+        """Appends received bytes."""
         self._received += data
 
     def next_frame(self) -> Frame | None:
-        """Takes the next whole frame; None while more bytes are needed.
+        """Removes and returns the next complete frame; None if more bytes are needed.
 
         Raises:
-            HandoverError: What was received is no frame of this version.
+            HandoverError: The received bytes are not a valid frame of this version.
         """
         if len(self._received) < HEADER.size:
             return None
         magic, version, size, checksum = HEADER.unpack_from(self._received)
         if magic != MAGIC or size > MAX_FRAME_BYTES:
-            raise MalformedFrameError("no frame of a sidecar")
+            raise MalformedFrameError(
+                f"not a hand-over frame: magic {magic!r}, expected {MAGIC!r};"
+                f" body of {size} bytes, at most {MAX_FRAME_BYTES} allowed"
+            )
         if version != VERSION:
-            raise FrameVersionError(f"version {version}")
+            raise FrameVersionError(f"hand-over frame has version {version}, expected {VERSION}")
         frame_end = HEADER.size + size
         if len(self._received) < frame_end:
             return None
         body = bytes(self._received[HEADER.size : frame_end])
         del self._received[:frame_end]
         if crc32(body) != checksum:
-            raise MalformedFrameError("check sum")
+            raise MalformedFrameError(
+                f"CRC-32 of the hand-over frame's {size}-byte body does not match its header"
+            )
         fields = orjson.loads(body)
         if not isinstance(fields, dict) or not isinstance(fields.get(KIND), str):
-            raise MalformedFrameError("no kind")
+            raise MalformedFrameError(
+                f"hand-over frame's body is not a JSON object with a string member {KIND!r}"
+            )
         return Frame(fields[KIND], fields)
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -1,9 +1,10 @@
-"""What the policy of one process has learned, as the next process goes on from it.
+"""The learned state of the policy that one process hands over to the next.
 
-`capture` writes the state as the JSON of a hand-over frame, and `restore` reads it. Each figure is named
-here, at the edge, so that a field renamed in the policy changes no frame. Endpoints go by their names and
-start times, since indices differ between processes. A state with anything wrong is refused whole, before
-anything has changed: a start without state is safe, half a state may not be.
+`capture` converts the state to the JSON of a hand-over frame, and `restore` reads it. Every value of the
+frame is named in this module, so that renaming a field in the policy does not change the frame. Endpoints are
+identified by name and start time, since their indices differ between processes. A state with any invalid
+value is rejected as a whole before anything changes: a start without state is safe, while one with a partial
+state may not be.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 from cressrail.policy.endpoint import Endpoint
 from cressrail.policy.load_balancer import LoadBalancer
 
-# Members of a state; the words are part of the frame.
+# Member names of the state in a frame.
 ENDPOINTS, LATENCY_BASELINE, RETRY_BUDGET = "endpoints", "whole", "budget"
 SLOW_START, TENANT_QUOTAS, ZONE_SUBSETS = "cold", "shares", "groups"
 
-MAX_MAGNITUDE = 1e18  # of a number that is not taken for an error
-MAX_SHOWN_CHARS = 40  # of a wrong value, in a message
-LEAST_SIZE = 1e-9  # of a subset: avoids a division by zero
+MAX_MAGNITUDE = 1e18  # numbers of this magnitude or more are rejected as invalid
+MAX_SHOWN_CHARS = 40  # maximum number of characters of an invalid value in an error message
+LEAST_SIZE = 1e-9  # lower bound on the scale of a subset, to avoid a division by zero
 
 
 class EndpointState(NamedTuple):
     """One endpoint's entry in the state; its fields are written in this order.
 
     Attributes:
-        name: As discovery gives it.
-        started_us: Its last start; an entry of an earlier one is not restored.
-        limit: Of this instance's attempts in flight.
-        latency: Moving average of succeeded attempts, in latency objectives.
-        success_rate: Moving average, from 0 to 1.
-        slow_start_credit: Attempts that it may be sent while it warms up.
-        limit_cut_us: When the limit was last cut.
-        last_prompt_sent_us: When the latest attempt was sent that was answered in time.
-        last_outcome_us: When the last outcome was observed.
-        unavailable_until_us: Until then its process counts as gone.
-        slow_start_credit_us: When the credit was last brought up to date.
+        name: The endpoint's name at discovery.
+        started_us: Time of the endpoint's last start; the entry is not restored if it has restarted since.
+        limit: Concurrency limit for this instance's attempts at the endpoint.
+        latency: Moving average of the latency of succeeded attempts, in latency objectives.
+        success_rate: Moving average of the success rate, from 0 to 1.
+        slow_start_credit: Number of attempts that may be sent to the endpoint while it warms up.
+        limit_cut_us: Time at which the limit was last reduced.
+        last_prompt_sent_us: Time at which the latest attempt was sent that was answered in time.
+        last_outcome_us: Time at which the last outcome was observed.
+        unavailable_until_us: Time until which the endpoint's process is considered gone.
+        slow_start_credit_us: Time at which the slow-start credit was last updated.
     """
 
     name: str
@@ -56,7 +57,7 @@
 
 
 class LatencyBaselineState(NamedTuple):
-    """The latency that all endpoints in common show; its fields are written in this order."""
+    """The latency baseline over all endpoints; its fields are written in this order."""
 
     mean: float
     mean_deviation: float
@@ -67,7 +68,7 @@
 
 
 class SlowStartState(NamedTuple):
-    """What slow start has counted; its fields are written in this order."""
+    """The counts of slow start; its fields are written in this order."""
 
     born_us: int
     recent_successes: float
@@ -75,7 +76,7 @@
 
 
 class TenantQuotasState(NamedTuple):
-    """What the tenants have used of their quotas; its fields are written in this order."""
+    """The tenants' use of their quotas; its fields are written in this order."""
 
     tokens: list[float]
     filled_us: list[int]
@@ -86,7 +87,7 @@
 
 
 class ZoneSubsetState(NamedTuple):
-    """The admission figures of one subset of endpoints; its fields are written in this order."""
+    """The admission state of one zone subset; its fields are written in this order."""
 
     admitted_fraction: float
     attempts_this_second: int
@@ -94,7 +95,7 @@
 
 
 class HandoverState(NamedTuple):
-    """A whole state, checked and converted."""
+    """A complete state after validation and conversion."""
 
     endpoints: dict[str, EndpointState]
     latency_baseline: LatencyBaselineState
@@ -106,7 +107,7 @@
 
 
 def capture(balancer: LoadBalancer, names: dict[int, str]) -> dict[str, Any]:
-    """Returns the policy's state in the form of a frame; `names` are the endpoints' by index."""
+    """Returns the policy's state as members of a frame; `names` maps indices to names of endpoints."""
     slow_start, quotas = balancer.slow_start, balancer.quotas
     return {
         ENDPOINTS: [list(_capture_endpoint(name, balancer.endpoints[ix])) for ix, name in names.items()],
@@ -164,17 +165,17 @@
 
 
 def restore(fields: dict[str, Any], balancer: LoadBalancer, names: dict[int, str], now_us: int) -> None:
-    """Makes a policy go on from a state.
+    """Restores a captured state into the policy of this process.
 
     Args:
-        fields: A frame's body, of which the members of a state are read.
-        balancer: The policy of this process, which has read the endpoint list.
-        names: The endpoints' by index; one that the state does not name, or that has started anew since,
-            keeps its initial figures.
-        now_us: Time at which the subsets are chosen anew.
+        fields: The body of a frame, from which the members of the state are read.
+        balancer: The policy of this process, which already has the endpoint list.
+        names: Names of the endpoints, by index. An endpoint that the state does not contain, or that has
+            restarted since, keeps its initial values.
+        now_us: The current time, at which the zone subsets are chosen again.
 
     Raises:
-        MalformedStateError: The state is refused; nothing has changed.
+        MalformedStateError: The state is invalid; nothing has changed.
     """
     state = _parse(fields)
     for index, name in names.items():
@@ -218,7 +219,7 @@
     baseline.threshold = state.threshold
     baseline.updated_us = state.updated_us
     baseline.sample_count = state.sample_count
-    # Derived figures are not part of a frame, so that processes of two versions can exchange state.
+    # Derived values are not part of a frame, so that processes of different versions can exchange state.
     baseline.restore_tolerance()
 
 
@@ -233,7 +234,7 @@
 
 
 def _restore_quotas(state: TenantQuotasState, balancer: LoadBalancer) -> None:
-    """Restores the quotas' use, unless the number of tenants differs."""
+    """Restores the use of the quotas unless the number of tenants differs."""
     quotas = balancer.quotas
     if len(state.tokens) != len(quotas.tokens):
         return
@@ -264,7 +265,7 @@
             ],
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedStateError(f"{type(error).__name__}: {error}") from None
+        raise MalformedStateError(f"malformed hand-over state: {type(error).__name__}: {error}") from None
 
 
 def _parse_endpoint(values: Any) -> EndpointState:
@@ -302,18 +303,20 @@
         or isinstance(value, bool)
         or not -MAX_MAGNITUDE < value < MAX_MAGNITUDE
     ):
-        raise ValueError(f"no number: {str(value)[:MAX_SHOWN_CHARS]}")
+        raise ValueError(
+            f"not a number with a magnitude below {MAX_MAGNITUDE:g}: {str(value)[:MAX_SHOWN_CHARS]!r}"
+        )
     return float(value)
 
 
 def _whole_number(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
-        raise TypeError(f"no whole number: {str(value)[:MAX_SHOWN_CHARS]}")
+        raise TypeError(f"not an integer: {str(value)[:MAX_SHOWN_CHARS]!r}")
     return value
 
 
 def _whole_numbers(values: Iterable[Any], count: int | None = None) -> list[int]:
     found = [_whole_number(value) for value in values]
     if count is not None and len(found) != count:
-        raise ValueError(f"{len(found)} figures, {count} wanted")
+        raise ValueError(f"expected {count} integers, got {len(found)}")
     return found
