--- a/cressrail/proxy/admin.py
+++ b/cressrail/proxy/admin.py
@@ -36,14 +36,14 @@
     allow: bytes = b""
 
 
-IS_READY = AdminResponse(200, b"ready\n")
-IS_NOT_READY = AdminResponse(503, b"not ready\n")
-IS_OUT_OF_SERVICE = AdminResponse(200, b"out of service\n")
-IS_IN_SERVICE = AdminResponse(200, b"in service\n")
-HAS_HANDED_OVER = AdminResponse(503, b"another process has taken over\n")
+READY_RESPONSE = AdminResponse(200, b"ready\n")
+NOT_READY_RESPONSE = AdminResponse(503, b"not ready\n")
+OUT_OF_SERVICE_RESPONSE = AdminResponse(200, b"out of service\n")
+IN_SERVICE_RESPONSE = AdminResponse(200, b"in service\n")
+HANDED_OVER_RESPONSE = AdminResponse(503, b"another process has taken over\n")
 
 
-def refusal_of(method: bytes, path: bytes) -> AdminResponse | None:
+def error_response(method: bytes, path: bytes) -> AdminResponse | None:
     """Returns the error response to an unknown path or a wrong method; None if the call is valid."""
     allowed = METHODS.get(path)
     if allowed is None:
@@ -74,19 +74,19 @@
 
     def answer(self, now_us: int, method: bytes, path: bytes) -> tuple[AdminResponse, list[Command]]:
         """Returns the response to a call, and commands, which are empty unless the call changed the state."""
-        refusal = refusal_of(method, path)
-        if refusal is not None:
-            return refusal, []
+        error = error_response(method, path)
+        if error is not None:
+            return error, []
         if path == COUNTERS_PATH:
             return AdminResponse(200, self.counters_text(now_us)), []
         if path == READY_PATH:
             is_ready = self.lifecycle.rules.is_ready and self.endpoint_watch.can_serve(now_us)
-            return IS_READY if is_ready else IS_NOT_READY, []
+            return READY_RESPONSE if is_ready else NOT_READY_RESPONSE, []
         if self.lifecycle.has_handed_over:  # the change would be lost when this process exits
-            return HAS_HANDED_OVER, []
+            return HANDED_OVER_RESPONSE, []
         if path == OUT_OF_SERVICE_PATH:
-            return IS_OUT_OF_SERVICE, self._leave_service(now_us)
-        return IS_IN_SERVICE, self._return_to_service()
+            return OUT_OF_SERVICE_RESPONSE, self._leave_service(now_us)
+        return IN_SERVICE_RESPONSE, self._return_to_service()
 
     def counters_text(self, now_us: int) -> bytes:
         """Returns the counters and gauges in the text exposition format of Prometheus."""
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -99,7 +99,7 @@
             if no connection is available.
         """
         attempt = self.ids.next_id()
-        number = pending.take_number()
+        number = pending.next_attempt_number()
         commands: list[Command] = []
         connection, is_new = self.connections.acquire(now_us, endpoint, commands)
         if connection < 0:
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -57,11 +57,11 @@
         connected = self.open[client] = Client()
         closed = None
         if len(self.open) > self.limits.clients:
-            spare = self.find_spare(now_us)
-            if spare is None:
+            closable = self.find_closable(now_us)
+            if closable is None:
                 connected.is_over_limit = True
             else:
-                closed = self.close_if_idle(spare)
+                closed = self.close_if_idle(closable)
         self.receiving[client] = now_us
         return closed
 
@@ -71,7 +71,7 @@
             self.idle.pop(client, None)
             self.receiving[client] = now_us
 
-    def note_progress(self, now_us: int, client: int) -> None:
+    def record_progress(self, now_us: int, client: int) -> None:
         """Records more bytes of a request: slow clients are closed after those that have stopped sending."""
         if self.receiving.pop(client, None) is not None:
             self.receiving[client] = now_us
@@ -80,7 +80,7 @@
         """Stops waiting for bytes of a request: all of it has arrived."""
         self.receiving.pop(client, None)
 
-    def forget_waiting(self, client: int) -> None:
+    def stop_tracking(self, client: int) -> None:
         """Stops counting the client as idle or as sending a request."""
         self.idle.pop(client, None)
         self.receiving.pop(client, None)
@@ -99,17 +99,17 @@
         """Sets whether the connection may carry a request after the current one."""
         self.open[client].keep_alive = keep_alive
 
-    def rest(self, client: int) -> None:
+    def mark_idle(self, client: int) -> None:
         """Marks the client as idle: it has its response and may send another request."""
         self.idle[client] = None
 
     def remove(self, client: int) -> Client:
         """Removes a closed connection, and returns it. Only here does it stop counting against the limit."""
         removed = self.open.pop(client)
-        self.forget_waiting(client)
+        self.stop_tracking(client)
         return removed
 
-    def find_spare(self, now_us: int) -> int | None:
+    def find_closable(self, now_us: int) -> int | None:
         """Returns a client that may be closed to make room: one that is idle or has stopped sending.
 
         A new client gets `CLIENT_STALL_US` to send its first request, while a client that vanishes in the
@@ -122,7 +122,7 @@
 
     def close_if_idle(self, client: int) -> CloseClient:
         """Returns the command to close a client unless it has begun to send a request in the meantime."""
-        self.forget_waiting(client)
+        self.stop_tracking(client)
         return CloseClient(client, only_if_idle=True)
 
     def close_all_idle(self) -> list[CloseClient]:
@@ -146,5 +146,5 @@
         """Returns whether another client can be accepted: there is room, or one may be closed for it."""
         return (
             len(self.open) < self.limits.clients + self.limits.extra_clients
-            or self.find_spare(now_us) is not None
+            or self.find_closable(now_us) is not None
         )
--- a/cressrail/proxy/connection_limits.py
+++ b/cressrail/proxy/connection_limits.py
@@ -17,16 +17,16 @@
         self.extra_clients = extra_clients
         self.endpoint_connections = endpoint_connections
 
-    def lend(self, clients: int, endpoint_connections: int) -> None:
+    def reserve(self, clients: int, endpoint_connections: int) -> None:
         """Subtracts connections that another process still holds, but leaves at least one on each side."""
         self.clients = max(1, self.clients - clients)
         self.endpoint_connections = max(1, self.endpoint_connections - endpoint_connections)
 
-    def keep_part(self, parts: int, open_connections: int) -> None:
+    def keep_fraction(self, parts: int, open_connections: int) -> None:
         """Divides the limit on connections to endpoints by `parts`, but not below the number of open ones."""
         self.endpoint_connections = max(open_connections, self.endpoint_connections // parts)
 
-    def regain(self, clients: int, endpoint_connections: int) -> None:
+    def release_reserved(self, clients: int, endpoint_connections: int) -> None:
         """Adds back the connections that the other process held until it exited."""
         self.clients += clients
         self.endpoint_connections += endpoint_connections
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -96,7 +96,7 @@
         self.consecutive_failures = 0
         return [self.open(now_us)]
 
-    def is_settled(self, now_us: int) -> bool:
+    def is_list_wait_over(self, now_us: int) -> bool:
         """Returns whether the wait for discovery's first list is over: it has arrived, or timed out."""
         return self.has_list or now_us - self.started_us >= READY_WITHOUT_LIST_US
 
@@ -106,9 +106,9 @@
         This requires discovery's list, or endpoints known from elsewhere once the wait for the list has timed
         out.
         """
-        return self.has_list or (bool(self.registry.endpoints) and self.is_settled(now_us))
+        return self.has_list or (bool(self.registry.endpoints) and self.is_list_wait_over(now_us))
 
     @property
-    def settles_us(self) -> int:
+    def list_wait_end_us(self) -> int:
         """The time at which the wait for discovery's first list times out."""
         return self.started_us + READY_WITHOUT_LIST_US
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -134,7 +134,7 @@
             for client in self.clients.open.values()
         )
 
-    def finish_all_now(self, now_us: int) -> list[Command]:
+    def answer_all_now(self, now_us: int) -> list[Command]:
         """Answers all open requests whose response has not begun, before the platform kills the process."""
         waiting = [
             client.routed_request
@@ -194,7 +194,7 @@
             return False
         pending = self.requests.pending[routed_request]
         self.clients.set_keep_alive(client, pending.request.keep_alive)
-        limit_us = min(pending.time_limit_us, self.lifecycle.answer_all_us - now_us)
+        limit_us = min(pending.time_limit_us, self.lifecycle.answer_deadline_us - now_us)
         routed_request.start_clock(now_us, max(0, limit_us - (now_us - arrived_us)))
         return True
 
--- a/cressrail/proxy/intake.py
+++ b/cressrail/proxy/intake.py
@@ -30,7 +30,8 @@
 UNKNOWN_PATH_STATUS = 404
 OVER_LIMIT_STATUS = 503
 NO_TENANT = -1
-STILL_COMING = -1  # remaining time of a request that its client is still sending: its clock is not running
+# Remaining time of a request that its client is still sending, so that its time limit is not running yet.
+CLOCK_NOT_STARTED = -1
 
 
 class RequestIntake:
@@ -58,7 +59,7 @@
         """Returns whether the health check succeeds, so that the ingress tier sends clients here."""
         return self.lifecycle.rules.is_healthy and self.endpoint_watch.can_serve(now_us)
 
-    def take(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
+    def handle(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
         """Handles a request that was complete at `arrived_us`, or one that is forwarded while it arrives."""
         # A request that is answered before all of it has arrived is the last on its connection, since the
         # rest of it may never arrive.
@@ -82,7 +83,7 @@
             counts = {"side": "clients", "open": len(self.clients.open)}
             reply = self.forwarder.reply(client, OVER_LIMIT_STATUS, request.body, class_name)
             return [LogEvent(events.CONNECTION_LIMIT_REACHED, counts), *reply]
-        remaining_us = STILL_COMING if request.is_streaming else max(0, limit_us - (now_us - arrived_us))
+        remaining_us = CLOCK_NOT_STARTED if request.is_streaming else max(0, limit_us - (now_us - arrived_us))
         pending = PendingRequest(client, request, request_id, class_name, arrived_us, limit_us)
         return self._forward(now_us, request_class, remaining_us, pending)
 
@@ -94,7 +95,7 @@
         limit_us = parse_duration_us(deadline) if deadline is not None else request_class.deadline_us
         if limit_us is None or self.requests.is_id_in_use(now_us, request_id):
             return None
-        return min(limit_us, request_class.deadline_us, self.lifecycle.answer_all_us - now_us)
+        return min(limit_us, request_class.deadline_us, self.lifecycle.answer_deadline_us - now_us)
 
     def _forward(
         self, now_us: int, request_class: RequestClass, remaining_us: int, pending: PendingRequest
--- a/cressrail/proxy/lifecycle.py
+++ b/cressrail/proxy/lifecycle.py
@@ -118,7 +118,7 @@
         self.ownership = Ownership.SERVING
         self.stop_phase = StopPhase.RUNNING
         self.is_out_of_service = False
-        self._derive()
+        self._update_derived()
         self.has_asked_predecessor = False
         self.is_accepting = False
         self.handed_over_us = NEVER_US
@@ -142,9 +142,9 @@
             self.stop_phase = stop_phase
         if is_out_of_service is not None:
             self.is_out_of_service = is_out_of_service
-        self._derive()
+        self._update_derived()
 
-    def _derive(self) -> None:
+    def _update_derived(self) -> None:
         """Recomputes what follows from the state. Plain attributes are fast: each event reads them."""
         self.rules = rules_of(self.ownership, self.stop_phase, self.is_out_of_service)
         self.is_taking_over = self.ownership is Ownership.TAKING_OVER
@@ -188,7 +188,7 @@
         self._enter(ownership=Ownership.SERVING)
         return True
 
-    def closes_idle_clients_handed_over(self, now_us: int) -> bool:
+    def closes_idle_after_handover(self, now_us: int) -> bool:
         """Returns whether to close idle clients, since `HANDED_OVER_IDLE_US` passed after the hand-over."""
         return (
             self.has_handed_over
@@ -240,7 +240,7 @@
 
     # A stop
 
-    def note_client(self, now_us: int) -> None:
+    def record_client(self, now_us: int) -> None:
         """Records when a client connected."""
         self.last_client_us = now_us
 
@@ -306,7 +306,7 @@
         return self.last_answers_us if self.stop_phase is StopPhase.CLOSING else self.end_us
 
     @property
-    def answer_all_us(self) -> int:
+    def answer_deadline_us(self) -> int:
         """When all open requests must be answered, because the platform kills the process soon after."""
         if not self.is_stopping:
             return NEVER_US
--- a/cressrail/proxy/requests.py
+++ b/cressrail/proxy/requests.py
@@ -53,7 +53,7 @@
         self.is_invalid = False
         self.streaming_attempt = 0
 
-    def take_number(self) -> int:
+    def next_attempt_number(self) -> int:
         """Returns the number of the next attempt."""
         number = self.attempt_count
         self.attempt_count += 1
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -125,14 +125,14 @@
         ]
         is_first, held_revision = not self.endpoint_watch.has_list, self.endpoint_watch.revision
         if not self.endpoint_watch.accept(update):
-            older = {"revision": update.revision, "older_than": held_revision}
+            fields: dict[str, Any] = {"revision": update.revision, "older_than": held_revision}
             watch = self.endpoint_watch.open_after_old_revision(now_us)
-            return [*out, LogEvent(events.ENDPOINT_LIST_UPDATED, older), watch]
+            return [*out, LogEvent(events.ENDPOINT_LIST_UPDATED, fields), watch]
         updates, stale_connections, removed = self.registry.apply(update)
         if updates or update.is_complete or is_first:
             self.load_balancer.update_endpoints(now_us, updates, is_complete=update.is_complete)
-            what = {"revision": update.revision, "complete": update.is_complete, "entries": len(updates)}
-            out.append(LogEvent(events.ENDPOINT_LIST_UPDATED, what))
+            fields = {"revision": update.revision, "complete": update.is_complete, "entries": len(updates)}
+            out.append(LogEvent(events.ENDPOINT_LIST_UPDATED, fields))
         out += self.connections.close_idle(stale_connections)
         for endpoint in removed:
             self.attempts.forget_if_removed(endpoint)
@@ -142,8 +142,8 @@
         """Handles the end of the watch on the endpoint list; reopens it after a delay."""
         self.load_balancer.on_list_failed(now_us)
         delay_us = self.endpoint_watch.retry_delay_us(now_us)
-        line = LogEvent(events.WATCH_ENDED, {"reason": reason, "retry_in_us": delay_us})
-        return self._complete(now_us, [line, self.endpoint_watch.open(now_us + delay_us)])
+        log_event = LogEvent(events.WATCH_ENDED, {"reason": reason, "retry_in_us": delay_us})
+        return self._complete(now_us, [log_event, self.endpoint_watch.open(now_us + delay_us)])
 
     def on_discovery_address(self, now_us: int, discovery: tuple[str, int]) -> list[Command]:
         """Handles a reload of the configuration, which names this address of discovery."""
@@ -193,7 +193,7 @@
 
     def on_client_connected(self, now_us: int, client: int) -> list[Command]:
         """Handles a newly accepted client; another one may be closed to make room."""
-        self.lifecycle.note_client(now_us)
+        self.lifecycle.record_client(now_us)
         closed = self.clients.connect(now_us, client)
         read = commands.ReadRequest(client)
         return self._complete(now_us, [read] if closed is None else [closed, read])
@@ -205,7 +205,7 @@
 
     def on_request_progress(self, now_us: int, client: int) -> list[Command]:
         """Handles further bytes of a request."""
-        self.clients.note_progress(now_us, client)
+        self.clients.record_progress(now_us, client)
         return self._complete(now_us, [])
 
     def has_client_stalled(self, now_us: int, last_progress_us: int) -> bool:
@@ -214,7 +214,7 @@
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
         """Handles a request complete at `arrived_us`, or the head of one that is forwarded as it arrives."""
-        return self._complete(now_us, self.intake.take(now_us, client, request, arrived_us))
+        return self._complete(now_us, self.intake.handle(now_us, client, request, arrived_us))
 
     def on_request_complete(self, now_us: int, client: int, arrived_us: int) -> list[Command]:
         """Handles the last byte of a request that is forwarded while it arrives."""
@@ -224,21 +224,21 @@
     def on_request_aborted(self, now_us: int, client: int, status: int, reason: str) -> list[Command]:
         """Handles a request that is forwarded while it arrives and that its client fails to complete."""
         self.clients.set_keep_alive(client, False)
-        line = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
-        return self._complete(now_us, [line, *self.forwarder.abort(now_us, client, status)])
+        log_event = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
+        return self._complete(now_us, [log_event, *self.forwarder.abort(now_us, client, status)])
 
     def on_malformed_request(self, now_us: int, client: int, status: int, reason: str) -> list[Command]:
         """Handles input from a client that is malformed, too slow or too large."""
         self.clients.set_keep_alive(client, False)
-        self.clients.forget_waiting(client)
-        line = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
-        return self._complete(now_us, [line, *self.forwarder.reply(client, status, None)])
+        self.clients.stop_tracking(client)
+        log_event = LogEvent(events.MALFORMED_MESSAGE, {"from": "client", "reason": reason})
+        return self._complete(now_us, [log_event, *self.forwarder.reply(client, status, None)])
 
     def on_response_written(self, now_us: int, client: int) -> list[Command]:
         """Handles a response that was written to its client completely."""
         if self.forwarder.closes_after_response(self.clients.open[client]):
             return self._complete(now_us, [commands.CloseClient(client, only_if_idle=False)])
-        self.clients.rest(client)
+        self.clients.mark_idle(client)
         return self._complete(now_us, [commands.ReadRequest(client)])
 
     def on_client_closed(self, now_us: int, client: int) -> list[Command]:
@@ -303,9 +303,9 @@
         }
         out: list[Command] = [LogEvent(events.DESCRIPTORS_EXHAUSTED, open_counts)]
         out += self.connections.close_longest_idle()
-        spare = self.clients.find_spare(now_us)
-        if spare is not None:
-            out.append(self.clients.close_if_idle(spare))
+        closable = self.clients.find_closable(now_us)
+        if closable is not None:
+            out.append(self.clients.close_if_idle(closable))
         return self._complete(now_us, out)
 
     # Operators
@@ -349,12 +349,12 @@
         self.lifecycle.take_over()
         if state is not None:
             out.append(self.handover.restore(now_us, state, clients_held))
-        self.limits.lend(clients_held, connections_held)
+        self.limits.reserve(clients_held, connections_held)
         return self._complete(now_us, out)
 
     def on_predecessor_exited(self, now_us: int, clients_held: int, connections_held: int) -> list[Command]:
         """Handles the exit of the predecessor process, which frees the connections that it held."""
-        self.limits.regain(clients_held, connections_held)
+        self.limits.release_reserved(clients_held, connections_held)
         self.requests.drop_predecessor_ids()
         return self._complete(now_us, [])
 
@@ -378,7 +378,7 @@
         Returns:
             The limit that this process keeps.
         """
-        self.limits.keep_part(parts, len(self.connections.open))
+        self.limits.keep_fraction(parts, len(self.connections.open))
         return self.limits.endpoint_connections
 
     def on_successor_failed(self, now_us: int) -> list[Command]:
--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -32,9 +32,9 @@
         """Performs all work that is due; returns the commands to execute."""
         lifecycle = self.lifecycle
         out = self.forwarder.on_timer(now_us)
-        if now_us >= lifecycle.answer_all_us:
-            out += self.forwarder.finish_all_now(now_us)
-        if lifecycle.closes_idle_clients_handed_over(now_us):
+        if now_us >= lifecycle.answer_deadline_us:
+            out += self.forwarder.answer_all_now(now_us)
+        if lifecycle.closes_idle_after_handover(now_us):
             out += self.clients.close_all_idle()
         if lifecycle.close_listener(now_us):
             out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
@@ -53,12 +53,12 @@
         next_us = self.load_balancer.wake_us
         has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
         watch = self.endpoint_watch
-        if has_to_ask or not (watch.has_list or watch.is_settled(now_us)):
-            next_us = min(next_us, watch.settles_us)
+        if has_to_ask or not (watch.has_list or watch.is_list_wait_over(now_us)):
+            next_us = min(next_us, watch.list_wait_end_us)
         if lifecycle.is_stopping:
             next_us = min(next_us, lifecycle.next_stop_phase_us)
             if self.forwarder.has_unanswered():
-                next_us = min(next_us, lifecycle.answer_all_us)
+                next_us = min(next_us, lifecycle.answer_deadline_us)
         if lifecycle.is_out_of_service:
             next_us = min(next_us, lifecycle.idle_close_us)
         if self.clients.receiving:
