--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -23,7 +23,7 @@
 
 MAX_MAGNITUDE = 1e18  # numbers of this magnitude or more are rejected as invalid
 MAX_SHOWN_CHARS = 40  # maximum number of characters of an invalid value in an error message
-LEAST_SIZE = 1e-9  # lower bound on the scale of a subset, to avoid a division by zero
+MIN_SCALE = 1e-9  # lower bound on the scale of a subset, to avoid a division by zero
 
 
 class EndpointState(NamedTuple):
@@ -229,7 +229,7 @@
     slow_start.recent_successes = state.recent_successes
     slow_start.recent_successes_us = state.recent_successes_us
     own_subset = balancer.zone_subsets[balancer.spillover.own_zone]
-    own_subset.successes_per_scale = state.recent_successes / max(LEAST_SIZE, own_subset.scale_in_use)
+    own_subset.successes_per_scale = state.recent_successes / max(MIN_SCALE, own_subset.scale_in_use)
     own_subset.successes_us = state.recent_successes_us
 
 
@@ -250,18 +250,20 @@
     try:
         endpoints = [_parse_endpoint(values) for values in fields[ENDPOINTS]]
         latency_baseline = _parse_latency_baseline(fields[LATENCY_BASELINE])
-        request_times_us, retry_times_us = (sorted(_whole_numbers(times)) for times in fields[RETRY_BUDGET])
+        request_times_us, retry_times_us = (sorted(_parse_integers(times)) for times in fields[RETRY_BUDGET])
         born_us, successes, successes_us = fields[SLOW_START]
         return HandoverState(
             {endpoint.name: endpoint for endpoint in endpoints},
             latency_baseline,
             request_times_us,
             retry_times_us,
-            SlowStartState(_whole_number(born_us), _number(successes), _whole_number(successes_us)),
+            SlowStartState(_parse_integer(born_us), _parse_number(successes), _parse_integer(successes_us)),
             _parse_quotas(fields[TENANT_QUOTAS]),
             [
-                ZoneSubsetState(_number(admits), _whole_number(attempts), _number(attempts_per_s))
-                for admits, attempts, attempts_per_s in fields[ZONE_SUBSETS]
+                ZoneSubsetState(
+                    _parse_number(admitted_fraction), _parse_integer(attempts), _parse_number(attempts_per_s)
+                )
+                for admitted_fraction, attempts, attempts_per_s in fields[ZONE_SUBSETS]
             ],
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -272,32 +274,36 @@
     name, started_us, limit, latency, success_rate, credit, *times = values
     return EndpointState(
         str(name),
-        _whole_number(started_us),
-        _number(limit),
-        _number(latency),
-        _number(success_rate),
-        _number(credit),
-        *_whole_numbers(times, 5),
+        _parse_integer(started_us),
+        _parse_number(limit),
+        _parse_number(latency),
+        _parse_number(success_rate),
+        _parse_number(credit),
+        *_parse_integers(times, 5),
     )
 
 
 def _parse_latency_baseline(values: Any) -> LatencyBaselineState:
     mean, deviation, baseline, threshold, *times = values
     return LatencyBaselineState(
-        _number(mean), _number(deviation), _number(baseline), _number(threshold), *_whole_numbers(times, 2)
+        _parse_number(mean),
+        _parse_number(deviation),
+        _parse_number(baseline),
+        _parse_number(threshold),
+        *_parse_integers(times, 2),
     )
 
 
 def _parse_quotas(values: Any) -> TenantQuotasState:
-    credit, filled_us, *times = values
+    tokens, filled_us, *times = values
     return TenantQuotasState(
-        [_number(value) for value in credit],
-        _whole_numbers(filled_us, len(credit)),
-        *_whole_numbers(times, 4),
+        [_parse_number(value) for value in tokens],
+        _parse_integers(filled_us, len(tokens)),
+        *_parse_integers(times, 4),
     )
 
 
-def _number(value: Any) -> float:
+def _parse_number(value: Any) -> float:
     if (
         not isinstance(value, int | float)
         or isinstance(value, bool)
@@ -309,14 +315,14 @@
     return float(value)
 
 
-def _whole_number(value: Any) -> int:
+def _parse_integer(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(f"not an integer: {str(value)[:MAX_SHOWN_CHARS]!r}")
     return value
 
 
-def _whole_numbers(values: Iterable[Any], count: int | None = None) -> list[int]:
-    found = [_whole_number(value) for value in values]
-    if count is not None and len(found) != count:
-        raise ValueError(f"expected {count} integers, got {len(found)}")
-    return found
+def _parse_integers(values: Iterable[Any], count: int | None = None) -> list[int]:
+    integers = [_parse_integer(value) for value in values]
+    if count is not None and len(integers) != count:
+        raise ValueError(f"expected {count} integers, got {len(integers)}")
+    return integers
