--- a/tests/handover/test_frame.py
+++ b/tests/handover/test_frame.py
@@ -1,4 +1,4 @@
-"""Frames between two processes of one sidecar."""
+"""Encoding and decoding of the frames that two processes of one sidecar exchange."""
 
 from __future__ import annotations
 
@@ -16,10 +16,8 @@
 
 
 def test_next_frame_returns_whole_frames_from_pieces_of_any_size() -> None:
-    reader, data = (
-        FrameReader(),
-        encode_frame(FrameKind.HELLO, {"n": 1}) + encode_frame(FrameKind.TAKE_OVER, {}),
-    )
+    reader = FrameReader()
+    data = encode_frame(FrameKind.HELLO, {"n": 1}) + encode_frame(FrameKind.TAKE_OVER, {})
     kinds = []
     for n in range(len(data)):
         reader.feed(data[n : n + 1])
@@ -31,14 +29,14 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"GET / HTTP/1.1\r\n\r\n",
-        HEADER.pack(MAGIC, VERSION + 1, 2, 0) + b"{}",
-        HEADER.pack(MAGIC, VERSION, 2, 1) + b"{}",
-        HEADER.pack(MAGIC, VERSION, 1 << 30, 0),
-        encode_frame(FrameKind.TAKE_OVER, {})[:-2] + b"x}",
+        pytest.param(b"GET / HTTP/1.1\r\n\r\n", id="http-request"),
+        pytest.param(HEADER.pack(MAGIC, VERSION + 1, 2, 0) + b"{}", id="other-version"),
+        pytest.param(HEADER.pack(MAGIC, VERSION, 2, 1) + b"{}", id="wrong-checksum"),
+        pytest.param(HEADER.pack(MAGIC, VERSION, 1 << 30, 0), id="body-too-long"),
+        pytest.param(encode_frame(FrameKind.TAKE_OVER, {})[:-2] + b"x}", id="damaged-body"),
     ],
 )
-def test_next_frame_refuses_a_torn_frame_and_another_version(data: bytes) -> None:
+def test_next_frame_rejects_invalid_frames_and_other_versions(data: bytes) -> None:
     reader = FrameReader()
     reader.feed(data)
     with pytest.raises(HandoverError):
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -1,4 +1,4 @@
-"""Take-over between whole processes of one sidecar."""
+"""Take-over between real processes of one sidecar."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Processes of one sidecar in one $TMPDIR, with one endpoint; discovery never answers."""
+    """Processes of one sidecar that share one $TMPDIR and one endpoint; discovery never responds."""
 
     def __init__(self, folder: Path, tmpdir: str | None) -> None:
         self.folder = folder
@@ -35,7 +35,7 @@
         self.started: list[subprocess.Popen[bytes]] = []
 
     def start(self) -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
-        """Starts a process and returns it, once it is ready, with the address of its admin API."""
+        """Starts a process, waits until it is ready, and returns it with the address of its admin API."""
         with socket.create_server(("127.0.0.1", 0)) as server:
             admin = server.getsockname()[:2]
         config = copy.deepcopy(SIDECAR_CONFIGURATION)
@@ -55,7 +55,7 @@
         return process, admin
 
     def call(self, address: tuple[str, int], request_line: bytes) -> bytes:
-        """Returns the response of an admin API; empty where none came."""
+        """Returns the response of an admin API; empty if the call fails."""
         try:
             with socket.create_connection(address, timeout=5) as sock:
                 sock.sendall(request_line + b" HTTP/1.1\r\nconnection: close\r\n\r\n")
@@ -67,11 +67,11 @@
             return b""
 
     def client(self) -> socket.socket:
-        """Returns a new connection of a client."""
+        """Opens a client connection to the sidecar."""
         return socket.create_connection(("127.0.0.1", self.port), timeout=10)
 
     def served(self, sock: socket.socket) -> bytes:
-        """Returns the response to one request, for which the endpoint answers."""
+        """Sends a request, lets the endpoint answer it, and returns the response that the client receives."""
         sock.sendall(request_bytes())
         connection = self.endpoint.accept()[0]
         with connection:
@@ -107,18 +107,18 @@
     assert first.wait(20) == 0
     assert fleet.served(fresh).startswith(b"HTTP/1.1 200")
     assert b'app_answered{group="read"} 2' in fleet.call(admin, b"GET /control/counters")
-    third, _ = fleet.start()  # and again
+    third, _ = fleet.start()  # a second take-over
     second.send_signal(signal.SIGTERM)
     assert second.wait(20) == 0
     with fleet.client() as sock:
         assert fleet.served(sock).startswith(b"HTTP/1.1 200")
-    third.send_signal(signal.SIGTERM)  # without a successor it drains as usual
+    third.send_signal(signal.SIGTERM)  # without a successor, it stops in the regular way
     assert third.wait(20) == 0
     kept.close()
     fresh.close()
 
 
-def test_predecessor_goes_on_when_the_successor_is_killed(fleet: Fleet) -> None:
+def test_predecessor_serves_again_when_the_successor_is_killed(fleet: Fleet) -> None:
     first, _ = fleet.start()
     second, _ = fleet.start()
     second.kill()
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -1,4 +1,4 @@
-"""State that passes from one process of a sidecar to its successor, and who serves meanwhile."""
+"""Hand-over of state from one process of a sidecar to its successor, and which of them serves clients."""
 
 from __future__ import annotations
 
@@ -20,17 +20,16 @@
 from cressrail.network.handover_client import find_predecessor
 from cressrail.network.handover_connection import MAX_PATH_BYTES, rendezvous_path
 from cressrail.policy.outcome import Outcome
-from cressrail.proxy import admin as control
-from cressrail.proxy import commands as do
+from cressrail.proxy import admin, commands
 from tests.policy.support import send_successes
 from tests.proxy.support import ProxyDriver, admin_status, list_update
 from tests.support.configuration import SECOND, endpoint_entry
 
 
-def captured(front: ProxyDriver, now: int = SECOND) -> dict[str, Any]:
-    """Hands over, and returns the state as the successor reads it from a frame."""
-    state, commands = front.state_machine.hand_over(now)
-    front.commands += commands
+def hand_over(driver: ProxyDriver, now: int = SECOND) -> dict[str, Any]:
+    """Hands over and returns the state as the successor decodes it from a frame."""
+    state, returned = driver.state_machine.hand_over(now)
+    driver.commands += returned
     reader = FrameReader()
     reader.feed(encode_frame(FrameKind.STATE, state))
     frame = reader.next_frame()
@@ -38,176 +37,182 @@
     return frame.fields
 
 
-def successor() -> ProxyDriver:
-    """Returns a process that waits for its predecessor."""
-    front = ProxyDriver()
-    front.state_machine.lifecycle.set_accepting(False)
-    front.state_machine.lifecycle.wait_for_predecessor()
-    return front
+def successor_driver() -> ProxyDriver:
+    """Returns the driver of a successor that has not yet taken over from its predecessor."""
+    driver = ProxyDriver()
+    driver.state_machine.lifecycle.set_accepting(False)
+    driver.state_machine.lifecycle.wait_for_predecessor()
+    return driver
 
 
-def test_restore_gives_the_successor_what_the_predecessor_had_learned() -> None:
-    old, new = ProxyDriver(), successor()
-    send_successes(old.state_machine.load_balancer, 50)
-    old.state_machine.load_balancer.endpoints[1].limit = 1.25
-    old.state_machine.load_balancer.on_connection_lost(SECOND, 0)
-    old.commands += old.state_machine.on_endpoint_list(
+def test_restore_transfers_learned_state_to_successor() -> None:
+    predecessor, successor = ProxyDriver(), successor_driver()
+    send_successes(predecessor.state_machine.load_balancer, 50)
+    predecessor.state_machine.load_balancer.endpoints[1].limit = 1.25
+    predecessor.state_machine.load_balancer.on_connection_lost(SECOND, 0)
+    predecessor.commands += predecessor.state_machine.on_endpoint_list(
         SECOND, list_update(9, False, endpoint_entry("s1", 9001, phase="draining"))
     )
-    new.state_machine.on_endpoint_list(SECOND, parse_update(old.state_machine.endpoint_list()))
-    new.commands = new.state_machine.take_over(SECOND, captured(old), 1, 1)
-    balancer = new.state_machine.load_balancer
-    assert new.state_machine.endpoint_watch.revision == 9
+    successor.state_machine.on_endpoint_list(SECOND, parse_update(predecessor.state_machine.endpoint_list()))
+    successor.commands = successor.state_machine.take_over(SECOND, hand_over(predecessor), 1, 1)
+    balancer = successor.state_machine.load_balancer
+    assert successor.state_machine.endpoint_watch.revision == 9
     assert not balancer.endpoints[1].accepts_requests
     assert balancer.endpoints[1].limit == 1.25
     assert balancer.unavailable_endpoints(SECOND) == [0, 1]
     assert len(balancer.budget.request_times_us) == 50
     assert (
         balancer.slow_start.recent_successes
-        == old.state_machine.load_balancer.slow_start.recent_successes
+        == predecessor.state_machine.load_balancer.slow_start.recent_successes
         > 1
     )
-    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+    assert successor.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
 
 
-def test_restore_recomputes_the_figures_that_are_derived() -> None:
-    old, new = successor(), successor()
-    slow_start, balancer = old.state_machine.load_balancer.slow_start, old.state_machine.load_balancer
+def test_restore_recomputes_derived_values() -> None:
+    predecessor, successor = successor_driver(), successor_driver()
+    slow_start, balancer = (
+        predecessor.state_machine.load_balancer.slow_start,
+        predecessor.state_machine.load_balancer,
+    )
     for number in range(200):
         slow_start.record_success(number * SECOND // 40, balancer.zone_subsets[0])
         balancer.latency_baseline.record(SECOND, (0.1, 0.3)[number % 2])
     handover_state.restore(
-        captured(old, 5 * SECOND),
-        new.state_machine.load_balancer,
-        new.state_machine.registry.names(),
+        hand_over(predecessor, 5 * SECOND),
+        successor.state_machine.load_balancer,
+        successor.state_machine.registry.names(),
         5 * SECOND,
     )
-    assert new.state_machine.load_balancer.zone_subsets[0].successes_per_scale == pytest.approx(
+    assert successor.state_machine.load_balancer.zone_subsets[0].successes_per_scale == pytest.approx(
         balancer.zone_subsets[0].successes_per_scale, rel=0.15
     )
     before = balancer.latency_baseline.threshold
-    for each in (balancer, new.state_machine.load_balancer):
-        each.latency_baseline.record(SECOND, 0.9)
-        assert each.latency_baseline.threshold == pytest.approx(before)
+    for restored in (balancer, successor.state_machine.load_balancer):
+        restored.latency_baseline.record(SECOND, 0.9)
+        assert restored.latency_baseline.threshold == pytest.approx(before)
 
 
 @pytest.mark.parametrize(
     "damage",
     [
-        lambda state: state.pop("budget"),
-        lambda state: state["whole"].pop(),
-        lambda state: state["endpoints"][0].pop(),
-        lambda state: state.update(cold=[1, "x", 2]),
-        lambda state: state["budget"][0].append(1.5),
-        lambda state: state.update(shares=[]),
+        pytest.param(lambda state: state.pop("budget"), id="no-retry-budget"),
+        pytest.param(lambda state: state["whole"].pop(), id="incomplete-latency-baseline"),
+        pytest.param(lambda state: state["endpoints"][0].pop(), id="incomplete-endpoint"),
+        pytest.param(lambda state: state.update(cold=[1, "x", 2]), id="slow-start-count-not-a-number"),
+        pytest.param(lambda state: state["budget"][0].append(1.5), id="request-time-not-an-integer"),
+        pytest.param(lambda state: state.update(shares=[]), id="empty-tenant-quotas"),
     ],
 )
-def test_restore_refuses_a_damaged_state_and_changes_nothing(damage: Any) -> None:
-    old, new = ProxyDriver(), successor()
-    send_successes(old.state_machine.load_balancer)
-    old.state_machine.load_balancer.endpoints[0].limit = 1.25
-    state = captured(old)
+def test_restore_rejects_damaged_state_and_changes_nothing(damage: Any) -> None:
+    predecessor, successor = ProxyDriver(), successor_driver()
+    send_successes(predecessor.state_machine.load_balancer)
+    predecessor.state_machine.load_balancer.endpoints[0].limit = 1.25
+    state = hand_over(predecessor)
     damage(state)
     with pytest.raises(HandoverError):
         handover_state.restore(
-            state, new.state_machine.load_balancer, new.state_machine.registry.names(), SECOND
+            state, successor.state_machine.load_balancer, successor.state_machine.registry.names(), SECOND
         )
-    new.commands = new.state_machine.take_over(SECOND, state, 0, 0)
-    assert not new.state_machine.load_balancer.budget.request_times_us
-    assert new.state_machine.load_balancer.endpoints[0].limit != 1.25
-    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]  # it serves all the same
+    successor.commands = successor.state_machine.take_over(SECOND, state, 0, 0)
+    assert not successor.state_machine.load_balancer.budget.request_times_us
+    assert successor.state_machine.load_balancer.endpoints[0].limit != 1.25
+    # The successor serves even without the state.
+    assert successor.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
 
 
 def test_two_processes_share_one_retry_budget_and_slow_start_credit() -> None:
-    front = ProxyDriver()
-    send_successes(front.state_machine.load_balancer)
-    balancer, now = front.state_machine.load_balancer, SECOND
+    driver = ProxyDriver()
+    send_successes(driver.state_machine.load_balancer)
+    balancer, now = driver.state_machine.load_balancer, SECOND
     balancer.endpoints[0].started_us = balancer.endpoints[0].slow_start_credit_us = 1
     endpoint, own_subset = balancer.endpoints[0], balancer.zone_subsets[0]
     assert balancer.slow_start.accrue_credit(endpoint, 5 * SECOND, own_subset, True)
-    captured(front)
+    hand_over(driver)
     assert not balancer.budget.spend(now)
     assert not balancer.slow_start.accrue_credit(endpoint, 6 * SECOND, own_subset, True)
-    front.state_machine.on_successor_failed(now)
+    driver.state_machine.on_successor_failed(now)
     assert balancer.budget.spend(now)
     assert balancer.slow_start.accrue_credit(endpoint, 7 * SECOND, own_subset, True)
 
 
-def test_request_id_in_flight_at_the_predecessor_is_refused_by_the_successor() -> None:
-    old, new = ProxyDriver(), successor()
-    old.connect_client(7)
-    old.send_request(7)
-    new.commands = new.state_machine.take_over(SECOND, captured(old), 0, 0)
-    new.connect_client(7)
-    new.send_request(7, now=SECOND)
-    assert [write.response.status for write in new.take_commands(do.SendResponse)] == [400]
-    new.state_machine.on_predecessor_exited(SECOND, 0, 0)
-    new.send_request(7, now=SECOND)
-    assert new.take_attempt()
+def test_successor_rejects_request_id_in_flight_at_predecessor() -> None:
+    predecessor, successor = ProxyDriver(), successor_driver()
+    predecessor.connect_client(7)
+    predecessor.send_request(7)
+    successor.commands = successor.state_machine.take_over(SECOND, hand_over(predecessor), 0, 0)
+    successor.connect_client(7)
+    successor.send_request(7, now=SECOND)
+    assert [write.response.status for write in successor.take_commands(commands.SendResponse)] == [400]
+    successor.state_machine.on_predecessor_exited(SECOND, 0, 0)
+    successor.send_request(7, now=SECOND)
+    assert successor.take_attempt()
 
 
-def test_drain_is_handed_over() -> None:
-    old, new = ProxyDriver(), successor()
-    admin_status(old, control.OUT_OF_SERVICE_PATH)
-    new.commands = new.state_machine.take_over(SECOND, captured(old), 0, 0)
-    assert not new.state_machine.is_ready(SECOND)
-    assert admin_status(new, control.READY_PATH, SECOND) == 200
-    assert admin_status(old, control.IN_SERVICE_PATH, SECOND) == 503  # it would be lost with the process
-    admin_status(new, control.IN_SERVICE_PATH, SECOND)
-    assert new.state_machine.is_ready(SECOND)
+def test_out_of_service_state_is_handed_over() -> None:
+    predecessor, successor = ProxyDriver(), successor_driver()
+    admin_status(predecessor, admin.OUT_OF_SERVICE_PATH)
+    successor.commands = successor.state_machine.take_over(SECOND, hand_over(predecessor), 0, 0)
+    assert not successor.state_machine.is_ready(SECOND)
+    assert admin_status(successor, admin.READY_PATH, SECOND) == 200
+    # The predecessor refuses the call, since its effect would be lost when the process exits.
+    assert admin_status(predecessor, admin.IN_SERVICE_PATH, SECOND) == 503
+    admin_status(successor, admin.IN_SERVICE_PATH, SECOND)
+    assert successor.state_machine.is_ready(SECOND)
 
 
 def test_successor_takes_over_when_it_can_serve_and_is_ready_afterwards() -> None:
-    new = successor()
-    new.commands = new.state_machine.start(
+    successor = successor_driver()
+    successor.commands = successor.state_machine.start(
         0, parse_update({"revision": 1, "complete": True, "members": []}), True
     )
-    assert not new.take_commands(do.BeginTakeover)
-    assert not new.take_commands(do.AcceptClients)
-    assert admin_status(new, control.READY_PATH) == 503
-    new.commands = new.state_machine.on_endpoint_list(1, list_update(4, True, endpoint_entry("s0", 9000)))
-    assert len(new.take_commands(do.BeginTakeover)) == 1
-    assert admin_status(new, control.READY_PATH) == 503
-    new.commands = new.state_machine.take_over(2, None, 0, 0)
-    assert admin_status(new, control.READY_PATH) == 200
-    assert new.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+    assert not successor.take_commands(commands.BeginTakeover)
+    assert not successor.take_commands(commands.AcceptClients)
+    assert admin_status(successor, admin.READY_PATH) == 503
+    successor.commands = successor.state_machine.on_endpoint_list(
+        1, list_update(4, True, endpoint_entry("s0", 9000))
+    )
+    assert len(successor.take_commands(commands.BeginTakeover)) == 1
+    assert admin_status(successor, admin.READY_PATH) == 503
+    successor.commands = successor.state_machine.take_over(2, None, 0, 0)
+    assert admin_status(successor, admin.READY_PATH) == 200
+    assert successor.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
 
 
 def test_predecessor_keeps_idle_clients_and_closes_each_after_its_response() -> None:
-    front = ProxyDriver(has_list=True)
-    front.connect_idle_client(1)
-    front.connect_client(2)
-    front.send_request(2)
-    captured(front)
-    assert front.take_commands(do.AcceptClients)[-1] == do.AcceptClients(False)
-    assert not front.take_commands(do.CloseClient)
-    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED)
-    front.send_request(1, now=SECOND)
-    front.finish_attempt(front.take_attempt(), Outcome.SUCCEEDED, SECOND)
-    assert [write.closes_connection for write in front.take_commands(do.SendResponse)] == [True, True]
-    front.commands += front.state_machine.on_stop_requested(2 * SECOND)
-    assert front.state_machine.is_ready(
-        2 * SECOND
-    )  # a health check that reaches this process must not see the sidecar as gone
+    driver = ProxyDriver(has_list=True)
+    driver.connect_idle_client(1)
+    driver.connect_client(2)
+    driver.send_request(2)
+    hand_over(driver)
+    assert driver.take_commands(commands.AcceptClients)[-1] == commands.AcceptClients(False)
+    assert not driver.take_commands(commands.CloseClient)
+    driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED)
+    driver.send_request(1, now=SECOND)
+    driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED, SECOND)
+    assert [write.closes_connection for write in driver.take_commands(commands.SendResponse)] == [True, True]
+    driver.commands += driver.state_machine.on_stop_requested(2 * SECOND)
+    # A health check that still reaches this process must succeed, since the successor serves.
+    assert driver.state_machine.is_ready(2 * SECOND)
     for client in (1, 2):
-        front.commands += front.state_machine.on_response_written(2 * SECOND, client)
-        front.commands += front.state_machine.on_client_closed(2 * SECOND, client)
-    front.commands += front.state_machine.on_timer(2 * SECOND)
-    assert front.take_commands(do.Exit)
-    assert not front.take_commands(do.AcceptClients)
-
-
-def test_predecessor_serves_again_when_the_successor_dies_unless_it_is_stopping() -> None:
-    front = ProxyDriver()
-    captured(front)
-    front.take_commands(do.AcceptClients)
-    front.commands = front.state_machine.on_successor_failed(SECOND)
-    assert front.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
-    assert not front.state_machine.lifecycle.has_handed_over
-    captured(front)
-    front.commands = front.state_machine.on_stop_requested(2 * SECOND)
-    front.commands += front.state_machine.on_successor_failed(2 * SECOND)
-    assert not front.take_commands(do.AcceptClients)
+        driver.commands += driver.state_machine.on_response_written(2 * SECOND, client)
+        driver.commands += driver.state_machine.on_client_closed(2 * SECOND, client)
+    driver.commands += driver.state_machine.on_timer(2 * SECOND)
+    assert driver.take_commands(commands.Exit)
+    assert not driver.take_commands(commands.AcceptClients)  # the listener belongs to the successor
+
+
+def test_predecessor_serves_again_when_successor_dies_unless_it_is_stopping() -> None:
+    driver = ProxyDriver()
+    hand_over(driver)
+    driver.take_commands(commands.AcceptClients)
+    driver.commands = driver.state_machine.on_successor_failed(SECOND)
+    assert driver.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
+    assert not driver.state_machine.lifecycle.has_handed_over
+    hand_over(driver)
+    driver.commands = driver.state_machine.on_stop_requested(2 * SECOND)
+    driver.commands += driver.state_machine.on_successor_failed(2 * SECOND)
+    assert not driver.take_commands(commands.AcceptClients)
 
 
 @pytest.mark.parametrize("directory", [None, "", "/x" * MAX_PATH_BYTES])
@@ -215,7 +220,7 @@
     assert rendezvous_path(("127.0.0.1", 1), directory) is None
 
 
-def test_find_predecessor_passes_over_a_process_that_sends_no_frame(tmp_path: Path) -> None:
+def test_find_predecessor_ignores_process_that_sends_no_frame(tmp_path: Path) -> None:
     path = str(tmp_path / "s")
     with socket.socket(socket.AF_UNIX) as listening:
         listening.bind(path)
@@ -228,4 +233,4 @@
             os._exit(0)
         assert find_predecessor(path, ("127.0.0.1", 1)) is None
         os.wait()
-    assert find_predecessor(path, ("127.0.0.1", 1)) is None  # nobody listens there any more
+    assert find_predecessor(path, ("127.0.0.1", 1)) is None  # no process listens at the path any more
--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -1,4 +1,4 @@
-"""A state machine without sockets, for tests of the proxy."""
+"""Test driver that runs the proxy's state machine without sockets."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 from cressrail.http1.request import Request
 from cressrail.policy.outcome import Outcome
 from cressrail.policy.random_generator import RandomGenerator
-from cressrail.proxy import admin
-from cressrail.proxy import commands as do
+from cressrail.proxy import admin, commands
 from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import Command
 from cressrail.proxy.connection_limits import ConnectionLimits
@@ -25,7 +24,7 @@
 
 
 class ProxyDriver:
-    """A state machine, and the commands that it has returned so far."""
+    """Sends events to a state machine and collects the commands that it returns."""
 
     def __init__(
         self,
@@ -35,22 +34,22 @@
         has_list: bool = False,
         drain_notice_us: int = 2 * SECOND,
     ) -> None:
-        """`has_list`: discovery has sent the list that the configuration holds."""
+        """Starts a state machine; `has_list`: discovery has already sent the configured endpoint list."""
         config = copy.deepcopy(SIDECAR_CONFIGURATION)
         config["known"]["members"] = [
             endpoint_entry(f"s{number}", 9000 + number) for number in range(endpoints)
         ]
         start = parse_configuration(config, {})
-        registry, members = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
+        registry, quotas = EndpointRegistry(["a", "b"]), policy_factory.read_tenant_quotas(start.settings)
         self.state_machine = StateMachine(
             ProxySettings(
                 policy_factory.read_request_classes(start.settings),
-                dict.fromkeys(members, 0),
+                dict.fromkeys(quotas, 0),
                 SECOND,
                 start.discovery,
                 drain_notice_us,
             ),
-            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(members.values())),
+            policy_factory.build_load_balancer(start.settings, 5, 0, ["a", "b"], list(quotas.values())),
             registry,
             ConnectionLimits(max_clients, 2, max_endpoint_connections),
             RandomGenerator(5),
@@ -63,21 +62,21 @@
             self.commands += self.state_machine.on_endpoint_list(0, start.known_endpoints)
 
     def take_commands(self, command_type: type) -> list[Any]:
-        """Takes the commands of one type out of those returned so far."""
+        """Removes the commands of one type from those collected so far, and returns them."""
         found = [command for command in self.commands if isinstance(command, command_type)]
         self.commands = [command for command in self.commands if not isinstance(command, command_type)]
         return found
 
     def connect_client(self, client: int, now: int = 0) -> None:
-        """Connects a client that has sent nothing yet."""
+        """Connects a client that has not sent anything yet."""
         self.commands += self.state_machine.on_client_connected(now, client)
 
     def connect_idle_client(self, client: int, now: int = 0) -> None:
-        """Connects a client that has had an answer, and keeps its connection."""
+        """Connects a client that has received a response and keeps its connection open."""
         self.connect_client(client, now)
         self.send_request(client, path="/_health")
         self.commands += self.state_machine.on_response_written(now, client)
-        self.take_commands(do.SendResponse)
+        self.take_commands(commands.SendResponse)
 
     def send_request(
         self,
@@ -88,7 +87,7 @@
         is_start_reported: bool = True,
         **headers: str | None,
     ) -> None:
-        """Completes a request; `headers` adds to or replaces the usual ones, None leaves one out."""
+        """Sends a complete request; `headers` adds or replaces header fields, and None omits one."""
         values = {
             "req-id": f"r{client}",
             "req-kind": request_class,
@@ -109,16 +108,16 @@
         arrived_us = now if arrived_us is None else arrived_us
         self.commands += self.state_machine.on_request(now, client, request, arrived_us)
 
-    def take_attempt(self) -> do.SendAttempt:
-        """Takes the one command to send an attempt."""
-        [command] = self.take_commands(do.SendAttempt)
-        assert isinstance(command, do.SendAttempt)
+    def take_attempt(self) -> commands.SendAttempt:
+        """Removes and returns the only command to send an attempt."""
+        [command] = self.take_commands(commands.SendAttempt)
+        assert isinstance(command, commands.SendAttempt)
         return command
 
     def finish_attempt(
-        self, command: do.SendAttempt, outcome: Outcome, now: int = 1000, is_reusable: bool = True
+        self, command: commands.SendAttempt, outcome: Outcome, now: int = 1000, is_reusable: bool = True
     ) -> None:
-        """Ends an attempt; one that succeeded has a body."""
+        """Ends an attempt with an outcome; a succeeded attempt has a response body."""
         body = BufferChain(self.pool) if outcome is Outcome.SUCCEEDED else None
         if body:
             body.append(memoryview(b"y"))
@@ -127,11 +126,11 @@
         )
 
     def release_buffers(self) -> None:
-        """Releases the bodies in the commands, as the tasks on sockets would."""
+        """Releases the bodies in the collected commands, as the tasks in `network` would."""
         for command in self.commands:
-            if isinstance(command, do.ReleaseBody):
+            if isinstance(command, commands.ReleaseBody):
                 command.body.release()
-            if isinstance(command, do.SendResponse) and command.response.body:
+            if isinstance(command, commands.SendResponse) and command.response.body:
                 command.response.body.release()
 
 
@@ -148,6 +147,6 @@
 
 
 def admin_status(driver: ProxyDriver, path: bytes, now: int = 0) -> int:
-    response, commands = driver.state_machine.on_admin_call(now, admin.METHODS[path], path)
-    driver.commands += commands
+    response, returned = driver.state_machine.on_admin_call(now, admin.METHODS[path], path)
+    driver.commands += returned
     return response.status
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts, and what their ends tell of endpoints."""
+"""Attempts, and what their results reveal about endpoints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from cressrail.policy.outcome import Outcome
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from tests.proxy.support import ProxyDriver, list_update
 from tests.support.configuration import endpoint_entry
 
@@ -45,12 +45,13 @@
         0, list_update(5, False, endpoint_entry("s0", 9000, phase="removed"))
     )
     assert 0 in driver.state_machine.load_balancer.endpoints
+    # The same address is listed under a new name.
     driver.commands += driver.state_machine.on_endpoint_list(
         0, list_update(6, False, endpoint_entry("t0", 9000))
-    )  # its address under a new id
+    )
     driver.finish_attempt(command, Outcome.SUCCEEDED)
-    assert driver.take_commands(do.CloseEndpointConnection) == [
-        do.CloseEndpointConnection(command.connection)
+    assert driver.take_commands(commands.CloseEndpointConnection) == [
+        commands.CloseEndpointConnection(command.connection)
     ]
     assert not driver.state_machine.on_idle_connection_reset(0, command.connection)
     driver.state_machine.on_connection_closed(command.connection)
@@ -73,13 +74,13 @@
                 ),
             ),
         )
-        assert driver.take_commands(do.CloseEndpointConnection) == [
-            do.CloseEndpointConnection(later.connection)
+        assert driver.take_commands(commands.CloseEndpointConnection) == [
+            commands.CloseEndpointConnection(later.connection)
         ]
         driver.commands += driver.state_machine.on_client_closed(0, number)
         driver.commands += driver.state_machine.on_connection_closed(later.connection)
         driver.release_buffers()
-        driver.take_commands(do.SendResponse)
+        driver.take_commands(commands.SendResponse)
     state_machine = driver.state_machine
     assert (
         len(state_machine.load_balancer.endpoints)
@@ -104,7 +105,7 @@
         pytest.param({"host_port": "127.0.0.1:9999"}, False, id="moved"),
     ],
 )
-def test_idle_connection_reset_reports_only_the_process_it_was_made_to(
+def test_idle_connection_reset_marks_only_unchanged_endpoint_unavailable(
     change: dict[str, Any], is_reported: bool
 ) -> None:
     driver = ProxyDriver(1)
@@ -114,7 +115,7 @@
     driver.finish_attempt(command, Outcome.SUCCEEDED)
     driver.state_machine.on_endpoint_list(1, list_update(5, False, {**endpoint_entry("s0", 9000), **change}))
     driver.commands = driver.state_machine.on_idle_connection_reset(2, command.connection)
-    assert [note.event for note in driver.take_commands(do.LogEvent)] == (
+    assert [note.event for note in driver.take_commands(commands.LogEvent)] == (
         ["endpoint_unavailable"] if is_reported else []
     )
     assert driver.state_machine.load_balancer.endpoints[0].is_available(2) is not is_reported
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -1,10 +1,10 @@
-"""Clients' connections: limits, and which one closes first."""
+"""Connections of clients: limits, and which connection closes first."""
 
 from __future__ import annotations
 
 import pytest
 
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from cressrail.proxy.clients import CLIENT_SILENCE_LIMIT_US, CLIENT_STALL_US
 from cressrail.proxy.commands import Command
 from tests.proxy.support import ProxyDriver
@@ -17,27 +17,27 @@
     driver.connect_idle_client(2)
     driver.send_request(1)
     driver.connect_client(3)
-    assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
+    assert driver.take_commands(commands.CloseClient) == [commands.CloseClient(2, True)]
     driver.commands += driver.state_machine.on_client_closed(0, 2)
-    driver.take_commands(do.AcceptClients)
+    driver.take_commands(commands.AcceptClients)
     driver.send_request(3)
-    driver.connect_client(4)  # nobody is idle
+    driver.connect_client(4)  # no client is idle that could be closed
     driver.send_request(4)
-    assert not driver.take_commands(do.AcceptClients)
+    assert not driver.take_commands(commands.AcceptClients)
     driver.connect_client(5)
-    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(False)]
-    [write] = driver.take_commands(do.SendResponse)
+    assert driver.take_commands(commands.AcceptClients) == [commands.AcceptClients(False)]
+    [write] = driver.take_commands(commands.SendResponse)
     assert (write.client, write.response.status, write.closes_connection) == (4, 503, True)
     driver.commands += driver.state_machine.on_response_written(0, 4)
-    assert do.CloseClient(4, False) in driver.commands
+    assert commands.CloseClient(4, False) in driver.commands
     driver.commands += driver.state_machine.on_client_closed(0, 4)
-    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+    assert driver.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
 
 
-@pytest.mark.parametrize("has_begun", [False, True], ids=["no-byte", "begun"])
+@pytest.mark.parametrize("has_begun", [False, True], ids=["no-byte", "first-byte"])
 @pytest.mark.parametrize(
     ("silent_us", "closed"),
-    [pytest.param(0, [], id="new"), pytest.param(SECOND, [do.CloseClient(1, True)], id="silent")],
+    [pytest.param(0, [], id="new"), pytest.param(SECOND, [commands.CloseClient(1, True)], id="silent")],
 )
 def test_new_client_is_not_closed_before_it_had_time_to_send(
     silent_us: int, closed: list[Command], has_begun: bool
@@ -47,11 +47,10 @@
     if has_begun:
         driver.state_machine.on_request_started(0, 1)
     driver.connect_client(2, now=silent_us)
-    assert driver.take_commands(do.CloseClient) == closed
-    driver.send_request(
-        1, now=silent_us, is_start_reported=not has_begun
-    )  # its request has come all the same
-    assert len(driver.take_commands(do.SendAttempt)) == 1
+    assert driver.take_commands(commands.CloseClient) == closed
+    # A request that arrives despite the command to close its client is still forwarded.
+    driver.send_request(1, now=silent_us, is_start_reported=not has_begun)
+    assert len(driver.take_commands(commands.SendAttempt)) == 1
 
 
 def test_client_stalled_longest_closes_first() -> None:
@@ -59,31 +58,30 @@
     for client in (1, 2):
         driver.connect_client(client)
         driver.state_machine.on_request_started(0, client)
-    driver.state_machine.on_request_progress(SECOND, 1)  # slow, and good
+    driver.state_machine.on_request_progress(SECOND, 1)  # client 1 is slow but still sends
     driver.connect_client(3, now=CLIENT_STALL_US)
-    assert driver.take_commands(do.CloseClient) == [do.CloseClient(2, True)]
+    assert driver.take_commands(commands.CloseClient) == [commands.CloseClient(2, True)]
     driver.connect_client(4, now=CLIENT_STALL_US + 1)
-    assert not driver.take_commands(do.CloseClient)
+    assert not driver.take_commands(commands.CloseClient)
 
 
-@pytest.mark.parametrize("started_us", [None, 0, SECOND], ids=["no-byte", "early-byte", "later-byte"])
-def test_silent_client_is_closed_even_with_room(
-    started_us: int | None,
-) -> None:
+@pytest.mark.parametrize(
+    "started_us", [None, 0, SECOND], ids=["no-byte", "byte-on-connect", "byte-one-second-later"]
+)
+def test_silent_client_is_closed_even_with_room(started_us: int | None) -> None:
     driver = ProxyDriver()
     driver.connect_idle_client(1)
     driver.connect_client(2)
     if started_us is not None:
         driver.state_machine.on_request_started(started_us, 2)
     driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US - 1)
-    assert not driver.take_commands(do.CloseClient)
+    assert not driver.take_commands(commands.CloseClient)
     driver.commands = driver.state_machine.on_timer(CLIENT_SILENCE_LIMIT_US)
-    assert driver.take_commands(do.CloseClient) == [
-        do.CloseClient(2, True)
-    ]  # one that has had an answer may rest
+    # Client 1 has received a response and may stay idle.
+    assert driver.take_commands(commands.CloseClient) == [commands.CloseClient(2, True)]
     driver.state_machine.on_request_started(CLIENT_SILENCE_LIMIT_US, 1)
     driver.commands = driver.state_machine.on_timer(2 * CLIENT_SILENCE_LIMIT_US)
-    assert driver.take_commands(do.CloseClient) == [do.CloseClient(1, True)]
+    assert driver.take_commands(commands.CloseClient) == [commands.CloseClient(1, True)]
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_endpoint_registry.py
+++ b/tests/proxy/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that updates of the list leave."""
+"""The endpoints that accept requests after updates of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -1,11 +1,11 @@
-"""Requests between their clients and the endpoints."""
+"""Forwarding of requests to endpoints and of responses to clients."""
 
 from __future__ import annotations
 
 import pytest
 
 from cressrail.policy.outcome import Outcome
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from tests.proxy.support import ProxyDriver
 from tests.support.configuration import SECOND
 
@@ -31,9 +31,9 @@
     driver.connect_client(1)
     driver.send_request(1, request_class)
     driver.finish_attempt(driver.take_attempt(), outcome)
-    assert [write.response.status for write in driver.commands if isinstance(write, do.SendResponse)] == [
-        status
-    ]
+    assert [
+        write.response.status for write in driver.commands if isinstance(write, commands.SendResponse)
+    ] == [status]
     driver.release_buffers()
     assert driver.pool.lent == 0
     assert not driver.state_machine.requests.pending
@@ -41,27 +41,29 @@
 
 
 @pytest.mark.parametrize("request_class", ["read", "write"])
-def test_invalid_request_is_answered_400_and_leaves_success_rates(request_class: str) -> None:
+def test_invalid_request_is_answered_400_without_effect_on_success_rates(request_class: str) -> None:
     driver = ProxyDriver(max_clients=20)
     for client in range(20):
         driver.connect_client(client)
         driver.send_request(client, request_class)
         driver.finish_attempt(driver.take_attempt(), Outcome.INVALID_REQUEST)
-        assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [400]
+        assert [write.response.status for write in driver.take_commands(commands.SendResponse)] == [400]
     assert all(
         endpoint.success_rate == 1 for endpoint in driver.state_machine.load_balancer.endpoints.values()
     )
 
 
-def test_disconnected_client_cancels_attempt_and_late_answer_is_released() -> None:
+def test_client_disconnect_cancels_attempt_and_late_response_is_released() -> None:
     driver = ProxyDriver()
     driver.connect_client(1)
     driver.send_request(1)
     command = driver.take_attempt()
     driver.commands += driver.state_machine.on_client_closed(0, 1)
-    assert driver.take_commands(do.CancelAttempt) == [do.CancelAttempt(command.connection, command.attempt)]
+    assert driver.take_commands(commands.CancelAttempt) == [
+        commands.CancelAttempt(command.connection, command.attempt)
+    ]
     driver.finish_attempt(command, Outcome.SUCCEEDED)
-    assert not driver.take_commands(do.SendResponse)
+    assert not driver.take_commands(commands.SendResponse)
     driver.release_buffers()
     assert driver.pool.lent == 0
     assert not driver.state_machine.requests.pending
--- a/tests/proxy/test_intake.py
+++ b/tests/proxy/test_intake.py
@@ -1,11 +1,11 @@
-"""Requests as they come in: answered at once, or forwarded."""
+"""Intake of requests: each is either answered at once or forwarded."""
 
 from __future__ import annotations
 
 import pytest
 
 from cressrail.policy.outcome import Outcome
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from tests.proxy.support import ProxyDriver, list_update
 from tests.support.configuration import SECOND
 
@@ -28,27 +28,27 @@
     driver.commands += driver.state_machine.on_endpoint_list(0, list_update(5, False))
     driver.connect_client(1)
     driver.send_request(1, **headers)  # type: ignore[arg-type]
-    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == (
+    assert [write.response.status for write in driver.take_commands(commands.SendResponse)] == (
         [status] if status else []
     )
 
 
-def test_request_id_is_taken_until_answered_or_client_left() -> None:
+def test_request_id_is_reserved_until_response_or_disconnect() -> None:
     driver = ProxyDriver()
     for client in (1, 2, 3):
         driver.connect_client(client)
     driver.send_request(1, req_id="same")
     driver.send_request(2, req_id="same")
     command = driver.take_attempt()
-    assert [(write.client, write.response.status) for write in driver.take_commands(do.SendResponse)] == [
-        (2, 400)
-    ]
+    assert [
+        (write.client, write.response.status) for write in driver.take_commands(commands.SendResponse)
+    ] == [(2, 400)]
     driver.commands += driver.state_machine.on_client_closed(0, 1)
     driver.send_request(3, req_id="same")
     later = driver.take_attempt()
     driver.finish_attempt(command, Outcome.CANCELLED)
     driver.finish_attempt(later, Outcome.SUCCEEDED)
-    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [200]
+    assert [write.response.status for write in driver.take_commands(commands.SendResponse)] == [200]
     assert not driver.state_machine.requests.open_ids
     driver.send_request(3, req_id="same")
     assert driver.take_attempt()
@@ -94,10 +94,10 @@
     driver = ProxyDriver()
     driver.connect_client(1)
     driver.send_request(1, now=SECOND, arrived_us=SECOND - waited_us, req_deadline=deadline)
-    assert [command.timeout_at_us - SECOND for command in driver.take_commands(do.SendAttempt)] == (
+    assert [command.timeout_at_us - SECOND for command in driver.take_commands(commands.SendAttempt)] == (
         [left_us] if left_us else []
     )
-    assert len(driver.take_commands(do.SendResponse)) == (0 if left_us else 1)
+    assert len(driver.take_commands(commands.SendResponse)) == (0 if left_us else 1)
 
 
 def test_request_without_idempotency_key_is_not_retried() -> None:
@@ -105,4 +105,4 @@
     driver.connect_client(1)
     driver.send_request(1, "note", idempotency_key=None)
     driver.finish_attempt(driver.take_attempt(), Outcome.CONNECTION_RESET)
-    assert [write.response.status for write in driver.take_commands(do.SendResponse)] == [502]
+    assert [write.response.status for write in driver.take_commands(commands.SendResponse)] == [502]
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of a thousand endpoints and more, and as many instances, some with few connections."""
+"""Endpoint lists and instance counts of a thousand and more, also with low connection limits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cressrail.handover.frame import FrameKind, FrameReader, encode_frame
 from cressrail.http1.errors import MalformedMessageError
 from cressrail.policy.outcome import Outcome
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from tests.proxy.support import ProxyDriver
 from tests.support.configuration import SECOND, SIDECAR_CONFIGURATION, endpoint_entry
 from tests.wirehost.support import BORN, LIST_UPDATE, REQUEST, replies_to
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_long_list_arrives_in_pieces_changes_and_is_handed_over(size: int) -> None:
+def test_long_list_is_parsed_from_pieces_updated_and_handed_over(size: int) -> None:
     text, sink, lines = json.dumps(endpoint_list(0, size)).encode() + b"\n", WatchLines(), []
     for start in range(0, len(text), 1000):
         sink.append(memoryview(text[start : start + 1000]))
@@ -141,14 +141,14 @@
         now = SECOND + client * 5000
         driver.connect_client(client, now)
         driver.send_request(client, now=now)
-        for command in driver.take_commands(do.SendAttempt):
+        for command in driver.take_commands(commands.SendAttempt):
             opened += command.is_new_connection
             driver.finish_attempt(command, Outcome.SUCCEEDED, now + 1000)
         driver.commands += driver.state_machine.on_client_closed(now + 2000, client)
     assert not [
-        note for note in driver.take_commands(do.LogEvent) if note.event == "connection_limit_reached"
+        note for note in driver.take_commands(commands.LogEvent) if note.event == "connection_limit_reached"
     ]
-    assert not driver.take_commands(do.CloseEndpointConnection)
+    assert not driver.take_commands(commands.CloseEndpointConnection)
     assert opened <= max_opened
     assert len(driver.state_machine.connections.open) <= connections
 
@@ -177,7 +177,7 @@
     assert len(start.known_endpoints.entries) == 1024
 
 
-def test_overlong_line_is_refused_and_duplicate_id_is_one_endpoint() -> None:
+def test_overlong_line_is_rejected_and_duplicate_name_counts_as_one_endpoint() -> None:
     lines = WatchLines()
     for _ in range(MAX_DOCUMENT_BYTES // 1000):
         lines.append(memoryview(b"x" * 1000))
@@ -190,7 +190,7 @@
     assert sum(endpoints_by_zone(driver)) == 1024
 
 
-def test_adapter_takes_long_list() -> None:
+def test_adapter_accepts_long_list() -> None:
     items = "".join(
         f"ITEM failure_domain=a endpoint=10.0.{n // 250}.{n % 250}:80 condition=on\n" for n in range(3000)
     )
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Every state of the process: what it answers, and what each event makes of it."""
+"""The behaviour in every state of the process, and the state that each event leads to."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 
 import pytest
 
-from cressrail.proxy import admin
-from cressrail.proxy import commands as do
+from cressrail.proxy import admin, commands
 from cressrail.proxy.lifecycle import (
     STOP_GRACE_MAX_US,
     Lifecycle,
@@ -17,7 +16,7 @@
 from tests.proxy.support import ProxyDriver
 from tests.support.configuration import SECOND
 
-State = tuple[Ownership, StopPhase, bool]  # and whether it is out of service
+State = tuple[Ownership, StopPhase, bool]  # the last item: whether the process is out of service
 
 OWNERSHIPS = {
     "taking": Ownership.TAKING_OVER,
@@ -34,8 +33,8 @@
 CLIENT = 1
 STOP_US = SECOND  # when a stop is requested
 
-# Whether the state: is healthy, is ready, accepts clients, keeps idle clients, closes after an answer.
-ANSWERS = """
+# For each state: healthy, ready, accepts clients, keeps idle clients, closes after a response.
+BEHAVIOURS = """
 taking  running in   yes no  no  yes no
 taking  grace   in   no  no  no  yes no
 taking  closing in   no  no  no  no  no
@@ -67,11 +66,11 @@
 handed  last    out  no  no  no  no  yes
 handed  ended   out  no  no  no  no  yes
 """
-QUESTIONS = ("healthy", "ready", "accepts clients", "keeps idle clients", "closes after answer")
+PROPERTIES = ("healthy", "ready", "accepts clients", "keeps idle clients", "closes after response")
 
-# The state after each event; "=" is the one before.
+# The state after each event; "=" means that the state does not change.
 #               signal        time passes    taken over       handed over     successor fails
-AFTER = """
+TRANSITIONS = """
 taking  running taking-grace  =              serving-running  handed-running  =
 taking  grace   =             taking-closing serving-grace    handed-grace    =
 taking  closing =             taking-last    serving-closing  handed-closing  =
@@ -98,7 +97,7 @@
     "successor fails": lambda driver, now_us: driver.state_machine.on_successor_failed(now_us),
 }
 
-# An operator's call to leave or to return to service: the flag afterwards, the same in every phase of a stop.
+# Whether the process is out of service after an admin call, which is the same in every phase of a stop.
 SERVICE_CALLS = {
     ("taking", "in", admin.OUT_OF_SERVICE_PATH): True,
     ("taking", "in", admin.IN_SERVICE_PATH): False,
@@ -108,7 +107,11 @@
     ("serving", "in", admin.IN_SERVICE_PATH): False,
     ("serving", "out", admin.OUT_OF_SERVICE_PATH): True,
     ("serving", "out", admin.IN_SERVICE_PATH): False,
-    ("handed", "in", admin.OUT_OF_SERVICE_PATH): False,  # refused: the change would end with this process
+    (
+        "handed",
+        "in",
+        admin.OUT_OF_SERVICE_PATH,
+    ): False,  # rejected: the change would be lost when this process exits
     ("handed", "in", admin.IN_SERVICE_PATH): False,
     ("handed", "out", admin.OUT_OF_SERVICE_PATH): True,
     ("handed", "out", admin.IN_SERVICE_PATH): True,
@@ -119,12 +122,12 @@
     return lifecycle.ownership, lifecycle.stop_phase, lifecycle.is_out_of_service
 
 
-def named(ownership: str, phase: str, service: str) -> State:
+def state_from_words(ownership: str, phase: str, service: str) -> State:
     return OWNERSHIPS[ownership], PHASES[phase], service == "out"
 
 
-def reach(ownership: str, phase: str, service: str) -> tuple[ProxyDriver, int]:
-    """A state machine in a state, with one client that stays connected; and the time."""
+def driver_in_state(ownership: str, phase: str, service: str) -> tuple[ProxyDriver, int]:
+    """Returns a driver in the given state with one connected client, and the current time in us."""
     driver = ProxyDriver()
     if ownership == "taking":
         driver.commands += driver.state_machine.start(0, driver.known, has_predecessor=True)
@@ -137,27 +140,28 @@
     now_us = STOP_US
     if phase != "running":
         driver.commands += driver.state_machine.on_stop_requested(now_us)
-    # Half of the longest deadline, a second here, from closing to the last answers, and all of it to the end.
+    # With a longest deadline of one second, the last answers begin half a second after closing, and the stop
+    # ends one second after that.
     steps = {"closing": STOP_GRACE_MAX_US, "last": SECOND // 2, "ended": SECOND}
     for name, after_us in steps.items():
         if list(PHASES).index(phase) >= list(PHASES).index(name):
             now_us += after_us
             driver.commands += driver.state_machine.on_timer(now_us)
-    assert state_of(driver.state_machine.lifecycle) == named(ownership, phase, service)
+    assert state_of(driver.state_machine.lifecycle) == state_from_words(ownership, phase, service)
     return driver, now_us
 
 
-def answer_cases() -> list[tuple[str, str, str, str, bool]]:
-    rows = [line.split() for line in ANSWERS.strip().splitlines()]
+def behaviour_cases() -> list[tuple[str, str, str, str, bool]]:
+    rows = [line.split() for line in BEHAVIOURS.strip().splitlines()]
     return [
-        (ownership, phase, service, question, answer == "yes")
-        for ownership, phase, service, *answers in rows
-        for question, answer in zip(QUESTIONS, answers, strict=True)
+        (ownership, phase, service, name, value == "yes")
+        for ownership, phase, service, *values in rows
+        for name, value in zip(PROPERTIES, values, strict=True)
     ]
 
 
 def event_cases() -> list[tuple[str, str, str, str, str]]:
-    rows = [line.split() for line in AFTER.strip().splitlines()]
+    rows = [line.split() for line in TRANSITIONS.strip().splitlines()]
     return [
         (ownership, phase, service, event, f"{ownership}-{phase}" if state == "=" else state)
         for ownership, phase, *states in rows
@@ -167,34 +171,36 @@
 
 
 def is_accepting(driver: ProxyDriver) -> bool:
-    return [command.is_accepting for command in driver.commands if isinstance(command, do.AcceptClients)][
-        -1:
-    ] == [True]
+    return [
+        command.is_accepting for command in driver.commands if isinstance(command, commands.AcceptClients)
+    ][-1:] == [True]
 
 
-@pytest.mark.parametrize(("ownership", "phase", "service", "question", "answer"), answer_cases())
-def test_state_answers(ownership: str, phase: str, service: str, question: str, answer: bool) -> None:
-    driver, now_us = reach(ownership, phase, service)
-    if question == "healthy":
-        assert driver.state_machine.is_ready(now_us) is answer
-    elif question == "ready":
+@pytest.mark.parametrize(("ownership", "phase", "service", "name", "expected"), behaviour_cases())
+def test_state_has_prescribed_behaviour(
+    ownership: str, phase: str, service: str, name: str, expected: bool
+) -> None:
+    driver, now_us = driver_in_state(ownership, phase, service)
+    if name == "healthy":
+        assert driver.state_machine.is_ready(now_us) is expected
+    elif name == "ready":
         response, _ = driver.state_machine.on_admin_call(now_us, b"GET", admin.READY_PATH)
-        assert response.status == (200 if answer else 503)
-    elif question == "accepts clients":
-        assert is_accepting(driver) is answer
-    elif question == "keeps idle clients":
-        assert driver.state_machine.lifecycle.rules.keeps_idle_clients is answer
+        assert response.status == (200 if expected else 503)
+    elif name == "accepts clients":
+        assert is_accepting(driver) is expected
+    elif name == "keeps idle clients":
+        assert driver.state_machine.lifecycle.rules.keeps_idle_clients is expected
     else:
-        commands = driver.state_machine.on_response_written(now_us, CLIENT)
-        assert (do.CloseClient(CLIENT, only_if_idle=False) in commands) is answer
+        returned = driver.state_machine.on_response_written(now_us, CLIENT)
+        assert (commands.CloseClient(CLIENT, only_if_idle=False) in returned) is expected
 
 
 @pytest.mark.parametrize(("ownership", "phase", "service", "event", "after"), event_cases())
 def test_event_leads_to_state(ownership: str, phase: str, service: str, event: str, after: str) -> None:
-    driver, now_us = reach(ownership, phase, service)
+    driver, now_us = driver_in_state(ownership, phase, service)
     EVENTS[event](driver, now_us)
     ownership_after, phase_after = after.split("-")
-    assert state_of(driver.state_machine.lifecycle) == named(ownership_after, phase_after, service)
+    assert state_of(driver.state_machine.lifecycle) == state_from_words(ownership_after, phase_after, service)
 
 
 @pytest.mark.parametrize("phase", PHASES)
@@ -202,7 +208,7 @@
 def test_service_call_changes_service_unless_handed_over(
     ownership: str, service: str, path: bytes, phase: str
 ) -> None:
-    driver, now_us = reach(ownership, phase, service)
+    driver, now_us = driver_in_state(ownership, phase, service)
     driver.state_machine.on_admin_call(now_us, b"POST", path)
     is_out = SERVICE_CALLS[ownership, service, path]
     assert state_of(driver.state_machine.lifecycle) == (OWNERSHIPS[ownership], PHASES[phase], is_out)
--- a/tests/proxy/test_listener_control.py
+++ b/tests/proxy/test_listener_control.py
@@ -1,10 +1,10 @@
-"""When the listener accepts clients."""
+"""Conditions under which the listener accepts clients."""
 
 from __future__ import annotations
 
 import pytest
 
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from tests.proxy.support import ProxyDriver
 from tests.support.configuration import SECOND
 
@@ -14,14 +14,17 @@
     driver = ProxyDriver(max_clients=1, has_list=True)
     for client in (1, 2, 3):
         driver.connect_client(client)
-    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(True), do.AcceptClients(False)]
+    assert driver.take_commands(commands.AcceptClients) == [
+        commands.AcceptClients(True),
+        commands.AcceptClients(False),
+    ]
     if idle:
         driver.send_request(1, path="/_health")
         driver.commands += driver.state_machine.on_response_written(0, 1)
     else:
         driver.state_machine.on_timer(1)
         assert driver.state_machine.timer_us == SECOND
-        driver.commands += driver.state_machine.on_timer(SECOND)  # silent for as long as that
-    assert driver.take_commands(do.AcceptClients) == [do.AcceptClients(True)]
+        driver.commands += driver.state_machine.on_timer(SECOND)  # clients are silent for `CLIENT_STALL_US`
+    assert driver.take_commands(commands.AcceptClients) == [commands.AcceptClients(True)]
     driver.connect_client(4, now=SECOND)
-    assert driver.take_commands(do.CloseClient) == [do.CloseClient(1, True)]
+    assert driver.take_commands(commands.CloseClient) == [commands.CloseClient(1, True)]
--- a/tests/proxy/test_request_counters.py
+++ b/tests/proxy/test_request_counters.py
@@ -47,7 +47,7 @@
     assert sum(counters.values()) - counters["app_cluster_size"] == 1
 
 
-def test_request_answered_locally_counts_if_class_is_known() -> None:
+def test_request_answered_without_attempt_counts_if_class_is_known() -> None:
     driver = ProxyDriver()
     for client, fields in enumerate([{"req-deadline": "soon"}, {"req-kind": "none"}]):
         driver.connect_client(client)
@@ -57,7 +57,7 @@
     assert sum(counters.values()) == 1 + counters["app_cluster_size"]
 
 
-def test_request_of_disconnected_client_is_not_current() -> None:
+def test_request_of_disconnected_client_is_not_counted_as_open() -> None:
     driver = ProxyDriver()
     driver.connect_client(1)
     driver.send_request(1)
@@ -69,7 +69,7 @@
     assert b'{group="a\\"b\\\\c\\nd"} 0' in RequestCounters(['a"b\\c\nd']).text(0, 0, 0)
 
 
-def test_unavailable_endpoints_are_listed() -> None:
+def test_unavailable_endpoints_are_returned() -> None:
     load_balancer = make_load_balancer([make_entry(0), make_entry(1), make_entry(2, accepts_requests=False)])
     load_balancer.on_connection_lost(0, 1)
     assert load_balancer.unavailable_endpoints(0) == [1, 2]
--- a/tests/proxy/test_zone_statistics.py
+++ b/tests/proxy/test_zone_statistics.py
@@ -1,4 +1,4 @@
-"""Counts by zone."""
+"""Counts of attempts by zone."""
 
 from __future__ import annotations
 
