--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -27,7 +27,7 @@
     LISTENING = "here"  # the predecessor sends its listening socket and the endpoint list
     TAKE_OVER = "take"  # the successor is ready and requests the state
     STATE = "estate"  # the predecessor has stopped accepting clients and sends its state
-    EXITED = "bye"  # one of the processes exits
+    EXITED = "bye"  # the successor exits after its own hand-over: the predecessor must not serve again
 
 
 class Frame(NamedTuple):
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -66,7 +66,7 @@
         return closed
 
     def start_receiving(self, now_us: int, client: int) -> None:
-        """Records the first byte of a request; the silence of a new client counts from its connect."""
+        """Records the first byte of a request; a new client's silence counts from when it connected."""
         if client not in self.receiving:
             self.idle.pop(client, None)
             self.receiving[client] = now_us
@@ -77,7 +77,7 @@
             self.receiving[client] = now_us
 
     def finish_receiving(self, client: int) -> None:
-        """Stops waiting for bytes of a request: all of it has arrived."""
+        """Stops checking the client for silence: its request is complete, or forwarded while it arrives."""
         self.receiving.pop(client, None)
 
     def stop_tracking(self, client: int) -> None:
--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -209,7 +209,7 @@
         return self._complete(now_us, [])
 
     def has_client_stalled(self, now_us: int, last_progress_us: int) -> bool:
-        """Returns whether a client may be closed whose incomplete request made its last progress then."""
+        """Returns whether a client has stalled in the middle of a request, so that it may be closed."""
         return now_us - last_progress_us >= clients.CLIENT_STALL_US
 
     def on_request(self, now_us: int, client: int, request: Request, arrived_us: int) -> list[Command]:
@@ -373,7 +373,7 @@
         """Leaves a part of this process's limit on connections to endpoints to the successor.
 
         Args:
-            parts: Divisor of the limit. It does not fall below the number of open connections.
+            parts: Divisor of the limit, which does not fall below the number of open connections.
 
         Returns:
             The limit that this process keeps.
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -107,11 +107,8 @@
     ("serving", "in", admin.IN_SERVICE_PATH): False,
     ("serving", "out", admin.OUT_OF_SERVICE_PATH): True,
     ("serving", "out", admin.IN_SERVICE_PATH): False,
-    (
-        "handed",
-        "in",
-        admin.OUT_OF_SERVICE_PATH,
-    ): False,  # rejected: the change would be lost when this process exits
+    # After a hand-over, calls are rejected: the change would be lost when this process exits.
+    ("handed", "in", admin.OUT_OF_SERVICE_PATH): False,
     ("handed", "in", admin.IN_SERVICE_PATH): False,
     ("handed", "out", admin.OUT_OF_SERVICE_PATH): True,
     ("handed", "out", admin.IN_SERVICE_PATH): True,
