--- a/cressrail/proxy/timers.py
+++ b/cressrail/proxy/timers.py
@@ -1,4 +1,4 @@
-"""What is due at which time: steps of a stop, idle clients to close, and the load balancer's own timer."""
+"""Timed work: the phases of a stop, the closing of idle clients, and the load balancer's timer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Timers:
-    """Does what is due, and tells when something is due next."""
+    """Performs the timed work that is due, and computes when more becomes due."""
 
     def __init__(
         self,
@@ -29,16 +29,16 @@
         self.forwarder = forwarder
 
     def run_due(self, now_us: int) -> list[Command]:
-        """Returns the commands of all that is due."""
+        """Performs all work that is due; returns the commands to execute."""
         lifecycle = self.lifecycle
         out = self.forwarder.on_timer(now_us)
-        if now_us >= lifecycle.answer_all_us:
-            out += self.forwarder.finish_all_now(now_us)
-        if lifecycle.closes_idle_clients_handed_over(now_us):
+        if now_us >= lifecycle.answer_deadline_us:
+            out += self.forwarder.answer_all_now(now_us)
+        if lifecycle.closes_idle_after_handover(now_us):
             out += self.clients.close_all_idle()
         if lifecycle.close_listener(now_us):
             out.append(LogEvent(events.CLOSING, {"clients": len(self.clients.open)}))
-            if not lifecycle.has_handed_over:  # else clients in the listener's queue are the successor's
+            if not lifecycle.has_handed_over:  # after a hand-over, the accept queue belongs to the successor
                 out.append(AcceptClients(False, is_final=True))
         if lifecycle.begin_last_answers(now_us):
             out += self.clients.close_all_idle()
@@ -48,17 +48,17 @@
         return out
 
     def next_us(self, now_us: int) -> int:
-        """Returns when something is due next."""
+        """Returns the time at which work is due next."""
         lifecycle = self.lifecycle
         next_us = self.load_balancer.wake_us
         has_to_ask = lifecycle.is_taking_over and not lifecycle.has_asked_predecessor
         watch = self.endpoint_watch
-        if has_to_ask or not (watch.has_list or watch.is_settled(now_us)):
-            next_us = min(next_us, watch.settles_us)
+        if has_to_ask or not (watch.has_list or watch.is_list_wait_over(now_us)):
+            next_us = min(next_us, watch.list_wait_end_us)
         if lifecycle.is_stopping:
             next_us = min(next_us, lifecycle.next_stop_phase_us)
             if self.forwarder.has_unanswered():
-                next_us = min(next_us, lifecycle.answer_all_us)
+                next_us = min(next_us, lifecycle.answer_deadline_us)
         if lifecycle.is_out_of_service:
             next_us = min(next_us, lifecycle.idle_close_us)
         if self.clients.receiving:
