--- a/cressrail/membership/authentication.py
+++ b/cressrail/membership/authentication.py
@@ -1,24 +1,26 @@
-"""Authenticates datagrams: a code by one of the shared keys, and a number that is used once.
+"""Authenticates datagrams and protects them against replay.
 
-The code is HMAC-SHA-256 (RFC 2104) of all before it. The window of numbers is that of RFC 6479 in small: the
-highest number seen, and a bit for each of the 64 from there down.
+A datagram ends with an authentication code: the HMAC-SHA-256 (RFC 2104) of all preceding bytes under one of
+the shared keys. Each datagram of a process also carries a number that the process uses only once. The replay
+window is a small version of the one in RFC 6479: it holds the highest number received and one bit for each
+of the 64 numbers that end with it.
 """
 
 from __future__ import annotations
 
 import hmac
 
-AUTHENTICATION_BYTES = 32  # at the end of a datagram
-REPLAY_WINDOW = 64  # numbers
+AUTHENTICATION_BYTES = 32  # size of the code at the end of a datagram
+REPLAY_WINDOW = 64  # datagram numbers covered by the window
 
 
 def sign_datagram(key: bytes, payload: bytes) -> bytes:
-    """Returns the payload with its code appended."""
+    """Returns the payload with its authentication code appended."""
     return payload + hmac.digest(key, payload, "sha256")
 
 
 def verified_payload(keys: tuple[bytes, ...], datagram: bytes) -> bytes | None:
-    """Returns the payload, or `None` if it was signed with none of the keys."""
+    """Returns the payload without its code, or `None` if none of the keys verifies the code."""
     payload, code = datagram[:-AUTHENTICATION_BYTES], datagram[-AUTHENTICATION_BYTES:]
     for key in keys:
         if hmac.compare_digest(hmac.digest(key, payload, "sha256"), code):
@@ -27,9 +29,16 @@
 
 
 def advance_replay_window(highest: int, window: int, number: int) -> tuple[int, int] | None:
-    """Returns the highest number and the window after a datagram of this number.
+    """Updates a replay window for a received datagram.
 
-    `None` if the number was used already, or is too old to tell.
+    Args:
+        highest: Highest datagram number received so far.
+        window: Bit mask of the received numbers; bit `n` stands for the number `highest - n`.
+        number: Number of the received datagram.
+
+    Returns:
+        The new highest number and window, or `None` if the number was already received or is older than the
+        window, so that a replay can't be ruled out.
     """
     if number > highest:
         shifted = window << min(REPLAY_WINDOW, number - highest) | 1
--- a/cressrail/membership/broadcast_queue.py
+++ b/cressrail/membership/broadcast_queue.py
@@ -1,8 +1,8 @@
-"""Queue of gossip broadcasts, each sent as often as it takes to reach the whole fleet.
+"""Queue of gossip broadcasts, each of which is retransmitted until it has reached the whole fleet.
 
-A broadcast replaces an earlier one on the same topic, so the queue holds one for each instance and each pair
-at most. The one sent least often goes first (Das, Gupta, Motivala, "SWIM", 2002, infection-style
-dissemination).
+A broadcast replaces any earlier one on the same topic, so the queue holds at most one broadcast per topic.
+Broadcasts that were sent least often are sent first, as in the infection-style dissemination of Das, Gupta
+and Motivala, "SWIM", 2002.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from enum import IntEnum, auto
 from typing import NamedTuple
 
-RETRANSMIT_FACTOR = 4  # transmissions of a broadcast, as a multiple of the logarithm of the fleet's size
-MIN_BROADCAST_BYTES = 20  # with less room left in a datagram no other broadcast is looked for
+RETRANSMIT_FACTOR = 4  # transmissions of a broadcast per bit of the fleet's size (binary logarithm)
+MIN_BROADCAST_BYTES = 20  # the search for broadcasts ends when less room is left in a datagram
 
 
 class TopicKind(IntEnum):
-    """What a broadcast is about."""
+    """Kind of information that a broadcast carries."""
 
     INSTANCE = auto()
     SUSPICION = auto()
@@ -24,7 +24,15 @@
 
 
 class BroadcastTopic(NamedTuple):
-    """What a broadcast is about; `other` is who suspects, or who can't be reached."""
+    """Key under which a broadcast replaces an earlier one.
+
+    Attributes:
+        kind: Kind of information.
+        subject: Id of the instance concerned, of the reporter of a reachability report, or the subject of a
+            user message.
+        other: Id of the instance that raised a suspicion, or of the target of a reachability report;
+            0 for other kinds.
+    """
 
     kind: TopicKind
     subject: int
@@ -37,7 +45,7 @@
 
 
 class BroadcastQueue:
-    """Broadcasts, encoded as fields of a datagram."""
+    """Holds broadcasts that are encoded as datagram fields, with the number of times each was sent."""
 
     def __init__(self) -> None:
         self._entries: dict[BroadcastTopic, _Entry] = {}
@@ -46,16 +54,16 @@
         return len(self._entries)
 
     def enqueue(self, topic: BroadcastTopic, payload: bytes) -> None:
-        """Adds a broadcast; an earlier one on the topic is not sent any more."""
+        """Adds a broadcast and drops any earlier one on the same topic."""
         self._entries.pop(topic, None)
         self._entries[topic] = _Entry(payload, 0)
 
     def withdraw(self, topic: BroadcastTopic) -> None:
-        """Drops the broadcast on a topic, if there is one."""
+        """Drops the broadcast on a topic, if the queue holds one."""
         self._entries.pop(topic, None)
 
     def withdraw_suspicions(self, subject: int) -> None:
-        """Drops the broadcasts on all suspicions of one instance."""
+        """Drops all broadcasts that report a suspicion of one instance, whoever raised it."""
         for topic in [topic for topic in self._entries if topic[:2] == (TopicKind.SUSPICION, subject)]:
             del self._entries[topic]
 
@@ -64,13 +72,13 @@
         self._entries.clear()
 
     def drop_larger_than(self, max_bytes: int) -> None:
-        """Drops broadcasts that fit into no datagram and would be tried for ever."""
+        """Drops broadcasts that fit into no datagram and would otherwise stay in the queue for ever."""
         self._entries = {
             topic: entry for topic, entry in self._entries.items() if len(entry.payload) <= max_bytes
         }
 
     def next_broadcasts(self, room: int, fleet_size: int) -> bytes:
-        """Returns as many broadcasts as fit into `room` bytes, and counts them as sent."""
+        """Returns the broadcasts that fit into `room` bytes, concatenated, and counts them as sent."""
         if not self._entries or room <= 0:
             return b""
         max_transmissions = RETRANSMIT_FACTOR * max(1, fleet_size.bit_length())
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -1,10 +1,12 @@
-"""Datagrams as bytes, mapped to the types of this package here alone.
+"""Encodes and decodes datagrams; no other module depends on their binary layout.
 
-    version 1, kind 1, number 8, the sender's own record, fields ..., code 32
+A datagram consists of (sizes in bytes):
 
-A field is a tag, a length and so many bytes. A field of a tag that is not known is passed over, and so are
-bytes behind those of a known one, so that two releases understand each other. No length is used before it
-was compared with what is there.
+    version (1), kind (1), number (8), field with the sender's own record, more fields, code (32)
+
+A field consists of a tag (1), a length (1) and that number of bytes. The decoder skips fields with an unknown
+tag and trailing bytes of known fields, so that instances of different releases understand each other. Each
+length is checked against the bytes available before it is used.
 """
 
 from __future__ import annotations
@@ -32,10 +34,10 @@
 )
 
 VERSION = 1
-# Kinds of datagrams.
+# Datagram kinds.
 PING, ACK, NACK, PING_REQ, PUSH_PULL_REQUEST, PUSH_PULL_RESPONSE, GOSSIP = range(1, 8)
 KINDS = range(PING, GOSSIP + 1)
-# Tags of fields.
+# Field tags.
 RECORD_TAG, STATUS_TAG, REACHABILITY_TAG, PING_REFERENCE_TAG, ID_RANGE_TAG, DIGEST_TAG = range(1, 7)
 PADDING_TAG, OWN_STATUS_TAG, LOAD_REPORT_TAG, USER_MESSAGE_TAG, USER_BROADCAST_TAG = range(7, 12)
 
@@ -45,31 +47,48 @@
 _REACHABILITY = struct.Struct("!QQIB")
 _PING_REFERENCE = struct.Struct("!IQ")
 _ID_RANGE = struct.Struct("!QQB")
-_DIGEST_ROW = struct.Struct("!QQIB")  # a status without who suspects
-_DIGEST_VALUES = 4
+_DIGEST_ROW = struct.Struct("!QQIB")  # an `InstanceStatus` without `suspected_by`
+_DIGEST_VALUES = 4  # leading values of an `InstanceStatus` that a digest row holds
 _PORT_BYTES = 2
-_SUBJECT_BYTES = 8  # before a user broadcast
+_SUBJECT_BYTES = 8  # the subject precedes the message in a user broadcast field
 _IPV4_BYTES, _IPV6_BYTES = 4, 16
-IPV6_FLAG = 0x80  # in the byte of the state
+IPV6_FLAG = 0x80  # set in a record's state byte if its address is an IPv6 address
 STATE_MASK = 0x7F
 
 FIELD_HEADER_BYTES = 2  # tag and length
-MAX_FIELD_BYTES = 255  # after them
+MAX_FIELD_BYTES = 255  # limit of the one-byte length, header not included
 ROWS_PER_FIELD = MAX_FIELD_BYTES // _DIGEST_ROW.size
 STATUS_BYTES = FIELD_HEADER_BYTES + _STATUS.size
 PING_REFERENCE_BYTES = FIELD_HEADER_BYTES + _PING_REFERENCE.size
 ID_RANGE_BYTES = FIELD_HEADER_BYTES + _ID_RANGE.size
 DIGEST_ROW_BYTES = _DIGEST_ROW.size
 MIN_DATAGRAM_BYTES = _HEADER.size + FIELD_HEADER_BYTES + _DIGEST_ROW.size + AUTHENTICATION_BYTES
-OVERHEAD_BYTES = _HEADER.size + AUTHENTICATION_BYTES  # beside the fields
+OVERHEAD_BYTES = _HEADER.size + AUTHENTICATION_BYTES  # all of a datagram but its fields
+
+# Reasons for rejecting a datagram. They are counted by value and appear in the log.
+REASON_TOO_SHORT = "too short"  # the datagram ends within the header
+REASON_NO_SENDER = "nobody's"  # no field identifies the sender
+REASON_FIELD_CUT = "a field is cut"  # a field extends past the end of the datagram
+REASON_SIZE = "size"  # the datagram is smaller or larger than allowed
+REASON_UNVERIFIED = "stranger"  # none of the shared keys verifies the authentication code
+REASON_OWN = "own"  # this process sent the datagram itself
+REASON_REPLAYED = "replayed"  # the number was used before or is older than the replay window
 
 
 class MalformedDatagramError(Exception):
-    """No datagram of the fleet; the text says why."""
+    """A datagram was rejected.
+
+    The message is the reason under which the datagram is counted and logged.
+    """
 
 
 class PingReference(NamedTuple):
-    """Sequence number of a request, and the id of the instance that it is meant for, 0 for anybody."""
+    """Identifies the request that a datagram makes or answers.
+
+    Attributes:
+        sequence: Sequence number of the request.
+        target: Id of the instance that the request is meant for, or 0 for any instance.
+    """
 
     sequence: int
     target: int
@@ -80,17 +99,19 @@
 
     Attributes:
         kind: One of `KINDS`.
-        number: Never used twice by one process.
-        sender: Its record; of a push-pull response, whose room is for others' records, its status.
-        ping_references: At most one is used, as of `id_ranges`.
-        id_ranges: What a push-pull datagram covers.
-        records: Of other instances.
-        statuses: Of other instances.
-        reachability: Reports of any instance.
-        digest: Statuses that the sender of a push-pull request has.
-        load_reports: Of the sender.
-        user_messages: Of the sender's other parts.
-        user_broadcasts: The same by way of others: subject and message.
+        number: Number of the datagram, which a process never uses twice.
+        sender: Record of the sender. A push-pull response may carry only its status, which leaves more room
+            for the records of others.
+        ping_references: References to requests, of which only the first is used.
+        id_ranges: Ranges that a push-pull datagram covers, of which only the first is used.
+        records: Records of other instances.
+        statuses: Statuses of other instances.
+        reachability: Reachability reports of any instance.
+        digest: Statuses known to the sender of a push-pull request.
+        load_reports: Load reports of the sender.
+        user_messages: Messages that other components of the sender's sidecar address to the receiver.
+        user_broadcasts: Gossiped messages of such components of any instance, as pairs of subject and
+            message.
     """
 
     kind: int
@@ -115,7 +136,7 @@
 
 
 def encode_record(record: InstanceRecord) -> bytes:
-    """Field with a whole record."""
+    """Encodes a field with a complete record."""
     host, port = record.address
     is_ipv6 = ":" in host
     zone, name = record.zone.encode(), record.name.encode()
@@ -132,47 +153,47 @@
 
 
 def encode_status(status: InstanceStatus) -> bytes:
-    """Field with the status of another instance."""
+    """Encodes a field with the status of another instance."""
     return _field(STATUS_TAG, _STATUS.pack(*status))
 
 
 def encode_own_status(status: InstanceStatus) -> bytes:
-    """Field with the sender's status, in place of its record."""
+    """Encodes a field with the sender's status, which takes the place of its record."""
     return _field(OWN_STATUS_TAG, _DIGEST_ROW.pack(*status[:_DIGEST_VALUES]))
 
 
 def encode_reachability(report: ReachabilityReport) -> bytes:
-    """Field with a reachability report."""
+    """Encodes a field with a reachability report."""
     return _field(REACHABILITY_TAG, _REACHABILITY.pack(*report))
 
 
 def encode_ping_reference(reference: PingReference) -> bytes:
-    """Field that says which request a datagram is or answers."""
+    """Encodes a field that identifies the request that a datagram makes or answers."""
     return _field(PING_REFERENCE_TAG, _PING_REFERENCE.pack(*reference))
 
 
 def encode_id_range(id_range: IdRange) -> bytes:
-    """Field with the range of a push-pull sync."""
+    """Encodes a field with the id range of a push-pull sync."""
     return _field(ID_RANGE_TAG, _ID_RANGE.pack(*id_range))
 
 
 def encode_load_report(report: LoadReport) -> bytes:
-    """Field with a load report."""
+    """Encodes a field with a load report."""
     return _field(LOAD_REPORT_TAG, pack_load_report(report))
 
 
 def encode_user_message(message: bytes) -> bytes:
-    """Field with a message of another part of the sidecar."""
+    """Encodes a field with a message of another component of the sidecar."""
     return _field(USER_MESSAGE_TAG, message)
 
 
 def encode_user_broadcast(subject: int, message: bytes) -> bytes:
-    """Field with a gossiped message of another part of the sidecar."""
+    """Encodes a field with a gossiped message of another component of the sidecar."""
     return _field(USER_BROADCAST_TAG, subject.to_bytes(_SUBJECT_BYTES, "big") + message)
 
 
 def encode_digest(statuses: list[InstanceStatus]) -> bytes:
-    """Fields with the statuses that the sender has, as many as are needed."""
+    """Encodes the statuses known to the sender, in as many fields as they need."""
     fields = b""
     for first in range(0, len(statuses), ROWS_PER_FIELD):
         rows = statuses[first : first + ROWS_PER_FIELD]
@@ -181,11 +202,14 @@
 
 
 def encode_padding(size: int) -> bytes:
-    """Fields of `size` bytes in all that say nothing; a single byte can't be filled."""
+    """Encodes padding fields of `size` bytes in total.
+
+    A field needs at least a header of two bytes, so a `size` of 1 yields no padding.
+    """
     fields = b""
     while size >= FIELD_HEADER_BYTES:
         body_bytes = min(MAX_FIELD_BYTES, size - FIELD_HEADER_BYTES)
-        if size - FIELD_HEADER_BYTES - body_bytes == 1:  # the next field could not be that short
+        if size - FIELD_HEADER_BYTES - body_bytes == 1:  # a single byte is too short for another field
             body_bytes -= 1
         fields += _field(PADDING_TAG, bytes(body_bytes))
         size -= FIELD_HEADER_BYTES + body_bytes
@@ -193,7 +217,10 @@
 
 
 def encode_datagram(kind: int, number: int, fields: bytes) -> bytes:
-    """A datagram without its code; the first of the fields is the sender's record or status."""
+    """Encodes a datagram without its authentication code.
+
+    The first field must be the sender's record, or its status in a push-pull response.
+    """
     return _HEADER.pack(VERSION, kind, number) + fields
 
 
@@ -201,7 +228,7 @@
 
 
 class _Fields:
-    """Decoded fields by type, in their order."""
+    """Decoded fields grouped by type, each group in the order of the datagram."""
 
     __slots__ = (
         "digest",
@@ -230,13 +257,13 @@
 
 
 def decode_datagram(payload: bytes) -> Datagram:
-    """Decodes a datagram whose code was verified and taken off.
+    """Decodes a datagram whose authentication code was verified and removed.
 
     Raises:
-        MalformedDatagramError: It does not follow the format.
+        MalformedDatagramError: The datagram does not follow the format.
     """
     if len(payload) < _HEADER.size:
-        raise MalformedDatagramError("too short")
+        raise MalformedDatagramError(REASON_TOO_SHORT)
     version, kind, number = _HEADER.unpack_from(payload)
     if version != VERSION:
         raise MalformedDatagramError(f"version {version}")
@@ -248,7 +275,7 @@
     elif fields.records:
         sender = fields.records.pop(0)
     else:
-        raise MalformedDatagramError("nobody's")
+        raise MalformedDatagramError(REASON_NO_SENDER)
     return Datagram(
         kind,
         number,
@@ -270,7 +297,7 @@
     while position < end:
         start = position + FIELD_HEADER_BYTES
         if start > end or start + payload[position + 1] > end:
-            raise MalformedDatagramError("a field is cut")
+            raise MalformedDatagramError(REASON_FIELD_CUT)
         tag, position = payload[position], start + payload[position + 1]
         decoder = _DECODERS.get(tag)
         if decoder is None:
@@ -358,7 +385,11 @@
 
 
 def _decode_text(body: bytes, position: int, max_bytes: int) -> tuple[str, int]:
-    """A text that its length precedes, and the position after it."""
+    """Decodes a length-prefixed text at `position`; returns it with the position after it.
+
+    Raises:
+        ValueError: The text is longer than `max_bytes`, is cut off or is not valid UTF-8.
+    """
     size, start = body[position], position + 1
     if size > max_bytes or start + size > len(body):
         raise ValueError
--- a/cressrail/membership/datagram_receiver.py
+++ b/cressrail/membership/datagram_receiver.py
@@ -1,4 +1,4 @@
-"""Takes in datagrams: verification, replay window, merge of their contents, and what answers them."""
+"""Verifies received datagrams, checks them for replay, merges their contents and answers them."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from cressrail.membership.self_record import SelfRecord
 from cressrail.membership.shared_state import SharedState
 
-MAX_USER_MESSAGES = 4  # in one datagram
-ANY_SENDER = 0  # of a user message that came by way of others
-_Window = tuple[int, int]
+MAX_USER_MESSAGES = 4  # user messages accepted from one datagram
+ANY_SENDER = 0  # sender id of a user message that was gossiped and may have been relayed by others
+_Window = tuple[int, int]  # highest datagram number and bit mask, as in `authentication`
 
 
 class DatagramReceiver:
@@ -53,23 +53,24 @@
         self._relayed_pings, self._push_pull = relayed_pings, push_pull
 
     def receive(self, now_us: int, payload: bytes) -> None:
-        """Processes a datagram as it came.
+        """Processes a datagram as received from the network.
 
         Raises:
-            MalformedDatagramError: It is none of the fleet's, or not for this instance; nothing was changed.
+            MalformedDatagramError: The datagram is not a valid datagram of the fleet, or it was sent by this
+                process itself. No state was changed.
         """
         if not codec.MIN_DATAGRAM_BYTES <= len(payload) <= self._shared.settings.max_datagram_bytes:
-            raise MalformedDatagramError("size")
+            raise MalformedDatagramError(codec.REASON_SIZE)
         verified = verified_payload(self._sender.keys, payload)
         if verified is None:
-            raise MalformedDatagramError("stranger")
+            raise MalformedDatagramError(codec.REASON_UNVERIFIED)
         self._process(now_us, codec.decode_datagram(verified), len(payload))
 
     def _process(self, now_us: int, datagram: Datagram, size: int) -> None:
         sender = datagram.sender
         if sender.id == self._self_record.id:
             if sender.process_id == self._self_record.process_id:
-                raise MalformedDatagramError("own")
+                raise MalformedDatagramError(codec.REASON_OWN)
             self._refutation.on_own_status(now_us, sender)
             return
         if self._is_outdated(sender):
@@ -81,7 +82,7 @@
         if row >= 0:
             self._note_sender(now_us, row, datagram, window)
         elif isinstance(sender, InstanceRecord):
-            return  # it has left, or there are too many
+            return  # the sender has left, or the member table is full
         self._pass_on_user_messages(datagram)
         self._merge_contents(now_us, datagram)
         if isinstance(sender, InstanceRecord):
@@ -92,7 +93,7 @@
     # The sender
 
     def _is_outdated(self, sender: InstanceRecord | InstanceStatus) -> bool:
-        """Whether another process of the sender's name takes precedence."""
+        """Whether another process with the sender's name takes precedence over the sender."""
         table = self._shared.table
         row = table.row_of(sender.id)
         if row < 0 or table.process_ids[row] == sender.process_id:
@@ -100,23 +101,23 @@
         known = (table.incarnations[row], table.process_ids[row])
         if isinstance(sender, InstanceRecord):
             return (sender.incarnation, sender.process_id) < known
-        # Process id and state are compared, where incarnation and process id seem meant: whether a
-        # response of a process that was just started is taken depends on chance. A change would be one of
-        # behaviour, so it is left to an issue of its own.
+        # Known fault: this compares process id and state, although incarnation and process id seem to be
+        # intended. Process ids are random, so whether a response of a newly started process is accepted
+        # depends on chance. A fix changes behaviour and is left to a separate issue.
         return (sender.process_id, sender.state) < known
 
     def _send_what_is_known(self, sender: InstanceRecord | InstanceStatus, size: int) -> None:
-        """Lets a process that counts from below what is known of its name raise its incarnation."""
+        """Sends an outdated process the known status of its name, so that it raises its incarnation."""
         if isinstance(sender, InstanceRecord):
             table = self._shared.table
             fields = codec.encode_status(table.status_of(table.row_of(sender.id)))
             self._sender.send(sender.address, GOSSIP, fields, max_bytes=size)
 
     def _replay_window(self, datagram: Datagram) -> _Window:
-        """The sender's window of datagram numbers, advanced by this one.
+        """Returns the sender's replay window after this datagram.
 
         Raises:
-            MalformedDatagramError: The number was used before, or is too old to tell.
+            MalformedDatagramError: The number was used before or is older than the window.
         """
         table, sender = self._shared.table, datagram.sender
         row = table.row_of(sender.id)
@@ -124,7 +125,7 @@
             return datagram.number, 1
         window = advance_replay_window(table.highest_numbers[row], table.replay_windows[row], datagram.number)
         if window is None:
-            raise MalformedDatagramError("replayed")
+            raise MalformedDatagramError(codec.REASON_REPLAYED)
         return window
 
     def _merge_sender(self, now_us: int, sender: InstanceRecord | InstanceStatus) -> None:
--- a/cressrail/membership/datagram_sender.py
+++ b/cressrail/membership/datagram_sender.py
@@ -1,4 +1,4 @@
-"""Builds, signs and sends datagrams, and fills them with gossip broadcasts and load reports."""
+"""Builds, signs and sends datagrams, and fills their free room with gossip broadcasts and load reports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class DatagramSender:
-    """Sends on behalf of all parts of membership."""
+    """Sends datagrams for all components of membership.
+
+    Attributes:
+        keys: Shared keys; the first signs datagrams, and each of them verifies received ones.
+    """
 
     def __init__(self, shared: SharedState, self_record: SelfRecord, now_us: int) -> None:
         self._shared, self._self_record = shared, self_record
@@ -23,20 +27,23 @@
         self._sequence = 0
 
     def set_time(self, now_us: int) -> None:
-        """Sets the time from which ages of load reports count."""
+        """Sets the time for which the ages of load reports are computed."""
         self._now_us = now_us
 
     def set_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Replaces the shared keys; the first signs."""
+        """Replaces the shared keys; the first signs datagrams."""
         self.keys = keys
 
     def next_sequence(self) -> int:
-        """A new sequence number for a request."""
+        """Returns a new sequence number for a request."""
         self._sequence = self._sequence + 1 & SEQUENCE_MASK
         return self._sequence
 
     def send_request(self, row: int, kind: int, fields: bytes) -> None:
-        """Sends to the instance of a row, padded so that its answer fits into the same size."""
+        """Sends a request to the instance in a row of the member table.
+
+        The request is padded so that its answer need not be larger than the request.
+        """
         table = self._shared.table
         answer = codec.encode_datagram(
             kind,
@@ -56,15 +63,18 @@
         min_bytes: int = 0,
         has_left: bool = False,
     ) -> None:
-        """Sends one datagram, its free room filled with broadcasts and load reports.
+        """Sends one datagram and fills its free room with broadcasts and load reports.
+
+        Nothing is sent if the fields exceed the size limit.
 
         Args:
-            destination: Where to.
+            destination: Address of the receiver.
             kind: Kind of the datagram.
-            fields: Encoded fields, after the sender's own.
-            max_bytes: Limit, for an answer that is no larger than its request; 0 for that of the settings.
+            fields: Encoded fields that follow the sender's own record or status.
+            max_bytes: Size limit of an answer, which must not be larger than its request; 0 applies only the
+                limit of the settings.
             min_bytes: Size up to which the datagram is padded.
-            has_left: Whether this instance announces that it leaves.
+            has_left: Whether the datagram announces that this instance leaves.
         """
         shared, self_record = self._shared, self._self_record
         self._datagram_number += 1
--- a/cressrail/membership/gossip.py
+++ b/cressrail/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: broadcasts are sent to a few random instances at a time until they have reached all."""
+"""Gossip: sends broadcasts to a few random instances in each round until they have reached the fleet."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.timers import TimerKind
 
-GOSSIP_FANOUT = 3  # instances that get a datagram in one round
-ROUNDS_PER_PERIOD = 5
-FIRST_ROUND_SHARE = 20  # of a ping period: the first round is within one part in so many
+GOSSIP_FANOUT = 3  # instances that are sent a datagram in one round
+ROUNDS_PER_PERIOD = 5  # gossip rounds in a ping period
+FIRST_ROUND_SHARE = 20  # the first round starts within 1/20 of a ping period
 
 
 class Gossip:
-    """Spreads broadcasts."""
+    """Queues broadcasts and runs the gossip rounds that send them."""
 
     def __init__(
         self,
@@ -31,29 +31,30 @@
         self._is_scheduled = False
 
     def broadcast_record(self, now_us: int, record: InstanceRecord) -> None:
-        """Spreads the whole record of an instance."""
+        """Broadcasts the complete record of an instance."""
         topic = BroadcastTopic(TopicKind.INSTANCE, record.id)
         self._broadcast(now_us, topic, codec.encode_record(record))
 
     def broadcast_status(self, now_us: int, status: InstanceStatus) -> None:
-        """Spreads the status of an instance whose record the others have."""
+        """Broadcasts the status of an instance whose record the other instances already have."""
         topic = BroadcastTopic(TopicKind.INSTANCE, status.id)
         self._broadcast(now_us, topic, codec.encode_status(status))
 
     def broadcast_suspicion(self, now_us: int, status: InstanceStatus) -> None:
-        """Spreads that an instance is suspected, and by whom."""
+        """Broadcasts that an instance is suspected, and which instance suspects it."""
         topic = BroadcastTopic(TopicKind.SUSPICION, status.id, status.suspected_by)
         self._broadcast(now_us, topic, codec.encode_status(status))
 
     def broadcast_reachability(self, now_us: int, report: ReachabilityReport) -> None:
-        """Spreads whether one instance reaches another."""
+        """Broadcasts whether one instance can reach another."""
         topic = BroadcastTopic(TopicKind.REACHABILITY, report.reporter, report.target)
         self._broadcast(now_us, topic, codec.encode_reachability(report))
 
     def broadcast_user_message(self, now_us: int, subject: int, payload: bytes, is_urgent: bool) -> None:
-        """Spreads a message of another part of the sidecar, in place of an earlier one on the subject.
+        """Broadcasts a message of another component of the sidecar.
 
-        One that is not urgent only rides on datagrams that are sent anyway.
+        It replaces an earlier message on the same subject. A message that is not urgent starts no
+        gossip round and is only added to datagrams that are sent anyway.
         """
         topic = BroadcastTopic(TopicKind.USER_MESSAGE, subject)
         self._shared.broadcasts.enqueue(topic, codec.encode_user_broadcast(subject, payload))
@@ -61,7 +62,7 @@
             self.schedule(now_us)
 
     def schedule(self, now_us: int) -> None:
-        """Has a round begin soon if there is something to spread."""
+        """Schedules a round in the near future if broadcasts are queued and no round is scheduled."""
         if self._is_scheduled or not len(self._shared.broadcasts):
             return
         self._is_scheduled = True
@@ -69,11 +70,11 @@
         self._shared.timers.set(now_us + self._shared.random.below(latest_us), TimerKind.GOSSIP)
 
     def cancel(self) -> None:
-        """The timer of the next round was voided."""
+        """Records that the timer of the next round was cancelled."""
         self._is_scheduled = False
 
     def run_round(self, now_us: int, _argument: int) -> None:
-        """Sends to a few instances; another round follows while something is left."""
+        """Sends queued broadcasts to a few instances and schedules another round while any are left."""
         self._is_scheduled = False
         broadcasts, settings = self._shared.broadcasts, self._shared.settings
         own = codec.encode_record(self._self_record.record())
--- a/cressrail/membership/instance_counter.py
+++ b/cressrail/membership/instance_counter.py
@@ -1,4 +1,4 @@
-"""Counts the live instances for the policy."""
+"""Counts the live instances of the fleet for the policy."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from cressrail.membership.push_pull import PushPull
 from cressrail.membership.shared_state import SharedState
 
-COUNT_CHANGE_SHARE = 32  # a change of less than one part in so many is not announced
+COUNT_CHANGE_SHARE = 32  # a change of at most 1/32 of the announced count is not announced
 
 
 class InstanceCounter:
-    """Announces the instance count when it changes.
+    """Announces the instance count when it changes noticeably.
 
     Attributes:
-        announced: The count as last announced, `None` before that and where it is not used.
+        announced: The count announced last, or `None` if none was announced or the policy does not use it.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.announced: InstanceCount | None = None
 
     def observed(self) -> ObservedInstances:
-        """What the member table holds."""
+        """Returns the instances counted in the member table, including this one."""
         table, own_zone = self._shared.table, self._shared.settings.zone
         alive, silent, zone_alive, zone_silent = 1, 0, 1, 0
         for row, member_id in enumerate(table.ids):
--- a/cressrail/membership/live_count.py
+++ b/cressrail/membership/live_count.py
@@ -1,10 +1,11 @@
-"""Estimate of the number of live instances, in place of the configured one.
-
-Too high a count makes limits and quotas tight, too low a one lets all instances together overload what they
-share, so an increase is believed at once and a decrease slowly, and only on evidence. Evidence is an
-instance that said it leaves, or at whose address nobody listens. One that is merely silent may be
-partitioned and still at work, and stays in the count unless more than half of the fleet is heard. Where that
-half is not heard, the estimate drifts back to the configured count.
+"""Estimates the number of live instances, which replaces the configured number.
+
+An estimate that is too high makes limits and quotas too tight; one that is too low lets all instances
+together overload the endpoints that they share. Therefore an increase takes effect at once, and a decrease
+slowly and only on evidence. Evidence is an instance that announced that it leaves, or whose address refuses
+datagrams because no process listens there. An instance that is merely silent may be partitioned and still
+serving requests, so it stays in the count unless this instance hears more than half of the fleet. While it
+does not hear that majority, the estimate drifts back to the configured count.
 """
 
 from __future__ import annotations
@@ -13,22 +14,24 @@
 
 from cressrail.membership.messages import InstanceCount
 
-MAX_DEVIATION_FACTOR = 4.0  # of the estimate from the configured count, up and down, whatever is observed
-# In tolerated pauses:
-STARTUP_PAUSES = 4  # for which an instance that has just started believes in no decrease
-DECREASE_HALF_LIFE_PAUSES = 2
-FALLBACK_HALF_LIFE_PAUSES = 20  # back to the configured count
+# The estimate stays within this factor of the configured count, above and below, whatever is observed.
+MAX_DEVIATION_FACTOR = 4.0
+# The following times are multiples of the tolerated pause.
+STARTUP_PAUSES = 4  # time after the start of this instance in which the estimate does not decrease
+DECREASE_HALF_LIFE_PAUSES = 2  # half-life of the difference from a lower number of observed instances
+FALLBACK_HALF_LIFE_PAUSES = 20  # half-life of the difference from the configured count without a majority
 
 
 class ObservedInstances(NamedTuple):
-    """What the member table holds, this instance included.
+    """Numbers of instances in the member table, this instance included.
 
     Attributes:
-        alive: Alive or suspected.
-        silent: Dead, without a sign that the process is gone.
-        zone_alive: Those alive in the own zone.
-        zone_silent: Those silent in the own zone.
-        has_quorum_view: Whether the whole table was received once, and anybody is heard.
+        alive: Instances that are alive or suspected.
+        silent: Instances that were declared dead without evidence that their process has ended.
+        zone_alive: Instances of this instance's zone among `alive`.
+        zone_silent: Instances of this instance's zone among `silent`.
+        has_quorum_view: Whether the complete member table was received once and this instance is not
+            isolated.
     """
 
     alive: int
@@ -39,11 +42,11 @@
 
 
 class LiveInstanceCount:
-    """The estimate; times are in microseconds.
+    """Maintains the estimate; times are in microseconds.
 
     Attributes:
-        estimate: Of all instances.
-        zone_estimate: Of those in the own zone.
+        estimate: Estimated number of live instances in the fleet.
+        zone_estimate: Estimated number of live instances in this instance's zone.
     """
 
     def __init__(self, configured_count: int, tolerated_pause_us: int, now_us: int) -> None:
@@ -53,7 +56,7 @@
         self.estimate, self.zone_estimate = self._configured_count, 0.0
 
     def update(self, now_us: int, observed: ObservedInstances) -> InstanceCount:
-        """Moves the estimate on to `now_us` and returns it."""
+        """Advances the estimate to `now_us` and returns it."""
         span_us, self._updated_us = max(0, now_us - self._updated_us), max(now_us, self._updated_us)
         has_majority = observed.has_quorum_view and observed.alive > observed.silent
         self._update_estimate(now_us, span_us, observed, has_majority)
@@ -71,20 +74,23 @@
         is_starting = has_majority and now_us - self._started_us < STARTUP_PAUSES * pause_us
         if not (is_starting and target < self.estimate):
             self.estimate += (target - self.estimate) * (1 - 0.5 ** (span_us / half_life_us))
-        # An increase holds at once, and also in a minority: those that are heard are there.
+        # An increase takes effect at once, even without a majority: instances that are heard do exist.
         increased = max(self.estimate, float(observed.alive))
         lowest = max(1.0, self._configured_count / MAX_DEVIATION_FACTOR)
         self.estimate = min(self._configured_count * MAX_DEVIATION_FACTOR, max(lowest, increased))
 
     def _update_zone_estimate(self, span_us: int, target: float) -> None:
-        """Decreases slowly too, as deaths in one zone may happen to be learned before those in others."""
+        """Moves the zone's estimate towards `target`: up at once and down slowly.
+
+        The decrease is slow because deaths in one zone may be detected earlier than those in other zones.
+        """
         half_life_us = DECREASE_HALF_LIFE_PAUSES * self._tolerated_pause_us
         decreased = self.zone_estimate + (target - self.zone_estimate) * (1 - 0.5 ** (span_us / half_life_us))
         self.zone_estimate = min(max(target, decreased), self.estimate)
 
     @staticmethod
     def _zone_share(observed: ObservedInstances, has_majority: bool) -> float:
-        """Share of the instances that are in the own zone; without a majority the silent ones count."""
+        """Returns the share of instances in this zone; without a majority, silent instances count too."""
         if has_majority:
             return observed.zone_alive / observed.alive
         known_in_zone = observed.zone_alive + observed.zone_silent
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -1,10 +1,11 @@
-"""Load reports: what an instance says of its own work, in what room its datagrams have left.
-
-It reports its traffic, endpoints that fail, and the load that it puts on each endpoint that warms up. Each
-instance reports for itself only and nobody passes reports on, so they cost the same in any fleet; who has
-few of them takes their mean for the others'. Of two reports on the same the later one holds, by the
-reporter's own sequence and the age that the report gives: the merge takes the greater, so it is associative,
-commutative and idempotent.
+"""Load reports: statements of an instance about its own load, sent in the free room of its datagrams.
+
+An instance reports its traffic, the endpoints that fail for it, and the load that it puts on each endpoint
+that warms up. Each instance reports only for itself and reports are not forwarded, so their cost does not
+depend on the size of the fleet. An instance that has reports of only some peers assumes the mean of these
+reports for the others. Of two reports on the same subject the merge keeps the one with the greater
+precedence, which follows from the reporter's sequence number and the age in the report. The merge is
+therefore associative, commutative and idempotent.
 """
 
 from __future__ import annotations
@@ -16,30 +17,33 @@
 TRAFFIC, FAILING, WARMUP_LOAD = 1, 2, 3
 REPORT_KINDS = (TRAFFIC, FAILING, WARMUP_LOAD)
 REPORT_STRUCT = struct.Struct("!BQIIH")  # kind, subject, value, sequence, age in milliseconds
-FIELD_HEADER_BYTES = 2  # before each report in a datagram
+FIELD_HEADER_BYTES = 2  # precede each report in a datagram
 MAX_VALUE = 1 << 31
 MAX_AGE_MS = 60_000
-LIFETIME_PERIODS = {TRAFFIC: 60, FAILING: 8, WARMUP_LOAD: 20}  # ping periods for which a report holds
-MAX_PER_DATAGRAM = 6
-MAX_PER_INSTANCE = 128  # that are stored
-MAX_STORED = 16_384  # of all instances
-MIN_REPORTERS = 3  # whose reports stand for the others', where there are more
-MIN_FAILING_REPORTERS = 2  # and one of three that report anything
+LIFETIME_PERIODS = {TRAFFIC: 60, FAILING: 8, WARMUP_LOAD: 20}  # ping periods until a report expires
+MAX_PER_DATAGRAM = 6  # reports sent in one datagram
+MAX_PER_INSTANCE = 128  # stored reports of one instance
+MAX_STORED = 16_384  # stored reports of all instances
+MIN_REPORTERS = 3  # reports (or those of all peers, if fewer) needed to assume their mean for other peers
+# Peers' reports eject an endpoint only if at least two instances report it as failing, and these are at
+# least 1/3 of the instances in the zone that send any reports.
+MIN_FAILING_REPORTERS = 2
 FAILING_REPORTER_SHARE = 3
-PER_SECOND_THOUSANDTHS = 1e9  # from requests a microsecond to thousandths of a request a second
+PER_SECOND_THOUSANDTHS = 1e9  # thousandths of a request per second in one request per microsecond
 ReportPrecedence = tuple[int, int, int, int]
 ReportKey = tuple[int, int]  # kind, subject
 
 
 class LoadReport(NamedTuple):
-    """One report.
+    """A report as sent in a datagram.
 
     Attributes:
         kind: One of `REPORT_KINDS`.
-        subject: Number of an endpoint; 0 of the instance itself.
-        value: Of traffic and warm-up load thousandths of a request a second; of failing 1 or 0.
-        sequence: Counted by the reporter.
-        age_ms: When it is sent.
+        subject: Number of the endpoint concerned, or 0 for the instance itself.
+        value: For traffic and warm-up load, thousandths of a request per second; for a failing endpoint, 1
+            if it fails and 0 if it no longer does.
+        sequence: Sequence number assigned by the reporter.
+        age_ms: Age in milliseconds at the time the report is sent.
     """
 
     kind: int
@@ -50,7 +54,13 @@
 
 
 class OwnReport(NamedTuple):
-    """A report of this instance."""
+    """A report of this instance.
+
+    Attributes:
+        value: As in `LoadReport`.
+        sequence: As in `LoadReport`.
+        made_us: Time at which the report was made.
+    """
 
     value: int
     sequence: int
@@ -61,9 +71,10 @@
     """A report of another instance.
 
     Attributes:
-        precedence: Incarnation, process id, sequence, and minus when it was made: the greater holds.
+        precedence: Incarnation, process id, sequence and the negated `made_us`; of two reports the one with
+            the greater precedence is kept.
         value: As in `LoadReport`.
-        made_us: When it was made, by this instance's clock.
+        made_us: Time at which the report was made, on this instance's clock.
     """
 
     precedence: ReportPrecedence
@@ -72,12 +83,13 @@
 
 
 class PeerLoadSummary(NamedTuple):
-    """Command: go by what the others' reports come to.
+    """Command: pass a summary of the peers' reports to the policy.
 
     Attributes:
-        failing_endpoints: Numbers of endpoints that several report as failing.
-        warmup_loads: Requests a microsecond that all others send to each endpoint that warms up, by number.
-        total_traffic: Requests a microsecond of all, this instance included.
+        failing_endpoints: Numbers of the endpoints that several peers report as failing.
+        warmup_loads: Requests per microsecond that all peers together send to each endpoint that warms up,
+            by endpoint number.
+        total_traffic: Requests per microsecond of all instances, this one included.
     """
 
     failing_endpoints: tuple[int, ...]
@@ -86,16 +98,16 @@
 
 
 def pack_load_report(report: LoadReport) -> bytes:
-    """A report as bytes of a datagram."""
+    """Encodes a report as the body of a datagram field."""
     return REPORT_STRUCT.pack(*report)
 
 
 def unpack_load_report(body: bytes) -> LoadReport:
-    """Reads a report.
+    """Decodes a report from the body of a datagram field.
 
     Raises:
-        ValueError: A value is out of range.
-        struct.error: There are too few bytes.
+        ValueError: The value or the age is above its limit.
+        struct.error: The body is too short for a report.
     """
     report = LoadReport(*REPORT_STRUCT.unpack_from(body))
     if report.value > MAX_VALUE or report.age_ms > MAX_AGE_MS:
@@ -104,13 +116,14 @@
 
 
 class PeerLoadReports:
-    """Own reports and those of the others.
+    """Holds the reports of this instance and those of its peers.
 
     Attributes:
-        own_reports: By kind and subject.
-        peer_reports: By reporter, then by kind and subject.
-        stored_count: Reports of others, in all.
-        times_sent: How often each own report was sent, so that each gets its turn.
+        own_reports: Reports of this instance by kind and subject.
+        peer_reports: Reports of peers by reporter id, then by kind and subject.
+        stored_count: Total number of reports in `peer_reports`.
+        times_sent: Number of times each of this instance's reports was sent; those sent least often are sent
+            next.
     """
 
     def __init__(self, period_us: int) -> None:
@@ -124,9 +137,13 @@
     # Own reports
 
     def set_own_reports(self, now_us: int, reports: Iterable[tuple[int, int, int]]) -> None:
-        """Replaces all own reports, given as kind, subject and value.
+        """Replaces all reports of this instance.
+
+        A previous report that is not among the new ones is sent with the value 0 until it would expire.
 
-        A report that is no longer among them is sent with the value 0 until it would expire.
+        Args:
+            now_us: The current time.
+            reports: Kind, subject and value of each report.
         """
         values = {(kind, subject): value for kind, subject, value in reports}
         for key, (value, _, made_us) in list(self.own_reports.items()):
@@ -144,7 +161,7 @@
             self.own_reports[key] = OwnReport(min(value, MAX_VALUE), self._sequence, now_us)
 
     def next_reports(self, now_us: int, room: int) -> list[LoadReport]:
-        """Own reports that were sent least often, as many as fit into `room` bytes."""
+        """Returns the own reports that were sent least often, as many as fit into `room` bytes."""
         count = min(MAX_PER_DATAGRAM, room // (REPORT_STRUCT.size + FIELD_HEADER_BYTES))
         if count <= 0 or not self.own_reports:
             return []
@@ -156,12 +173,12 @@
             reports.append(LoadReport(*key, value, sequence, age_ms))
         return reports
 
-    # Reports of others
+    # Reports of peers
 
     def apply_peer_report(
         self, now_us: int, reporter: int, incarnation: int, process_id: int, report: LoadReport
     ) -> None:
-        """Stores a report unless it is expired, a later one is known or there are too many."""
+        """Stores a report unless it has expired, a newer one is stored or a storage limit is reached."""
         made_us = now_us - report.age_ms * 1000
         key = (report.kind, report.subject)
         if report.kind not in REPORT_KINDS or self._is_expired(now_us, key, made_us):
@@ -178,11 +195,11 @@
         stored[key] = StoredReport(precedence, report.value, made_us)
 
     def forget_instance(self, reporter: int) -> None:
-        """An instance is dead or has left."""
+        """Drops the reports of an instance that is dead or has left."""
         self.stored_count -= len(self.peer_reports.pop(reporter, {}))
 
     def drop_expired(self, now_us: int) -> None:
-        """Drops reports of others that no longer hold."""
+        """Drops expired reports of peers."""
         for reporter, stored in list(self.peer_reports.items()):
             expired = [key for key, report in stored.items() if self._is_expired(now_us, key, report.made_us)]
             for key in expired:
@@ -192,12 +209,13 @@
                 del self.peer_reports[reporter]
 
     def summarize(self, now_us: int, instances: float, zone_ids: Iterable[int]) -> PeerLoadSummary:
-        """What the reports come to.
+        """Returns a summary of the reports that have not expired.
 
         Args:
             now_us: The current time.
-            instances: How many are live, this one included.
-            zone_ids: Those of the own zone, which see endpoints as this instance does.
+            instances: Number of live instances, this one included.
+            zone_ids: Ids of the instances in this instance's zone; only their reports of failing endpoints
+                count, because they reach endpoints from the same zone as this instance.
         """
         self.drop_expired(now_us)
         others = max(0.0, instances - 1)
@@ -226,9 +244,10 @@
         )
 
     def _failing_endpoints(self, zone_ids: Iterable[int]) -> tuple[int, ...]:
-        """Endpoints that at least two report, and a third of those in the zone that report anything.
+        """Returns the numbers of the endpoints that enough instances of the zone report as failing.
 
-        So neither a single faulty instance nor a partition that concerns few of them has an endpoint ejected.
+        At least two instances must report the endpoint, and at least a third of those that send any reports.
+        So neither a single faulty instance nor a partition that affects few instances ejects an endpoint.
         """
         reporters = [self.peer_reports[reporter] for reporter in zone_ids if reporter in self.peer_reports]
         votes: dict[int, int] = {}
--- a/cressrail/membership/log_events.py
+++ b/cressrail/membership/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the log events of membership, and those under which earlier versions wrote them."""
+"""Names of the log events of membership, and the names that earlier versions used for them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 MALFORMED_DATAGRAMS = "malformed_datagrams"
 KEYS_RELOADED = "membership_keys"
 
-REASON_NO_ANSWER = "no answer"
-REASON_ISOLATED = "nobody is heard"
+# Reasons logged with `INSTANCE_DEAD`.
+REASON_NO_ANSWER = "no answer"  # a suspicion of the instance timed out, here or at another instance
+REASON_ISOLATED = "nobody is heard"  # this instance is isolated: it has received no datagrams for too long
 
-# Logs and event records of earlier versions are still read.
+# Earlier names are still recognised, because logs and event records of earlier versions are still read.
 EARLIER_NAMES = {
     INSTANCE_JOINED: "copy_joined",
     INSTANCE_SUSPECTED: "copy_suspected",
@@ -32,5 +33,5 @@
 
 
 def is_event(logged: str, event: str) -> bool:
-    """Whether a logged event is one of these, under its present or its earlier name."""
+    """Whether the logged name is the current or the earlier name of an event in `EARLIER_NAMES`."""
     return logged in (event, EARLIER_NAMES[event])
--- a/cressrail/membership/malformed_log.py
+++ b/cressrail/membership/malformed_log.py
@@ -1,17 +1,17 @@
-"""Counts datagrams that are not accepted, and logs them seldom."""
+"""Counts rejected datagrams and logs the counts at a limited rate."""
 
 from __future__ import annotations
 
 from cressrail.membership import log_events
 from cressrail.membership.shared_state import SharedState
 
-LOG_PERIODS = 20  # at least, between two log lines
-MAX_REASONS = 16  # counted each
+LOG_PERIODS = 20  # ping periods between two log lines
+MAX_REASONS = 16  # reasons that are counted separately
 _LONG_AGO_US = -(1 << 60)
 
 
 class MalformedLog:
-    """Count since the last line, in all and by reason."""
+    """Counts rejected datagrams since the last log line, in total and by reason."""
 
     def __init__(self, shared: SharedState) -> None:
         self._shared = shared
@@ -20,7 +20,7 @@
         self._logged_us = _LONG_AGO_US
 
     def add(self, now_us: int, reason: str) -> None:
-        """Counts one datagram."""
+        """Counts one rejected datagram and writes a log line if enough time has passed since the last one."""
         self._count += 1
         if len(self._reasons) < MAX_REASONS or reason in self._reasons:
             self._reasons[reason] = self._reasons.get(reason, 0) + 1
--- a/cressrail/membership/messages.py
+++ b/cressrail/membership/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of membership share: states of an instance, its record and status, reports and commands."""
+"""Types shared by the components of membership: instance states, records, statuses, reports and commands."""
 
 from __future__ import annotations
 
@@ -7,16 +7,19 @@
 
 from cressrail.membership.load_reports import PeerLoadSummary
 
-ALIVE, SUSPECTED, DEAD, LEFT = range(4)  # by precedence at one incarnation; also the numbers in datagrams
-VIEW_STATE_NAMES = ("alive", "suspected", "lost", "left")  # as the operators' interface has them
-PARTIALLY_REACHABLE = "partly"  # there: alive, but some can't reach it; never in a record
+# States in ascending order of precedence within one incarnation. Datagrams carry these numbers.
+ALIVE, SUSPECTED, DEAD, LEFT = range(4)
+VIEW_STATE_NAMES = ("alive", "suspected", "lost", "left")  # names of the states in the operators' interface
+# Shown in the operators' interface for an instance that is alive but that some instances can't reach. It is
+# never the state of a record.
+PARTIALLY_REACHABLE = "partly"
 
-MAX_NAME_BYTES, MAX_ZONE_BYTES = 64, 24  # with them a ping and two broadcasts fit into 256 bytes
-MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES = 256, 1400  # to which the largest datagram may be set
+MAX_NAME_BYTES, MAX_ZONE_BYTES = 64, 24  # small enough for a ping with two broadcasts to fit into 256 bytes
+MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES = 256, 1400  # bounds of the setting for the largest datagram
 MAX_USER_MESSAGE_BYTES = 240
 MAX_INCARNATION = 1 << 62
 
-# What the policy may go by, in the words of the settings.
+# Membership findings that the policy may use, as named in the settings.
 USE_INSTANCE_COUNT, USE_WARMUP_LOAD, USE_PEER_EJECTIONS = USES = ("copies", "cold", "failing")
 
 Address = tuple[str, int]  # host as an IP address, port
@@ -24,14 +27,18 @@
 
 
 def instance_id(name: str) -> int:
-    """The id of an instance in datagrams: eight bytes of a hash of its name, never 0, which means anybody."""
+    """Returns the id that identifies an instance in datagrams.
+
+    The id is an eight-byte hash of the instance's name. It is never 0, which stands for any instance.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big") or 1
 
 
 def precedence(incarnation: int, process_id: int, state: int) -> Precedence:
-    """What decides between two statuses of an instance: the greater holds.
+    """Returns the precedence of a status over others of the same instance.
 
-    A merge that takes the greater is associative, commutative and idempotent.
+    Of two statuses the one with the greater precedence is kept. Such a merge is associative, commutative and
+    idempotent.
     """
     return incarnation, process_id, state
 
@@ -40,11 +47,12 @@
     """State of an instance whose record is known.
 
     Attributes:
-        id: Of the instance.
-        incarnation: Raised by the instance itself to refute a suspicion.
-        process_id: Drawn at random by each process, to tell it from an earlier or second one of the name.
+        id: Id of the instance.
+        incarnation: Incarnation number, which only the instance itself raises, to refute a suspicion.
+        process_id: Random number chosen by each process, which distinguishes it from an earlier or
+            concurrent process with the same instance name.
         state: One of `ALIVE`, `SUSPECTED`, `DEAD` and `LEFT`.
-        suspected_by: Id of the instance whose own ping failed, 0 if there is none.
+        suspected_by: Id of the instance that raised the suspicion after its own ping failed, or 0.
     """
 
     id: int
@@ -55,12 +63,12 @@
 
     @property
     def precedence(self) -> Precedence:
-        """What decides between this and another status."""
+        """Precedence of this status over others of the instance."""
         return precedence(self.incarnation, self.process_id, self.state)
 
 
 class InstanceRecord(NamedTuple):
-    """All that an instance says of itself, with its state; see `InstanceStatus`."""
+    """Complete description of an instance; for the fields of its status see `InstanceStatus`."""
 
     name: str
     zone: str
@@ -76,22 +84,22 @@
 
     @property
     def precedence(self) -> Precedence:
-        """What decides between this and another record."""
+        """Precedence of this record over others of the instance."""
         return precedence(self.incarnation, self.process_id, self.state)
 
     def status(self) -> InstanceStatus:
-        """The status without the rest."""
+        """Returns only the status of the record."""
         return InstanceStatus(self.id, self.incarnation, self.process_id, self.state)
 
 
 class ReachabilityReport(NamedTuple):
-    """Whether the pings of one instance to another go unanswered though that lives.
+    """Report of one instance on whether its pings to another live instance are answered.
 
     Attributes:
-        reporter: Id of the instance that pings.
-        target: Id of the one that is pinged.
-        sequence: Of two reports on the pair the one with the higher number holds.
-        is_unreachable: Whether the pings go unanswered.
+        reporter: Id of the instance that sends the pings.
+        target: Id of the instance that is pinged.
+        sequence: Sequence number; of two reports on a pair the one with the higher number is kept.
+        is_unreachable: Whether the pings remain unanswered.
     """
 
     reporter: int
@@ -101,9 +109,13 @@
 
 
 class IdRange(NamedTuple):
-    """The part of the ring of instance ids that a push-pull sync covers: above `low`, up to `high`.
+    """Range of instance ids that a push-pull sync covers.
 
-    `is_reply` marks a request that itself answers one, so that no further one follows.
+    Attributes:
+        low: Lower end of the range, exclusive.
+        high: Upper end of the range, inclusive.
+        is_reply: Whether the request itself answers a request, in which case the receiver must not answer it
+            with a request of its own.
     """
 
     low: int
@@ -126,20 +138,27 @@
 
 
 class InstanceCount(NamedTuple):
-    """Command: go by so many instances in all, and so many in the own zone."""
+    """Command: make the policy use these numbers of live instances.
+
+    Attributes:
+        total: Number of live instances in the fleet.
+        in_zone: Number of live instances in this instance's zone.
+    """
 
     total: float
     in_zone: float
 
 
 class RequestLoadReports(NamedTuple):
-    """Command: call `set_own_load_reports` with what there is to report."""
+    """Command: call `set_own_load_reports` with the current reports of this instance."""
 
 
 class UserMessage(NamedTuple):
-    """Command: pass a message to another part of the sidecar.
+    """Command: pass a received message to another component of the sidecar.
 
-    `sender` is the id of the instance that sent it, 0 if it came by way of others.
+    Attributes:
+        sender: Id of the instance that sent the message, or 0 if it was gossiped and may have been relayed.
+        payload: The message.
     """
 
     sender: int
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -1,6 +1,6 @@
-"""Translates load reports: between a sidecar's endpoint indices and the numbers by which instances name them.
+"""Translates load reports between the endpoint indices of a sidecar and the endpoint numbers in reports.
 
-A number follows from the endpoint's name, so all instances have the same for it.
+The number of an endpoint is derived from its name, so all instances use the same number for it.
 """
 
 from __future__ import annotations
@@ -18,24 +18,27 @@
 from cressrail.policy.load_balancer import LoadBalancer
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
-MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32  # endpoints
-RATE_WINDOW_US = 2_000_000  # over which the load on an endpoint is averaged
-MIN_STALE_NUMBERS = 64  # numbers of removed endpoints that are kept, and as many again as there are
-_SMALLEST = 1e-9  # keeps a division from one by zero
+MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32  # endpoints reported of each kind
+RATE_WINDOW_US = 2_000_000  # time over which the load on an endpoint is averaged
+# The cache of endpoint numbers is emptied when it holds more than twice as many entries as there are
+# endpoints, plus this number.
+MIN_STALE_NUMBERS = 64
+_SMALLEST = 1e-9  # prevents division by zero
 
 
 class PeerReportTranslator:
-    """Makes the own reports and reads the others'."""
+    """Creates the reports of this instance and translates those of its peers."""
 
     def __init__(self) -> None:
-        self._numbers: dict[str, int] = {}  # by endpoint name
-        self._warmup_loads: dict[int, tuple[int, float]] = {}  # attempts and attempts a microsecond, by index
+        self._numbers: dict[str, int] = {}  # endpoint numbers by endpoint name
+        # Number of attempts and attempts per microsecond, by endpoint index.
+        self._warmup_loads: dict[int, tuple[int, float]] = {}
         self._sampled_us: int | None = None
 
     def own_reports(
         self, now_us: int, load_balancer: LoadBalancer, registry: EndpointRegistry
     ) -> list[tuple[int, int, int]]:
-        """All that there is to report: kind, subject and value of each."""
+        """Returns kind, subject and value of each current report of this instance."""
         names = registry.names()
         reports = [(TRAFFIC, 0, self._traffic(now_us, load_balancer))]
         failing = self._failing(now_us, load_balancer)
@@ -51,13 +54,14 @@
     def to_endpoint_indices(
         self, summary: PeerLoadSummary, load_balancer: LoadBalancer, registry: EndpointRegistry
     ) -> tuple[list[int], dict[int, tuple[float, float]]]:
-        """Translates what others report; endpoints that this sidecar does not have are passed over.
+        """Translates a summary of the peers' reports; endpoints unknown to this sidecar are skipped.
 
         Returns:
-            Indices of endpoints that others report as failing; and, by index of each endpoint that warms up,
-            the load that others put on it and the load that a warmed-up one would get from all. The latter is
-            no less than what this zone's own traffic makes of it, so that a busy zone is not held to an even
-            spread.
+            The indices of endpoints that peers report as failing, and for each endpoint that warms up, by
+            index, two loads in requests per microsecond: the load that peers put on it, and the load that it
+            would get from all instances if it were warmed up. The latter is at least the load that this
+            instance's own traffic implies for the zone, so that endpoints of a busy zone are not limited to
+            an even share of the total traffic.
         """
         if not summary.failing_endpoints and not summary.warmup_loads:
             return [], {}
@@ -75,7 +79,7 @@
         return [indices[number] for number in summary.failing_endpoints if number in indices], loads
 
     def endpoint_number(self, name: str) -> int:
-        """The number by which all instances name the endpoint."""
+        """Returns the number by which all instances identify the endpoint."""
         if name not in self._numbers:
             self._numbers[name] = instance_id(name)
         return self._numbers[name]
@@ -89,7 +93,10 @@
 
     @staticmethod
     def _failing(now_us: int, load_balancer: LoadBalancer) -> list[int]:
-        """Indices of endpoints ejected by own outcomes; ejections by peers' reports are not reported on."""
+        """Returns the indices of endpoints that this sidecar ejected because of its own outcomes.
+
+        Endpoints ejected because of peers' reports are not reported in turn.
+        """
         failing = [
             endpoint.index
             for endpoint in load_balancer.endpoints.values()
@@ -100,7 +107,7 @@
         return failing[:MAX_FAILING_REPORTED]
 
     def _sample_warmup_loads(self, now_us: int, load_balancer: LoadBalancer) -> Iterator[tuple[int, float]]:
-        """Index of each endpoint that warms up, and attempts a microsecond that this sidecar sends to it."""
+        """Yields index and attempts per microsecond of this sidecar for each endpoint that warms up."""
         previous, self._warmup_loads = self._warmup_loads, {}
         elapsed_us = now_us - self._sampled_us if self._sampled_us is not None else 0
         self._sampled_us = now_us
--- a/cressrail/membership/push_pull.py
+++ b/cressrail/membership/push_pull.py
@@ -1,7 +1,7 @@
-"""Push-pull sync (anti-entropy): two instances compare a range of their member tables at a time.
+"""Push-pull sync (anti-entropy): two instances compare their member tables one range at a time.
 
-Ranges are of the ring of instance ids, so that a datagram holds what there is to say of one, whatever the
-size of the fleet.
+A range is an interval of instance ids, chosen so that its statuses fit into one datagram whatever the size of
+the fleet.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.timers import TimerKind
 
-PUSH_PULL_PERIODS = 10  # between two requests, on average
+PUSH_PULL_PERIODS = 10  # mean number of ping periods between two requests
 HIGHEST_ID = (1 << 64) - 1
 ALL_IDS = IdRange(0, HIGHEST_ID, False)
-# Parts of a ping period until the next range is asked for, while the first walk through all of them lasts.
+# Until all ranges were received once, the next range is requested after 1/50 of a ping period, plus a random
+# time of less than 1/25 of a ping period.
 CONTINUE_SHARE, CONTINUE_JITTER_SHARE = 50, 25
 
 
 class PushPull:
-    """Asks random instances for ranges, one after the other, and answers their requests.
+    """Requests one range after another from random instances and answers requests of other instances.
 
     Attributes:
         has_joined: Whether any range was received.
-        has_full_view: Whether all ranges were received once.
+        has_full_view: Whether all ranges were received at least once.
     """
 
     def __init__(
@@ -44,31 +45,31 @@
     ) -> None:
         self._shared, self._self_record = shared, self_record
         self._sender, self._selection = sender, selection
-        self._cursor = 0  # upper end of the last range that was received
-        self._sequence = 0  # of the last request
+        self._cursor = 0  # upper end of the last received range, or 0 after the last range of the table
+        self._sequence = 0  # sequence number of the last request
         self.has_joined = False
         self.has_full_view = False
 
     def set_first_timer(self, now_us: int) -> None:
-        """Schedules the first request to a random instance."""
+        """Schedules the first periodic request."""
         self._set_timer(now_us)
 
     def run(self, now_us: int, _argument: int) -> None:
-        """Asks a random instance for the next range, time and again."""
+        """Requests the next range from a random instance and schedules the next periodic request."""
         self.continue_walk(now_us, 0)
         self._set_timer(now_us)
 
     def continue_walk(self, _now_us: int, _argument: int) -> None:
-        """Asks a random instance for the next range."""
+        """Requests the next range from a random instance."""
         for row in self._selection.random_rows(1):
             self.request_next(self._shared.table.address_of(row))
 
     def request_next(self, destination: Address) -> None:
-        """Asks an instance for the next range."""
+        """Requests the next range from an instance."""
         self._request(destination, IdRange(self._cursor, HIGHEST_ID, False))
 
     def request_all(self, destination: Address) -> None:
-        """Asks an instance for everything, as far as it fits."""
+        """Requests all ids from an instance; the sync covers as many as fit into a datagram."""
         self._request(destination, ALL_IDS)
 
     def _set_timer(self, now_us: int) -> None:
@@ -77,7 +78,10 @@
         self._shared.timers.set(due_us, TimerKind.PUSH_PULL)
 
     def _request(self, destination: Address, wanted: IdRange) -> None:
-        """Sends the own statuses of as much of a range as fits, so that only what differs comes back."""
+        """Requests a range, shortened to the part whose statuses fit into the datagram.
+
+        The request carries a digest of the statuses known here, so that the response holds only differences.
+        """
         settings, table = self._shared.settings, self._shared.table
         self._sequence = self._sender.next_sequence()
         own_bytes = len(codec.encode_record(self._self_record.record()))
@@ -98,7 +102,10 @@
         self._sender.send(destination, PUSH_PULL_REQUEST, fields, min_bytes=settings.max_datagram_bytes)
 
     def on_request(self, datagram: Datagram, sender: InstanceRecord, max_bytes: int) -> None:
-        """Answers with what takes precedence over the sender's statuses, and asks for what is new here."""
+        """Answers with the records that take precedence over the sender's digest.
+
+        If the digest contains unknown instances, their range is requested from the sender in turn.
+        """
         wanted = datagram.id_ranges[0]
         digest = {status.id: status for status in datagram.digest}
         reference = datagram.ping_references[0] if datagram.ping_references else PingReference(0, 0)
@@ -116,7 +123,7 @@
     def _newer_records(
         self, wanted: IdRange, digest: dict[int, InstanceStatus], sender_id: int, room: int
     ) -> tuple[bytes, int]:
-        """Encoded records that take precedence over a digest, and the upper end of the range they cover."""
+        """Returns encoded records that take precedence over a digest, and the upper end of their range."""
         table = self._shared.table
         fields, last_id = b"", wanted.low
         for row in table.rows_in_range(wanted.low, wanted.high):
@@ -132,9 +139,10 @@
         return fields, wanted.high
 
     def on_response(self, now_us: int, datagram: Datagram) -> None:
-        """The records were merged; goes on at once until all ranges were received.
+        """Advances to the next range after the records of a response were merged.
 
-        Each range is asked of another random instance, so that a seed does not send all of it to all.
+        Until all ranges were received once, the next request follows after a short delay. Each range is
+        requested from another random instance, so that seeds need not send the whole table to everyone.
         """
         if not datagram.id_ranges or not datagram.ping_references:
             return
@@ -154,6 +162,6 @@
 
 
 def _statuses_within(room: int) -> int:
-    """How many statuses of a digest fit into so many bytes, one at least."""
+    """Returns how many statuses of a digest fit into `room` bytes, but at least one."""
     field_headers = room // codec.MAX_FIELD_BYTES * codec.FIELD_HEADER_BYTES + codec.FIELD_HEADER_BYTES
     return max(1, (room - field_headers) // codec.DIGEST_ROW_BYTES)
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario of `cressrail membership simulate`: a fleet joins, then loses one and then most instances."""
+"""Scenario of `cressrail membership simulate`: a fleet joins, loses one instance and then most of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 JOIN_LIMIT_S, REST_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
 MANY_DEATHS_STEP_US = SECOND_US // 10
 SURVIVORS_OF_TEN = 3
-# What an ablation takes out, in words of the command line: local health, indirect ping, dynamic suspicion.
+# Features that an ablation can disable, as named on the command line: local health, indirect ping, and the
+# suspicion time-out that shrinks with each confirmation.
 ABLATIONS = ("aware", "indirect", "shrinks")
 
 
@@ -26,20 +27,20 @@
     max_datagram_bytes: int = 1400,
     without: tuple[str, ...] = (),
 ) -> dict[str, Any]:
-    """Plays the scenario.
+    """Runs the scenario.
 
     Args:
         size: Number of instances.
-        seed: Of all random values.
+        seed: Seed of all random values.
         loss: Share of datagrams lost in each direction.
-        tolerated_pause_ms: As in the settings.
-        max_datagram_bytes: As in the settings.
-        without: Ablations, out of `ABLATIONS`.
+        tolerated_pause_ms: Longest tolerated pause of a process in milliseconds.
+        max_datagram_bytes: Size of the largest datagram.
+        without: Features to disable, from `ABLATIONS`.
 
     Returns:
-        Figures by the names under which they are printed: times in seconds, `bytes_per_s` of one instance
-        with headers; `live_error` is the mean error of the live instance count, as a share, from the death of
-        most until all agree again.
+        Figures by the names under which they are printed. Times are in seconds. `bytes_per_s` is the traffic
+        that one instance sends, IP and UDP headers included. `live_error` is the mean relative error of the
+        live instance count from the death of most instances until all survivors know of it.
     """
 
     def change(settings: MembershipSettings) -> MembershipSettings:
@@ -79,7 +80,7 @@
 
 
 def _play_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
-    """Seconds until one death is known to the first, to half and to all of the others."""
+    """Kills one instance; returns the seconds until the first, half and all of the others know of it."""
     name, started_us, others = f"copy{size - 1}", fleet.clock.now_us, size - 1
     fleet.kill(name)
     share = _share_knowing(fleet, [name])
@@ -95,7 +96,12 @@
 
 
 def _play_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
-    """Seconds until the deaths of seven in ten are known to all, and the mean error of the live count."""
+    """Kills seven in ten instances and lets the survivors detect it.
+
+    Returns:
+        The seconds until all survivors know of all deaths, `None` if the time limit passed first, and the
+        mean relative error of the live instance count until then.
+    """
     clock, started_us = fleet.clock, fleet.clock.now_us
     names = [
         f"copy{number}"
@@ -115,7 +121,10 @@
 
 
 def _share_knowing(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
-    """Share of pairs of a running instance and one of `names` in which the first knows that it is gone."""
+    """Returns a function that measures how widely the deaths of the instances `names` are known.
+
+    Its result is the share of pairs of a running and a dead instance in which the first knows of the death.
+    """
 
     def share() -> float:
         knowing = pairs = 0
--- a/cressrail/membership/settings.py
+++ b/cressrail/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of membership; the spans of the protocol follow from the pause that an instance may take."""
+"""Settings of membership; the protocol derives its times from the longest pause that it must tolerate."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What an instance is configured with.
+    """Membership settings of one instance.
 
     Attributes:
         name: Unique name of the instance.
         zone: Zone of the instance.
-        advertise: Address at which the others reach it.
-        seeds: Addresses that are asked for the member list at the start.
-        keys: Shared keys; the first signs, each verifies.
-        tolerated_pause_us: Longest pause of a process for which it is not declared dead.
-        max_datagram_bytes: Largest datagram that is sent or accepted.
-        configured_instance_count: Instances of the fleet, by the operators.
-        uses: Which findings the policy goes by, out of `messages.USES`.
-        carries_user_messages: Whether other parts of the sidecar exchange messages through membership.
-        has_local_health: Off only in an ablation: Lifeguard's local health multiplier.
-        has_indirect_ping: Off only in an ablation: SWIM's indirect pings.
-        has_dynamic_suspicion: Off only in an ablation: Lifeguard's suspicion time-out that shrinks.
+        advertise: Address at which other instances reach this one.
+        seeds: Addresses from which the instance requests the member list when it starts.
+        keys: Shared keys; the first signs datagrams, and each of them verifies received ones.
+        tolerated_pause_us: Longest pause of a process, in microseconds, after which it must not have been
+            declared dead.
+        max_datagram_bytes: Size of the largest datagram that is sent or accepted.
+        configured_instance_count: Number of instances in the fleet as configured by the operators.
+        uses: Membership findings that the policy uses, from `messages.USES`.
+        carries_user_messages: Whether other components of the sidecar exchange messages through membership.
+        has_local_health: Whether Lifeguard's local health multiplier is used; disabled only in ablations.
+        has_indirect_ping: Whether SWIM's indirect pings are used; disabled only in ablations.
+        has_dynamic_suspicion: Whether the suspicion time-out shrinks with each confirmation, as in Lifeguard;
+            disabled only in ablations.
     """
 
     name: str
@@ -45,19 +47,19 @@
 
     @property
     def ping_period_us(self) -> int:
-        """Time between two pings that an instance starts."""
+        """Time between two pings that an instance initiates."""
         return self.tolerated_pause_us // PINGS_PER_TOLERATED_PAUSE
 
     @property
     def min_suspicion_us(self) -> int:
         """Time-out of a suspicion that several instances confirm.
 
-        A paused instance is suspected one ping period after its pause began at the earliest, so more than a
-        period remains for its answer to spread.
+        A paused instance is suspected at the earliest one ping period after its pause began. More than one
+        ping period therefore remains after the longest tolerated pause for its refutation to spread.
         """
         return self.tolerated_pause_us * 11 // 10
 
     @property
     def max_suspicion_us(self) -> int:
-        """Time-out of a suspicion that nobody else confirms."""
+        """Time-out of a suspicion that no other instance confirms."""
         return 2 * self.min_suspicion_us
--- a/cressrail/membership/shared_state.py
+++ b/cressrail/membership/shared_state.py
@@ -1,4 +1,4 @@
-"""What the parts of membership work on together: settings, random values, tables, timers and commands."""
+"""State shared by the components of membership: settings, random values, tables, timers and commands."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from cressrail.membership.timers import TimerQueue
 from cressrail.policy.random_generator import RandomGenerator
 
-REACHABILITY_LIFETIME_PERIODS = 60  # until a report that is not refreshed is dropped
+REACHABILITY_LIFETIME_PERIODS = 60  # ping periods until a report that is not refreshed is dropped
 
 
 class SharedState:
-    """Passed to each part when it is made; parts change it by the methods of its fields."""
+    """State that each component receives when it is created and changes through the methods of its fields."""
 
     __slots__ = (
         "broadcasts",
@@ -55,21 +55,21 @@
         self.commands: list[Command] = []
 
     def log(self, event: str, **fields: Any) -> None:
-        """Has a log event written."""
+        """Adds a command that writes a log event."""
         self.commands.append(LogEvent(event, fields))
 
     def take_commands(self) -> list[Command]:
-        """Returns the commands since the last call."""
+        """Returns and clears the commands added since the last call."""
         commands, self.commands = self.commands, []
         return commands
 
     def is_live(self, member_id: int) -> bool:
-        """Whether the instance is known, and neither dead nor gone."""
+        """Whether the instance is known and neither dead nor left."""
         row = self.table.row_of(member_id)
         return row >= 0 and self.table.states[row] < DEAD
 
     def shuffle(self, items: list[Any]) -> None:
-        """Puts a list into random order (Fisher-Yates, from the end)."""
+        """Shuffles a list in place (Fisher-Yates, from the end)."""
         for last in range(len(items) - 1, 0, -1):
             chosen = self.random.below(last + 1)
             items[last], items[chosen] = items[chosen], items[last]
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -1,7 +1,7 @@
-"""A fleet of instances in virtual time, whose processes stall, die and start again.
+"""Simulates a fleet of instances in virtual time, whose processes can stall, die and restart.
 
-Each instance runs the same state machine as in service; nothing here decides for it. All random values come
-from one seed.
+Each instance runs the same state machine as in service; the simulation makes none of its decisions. All
+random values are derived from one seed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
 SECOND = SECOND_US
-SOCKET_QUEUE_DATAGRAMS = 250  # that a socket holds for a process that does not read
+SOCKET_QUEUE_DATAGRAMS = 250  # datagrams that a socket buffers for a process that does not read them
 NEVER_US = 1 << 62
 PORT = 7946
 ZONE_NAMES = "abcdefgh"
@@ -32,19 +32,36 @@
 
 @dataclass
 class SimulatedProcess:
-    """One process of an instance, and its state in the simulated machine."""
+    """One process of an instance, with the parts of its machine that are simulated.
+
+    Attributes:
+        settings: Settings of the instance.
+        instance: State machine of the process.
+        next_timer_us: Time of the next timer event that is scheduled for the process.
+        is_stalled: Whether the process is paused.
+        queue: Datagrams buffered in its socket while it is paused.
+        is_running: Whether the process was neither killed nor left the fleet.
+    """
 
     settings: MembershipSettings
     instance: MembershipStateMachine
     next_timer_us: int = NEVER_US
     is_stalled: bool = False
-    queue: list[bytes] = field(default_factory=list)  # of its socket, while it is stalled
+    queue: list[bytes] = field(default_factory=list)
     is_running: bool = True
 
 
 @dataclass(frozen=True)
 class LoggedEvent:
-    """A log event of an instance."""
+    """A log event written by an instance.
+
+    Attributes:
+        at_us: Time of the event.
+        reporter: Name of the instance that wrote the event.
+        event: Name of the event.
+        subject: Name of the instance that the event is about, or empty.
+        reason: Reason in the event, or empty.
+    """
 
     at_us: int
     reporter: str
@@ -54,7 +71,14 @@
 
 
 class MembershipSimulation:
-    """A fleet, its network and its clock."""
+    """A simulated fleet with its network and clock.
+
+    Attributes:
+        processes: The latest process at each address.
+        names: The latest process of each instance by instance name.
+        all_settings: Settings of each instance by its number.
+        log: Log events of all instances.
+    """
 
     def __init__(
         self,
@@ -69,18 +93,19 @@
         max_delay_us: int = 2_000,
         reports_refusals: bool = True,
     ) -> None:
-        """Sets up a fleet of which no process runs yet.
+        """Sets up a fleet without starting any process.
 
         Args:
             size: Number of instances.
-            seed: Of all random values.
+            seed: Seed of all random values.
             loss: Share of datagrams lost in each direction.
-            zones: Number of zones, over which instances are spread in turn.
-            seeds: How many of the first instances are seeds of all.
-            change: Applied to the settings of each instance.
-            min_delay_us: Of a datagram.
-            max_delay_us: Of a datagram.
-            reports_refusals: Whether a machine answers a datagram to an address without a process.
+            zones: Number of zones, to which instances are assigned in turn.
+            seeds: Number of instances, counted from the first, that serve as seeds for all.
+            change: Function applied to the settings of each instance.
+            min_delay_us: Lower bound of a datagram's delay.
+            max_delay_us: Upper bound of a datagram's delay.
+            reports_refusals: Whether a machine refuses a datagram to an address at which no process listens,
+                so that the sender is notified.
         """
         self.reports_refusals = reports_refusals
         self.random = RandomGenerator(seed)
@@ -103,13 +128,16 @@
 
     @staticmethod
     def address(number: int) -> Address:
-        """The address of the instance of that number."""
+        """Returns the address of the instance with the given number."""
         return f"127.1.{number >> 8}.{number & 255}", PORT
 
     # Processes
 
     def start(self, number: int, incarnation: int | None = None) -> SimulatedProcess:
-        """Starts an instance, or its next process, which counts from `incarnation` if that is given."""
+        """Starts a process of an instance.
+
+        Its first incarnation is `incarnation`, or the current time in milliseconds if that is `None`.
+        """
         settings, now_us = self.all_settings[number], self.clock.now_us
         instance = MembershipStateMachine(
             settings,
@@ -129,20 +157,20 @@
             self.start(number)
 
     def add(self, name: str, like: int = 0) -> int:
-        """Adds an instance with the settings of another and returns its number; it is not started."""
+        """Adds an instance with the settings of another, without starting it; returns its number."""
         number = len(self.all_settings)
         settings = replace(self.all_settings[like], name=name, advertise=self.address(number))
         self.all_settings.append(settings)
         return number
 
     def pause(self, names: list[str], for_us: int) -> None:
-        """Stops processes for a while; datagrams to them wait in their sockets."""
+        """Pauses processes for a time; datagrams to them wait in their sockets."""
         for name in names:
             self.names[name].is_stalled = True
         self.clock.schedule(self.clock.now_us + for_us, lambda: self.resume(names))
 
     def resume(self, names: list[str]) -> None:
-        """Ends a pause: each process reads what waited, then runs the timers that are due."""
+        """Ends a pause: each process reads its buffered datagrams, then runs the timers that are due."""
         for name in names:
             process = self.names[name]
             process.is_stalled = False
@@ -152,11 +180,11 @@
             self._on_timer(process, process.next_timer_us)
 
     def kill(self, name: str) -> None:
-        """Ends a process without a word to the others."""
+        """Ends a process without notifying the other instances."""
         self.names[name].is_running = False
 
     def leave(self, name: str) -> None:
-        """Ends a process that tells the others that it leaves."""
+        """Makes a process announce to the others that it leaves, then ends it."""
         process = self.names[name]
         self._execute(process, process.instance.leave(self.clock.now_us))
         process.is_running = False
@@ -210,11 +238,11 @@
     # Observations
 
     def running_processes(self) -> list[SimulatedProcess]:
-        """Those that were not killed and did not leave."""
+        """Returns the processes that were not killed and did not leave."""
         return [process for process in self.names.values() if process.is_running]
 
     def all_views_agree(self) -> bool:
-        """Whether each running instance holds exactly the running ones for live."""
+        """Whether each running instance considers exactly the running instances live."""
         running = self.running_processes()
         names = {process.instance.name for process in running}
         return all(
@@ -223,7 +251,7 @@
         )
 
     def suspicion_count(self, since_us: int) -> int:
-        """Log events by which instances suspected others."""
+        """Returns the number of log events since `since_us` by which an instance suspected another."""
         return sum(
             1
             for entry in self.log
@@ -231,14 +259,14 @@
         )
 
     def death_reports(self, since_us: int = 0) -> list[LoggedEvent]:
-        """Log events by which an instance declared another dead."""
+        """Returns the log events since `since_us` by which an instance declared another dead."""
         return [
             entry for entry in self.log if entry.event == log_events.INSTANCE_DEAD and entry.at_us >= since_us
         ]
 
 
 def live_names(instance: MembershipStateMachine) -> set[str]:
-    """Names of the others that an instance holds for live."""
+    """Returns the names of the other instances that an instance considers live."""
     table = instance.table
     return {
         table.names[row]
--- a/cressrail/membership/view.py
+++ b/cressrail/membership/view.py
@@ -1,4 +1,4 @@
-"""The JSON of `/membership`: the terms of this package are mapped to the words of the interface here."""
+"""Builds the JSON of `/membership` and maps terms of this package to the names used in that interface."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def names_that_cannot_reach(shared: SharedState, self_record: SelfRecord, member_id: int) -> list[str]:
-    """Names of the live instances whose pings to this one go unanswered, in order."""
+    """Returns the sorted names of the live instances whose pings to the given instance remain unanswered."""
     table, names = shared.table, []
     for reporter in shared.reachability.unreachable_from(member_id):
         row = table.row_of(reporter)
@@ -37,7 +37,7 @@
     *,
     is_settled: bool,
 ) -> dict[str, Any]:
-    """The whole view, this instance first, the others by id."""
+    """Returns the view of all instances: this instance first, then the others in the order of their ids."""
     view: dict[str, Any] = {
         "self": self_record.name,
         "incarnation": self_record.incarnation,
--- a/cressrail/simulation/__init__.py
+++ b/cressrail/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""Parts that deterministic simulations share: a virtual clock with its event queue and a lossy network.
+"""Building blocks of deterministic simulations: a virtual clock with an event queue and a lossy network.
 
-The simulations of membership and failover are built from them. The package imports nothing of cressrail but
-the random generator of the policy; nothing in service imports it.
+The simulations of membership and failover use them. From cressrail the package imports only the random
+generator of the policy, and no code that runs in service imports the package.
 """
--- a/cressrail/simulation/lossy_network.py
+++ b/cressrail/simulation/lossy_network.py
@@ -1,4 +1,4 @@
-"""A network of datagrams that loses, delays and cuts."""
+"""Simulated datagram network with loss, delays and partitions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from cressrail.policy.random_generator import RandomGenerator
 from cressrail.simulation.virtual_clock import VirtualClock
 
-IP_UDP_HEADER_BYTES = 28  # added to each datagram in `sent_bytes`
+IP_UDP_HEADER_BYTES = 28  # counted in `sent_bytes` for each datagram
 
 
 def random_delay_us(random: RandomGenerator, min_us: int, max_us: int) -> int:
-    """A delay in microseconds, uniform from `min_us` to below `max_us`; one random value is drawn."""
+    """Returns a uniform delay from `min_us` to below `max_us` microseconds; draws one random value."""
     return min_us + random.below(max(1, max_us - min_us))
 
 
@@ -19,12 +19,13 @@
     """Carries datagrams between named nodes.
 
     Attributes:
-        is_cut: Whether no datagram gets from the first node to the second; replaced by a test or scenario.
-        delay_us: How long a datagram from the first node to the second takes, `None` if it is lost; random
-            unless a test or scenario replaces it.
-        sent_datagrams: How many were sent, lost ones included.
-        sent_bytes: The same in bytes, IP and UDP headers included.
-        largest_datagram_bytes: Size of the largest, without headers.
+        is_cut: Function that returns whether all datagrams from the first node to the second are dropped;
+            tests and scenarios replace it.
+        delay_us: Function that returns the delay of a datagram from the first node to the second, or `None`
+            if the datagram is lost; random unless a test or scenario replaces it.
+        sent_datagrams: Number of datagrams sent, lost ones included.
+        sent_bytes: Total size of these datagrams, IP and UDP headers included.
+        largest_datagram_bytes: Size of the largest datagram, without headers.
     """
 
     def __init__(
@@ -45,10 +46,15 @@
         self.largest_datagram_bytes = 0
 
     def send(self, source: str, destination: str | None, size: int, deliver: Callable[[], None]) -> None:
-        """Sends one datagram of `size` bytes; `deliver` is run when it arrives, if it does.
+        """Sends one datagram.
 
-        `destination` is `None` if no node has the address. Random values are drawn only for a datagram that
-        is not cut off.
+        Random values are drawn only for a datagram whose destination exists and is not cut off.
+
+        Args:
+            source: Name of the sending node.
+            destination: Name of the receiving node, or `None` if no node has the address.
+            size: Size of the datagram in bytes, without headers.
+            deliver: Called when the datagram arrives, unless it is lost.
         """
         self.sent_datagrams += 1
         self.sent_bytes += size + IP_UDP_HEADER_BYTES
@@ -60,7 +66,7 @@
             self.clock.schedule(self.clock.now_us + delay_us, deliver)
 
     def is_lost(self) -> bool:
-        """Whether the next datagram is lost; one random value is drawn."""
+        """Returns whether the next datagram is lost; draws one random value."""
         return self.random.fraction() < self.loss
 
     def _random_delay_us(self, _source: str, _destination: str) -> int | None:
--- a/cressrail/simulation/virtual_clock.py
+++ b/cressrail/simulation/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A clock that stands still until it is advanced, with the queue of events that it runs on the way."""
+"""Virtual clock that advances only on request and runs the events scheduled on the way."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from heapq import heappop, heappush
 
 SECOND_US = 1_000_000
-POLL_US = 50_000  # between two looks at a condition that is waited for
+POLL_US = 50_000  # interval at which `run_until_met` evaluates its condition
 
 
 class VirtualClock:
-    """Runs scheduled actions by time; those of the same time in the order of scheduling."""
+    """Runs scheduled actions in order of time, and in order of scheduling if their times are equal."""
 
     def __init__(self) -> None:
         self.now_us = 0
@@ -18,24 +18,24 @@
         self._scheduled_count = 0
 
     def schedule(self, due_us: int, action: Callable[[], None]) -> None:
-        """Has `action` run when the clock reaches `due_us`."""
+        """Schedules `action` to run when the clock reaches `due_us`."""
         self._scheduled_count += 1
         heappush(self._events, (due_us, self._scheduled_count, action))
 
     def run_until(self, until_us: int) -> None:
-        """Runs all that is due by `until_us`, then sets the clock to that time."""
+        """Runs all actions that are due by `until_us`, then sets the clock to that time."""
         while self._events and self._events[0][0] <= until_us:
             self.now_us, _, action = heappop(self._events)
             action()
         self.now_us = until_us
 
     def run_until_met(self, is_met: Callable[[], bool], limit_us: int, step_us: int = POLL_US) -> bool:
-        """Runs in steps until a condition holds.
+        """Advances the clock in steps until a condition holds.
 
         Args:
-            is_met: The condition; looked at before the first and after each step.
-            limit_us: How long to wait at most, from now.
-            step_us: Time between two looks.
+            is_met: The condition, evaluated before the first step and after each step.
+            limit_us: Longest time to advance the clock by.
+            step_us: Size of a step.
 
         Returns:
             Whether the condition was met within the limit.
