--- a/cressrail/membership/datagram_receiver.py
+++ b/cressrail/membership/datagram_receiver.py
@@ -74,16 +74,16 @@
             self._refutation.on_own_status(now_us, sender)
             return
         if self._is_outdated(sender):
-            self._send_what_is_known(sender, size)
+            self._send_known_status(sender, size)
             return
         window = self._replay_window(datagram)
         self._merge_sender(now_us, sender)
         row = self._shared.table.row_of(sender.id)
         if row >= 0:
-            self._note_sender(now_us, row, datagram, window)
+            self._update_sender_row(now_us, row, datagram, window)
         elif isinstance(sender, InstanceRecord):
             return  # the sender has left, or the member table is full
-        self._pass_on_user_messages(datagram)
+        self._forward_user_messages(datagram)
         self._merge_contents(now_us, datagram)
         if isinstance(sender, InstanceRecord):
             self._answer(now_us, datagram, sender, size)
@@ -106,7 +106,7 @@
         # depends on chance. A fix changes behaviour and is left to a separate issue.
         return (sender.process_id, sender.state) < known
 
-    def _send_what_is_known(self, sender: InstanceRecord | InstanceStatus, size: int) -> None:
+    def _send_known_status(self, sender: InstanceRecord | InstanceStatus, size: int) -> None:
         """Sends an outdated process the known status of its name, so that it raises its incarnation."""
         if isinstance(sender, InstanceRecord):
             table = self._shared.table
@@ -136,7 +136,7 @@
         else:
             self._updates.merge_status(now_us, sender)
 
-    def _note_sender(self, now_us: int, row: int, datagram: Datagram, window: _Window) -> None:
+    def _update_sender_row(self, now_us: int, row: int, datagram: Datagram, window: _Window) -> None:
         table, sender = self._shared.table, datagram.sender
         self._isolation.note_datagram(now_us)
         table.note_datagram(row, now_us)
@@ -150,7 +150,7 @@
 
     # The contents
 
-    def _pass_on_user_messages(self, datagram: Datagram) -> None:
+    def _forward_user_messages(self, datagram: Datagram) -> None:
         if not self._shared.settings.carries_user_messages:
             return
         commands = self._shared.commands
--- a/cressrail/membership/instance_counter.py
+++ b/cressrail/membership/instance_counter.py
@@ -42,13 +42,13 @@
         table, own_zone = self._shared.table, self._shared.settings.zone
         alive, silent, zone_alive, zone_silent = 1, 0, 1, 0
         for row, member_id in enumerate(table.ids):
-            state, is_near = table.states[row], table.zone_of(row) == own_zone
+            state, is_in_own_zone = table.states[row], table.zone_of(row) == own_zone
             if state < DEAD and member_id not in self._isolation.dead_in_own_view:
                 alive += 1
-                zone_alive += is_near
+                zone_alive += is_in_own_zone
             elif state <= DEAD and not table.refused[row]:
                 silent += 1
-                zone_silent += is_near
+                zone_silent += is_in_own_zone
         has_quorum_view = self._isolation.since_us is None and self._push_pull.has_full_view
         return ObservedInstances(alive, silent, zone_alive, zone_silent, has_quorum_view)
 
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -23,7 +23,7 @@
 # The cache of endpoint numbers is emptied when it holds more than twice as many entries as there are
 # endpoints, plus this number.
 MIN_STALE_NUMBERS = 64
-_SMALLEST = 1e-9  # prevents division by zero
+_MIN_DIVISOR = 1e-9  # prevents division by zero
 
 
 class PeerReportTranslator:
@@ -73,8 +73,8 @@
             endpoint = load_balancer.endpoints.get(indices.get(number, -1))
             if endpoint is not None and endpoint.accepts_requests:
                 subset = load_balancer.zone_subsets[endpoint.zone]
-                even_load = summary.total_traffic / max(_SMALLEST, capacity)
-                own_load = own_traffic * subset.sharing_instances / max(_SMALLEST, subset.scale_in_use)
+                even_load = summary.total_traffic / max(_MIN_DIVISOR, capacity)
+                own_load = own_traffic * subset.sharing_instances / max(_MIN_DIVISOR, subset.scale_in_use)
                 loads[endpoint.index] = (others_load, max(even_load, own_load) * endpoint.scale)
         return [indices[number] for number in summary.failing_endpoints if number in indices], loads
 
--- a/cressrail/membership/push_pull.py
+++ b/cressrail/membership/push_pull.py
@@ -86,7 +86,7 @@
         self._sequence = self._sender.next_sequence()
         own_bytes = len(codec.encode_record(self._self_record.record()))
         room = settings.max_datagram_bytes - codec.OVERHEAD_BYTES - own_bytes
-        max_statuses = _statuses_within(room - codec.PING_REFERENCE_BYTES - codec.ID_RANGE_BYTES)
+        max_statuses = _max_statuses_within(room - codec.PING_REFERENCE_BYTES - codec.ID_RANGE_BYTES)
         statuses: list[InstanceStatus] = []
         high = wanted.high
         for row in table.rows_in_range(wanted.low, wanted.high):
@@ -161,7 +161,7 @@
             self._shared.timers.set(due_us, TimerKind.CONTINUE_PUSH_PULL)
 
 
-def _statuses_within(room: int) -> int:
+def _max_statuses_within(room: int) -> int:
     """Returns how many statuses of a digest fit into `room` bytes, but at least one."""
     field_headers = room // codec.MAX_FIELD_BYTES * codec.FIELD_HEADER_BYTES + codec.FIELD_HEADER_BYTES
     return max(1, (room - field_headers) // codec.DIGEST_ROW_BYTES)
--- a/cressrail/membership/reachability.py
+++ b/cressrail/membership/reachability.py
@@ -70,8 +70,8 @@
 
     def needs_another_ping(self, target: int) -> bool:
         """Whether further pings must decide if the target is to be reported, or its report cleared."""
-        is_in_doubt = 0 < self._unanswered_pings.get(target, 0) < REPORT_AFTER_UNANSWERED
-        return is_in_doubt or target in self._answered_pings
+        may_be_unreachable = 0 < self._unanswered_pings.get(target, 0) < REPORT_AFTER_UNANSWERED
+        return may_be_unreachable or target in self._answered_pings
 
     def is_unreachable(self, target: int) -> bool:
         """Whether this instance itself currently reports that it can't reach the target."""
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -11,9 +11,9 @@
 from cressrail.membership.simulation import MembershipSimulation
 from cressrail.simulation.virtual_clock import SECOND_US
 
-JOIN_LIMIT_S, REST_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
+JOIN_LIMIT_S, SETTLING_S, STEADY_STATE_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
 MANY_DEATHS_STEP_US = SECOND_US // 10
-SURVIVORS_OF_TEN = 3
+SURVIVORS_PER_TEN = 3
 # Features that an ablation can disable, as named on the command line: local health, indirect ping, and the
 # suspicion time-out that shrinks with each confirmation.
 ABLATIONS = ("aware", "indirect", "shrinks")
@@ -58,19 +58,19 @@
     fleet.start_all()
     has_joined = clock.run_until_met(fleet.all_views_agree, JOIN_LIMIT_S * SECOND_US)
     joined_s = clock.now_us / SECOND_US
-    clock.run_until(clock.now_us + REST_S * SECOND_US)
-    calm_from_us, bytes_before = clock.now_us, network.sent_bytes
-    clock.run_until(clock.now_us + CALM_S * SECOND_US)
+    clock.run_until(clock.now_us + SETTLING_S * SECOND_US)
+    steady_from_us, bytes_before = clock.now_us, network.sent_bytes
+    clock.run_until(clock.now_us + STEADY_STATE_S * SECOND_US)
     figures: dict[str, Any] = {
         "size": size,
         "seed": seed,
         "loss": loss,
         "joined_s": joined_s if has_joined else None,
-        "bytes_per_s": round((network.sent_bytes - bytes_before) / CALM_S / size),
-        "suspicions": fleet.suspicion_count(calm_from_us),
+        "bytes_per_s": round((network.sent_bytes - bytes_before) / STEADY_STATE_S / size),
+        "suspicions": fleet.suspicion_count(steady_from_us),
     }
-    figures["detect_s"] = _play_one_death(fleet, size)
-    figures["many_s"], figures["live_error"] = _play_many_deaths(fleet, size)
+    figures["detect_s"] = _measure_one_death(fleet, size)
+    figures["many_s"], figures["live_error"] = _measure_many_deaths(fleet, size)
     dead = {name for name, process in fleet.names.items() if not process.is_running}
     figures["false_losses"] = sum(1 for report in fleet.death_reports() if report.subject not in dead)
     figures["largest_bytes"] = network.largest_datagram_bytes
@@ -79,11 +79,11 @@
     return figures
 
 
-def _play_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
+def _measure_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
     """Kills one instance; returns the seconds until the first, half and all of the others know of it."""
     name, started_us, others = f"copy{size - 1}", fleet.clock.now_us, size - 1
     fleet.kill(name)
-    share = _share_knowing(fleet, [name])
+    share = _death_awareness(fleet, [name])
     fleet.clock.run_until_met(lambda: share() >= 1.0, ONE_DEATH_LIMIT_S * SECOND_US)
     reports = [report for report in fleet.death_reports(started_us) if report.subject == name]
     known_us = sorted({report.reporter: report.at_us for report in reports}.values())
@@ -95,7 +95,7 @@
     return {"first": seconds_until(0.0), "half": seconds_until(0.5), "all": seconds_until(1.0)}
 
 
-def _play_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
+def _measure_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
     """Kills seven in ten instances and lets the survivors detect it.
 
     Returns:
@@ -106,11 +106,11 @@
     names = [
         f"copy{number}"
         for number in range(size)
-        if number % 10 >= SURVIVORS_OF_TEN and fleet.names[f"copy{number}"].is_running
+        if number % 10 >= SURVIVORS_PER_TEN and fleet.names[f"copy{number}"].is_running
     ]
     for name in names:
         fleet.kill(name)
-    share, errors = _share_knowing(fleet, names), []
+    share, errors = _death_awareness(fleet, names), []
     while share() < 1.0 and clock.now_us - started_us < MANY_DEATHS_LIMIT_S * SECOND_US:
         clock.run_until(clock.now_us + MANY_DEATHS_STEP_US)
         running = fleet.running_processes()
@@ -120,7 +120,7 @@
     return (took_s if share() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
 
 
-def _share_knowing(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
+def _death_awareness(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
     """Returns a function that measures how widely the deaths of the instances `names` are known.
 
     Its result is the share of pairs of a running and a dead instance in which the first knows of the death.
