--- a/tests/membership/__init__.py
+++ b/tests/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cressrail.membership, one file a module."""
+"""Tests of cressrail.membership, with one file for each module."""
--- a/tests/membership/test_authentication.py
+++ b/tests/membership/test_authentication.py
@@ -1,4 +1,4 @@
-"""The replay window of datagram numbers."""
+"""Tests of the replay window of datagram numbers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("top", "seen", "nth", "ok"),
+    ("highest", "window", "number", "is_accepted"),
     [
         (5, 1, 6, True),
         (5, 1, 5, False),
@@ -21,7 +21,9 @@
         (5, 1, 500, True),
     ],
 )
-def test_advance_replay_window_accepts_a_number_once(top: int, seen: int, nth: int, ok: bool) -> None:
-    moved = advance_replay_window(top, seen, nth)
-    assert (moved is not None) == ok
-    assert moved is None or advance_replay_window(*moved, nth) is None
+def test_advance_replay_window_accepts_a_number_once(
+    highest: int, window: int, number: int, is_accepted: bool
+) -> None:
+    advanced = advance_replay_window(highest, window, number)
+    assert (advanced is not None) == is_accepted
+    assert advanced is None or advance_replay_window(*advanced, number) is None
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: what is encoded is decoded, and odd ones are rejected."""
+"""Tests of datagram encoding and decoding, and of the rejection of malformed datagrams."""
 
 from __future__ import annotations
 
@@ -41,46 +41,46 @@
     some.integers(0, 600),
 )
 def test_decode_datagram_returns_what_was_encoded(
-    own: InstanceRecord,
+    own_record: InstanceRecord,
     records: list[InstanceRecord],
-    briefs: list[InstanceStatus],
-    edges: list[ReachabilityReport],
-    hints: list[LoadReport],
-    words: list[bytes],
+    statuses: list[InstanceStatus],
+    reachability_reports: list[ReachabilityReport],
+    load_reports: list[LoadReport],
+    messages: list[bytes],
     padding: int,
 ) -> None:
-    call, span = codec.PingReference(7, 8), IdRange(1, 2, True)
+    reference, id_range = codec.PingReference(7, 8), IdRange(1, 2, True)
     fields = b"".join(
         [
-            codec.encode_record(own),
-            codec.encode_ping_reference(call),
-            codec.encode_id_range(span),
-            codec.encode_digest(briefs),
+            codec.encode_record(own_record),
+            codec.encode_ping_reference(reference),
+            codec.encode_id_range(id_range),
+            codec.encode_digest(statuses),
             *map(codec.encode_record, records),
-            *map(codec.encode_status, briefs),
-            *map(codec.encode_reachability, edges),
-            *map(codec.encode_load_report, hints),
-            *map(codec.encode_user_message, words),
-            *(codec.encode_user_broadcast(7, word) for word in words),
-            bytes([99, 3]) + b"new",
+            *map(codec.encode_status, statuses),
+            *map(codec.encode_reachability, reachability_reports),
+            *map(codec.encode_load_report, load_reports),
+            *map(codec.encode_user_message, messages),
+            *(codec.encode_user_broadcast(7, message) for message in messages),
+            bytes([99, 3]) + b"new",  # field of a later release, with an unknown tag
             codec.encode_padding(padding),
         ]
     )
     decoded = codec.decode_datagram(codec.encode_datagram(codec.PUSH_PULL_REQUEST, 5, fields))
-    rows = [brief._replace(suspected_by=0) for brief in briefs]
+    digest = [status._replace(suspected_by=0) for status in statuses]
     assert decoded == codec.Datagram(
         codec.PUSH_PULL_REQUEST,
         5,
-        own,
-        [call],
-        [span],
+        own_record,
+        [reference],
+        [id_range],
         records,
-        briefs,
-        edges,
-        rows,
-        hints,
-        words,
-        [(7, word) for word in words],
+        statuses,
+        reachability_reports,
+        digest,
+        load_reports,
+        messages,
+        [(7, message) for message in messages],
     )
     assert len(codec.encode_padding(padding)) in ((padding, padding - 1) if padding else (0,))
 
@@ -88,17 +88,19 @@
 @effort(max_examples=400)
 @given(some.binary(max_size=200), some.integers(0, 60), RECORDS)
 def test_signed_but_odd_datagram_is_only_counted_as_malformed(
-    data: bytes, at: int, own: InstanceRecord
+    data: bytes, cut_at: int, own_record: InstanceRecord
 ) -> None:
-    sound = codec.encode_datagram(
-        codec.PING, 1, codec.encode_record(own) + codec.encode_ping_reference(codec.PingReference(1, 0))
+    valid = codec.encode_datagram(
+        codec.PING,
+        1,
+        codec.encode_record(own_record) + codec.encode_ping_reference(codec.PingReference(1, 0)),
     )
-    for text in (data, sound[:at] + data, sound + data):
+    for payload in (data, valid[:cut_at] + data, valid + data):
         with suppress(codec.MalformedDatagramError):
-            codec.decode_datagram(text)
-        copy = single_instance()
-        for effect in copy.on_datagram(0, sign_datagram(KEY, text)):
+            codec.decode_datagram(payload)
+        instance = single_instance()
+        for command in instance.on_datagram(0, sign_datagram(KEY, payload)):
             assert (
-                not isinstance(effect, SendDatagram)
-                or len(effect.payload) <= len(text) + AUTHENTICATION_BYTES
+                not isinstance(command, SendDatagram)
+                or len(command.payload) <= len(payload) + AUTHENTICATION_BYTES
             )
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -1,4 +1,4 @@
-"""The section `membership` of a configuration."""
+"""Tests of the configuration section `membership`."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
     (tmp_path / "own.toml").write_text('listen = "127.0.0.1:7946"\nkeys = "keys"\nseeds = ["[::1]:7"]')
     (tmp_path / "own.json").write_bytes(orjson.dumps({**SECTION, "seeds": ["[::1]:7"]}))
     config = str(tmp_path / "config.json")
-    parts = [
+    sections = [
         read_membership_section(section, config, "n1", "a", 1)
         for section in ("own.toml", "own.json", {**SECTION, "seeds": ["[::1]:7"]})
     ]
-    assert parts[0] == parts[1] == parts[2]
-    assert parts[0].settings.advertise == parts[0].listen
-    assert parts[0].settings.keys == (
+    assert sections[0] == sections[1] == sections[2]
+    assert sections[0].settings.advertise == sections[0].listen
+    assert sections[0].settings.keys == (
         bytes(32),
         b"\x11" * 32,
     )
     used = read_membership_section({**SECTION, "use": ["copies"]}, config, "n1", "a", 7)
-    assert parts[0].settings.uses == ()
+    assert sections[0].settings.uses == ()
     assert used.settings.uses == ("copies",)
     assert used.settings.configured_instance_count == 7
-    assert parts[0].settings.seeds == (("::1", 7),)
-    assert parts[0].settings.zone == "a"
+    assert sections[0].settings.seeds == (("::1", 7),)
+    assert sections[0].settings.zone == "a"
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "message"),
     [
         ({"listen": "here"}, "membership.listen is no address:port: here"),
         ({"listen": "name:7946"}, "membership.listen is no address:port: name:7946"),
@@ -62,12 +62,12 @@
     ],
 )
 def test_unusable_section_raises_configuration_error_of_one_line(
-    tmp_path: Path, change: Any, why: str
+    tmp_path: Path, change: Any, message: str
 ) -> None:
     key = "00" * 32 + "\n"
     for name, text in (("keys", key), ("odd", key + "xy\n"), ("many", key * 3), ("bad.toml", "=")):
         (tmp_path / name).write_text(text)
-    with pytest.raises(ConfigurationError, match=why) as fault:
+    with pytest.raises(ConfigurationError, match=message) as raised:
         read_membership_section(
             {**SECTION, **change} if isinstance(change, dict) else change,
             str(tmp_path / "c.json"),
@@ -75,5 +75,5 @@
             "a",
             1,
         )
-    assert "\n" not in str(fault.value)
-    assert re.match(r"/.*\.(json|toml): ", str(fault.value))
+    assert "\n" not in str(raised.value)
+    assert re.match(r"/.*\.(json|toml): ", str(raised.value))
--- a/tests/membership/test_datagram_receiver.py
+++ b/tests/membership/test_datagram_receiver.py
@@ -1,4 +1,4 @@
-"""What an instance does with a datagram as it comes."""
+"""Tests of how an instance processes received datagrams."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 def test_malformed_datagrams_are_counted_and_logged_at_a_bounded_rate() -> None:
     instance, commands = single_instance(), []
-    for n in range(5000):
-        commands += instance.on_datagram(n, signed_ping(n, key=b"x" * 32))
+    for number in range(5000):
+        commands += instance.on_datagram(number, signed_ping(number, key=b"x" * 32))
     commands += (
         instance.on_datagram(5000, signed_ping(1))
         + instance.on_datagram(5001, signed_ping(1))
@@ -30,36 +30,39 @@
     )
     commands += instance.on_datagram(5003, signed_ping(3) + bytes(1400))
     log_events = [command for command in commands if isinstance(command, LogEvent)]
-    assert [note.event for note in log_events] == ["malformed_datagrams", "instance_joined"]
+    assert [log_event.event for log_event in log_events] == ["malformed_datagrams", "instance_joined"]
     assert (
         len([command for command in commands if isinstance(command, SendDatagram)]) == 1
-    )  # to the one sound datagram
+    )  # the answer to the only valid datagram
     later = next(
-        n
-        for n in instance.on_datagram(60 * SECOND, signed_ping(2)[:-1])
-        if isinstance(n, LogEvent) and n.event == log_events[0].event
+        command
+        for command in instance.on_datagram(60 * SECOND, signed_ping(2)[:-1])
+        if isinstance(command, LogEvent) and command.event == log_events[0].event
     )
     assert later.fields["count"] == 5003
     assert later.fields["reasons"]["replayed"] == 1
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "both"),
+    ("first", "second", "is_answered"),
     [(KEY, b"n" * 32, True), (b"n" * 32, KEY, True), (b"o" * 32, b"n" * 32, False)],
 )
-def test_both_keys_verify_and_the_first_signs(first: bytes, second: bytes, both: bool) -> None:
+def test_both_keys_verify_and_the_first_signs(first: bytes, second: bytes, is_answered: bool) -> None:
     instance = single_instance()
     instance.set_keys((first, second))
-    answers = [e for e in instance.on_datagram(0, signed_ping(1)) if isinstance(e, SendDatagram)]
-    assert bool(answers) == both
+    commands = instance.on_datagram(0, signed_ping(1))
+    answers = [command for command in commands if isinstance(command, SendDatagram)]
+    assert bool(answers) == is_answered
     assert not answers or verified_payload((first,), answers[0].payload) is not None
 
 
 def test_ack_goes_to_advertised_address_and_is_no_larger_than_the_ping() -> None:
     instance = single_instance()
-    for n in range(40):
-        instance.on_datagram(0, signed_ping(n + 1, f"instance{n}"))  # much to tell
-    question = signed_ping(1, "asks")
-    [answer] = [e for e in instance.on_datagram(1, question) if isinstance(e, SendDatagram)]
+    for number in range(40):
+        # Queues more broadcasts than fit into the answer.
+        instance.on_datagram(0, signed_ping(number + 1, f"instance{number}"))
+    ping = signed_ping(1, "asks")
+    commands = instance.on_datagram(1, ping)
+    [answer] = [command for command in commands if isinstance(command, SendDatagram)]
     assert answer.destination == ("127.0.0.2", 2)
-    assert len(answer.payload) <= len(question)
+    assert len(answer.payload) <= len(ping)
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -1,4 +1,4 @@
-"""LiveInstanceCount."""
+"""Tests of LiveInstanceCount."""
 
 from __future__ import annotations
 
@@ -28,41 +28,52 @@
 
 @given(some.integers(1, 200), some.lists(some.tuples(some.integers(0, 30 * SECOND), OBSERVED), max_size=30))
 def test_estimate_stays_within_bounds_and_not_below_those_alive(
-    figure: int, observations: list[tuple[int, ObservedInstances]]
+    configured_count: int, observations: list[tuple[int, ObservedInstances]]
 ) -> None:
-    live, now = LiveInstanceCount(figure, TOLERATED_PAUSE_US, 0), 0
+    live, now_us = LiveInstanceCount(configured_count, TOLERATED_PAUSE_US, 0), 0
     for span_us, view in observations:
-        now += span_us
+        now_us += span_us
         before = live.estimate
-        count = live.update(now, view)
-        assert max(1.0, figure / MAX_DEVIATION_FACTOR) <= count.total <= figure * MAX_DEVIATION_FACTOR
+        count = live.update(now_us, view)
+        assert max(1.0, configured_count / MAX_DEVIATION_FACTOR) <= count.total
+        assert count.total <= configured_count * MAX_DEVIATION_FACTOR
         assert 0 < count.in_zone <= count.total
-        assert count.total >= min(view.alive, figure * MAX_DEVIATION_FACTOR)
+        assert count.total >= min(view.alive, configured_count * MAX_DEVIATION_FACTOR)
         if (
-            now < STARTUP_PAUSES * TOLERATED_PAUSE_US or not view.has_quorum_view or view.alive <= view.silent
-        ):  # no evidence of fewer
-            assert count.total >= min(before, figure)
+            now_us < STARTUP_PAUSES * TOLERATED_PAUSE_US
+            or not view.has_quorum_view
+            or view.alive <= view.silent
+        ):  # there is no evidence that instances are gone
+            assert count.total >= min(before, configured_count)
 
 
 @pytest.mark.parametrize(
     ("view", "after_us", "expected_total"),
     [
-        (observed(20), 0, 20),  # more at once
-        (observed(4), DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 7),  # fewer, half of the way
+        (observed(20), 0, 20),  # an increase takes effect at once
+        (
+            observed(4),
+            DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
+            7,
+        ),  # half of a decrease takes effect within its half-life
         (observed(4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 4),
         (
             observed(6, 4),
             100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
             6,
-        ),  # with a majority those that are silent go too
+        ),  # with a majority, silent instances are no longer counted
         (
             observed(4, 4),
             100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
             10,
-        ),  # without one nothing goes
+        ),  # without a majority, the count does not decrease
         (observed(3, sure=False), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
-        (observed(1), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 2.5),  # not below the bound
-        (observed(200), 0, 40),
+        (
+            observed(1),
+            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
+            2.5,
+        ),  # the lower bound: a quarter of the configured count
+        (observed(200), 0, 40),  # the upper bound: four times the configured count
     ],
 )
 def test_estimate_rises_at_once_and_falls_slowly_on_evidence(
--- a/tests/membership/test_not_configured.py
+++ b/tests/membership/test_not_configured.py
@@ -1,4 +1,4 @@
-"""A process without membership loads and opens nothing of it."""
+"""Tests that a process without configured membership neither loads its modules nor opens its socket."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     """Whether a process has a UDP socket open."""
     links = set()
     for descriptor in Path(f"/proc/{process_id}/fd").iterdir():
-        with suppress(FileNotFoundError):  # closed meanwhile
+        with suppress(FileNotFoundError):  # the descriptor was closed in the meantime
             links.add(os.readlink(descriptor))
     inodes = [line.split()[9] for line in Path("/proc/net/udp").read_text().splitlines()[1:]]
     return any(f"socket:[{inode}]" in links for inode in inodes)
 
 
 def write_configuration(folder: Path, has_membership: bool) -> Path:
-    """The sample configuration at a free port."""
+    """Writes the sample configuration with a free port, optionally with membership; returns its path."""
     configuration = orjson.loads(Path("example/config.json").read_bytes())
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -51,7 +51,10 @@
 def test_membership_is_loaded_and_opened_only_where_it_is_configured(
     tmp_path: Path, has_membership: bool
 ) -> None:
-    """As the platform starts it; the second case shows that the first would see a module and a socket."""
+    """Starts a process as the platform does.
+
+    The case with membership shows that the checks detect its modules and its socket.
+    """
     path = write_configuration(tmp_path, has_membership)
     imports_path = tmp_path / "imports"
 
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -1,4 +1,4 @@
-"""What the policy makes of the count of live instances and of its peers' reports."""
+"""Tests of how the policy uses the count of live instances and the load reports of its peers."""
 
 from __future__ import annotations
 
@@ -18,86 +18,94 @@
 
 
 def test_limits_and_quotas_follow_the_count_and_slow_start_never_gains() -> None:
-    made = [make_entry(n, zone=n % 2) for n in range(24)]
-    shares = TenantQuotas([240.0], 12, 0.1)
-    side = make_load_balancer(
-        made, instance_count=12, quotas=shares, slow_start=make_slow_start(shares.total_per_us)
+    entries = [make_entry(number, zone=number % 2) for number in range(24)]
+    quotas = TenantQuotas([240.0], 12, 0.1)
+    load_balancer = make_load_balancer(
+        entries, instance_count=12, quotas=quotas, slow_start=make_slow_start(quotas.total_per_us)
     )
-    before = [(g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets]
-    even = side.slow_start.even_rate_per_us
-    side.update_instance_count(SECOND, 12.0, 6.0)  # just what the settings say
-    assert [(g.sharing_instances, g.limit, g.scale_in_use) for g in side.zone_subsets] == before
-    assert side.slow_start.even_rate_per_us == even
-    for copies, near in ((4.0, 2.0), (24.0, 12.0), (6.0, 1.0)):
-        side.update_instance_count(SECOND, copies, near)
-        for zone, group in enumerate(side.zone_subsets):
-            assert group.sharing_instances == pytest.approx(
-                (copies if zone else near) * group.target_size / len(group.endpoints)
+    before = [
+        (subset.sharing_instances, subset.limit, subset.scale_in_use) for subset in load_balancer.zone_subsets
+    ]
+    even_rate = load_balancer.slow_start.even_rate_per_us
+    load_balancer.update_instance_count(SECOND, 12.0, 6.0)  # the numbers of the configuration
+    assert [
+        (subset.sharing_instances, subset.limit, subset.scale_in_use) for subset in load_balancer.zone_subsets
+    ] == before
+    assert load_balancer.slow_start.even_rate_per_us == even_rate
+    for total, in_zone in ((4.0, 2.0), (24.0, 12.0), (6.0, 1.0)):
+        load_balancer.update_instance_count(SECOND, total, in_zone)
+        for zone, subset in enumerate(load_balancer.zone_subsets):
+            assert subset.sharing_instances == pytest.approx(
+                (total if zone else in_zone) * subset.target_size / len(subset.endpoints)
             )
-            # What all copies together may have out at an endpoint is what it was.
-            for e in group.endpoints:
-                assert e.limit * group.sharing_instances == pytest.approx(6.0)
-        assert shares.rates_per_us[0] == pytest.approx(240.0 / copies / 1e6)
-        assert side.slow_start.even_rate_per_us == min(even, shares.total_per_us)
-    side.update_instance_count(SECOND, 12.0, 6.0)
-    assert [g.limit for g in side.zone_subsets] == pytest.approx([limit for _, limit, _ in before])
+            # The concurrency that all instances together allow at an endpoint does not change.
+            for endpoint in subset.endpoints:
+                assert endpoint.limit * subset.sharing_instances == pytest.approx(6.0)
+        assert quotas.rates_per_us[0] == pytest.approx(240.0 / total / 1e6)
+        assert load_balancer.slow_start.even_rate_per_us == min(even_rate, quotas.total_per_us)
+    load_balancer.update_instance_count(SECOND, 12.0, 6.0)
+    assert [subset.limit for subset in load_balancer.zone_subsets] == pytest.approx(
+        [limit for _, limit, _ in before]
+    )
 
 
 def test_peer_ejection_lasts_until_an_own_attempt_can_be_made() -> None:
-    side, now = make_load_balancer([make_entry(n) for n in range(6)]), 20 * SECOND
-    side.endpoints[3].last_outcome_us = now - SECOND  # own outcomes of late
-    side.apply_peer_ejections(now, [2, 3])
-    reports = PeerReportTranslator().own_reports(now, side, registry_of("uvwxyz"))
-    assert [
-        report for report in reports if report[0] == FAILING
-    ] == []  # what others report is not reported on
-    assert side.unavailable_endpoints(now) == [2]
-    later = now + EJECTION_US + 1
-    side.apply_peer_ejections(later, [2])
-    assert side.unavailable_endpoints(later) == []
-    side.endpoints[2].last_outcome_us = later
-    side.apply_peer_ejections(later + 2 * EJECTION_US, [2])
-    assert side.unavailable_endpoints(later + 2 * EJECTION_US) == [2]
+    load_balancer, now_us = make_load_balancer([make_entry(number) for number in range(6)]), 20 * SECOND
+    load_balancer.endpoints[3].last_outcome_us = (
+        now_us - SECOND
+    )  # recent outcomes of own attempts take precedence
+    load_balancer.apply_peer_ejections(now_us, [2, 3])
+    reports = PeerReportTranslator().own_reports(now_us, load_balancer, registry_of("uvwxyz"))
+    # Ejections caused by peers' reports are not reported in turn.
+    assert [report for report in reports if report[0] == FAILING] == []
+    assert load_balancer.unavailable_endpoints(now_us) == [2]
+    later = now_us + EJECTION_US + 1
+    load_balancer.apply_peer_ejections(later, [2])
+    assert load_balancer.unavailable_endpoints(later) == []
+    load_balancer.endpoints[2].last_outcome_us = later
+    load_balancer.apply_peer_ejections(later + 2 * EJECTION_US, [2])
+    assert load_balancer.unavailable_endpoints(later + 2 * EJECTION_US) == [2]
 
 
 @pytest.mark.parametrize(
-    ("others", "weight", "low", "high"),
+    ("peer_rate", "warm_rate", "low", "high"),
     [
-        (-1.0, 0.0, 17, 21),  # not known: by the settings' even part
+        (-1.0, 0.0, 17, 21),  # unknown: the even share of the settings applies
         (0.0, 1.0, 9, 10),
-        (0.1, 1.0, 6, 7),  # others give a part of it already
+        (0.1, 1.0, 6, 7),  # peers already send a part of the allowed load
         (50.0, 1.0, 0, 1),
     ],
 )
 def test_warming_endpoint_gets_no_more_than_a_warm_one_from_all_instances(
-    others: float, weight: float, low: int, high: int
+    peer_rate: float, warm_rate: float, low: int, high: int
 ) -> None:
-    rule = make_slow_start(20 / SECOND)
-    side = make_load_balancer(
-        [make_entry(0, started_us=SECOND), make_entry(1)], slow_start=rule, zone_count=1
+    slow_start = make_slow_start(20 / SECOND)
+    load_balancer = make_load_balancer(
+        [make_entry(0, started_us=SECOND), make_entry(1)], slow_start=slow_start, zone_count=1
     )
-    e = side.endpoints[0]
-    side.apply_peer_warmup_load({0: (others * 10 / SECOND, weight * 10 / SECOND)} if others >= 0 else {})
-    given, e.slow_start_credit = 0, 0.0
-    for now in range(SECOND, 4 * SECOND, SECOND // 100):
-        if rule.accrue_credit(e, now, side.zone_subsets[0], True):
-            e.slow_start_credit = 0.0
-            given += 1
-    assert low <= given <= high
+    endpoint = load_balancer.endpoints[0]
+    loads = {0: (peer_rate * 10 / SECOND, warm_rate * 10 / SECOND)} if peer_rate >= 0 else {}
+    load_balancer.apply_peer_warmup_load(loads)
+    attempts, endpoint.slow_start_credit = 0, 0.0
+    for now_us in range(SECOND, 4 * SECOND, SECOND // 100):
+        if slow_start.accrue_credit(endpoint, now_us, load_balancer.zone_subsets[0], True):
+            endpoint.slow_start_credit = 0.0
+            attempts += 1
+    assert low <= attempts <= high
 
 
 def test_lie_on_warmup_load_does_not_take_away_own_load() -> None:
-    rule = make_slow_start()
-    side = make_load_balancer(
-        [make_entry(0, started_us=9 * SECOND), make_entry(1)], slow_start=rule, zone_count=1
+    slow_start = make_slow_start()
+    load_balancer = make_load_balancer(
+        [make_entry(0, started_us=9 * SECOND), make_entry(1)], slow_start=slow_start, zone_count=1
     )
-    for n in range(100):
-        rule.record_success(8 * SECOND + n * SECOND // 100, side.zone_subsets[0])
-    side.apply_peer_warmup_load({0: (1e6, 0.0)})
-    e, given = side.endpoints[0], 0
-    e.slow_start_credit, e.slow_start_credit_us = 0.0, 9 * SECOND
-    for now in range(9 * SECOND, 11 * SECOND, SECOND // 100):
-        if rule.accrue_credit(e, now, side.zone_subsets[0], True):
-            e.slow_start_credit = 0.0
-            given += 1
-    assert given >= 2
+    for number in range(100):
+        slow_start.record_success(8 * SECOND + number * SECOND // 100, load_balancer.zone_subsets[0])
+    load_balancer.apply_peer_warmup_load({0: (1e6, 0.0)})
+    endpoint, attempts = load_balancer.endpoints[0], 0
+    endpoint.slow_start_credit, endpoint.slow_start_credit_us = 0.0, 9 * SECOND
+    for now_us in range(9 * SECOND, 11 * SECOND, SECOND // 100):
+        if slow_start.accrue_credit(endpoint, now_us, load_balancer.zone_subsets[0], True):
+            endpoint.slow_start_credit = 0.0
+            attempts += 1
+    assert attempts >= 2
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -1,4 +1,4 @@
-"""ReachabilityReports."""
+"""Tests of ReachabilityReports."""
 
 from __future__ import annotations
 
@@ -25,54 +25,54 @@
 
 def test_report_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
     fleet = joined_fleet(5)
-    fleet.network.is_cut = lambda one, other: (one, other) == ("copy0", "copy1")
+    fleet.network.is_cut = lambda source, destination: (source, destination) == ("copy0", "copy1")
     assert fleet.clock.run_until_met(
-        lambda: all(state_seen_by(fleet, n, 0) == "partly" for n in range(5)), 20 * SECOND
+        lambda: all(state_seen_by(fleet, number, 0) == "partly" for number in range(5)), 20 * SECOND
     )
-    one, other = (fleet.names[f"copy{n}"].instance for n in range(2))
+    reporter, target = (fleet.names[f"copy{number}"].instance for number in range(2))
     for _ in range(300):
         fleet.clock.run_until(fleet.clock.now_us + SECOND // 2)
-        assert all(state_seen_by(fleet, n, 0) == "partly" for n in range(5))
-        # Told anew well before it fades, and not by chance.
+        assert all(state_seen_by(fleet, number, 0) == "partly" for number in range(5))
+        # The report is refreshed regularly, well before it expires.
         assert (
-            fleet.clock.now_us - one.shared.reachability.reports[other.id][one.id][1]
-            <= 25 * one.settings.ping_period_us
+            fleet.clock.now_us - reporter.shared.reachability.reports[target.id][reporter.id][1]
+            <= 25 * reporter.settings.ping_period_us
         )
 
 
 @given(
     some.lists(
         REACHABILITY_REPORTS.map(
-            lambda e: e._replace(
-                reporter=1 + e.reporter % 3,
+            lambda report: report._replace(
+                reporter=1 + report.reporter % 3,
                 target=9,
-                sequence=e.sequence % 4,
-                is_unreachable=e.sequence % 2 == 0,
+                sequence=report.sequence % 4,
+                is_unreachable=report.sequence % 2 == 0,
             )
         ),
         max_size=6,
     ),
     some.randoms(),
 )
-def test_merge_of_reports_is_the_same_in_any_order(marks: list[ReachabilityReport], chance: Any) -> None:
+def test_merge_of_reports_is_the_same_in_any_order(received: list[ReachabilityReport], random: Any) -> None:
     def merged(reports: list[ReachabilityReport]) -> list[int]:
-        edges = ReachabilityReports(100, SECOND)
+        reachability = ReachabilityReports(100, SECOND)
         for report in reports:
-            edges.merge(report, 0)
-        return sorted(edges.unreachable_from(9))
+            reachability.merge(report, 0)
+        return sorted(reachability.unreachable_from(9))
 
-    assert merged(marks) == merged(chance.sample(marks, len(marks))) == merged(marks + marks)
+    assert merged(received) == merged(random.sample(received, len(received))) == merged(received + received)
 
 
 def test_pair_is_reported_and_cleared_only_by_pings_in_a_row() -> None:
-    edges = ReachabilityReports(1, SECOND)
+    reachability = ReachabilityReports(1, SECOND)
     for _ in range(REPORT_AFTER_UNANSWERED - 1):
-        assert edges.on_ping_unanswered(2, 0) is None
-    edges.on_ping_answered(2, 0)
-    assert [edges.on_ping_unanswered(2, 0) is None for _ in range(REPORT_AFTER_UNANSWERED)] == [True] * (
-        REPORT_AFTER_UNANSWERED - 1
-    ) + [False]
-    assert [edges.on_ping_answered(2, 0) is None for _ in range(CLEAR_AFTER_ANSWERED)] == [True] * (
+        assert reachability.on_ping_unanswered(2, 0) is None
+    reachability.on_ping_answered(2, 0)
+    assert [reachability.on_ping_unanswered(2, 0) is None for _ in range(REPORT_AFTER_UNANSWERED)] == [
+        True
+    ] * (REPORT_AFTER_UNANSWERED - 1) + [False]
+    assert [reachability.on_ping_answered(2, 0) is None for _ in range(CLEAR_AFTER_ANSWERED)] == [True] * (
         CLEAR_AFTER_ANSWERED - 1
     ) + [False]
-    assert edges.unreachable_from(2) == []
+    assert reachability.unreachable_from(2) == []
--- a/tests/membership/test_scenarios.py
+++ b/tests/membership/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario of `cressrail membership simulate`."""
+"""Tests of the scenario of `cressrail membership simulate`."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 @pytest.mark.parametrize("without", ["indirect", "shrinks"])
 def test_simulate_is_worse_without_each_refinement(without: str) -> None:
-    whole, less = (
-        simulate(12, 5, 0.3 if without != "shrinks" else 0.0, without=words) for words in ((), (without,))
+    complete, ablated = (
+        simulate(12, 5, 0.3 if without != "shrinks" else 0.0, without=ablations)
+        for ablations in ((), (without,))
     )
-    assert whole["false_losses"] == 0
-    assert whole["detect_s"]["all"] is not None
+    assert complete["false_losses"] == 0
+    assert complete["detect_s"]["all"] is not None
     if without == "indirect":
-        assert less["suspicions"] > 1.1 * whole["suspicions"]
-    if without == "shrinks":  # it has to stand for both spans: later in the usual case
-        assert less["detect_s"]["all"] > whole["detect_s"]["all"] + 0.5
+        assert ablated["suspicions"] > 1.1 * complete["suspicions"]
+    if without == "shrinks":  # one fixed time-out covers both cases, so deaths are usually detected later
+        assert ablated["detect_s"]["all"] > complete["detect_s"]["all"] + 0.5
 
 
 def test_bytes_per_second_do_not_grow_with_the_fleet() -> None:
@@ -32,12 +33,12 @@
 
 
 def test_simulate_command_writes_its_figures(tmp_path: Path) -> None:
-    ran = CliRunner().invoke(
+    completed = CliRunner().invoke(
         app, ["membership", "simulate", "--size", "8", "--json", str(tmp_path / "result.json")]
     )
     result = orjson.loads((tmp_path / "result.json").read_bytes())
-    assert ran.exit_code == 0
+    assert completed.exit_code == 0
     assert result["false_losses"] == 0
     assert result["detect_s"]["all"] < 6
-    ran = CliRunner().invoke(app, ["membership", "simulate", "--without", "luck"])
-    assert ran.exit_code == 2
+    completed = CliRunner().invoke(app, ["membership", "simulate", "--without", "luck"])
+    assert completed.exit_code == 2
