--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -87,7 +87,7 @@
 
 @effort(max_examples=400)
 @given(some.binary(max_size=200), some.integers(0, 60), RECORDS)
-def test_signed_but_odd_datagram_is_only_counted_as_malformed(
+def test_signed_but_malformed_datagram_is_only_counted(
     data: bytes, cut_at: int, own_record: InstanceRecord
 ) -> None:
     valid = codec.encode_datagram(
--- a/tests/membership/test_configuration.py
+++ b/tests/membership/test_configuration.py
@@ -61,7 +61,7 @@
         (7, "membership is neither a part nor"),
     ],
 )
-def test_unusable_section_raises_configuration_error_of_one_line(
+def test_invalid_section_raises_configuration_error_of_one_line(
     tmp_path: Path, change: Any, message: str
 ) -> None:
     key = "00" * 32 + "\n"
--- a/tests/membership/test_instance_counter.py
+++ b/tests/membership/test_instance_counter.py
@@ -45,7 +45,7 @@
     assert min(announced_counts(fleet)) > 19
 
 
-def test_lying_instance_moves_the_count_within_bounds_and_not_for_good() -> None:
+def test_false_claims_move_the_count_only_within_bounds_and_temporarily() -> None:
     fleet = counting_fleet(6)
     for attempt in range(200):
         for process in fleet.running_processes():
--- a/tests/membership/test_load_reports.py
+++ b/tests/membership/test_load_reports.py
@@ -86,7 +86,7 @@
         ),  # reported by less than a third of the zone
     ],
 )
-def test_summarize_returns_what_reports_come_to(
+def test_summarize_combines_the_reports_of_all_peers(
     reports_by_instance: dict[int, list[tuple[int, int, int]]],
     instance_count: int,
     failing: Any,
--- a/tests/membership/test_not_configured.py
+++ b/tests/membership/test_not_configured.py
@@ -48,9 +48,7 @@
     "has_membership",
     [pytest.param(False, id="not configured"), pytest.param(True, id="configured")],
 )
-def test_membership_is_loaded_and_opened_only_where_it_is_configured(
-    tmp_path: Path, has_membership: bool
-) -> None:
+def test_membership_is_loaded_and_opened_only_if_configured(tmp_path: Path, has_membership: bool) -> None:
     """Starts a process as the platform does.
 
     The case with membership shows that the checks detect its modules and its socket.
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -94,7 +94,7 @@
     assert low <= attempts <= high
 
 
-def test_lie_on_warmup_load_does_not_take_away_own_load() -> None:
+def test_false_report_on_warmup_load_does_not_remove_own_load() -> None:
     slow_start = make_slow_start()
     load_balancer = make_load_balancer(
         [make_entry(0, started_us=9 * SECOND), make_entry(1)], slow_start=slow_start, zone_count=1
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -52,7 +52,7 @@
     run_script(tmp_path, 6, script, make_scenario(6, membership=USE))
 
 
-def test_lying_instance_under_load_breaks_no_rule(tmp_path: Path) -> None:
+def test_false_claims_under_load_violate_no_rule(tmp_path: Path) -> None:
     sidecar_count = 4
     scenario = make_scenario(sidecar_count, membership=USE, seconds=10, load={"rate": 60})
     for attempt in range(3):
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -23,7 +23,7 @@
 )
 
 
-def test_report_stays_known_to_all_as_long_as_the_cut_lasts() -> None:
+def test_report_stays_known_to_all_while_the_datagrams_are_cut_off() -> None:
     fleet = joined_fleet(5)
     fleet.network.is_cut = lambda source, destination: (source, destination) == ("copy0", "copy1")
     assert fleet.clock.run_until_met(
@@ -64,7 +64,7 @@
     assert merged(received) == merged(random.sample(received, len(received))) == merged(received + received)
 
 
-def test_pair_is_reported_and_cleared_only_by_pings_in_a_row() -> None:
+def test_pair_is_reported_and_cleared_only_by_consecutive_pings() -> None:
     reachability = ReachabilityReports(1, SECOND)
     for _ in range(REPORT_AFTER_UNANSWERED - 1):
         assert reachability.on_ping_unanswered(2, 0) is None
