--- a/cressrail/membership/broadcast_queue.py
+++ b/cressrail/membership/broadcast_queue.py
@@ -1,8 +1,9 @@
 """Queue of gossip broadcasts, each of which is retransmitted until it has reached the whole fleet.
 
-A broadcast replaces any earlier one on the same topic, so the queue holds at most one broadcast per topic.
-Broadcasts that were sent least often are sent first, as in the infection-style dissemination of Das, Gupta
-and Motivala, "SWIM", 2002.
+A broadcast replaces any earlier one on the same topic, so apart from user messages the queue holds at most
+one broadcast about the state of each instance and one about each pair of instances in a suspicion or
+reachability report. Broadcasts that were sent least often are sent first, as in the infection-style
+dissemination of Das, Gupta and Motivala, "SWIM", 2002.
 """
 
 from __future__ import annotations
--- a/cressrail/membership/codec.py
+++ b/cressrail/membership/codec.py
@@ -63,7 +63,7 @@
 ID_RANGE_BYTES = FIELD_HEADER_BYTES + _ID_RANGE.size
 DIGEST_ROW_BYTES = _DIGEST_ROW.size
 MIN_DATAGRAM_BYTES = _HEADER.size + FIELD_HEADER_BYTES + _DIGEST_ROW.size + AUTHENTICATION_BYTES
-OVERHEAD_BYTES = _HEADER.size + AUTHENTICATION_BYTES  # all of a datagram but its fields
+OVERHEAD_BYTES = _HEADER.size + AUTHENTICATION_BYTES  # datagram size without its fields
 
 # Reasons for rejecting a datagram. They are counted by value and appear in the log.
 REASON_TOO_SHORT = "too short"  # the datagram ends within the header
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -3,9 +3,9 @@
 An instance reports its traffic, the endpoints that fail for it, and the load that it puts on each endpoint
 that warms up. Each instance reports only for itself and reports are not forwarded, so their cost does not
 depend on the size of the fleet. An instance that has reports of only some peers assumes the mean of these
-reports for the others. Of two reports on the same subject the merge keeps the one with the greater
-precedence, which follows from the reporter's sequence number and the age in the report. The merge is
-therefore associative, commutative and idempotent.
+reports for the others. Of two reports on the same subject the later one is kept, which the receiver
+determines from the reporter's sequence numbers and the ages in the reports. The merge keeps the report with
+the greater precedence, so it is associative, commutative and idempotent.
 """
 
 from __future__ import annotations
@@ -71,8 +71,8 @@
     """A report of another instance.
 
     Attributes:
-        precedence: Incarnation, process id, sequence and the negated `made_us`; of two reports the one with
-            the greater precedence is kept.
+        precedence: Incarnation, process id, sequence number and the negated `made_us`; of two reports the
+            one with the greater precedence is kept.
         value: As in `LoadReport`.
         made_us: Time at which the report was made, on this instance's clock.
     """
--- a/cressrail/membership/settings.py
+++ b/cressrail/membership/settings.py
@@ -19,8 +19,7 @@
         advertise: Address at which other instances reach this one.
         seeds: Addresses from which the instance requests the member list when it starts.
         keys: Shared keys; the first signs datagrams, and each of them verifies received ones.
-        tolerated_pause_us: Longest pause of a process, in microseconds, after which it must not have been
-            declared dead.
+        tolerated_pause_us: Longest pause of a process, in microseconds, for which it is not declared dead.
         max_datagram_bytes: Size of the largest datagram that is sent or accepted.
         configured_instance_count: Number of instances in the fleet as configured by the operators.
         uses: Membership findings that the policy uses, from `messages.USES`.
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -40,7 +40,7 @@
         next_timer_us: Time of the next timer event that is scheduled for the process.
         is_stalled: Whether the process is paused.
         queue: Datagrams buffered in its socket while it is paused.
-        is_running: Whether the process was neither killed nor left the fleet.
+        is_running: Whether the process was not killed and has not left the fleet.
     """
 
     settings: MembershipSettings
--- a/tests/membership/test_datagram_receiver.py
+++ b/tests/membership/test_datagram_receiver.py
@@ -31,9 +31,8 @@
     commands += instance.on_datagram(5003, signed_ping(3) + bytes(1400))
     log_events = [command for command in commands if isinstance(command, LogEvent)]
     assert [log_event.event for log_event in log_events] == ["malformed_datagrams", "instance_joined"]
-    assert (
-        len([command for command in commands if isinstance(command, SendDatagram)]) == 1
-    )  # the answer to the only valid datagram
+    # Only the valid datagram was answered.
+    assert len([command for command in commands if isinstance(command, SendDatagram)]) == 1
     later = next(
         command
         for command in instance.on_datagram(60 * SECOND, signed_ping(2)[:-1])
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -51,29 +51,17 @@
     ("view", "after_us", "expected_total"),
     [
         (observed(20), 0, 20),  # an increase takes effect at once
-        (
-            observed(4),
-            DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
-            7,
-        ),  # half of a decrease takes effect within its half-life
+        # Half of a decrease takes effect within its half-life.
+        (observed(4), DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 7),
         (observed(4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 4),
-        (
-            observed(6, 4),
-            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
-            6,
-        ),  # with a majority, silent instances are no longer counted
-        (
-            observed(4, 4),
-            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
-            10,
-        ),  # without a majority, the count does not decrease
+        # With a majority, silent instances are no longer counted.
+        (observed(6, 4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 6),
+        # Without a majority, the count does not decrease.
+        (observed(4, 4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
         (observed(3, sure=False), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
-        (
-            observed(1),
-            100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
-            2.5,
-        ),  # the lower bound: a quarter of the configured count
-        (observed(200), 0, 40),  # the upper bound: four times the configured count
+        # The lower bound is a quarter of the configured count, the upper bound four times that count.
+        (observed(1), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 2.5),
+        (observed(200), 0, 40),
     ],
 )
 def test_estimate_rises_at_once_and_falls_slowly_on_evidence(
--- a/tests/membership/test_load_reports.py
+++ b/tests/membership/test_load_reports.py
@@ -59,31 +59,17 @@
     ("reports_by_instance", "instance_count", "failing", "warmup_rates", "total_rate"),
     [
         ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 8000)]}, 3, (), {}, 13),
-        (
-            {n: [(TRAFFIC, 0, 4000)] for n in (2, 3, 4)},
-            101,
-            (),
-            {},
-            401,
-        ),  # the mean of the reports stands for all peers
-        (
-            {2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 4000)]},
-            101,
-            (),
-            {},
-            1,
-        ),  # too few reports to assume their mean for the other peers
+        # The mean of the reports is assumed for all peers.
+        ({n: [(TRAFFIC, 0, 4000)] for n in (2, 3, 4)}, 101, (), {}, 401),
+        # There are too few reports to assume their mean for the other peers.
+        ({2: [(TRAFFIC, 0, 4000)], 3: [(TRAFFIC, 0, 4000)]}, 101, (), {}, 1),
         ({2: [(WARMUP_LOAD, 7, 500)], 3: [(WARMUP_LOAD, 7, 0)]}, 3, (), {7: 0.5}, 1),
         ({n: [(WARMUP_LOAD, 7, 500)] for n in (2, 3)}, 9, (), {}, 1),
         ({2: [(FAILING, 7, 1)], 3: [(FAILING, 7, 1)]}, 3, (7,), {}, 1),
-        ({2: [(FAILING, 7, 1)], 3: [(FAILING, 7, 0)]}, 3, (), {}, 1),  # a single reporter may be faulty
-        (
-            {n: [(FAILING, 7, int(n < 4))] for n in range(2, 10)},
-            9,
-            (),
-            {},
-            1,
-        ),  # reported by less than a third of the zone
+        # A single reporter may be faulty or send false reports.
+        ({2: [(FAILING, 7, 1)], 3: [(FAILING, 7, 0)]}, 3, (), {}, 1),
+        # Less than a third of the reporters report the endpoint.
+        ({n: [(FAILING, 7, int(n < 4))] for n in range(2, 10)}, 9, (), {}, 1),
     ],
 )
 def test_summarize_combines_the_reports_of_all_peers(
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -51,9 +51,8 @@
 
 def test_peer_ejection_lasts_until_an_own_attempt_can_be_made() -> None:
     load_balancer, now_us = make_load_balancer([make_entry(number) for number in range(6)]), 20 * SECOND
-    load_balancer.endpoints[3].last_outcome_us = (
-        now_us - SECOND
-    )  # recent outcomes of own attempts take precedence
+    # Recent outcomes of own attempts take precedence over peers' reports.
+    load_balancer.endpoints[3].last_outcome_us = now_us - SECOND
     load_balancer.apply_peer_ejections(now_us, [2, 3])
     reports = PeerReportTranslator().own_reports(now_us, load_balancer, registry_of("uvwxyz"))
     # Ejections caused by peers' reports are not reported in turn.
