--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario of `cressrail membership simulate`: a fleet joins, then loses one and then most instances."""
+"""Scenario of `cressrail membership simulate`: a fleet joins, loses one instance and then most of them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from cressrail.membership.simulation import MembershipSimulation
 from cressrail.simulation.virtual_clock import SECOND_US
 
-JOIN_LIMIT_S, REST_S, CALM_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
+JOIN_LIMIT_S, SETTLING_S, STEADY_STATE_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
 MANY_DEATHS_STEP_US = SECOND_US // 10
-SURVIVORS_OF_TEN = 3
-# What an ablation takes out, in words of the command line: local health, indirect ping, dynamic suspicion.
+SURVIVORS_PER_TEN = 3
+# Features that an ablation can disable, as named on the command line: local health, indirect ping, and the
+# suspicion time-out that shrinks with each confirmation.
 ABLATIONS = ("aware", "indirect", "shrinks")
 
 
@@ -26,20 +27,20 @@
     max_datagram_bytes: int = 1400,
     without: tuple[str, ...] = (),
 ) -> dict[str, Any]:
-    """Plays the scenario.
+    """Runs the scenario.
 
     Args:
         size: Number of instances.
-        seed: Of all random values.
+        seed: Seed of all random values.
         loss: Share of datagrams lost in each direction.
-        tolerated_pause_ms: As in the settings.
-        max_datagram_bytes: As in the settings.
-        without: Ablations, out of `ABLATIONS`.
+        tolerated_pause_ms: Longest tolerated pause of a process in milliseconds.
+        max_datagram_bytes: Size of the largest datagram.
+        without: Features to disable, from `ABLATIONS`.
 
     Returns:
-        Figures by the names under which they are printed: times in seconds, `bytes_per_s` of one instance
-        with headers; `live_error` is the mean error of the live instance count, as a share, from the death of
-        most until all agree again.
+        Figures by the names under which they are printed. Times are in seconds. `bytes_per_s` is the traffic
+        that one instance sends, IP and UDP headers included. `live_error` is the mean relative error of the
+        live instance count from the death of most instances until all survivors know of it.
     """
 
     def change(settings: MembershipSettings) -> MembershipSettings:
@@ -57,19 +58,19 @@
     fleet.start_all()
     has_joined = clock.run_until_met(fleet.all_views_agree, JOIN_LIMIT_S * SECOND_US)
     joined_s = clock.now_us / SECOND_US
-    clock.run_until(clock.now_us + REST_S * SECOND_US)
-    calm_from_us, bytes_before = clock.now_us, network.sent_bytes
-    clock.run_until(clock.now_us + CALM_S * SECOND_US)
+    clock.run_until(clock.now_us + SETTLING_S * SECOND_US)
+    steady_from_us, bytes_before = clock.now_us, network.sent_bytes
+    clock.run_until(clock.now_us + STEADY_STATE_S * SECOND_US)
     figures: dict[str, Any] = {
         "size": size,
         "seed": seed,
         "loss": loss,
         "joined_s": joined_s if has_joined else None,
-        "bytes_per_s": round((network.sent_bytes - bytes_before) / CALM_S / size),
-        "suspicions": fleet.suspicion_count(calm_from_us),
+        "bytes_per_s": round((network.sent_bytes - bytes_before) / STEADY_STATE_S / size),
+        "suspicions": fleet.suspicion_count(steady_from_us),
     }
-    figures["detect_s"] = _play_one_death(fleet, size)
-    figures["many_s"], figures["live_error"] = _play_many_deaths(fleet, size)
+    figures["detect_s"] = _measure_one_death(fleet, size)
+    figures["many_s"], figures["live_error"] = _measure_many_deaths(fleet, size)
     dead = {name for name, process in fleet.names.items() if not process.is_running}
     figures["false_losses"] = sum(1 for report in fleet.death_reports() if report.subject not in dead)
     figures["largest_bytes"] = network.largest_datagram_bytes
@@ -78,11 +79,11 @@
     return figures
 
 
-def _play_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
-    """Seconds until one death is known to the first, to half and to all of the others."""
+def _measure_one_death(fleet: MembershipSimulation, size: int) -> dict[str, float | None]:
+    """Kills one instance; returns the seconds until the first, half and all of the others know of it."""
     name, started_us, others = f"copy{size - 1}", fleet.clock.now_us, size - 1
     fleet.kill(name)
-    share = _share_knowing(fleet, [name])
+    share = _death_awareness(fleet, [name])
     fleet.clock.run_until_met(lambda: share() >= 1.0, ONE_DEATH_LIMIT_S * SECOND_US)
     reports = [report for report in fleet.death_reports(started_us) if report.subject == name]
     known_us = sorted({report.reporter: report.at_us for report in reports}.values())
@@ -94,17 +95,22 @@
     return {"first": seconds_until(0.0), "half": seconds_until(0.5), "all": seconds_until(1.0)}
 
 
-def _play_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
-    """Seconds until the deaths of seven in ten are known to all, and the mean error of the live count."""
+def _measure_many_deaths(fleet: MembershipSimulation, size: int) -> tuple[float | None, float]:
+    """Kills seven in ten instances and lets the survivors detect it.
+
+    Returns:
+        The seconds until all survivors know of all deaths, `None` if the time limit passed first, and the
+        mean relative error of the live instance count until then.
+    """
     clock, started_us = fleet.clock, fleet.clock.now_us
     names = [
         f"copy{number}"
         for number in range(size)
-        if number % 10 >= SURVIVORS_OF_TEN and fleet.names[f"copy{number}"].is_running
+        if number % 10 >= SURVIVORS_PER_TEN and fleet.names[f"copy{number}"].is_running
     ]
     for name in names:
         fleet.kill(name)
-    share, errors = _share_knowing(fleet, names), []
+    share, errors = _death_awareness(fleet, names), []
     while share() < 1.0 and clock.now_us - started_us < MANY_DEATHS_LIMIT_S * SECOND_US:
         clock.run_until(clock.now_us + MANY_DEATHS_STEP_US)
         running = fleet.running_processes()
@@ -114,8 +120,11 @@
     return (took_s if share() >= 1.0 else None), round(sum(errors) / max(1, len(errors)), 3)
 
 
-def _share_knowing(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
-    """Share of pairs of a running instance and one of `names` in which the first knows that it is gone."""
+def _death_awareness(fleet: MembershipSimulation, names: list[str]) -> Callable[[], float]:
+    """Returns a function that measures how widely the deaths of the instances `names` are known.
+
+    Its result is the share of pairs of a running and a dead instance in which the first knows of the death.
+    """
 
     def share() -> float:
         knowing = pairs = 0
