--- a/cressrail/event_loop/scheduler.py
+++ b/cressrail/event_loop/scheduler.py
@@ -32,11 +32,11 @@
 
 NEVER = 1 << 62  # as a time, in microseconds
 BLOCKING_POLL_US = 200  # a poll that took longer had nothing to report at first
-MAX_RESTING_IN_ONE_POLL = 128  # so many idle descriptors cost less than a second poll
-RESTING_AFTER_US = 50_000  # after which a descriptor said to be resting leaves `busy_poll`
-IDLE_AFTER_US = 20_000  # without any event, after which the process blocks in `full_poll`
+MAX_IDLE_IN_ONE_POLL = 128  # so many idle descriptors cost less than a second poll
+BUSY_POLL_RETENTION_US = 50_000  # after which a descriptor said to be resting leaves `busy_poll`
+LOOP_IDLE_AFTER_US = 20_000  # without any event, after which the process blocks in `full_poll`
 FULL_POLL_SHARE_DIVISOR = 10  # `full_poll` takes at most one such part of the time
-LEAST_FULL_POLL_INTERVAL_US = 2_000
+MIN_FULL_POLL_INTERVAL_US = 2_000
 MAX_VITAL_FAULTS = 8  # of a vital task within the window, then the loop ends
 VITAL_FAULT_WINDOW_US = 10_000_000
 
@@ -46,7 +46,7 @@
 
     Attributes:
         greenlet: Where it runs.
-        is_first: When several are ready, its descriptor goes before the others' in a round.
+        has_priority: When several are ready, its descriptor goes before the others' in a round.
         messages: Posted to it and not yet taken; the task takes them.
         fd: The descriptor it waits for; -1 for none.
         earliest_arrival_us: The earliest time at which what it was woken for may have arrived.
@@ -58,15 +58,15 @@
         "earliest_arrival_us",
         "fd",
         "greenlet",
-        "is_first",
+        "has_priority",
         "is_waiting_for_message",
         "messages",
         "wait_number",
     )
 
-    def __init__(self, body: greenlet, is_first: bool) -> None:
+    def __init__(self, body: greenlet, has_priority: bool) -> None:
         self.greenlet = body
-        self.is_first = is_first
+        self.has_priority = has_priority
         self.messages: deque[Any] = deque()
         self.fd = -1
         self.earliest_arrival_us = 0
@@ -100,7 +100,7 @@
         self.busy_masks: dict[int, int] = {}  # what each descriptor is registered for
         self.full_masks: dict[int, int] = {}
         # Waits that were said to be resting: time, task, its wait number, descriptor.
-        self.resting: deque[tuple[int, Task, int, int]] = deque()
+        self.idle_waits: deque[tuple[int, Task, int, int]] = deque()
         self.last_full_poll_us = self.next_full_poll_us = self.last_event_us = now()
         self.task_by_descriptor: dict[int, Task] = {}
         self.ready: deque[tuple[Task, int]] = deque()
@@ -114,12 +114,12 @@
         self.current: Task | None = None
         self.round_started_us = self.earliest_event_us = now()
 
-    def spawn(self, work: Callable[[], None], is_first: bool = False, is_vital: bool = False) -> Task:
+    def spawn(self, work: Callable[[], None], has_priority: bool = False, is_vital: bool = False) -> Task:
         """Makes a task that starts in the next round.
 
         Args:
             work: What the task does; an exception that it raises ends no other task.
-            is_first: Its descriptor goes before the others' in a round.
+            has_priority: Its descriptor goes before the others' in a round.
             is_vital: The process is of no use without the task: after an exception it starts again, and
                 where that happens too often, the loop ends, so that the process does not live on idle.
         """
@@ -135,11 +135,11 @@
                     self.on_fault(traceback.format_exc())
                     faults.append(self.now())
                     runs_again = is_vital
-                    if is_vital and _is_too_often(faults):
+                    if is_vital and _exceeds_fault_limit(faults):
                         runs_again, self.is_stopped, self.has_failed = False, True, True
             self.task_count -= 1
 
-        task = Task(greenlet(body, self.hub), is_first)
+        task = Task(greenlet(body, self.hub), has_priority)
         self.task_count += 1
         task.is_waiting_for_message = True
         self._wake(task, TIMED_OUT)
@@ -172,7 +172,7 @@
         mask: int = 0,
         until_us: int = NEVER,
         wakes_on_message: bool = True,
-        is_resting: bool = False,
+        is_idle: bool = False,
     ) -> int:
         """Blocks the current task; returns at once if it wakes on messages and has one.
 
@@ -181,7 +181,7 @@
             mask: What it is to be ready for: `READABLE`, `WRITABLE`, `PEER_CLOSED`.
             until_us: Time at which the task wakes in any case.
             wakes_on_message: Whether a message wakes it.
-            is_resting: Nothing is expected of the descriptor soon.
+            is_idle: Nothing is expected of the descriptor soon.
 
         Returns:
             The mask that poll reported, `MESSAGE` or `TIMED_OUT`.
@@ -201,8 +201,8 @@
             if self.full_masks.get(descriptor) != mask:
                 self.full_masks[descriptor] = mask
                 self.full_poll.register(descriptor, mask)
-            if is_resting:
-                self.resting.append((self.round_started_us, task, task.wait_number, descriptor))
+            if is_idle:
+                self.idle_waits.append((self.round_started_us, task, task.wait_number, descriptor))
         if until_us < NEVER:
             self.timer_count += 1
             heappush(self.timers, (until_us, self.timer_count, task, task.wait_number))
@@ -216,7 +216,7 @@
         if task.fd >= 0:
             del self.task_by_descriptor[task.fd]
             task.fd = -1
-        if task.is_first:
+        if task.has_priority:
             self.ready.appendleft((task, result))
         else:
             self.ready.append((task, result))
@@ -239,24 +239,24 @@
         """Polls once, blocking while nothing is ready, and makes ready what has something to do."""
         before_us = self.now()
         wait_us = self._time_to_wait_us(before_us)
-        self._remove_resting(before_us)
-        has_many_resting = len(self.full_masks) - len(self.busy_masks) > MAX_RESTING_IN_ONE_POLL
-        is_idle = before_us - self.last_event_us >= IDLE_AFTER_US
-        if not has_many_resting or is_idle or before_us >= self.next_full_poll_us:
-            if has_many_resting and not is_idle:
+        self._remove_idle_descriptors(before_us)
+        has_many_idle = len(self.full_masks) - len(self.busy_masks) > MAX_IDLE_IN_ONE_POLL
+        is_loop_idle = before_us - self.last_event_us >= LOOP_IDLE_AFTER_US
+        if not has_many_idle or is_loop_idle or before_us >= self.next_full_poll_us:
+            if has_many_idle and not is_loop_idle:
                 wait_us = 0
             events = self.full_poll.poll(_poll_timeout_ms(wait_us))
             now_us = self.now()
-            resting_since_us = self._after_full_poll(before_us, now_us, wait_us)
+            idle_earliest_us = self._after_full_poll(before_us, now_us, wait_us)
         else:
             events = self.busy_poll.poll(_poll_timeout_ms(min(wait_us, self.next_full_poll_us - before_us)))
             now_us = self.now()
             has_blocked = now_us - before_us > BLOCKING_POLL_US
-            self.earliest_event_us = resting_since_us = now_us if has_blocked else self.round_started_us
+            self.earliest_event_us = idle_earliest_us = now_us if has_blocked else self.round_started_us
         self.round_started_us = now_us
         if events:
             self.last_event_us = now_us
-            self._wake_for_events(events, resting_since_us)
+            self._wake_for_events(events, idle_earliest_us)
         while self.timers and self.timers[0][0] <= now_us:
             _, _, task, wait_number = heappop(self.timers)
             if task.wait_number == wait_number:
@@ -271,10 +271,10 @@
             return 0
         return max(0, timers[0][0] - now_us) if timers else NEVER
 
-    def _remove_resting(self, now_us: int) -> None:
+    def _remove_idle_descriptors(self, now_us: int) -> None:
         """Takes descriptors that have rested long enough out of `busy_poll`."""
-        while self.resting and self.resting[0][0] + RESTING_AFTER_US <= now_us:
-            _, task, wait_number, descriptor = self.resting.popleft()
+        while self.idle_waits and self.idle_waits[0][0] + BUSY_POLL_RETENTION_US <= now_us:
+            _, task, wait_number, descriptor = self.idle_waits.popleft()
             if task.wait_number == wait_number and self.busy_masks.pop(descriptor, None) is not None:
                 self.busy_poll.unregister(descriptor)
 
@@ -285,30 +285,30 @@
         at work; the time that a request spent in the kernel counts towards its deadline. What it reports
         after blocking has arrived just now.
         """
-        resting_since_us = self.earliest_event_us = now_us
+        idle_earliest_us = self.earliest_event_us = now_us
         if now_us - before_us <= BLOCKING_POLL_US or wait_us == 0:
             self.earliest_event_us = self.round_started_us
-            resting_since_us = min(self.round_started_us, self.last_full_poll_us)
+            idle_earliest_us = min(self.round_started_us, self.last_full_poll_us)
         cost_us = now_us - before_us if wait_us == 0 else 0
         self.last_full_poll_us = now_us
-        self.next_full_poll_us = now_us + max(LEAST_FULL_POLL_INTERVAL_US, cost_us * FULL_POLL_SHARE_DIVISOR)
-        return resting_since_us
+        self.next_full_poll_us = now_us + max(MIN_FULL_POLL_INTERVAL_US, cost_us * FULL_POLL_SHARE_DIVISOR)
+        return idle_earliest_us
 
-    def _wake_for_events(self, events: list[tuple[int, int]], resting_since_us: int) -> None:
+    def _wake_for_events(self, events: list[tuple[int, int]], idle_earliest_us: int) -> None:
         """Wakes the tasks whose descriptors are ready, those that go first before the others."""
         others = []
         for descriptor, mask in events:
             task = self.task_by_descriptor.get(descriptor)
             if task is None:  # no task waits for it now, or it is closed
                 self._unregister(descriptor)
-            elif task.is_first:
+            elif task.has_priority:
                 self._wake(task, mask)
             else:
                 others.append((task, mask, descriptor))
         for task, mask, descriptor in others:
             self._wake(task, mask)
             if descriptor not in self.busy_masks:
-                task.earliest_arrival_us = resting_since_us
+                task.earliest_arrival_us = idle_earliest_us
 
     def _unregister(self, descriptor: int) -> None:
         del self.full_masks[descriptor]
@@ -317,7 +317,7 @@
             self.busy_poll.unregister(descriptor)
 
 
-def _is_too_often(faults: deque[int]) -> bool:
+def _exceeds_fault_limit(faults: deque[int]) -> bool:
     return len(faults) == MAX_VITAL_FAULTS and faults[-1] - faults[0] <= VITAL_FAULT_WINDOW_US
 
 
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -29,7 +29,7 @@
 CALL_TIMEOUT_US = 2_000_000  # from the connection to the end of the head, and for writing the response
 DRAIN_TIMEOUT_US = 500_000  # reads and drops what still comes after the response
 READ_BYTES = 4096
-HANG_UP = "hang up"
+CLOSE_CALL = "close call"
 MEMBERSHIP_PATH, ZONES_PATH = b"/membership", b"/zones"  # where membership is configured
 JSON = b"application/json"
 
@@ -68,8 +68,8 @@
         if len(self.calls) >= MAX_OPEN_CALLS:
             oldest = next(iter(self.calls))
             del self.calls[oldest]
-            scheduler.post(oldest, HANG_UP)
-        self.calls[scheduler.spawn(AdminCall(self, sock).run, is_first=True)] = None
+            scheduler.post(oldest, CLOSE_CALL)
+        self.calls[scheduler.spawn(AdminCall(self, sock).run, has_priority=True)] = None
 
 
 class AdminCall:
@@ -100,9 +100,9 @@
         while data := self._receive(until_us):
             received += data
             try:
-                found = parse_head(memoryview(received))
-                if found is not None:
-                    return self._respond(*parse_request_line(found[1]))
+                head = parse_head(memoryview(received))
+                if head is not None:
+                    return self._respond(*parse_request_line(head[1]))
             except MalformedMessageError as error:
                 return AdminResponse(400, f"{error}\n".encode())
         return None
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -16,7 +16,7 @@
 from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import CancelAttempt, SendAttempt
 
-REST_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
+IDLE_TIMEOUT_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
 
 
 class EndpointConnectionTask:
@@ -46,8 +46,8 @@
         """Rests until there is an attempt to run; None once the connection is to be closed."""
         scheduler = self.dispatcher.scheduler
         task = scheduler.current_task()
-        rest_us = int(self.dispatcher.endpoint_idle_timeout_us * REST_SHARE)
-        until_us = self.dispatcher.now() + rest_us
+        idle_us = int(self.dispatcher.endpoint_idle_timeout_us * IDLE_TIMEOUT_SHARE)
+        until_us = self.dispatcher.now() + idle_us
         while True:
             while task.messages:
                 command = task.messages.popleft()
@@ -57,7 +57,7 @@
                     return None
             if self.stream is None:
                 return None
-            event = scheduler.wait(self.stream.descriptor, READABLE, until_us, is_resting=True)
+            event = scheduler.wait(self.stream.descriptor, READABLE, until_us, is_idle=True)
             if event != MESSAGE:
                 self._close_unless_usable()
                 self._close()  # idle for long enough, or closed by the endpoint
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -93,7 +93,7 @@
         has_handed_over = serves_again = False
         try:
             connection = HandoverConnection(self.dispatcher.scheduler, sock)
-            if _is_same_user(sock) and self._introduce(connection):
+            if _is_same_user(sock) and self._offer_takeover(connection):
                 has_handed_over = serves_again = True
                 self._hand_over(connection)
                 frame = connection.receive_frame()
@@ -105,7 +105,7 @@
             if has_handed_over and serves_again:
                 self._serve_again()
 
-    def _introduce(self, connection: HandoverConnection) -> bool:
+    def _offer_takeover(self, connection: HandoverConnection) -> bool:
         """Sends the listening socket and the endpoint list; returns whether the successor takes over."""
         dispatcher = self.dispatcher
         hello = connection.receive_frame(dispatcher.now() + PEER_TIMEOUT_US)
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -52,12 +52,12 @@
     """
 
     def __init__(
-        self, dispatcher: CommandDispatcher, sock: socket.socket, unseen_since_us: int | None = None
+        self, dispatcher: CommandDispatcher, sock: socket.socket, queued_since_us: int | None = None
     ) -> None:
-        """`unseen_since_us`: the kernel has queued connections since then that nobody has looked at."""
+        """`queued_since_us`: the kernel has queued connections since then that nobody has looked at."""
         self.dispatcher = dispatcher
         self.sock = sock
-        self.unseen_since_us = unseen_since_us
+        self.queued_since_us = queued_since_us
         self.accepted_clients = 0
         self.is_accepting = False
         self.is_out_of_descriptors = False  # at the last attempt
@@ -95,7 +95,7 @@
         try:
             sock, _ = self.sock.accept()
         except BlockingIOError:
-            self.unseen_since_us = None
+            self.queued_since_us = None
             return False
         except OSError as error:
             self.is_out_of_descriptors = error.errno in DESCRIPTORS_EXHAUSTED
@@ -120,8 +120,8 @@
         except OSError:  # the client has disconnected already
             sock.close()
             return
-        if self.unseen_since_us is not None:  # the first request may have waited since then
-            client.stream.arrived_us = min(client.stream.arrived_us, self.unseen_since_us)
+        if self.queued_since_us is not None:  # the first request may have waited since then
+            client.stream.arrived_us = min(client.stream.arrived_us, self.queued_since_us)
         # Counted before its task is spawned, as the task's end stops the counting.
         commands = dispatcher.state_machine.on_client_connected(dispatcher.now(), number)
         dispatcher.clients[number] = dispatcher.scheduler.spawn(client.run)
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -81,21 +81,21 @@
     """Owns the socket, and the task that serves it."""
 
     def __init__(
-        self, dispatcher: CommandDispatcher, configuration: MembershipConfiguration, waits: bool
+        self, dispatcher: CommandDispatcher, configuration: MembershipConfiguration, binds_later: bool
     ) -> None:
         """Starts the task.
 
         Args:
             dispatcher: Gives the clock, the log and the proxy.
             configuration: Of membership.
-            waits: Whether a predecessor may still hold the address, so that the task binds it later.
+            binds_later: Whether a predecessor may still hold the address, so that the task binds it later.
         """
         self.dispatcher, self.configuration = dispatcher, configuration
-        self.sock = None if waits else bind_datagram_socket(configuration)
+        self.sock = None if binds_later else bind_datagram_socket(configuration)
         self.instance = self._new_instance()
         self.report_translator = PeerReportTranslator()
         self.failover: FailoverDriver | None = None
-        self.task = dispatcher.scheduler.spawn(self.run, is_first=True)
+        self.task = dispatcher.scheduler.spawn(self.run, has_priority=True)
 
     def _new_instance(self) -> MembershipStateMachine:
         now_us = self.dispatcher.now()
--- a/cressrail/network/request_reception.py
+++ b/cressrail/network/request_reception.py
@@ -123,8 +123,8 @@
             if count == 0:
                 return ReceptionResult.CLIENT_LEFT
             if count < 0:
-                is_resting = self._reader is None
-                self.stream.wait(READABLE, self._until_us, wakes_on_message=True, is_resting=is_resting)
+                is_idle = self._reader is None
+                self.stream.wait(READABLE, self._until_us, wakes_on_message=True, is_idle=is_idle)
         except BufferPoolExhaustedError:
             return self._refuse(SERVICE_UNAVAILABLE_STATUS, NO_BUFFER_REASON)
         except StreamTimeoutError:
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -45,7 +45,7 @@
 MIN_EXTRA_CLIENTS = 4
 BUFFERS_SHARE = 0.5  # of the memory limit
 BYTES_PER_MB = 1 << 20
-YOUNG_OBJECTS = 5_000  # allocations between two garbage collections: requests leave few reference cycles
+GC_THRESHOLD = 5_000  # allocations between two garbage collections: requests leave few reference cycles
 
 
 class Server(NamedTuple):
@@ -94,11 +94,11 @@
     predecessor = find_predecessor(path, configuration.listen) if path else None
     listener_task = _build_listener(configuration, dispatcher, predecessor, now)
     admin_socket = listener.bind(*configuration.admin) if configuration.admin else None
-    membership = _start_membership(configuration, dispatcher, waits=predecessor is not None)
+    membership = _start_membership(configuration, dispatcher, binds_later=predecessor is not None)
     if admin_socket is not None:
-        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, is_first=True)
+        scheduler.spawn(AdminServerTask(dispatcher, admin_socket, membership).run, has_priority=True)
     dispatcher.start_connection = lambda number: EndpointConnectionTask(dispatcher, number).run
-    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, is_first=True, is_vital=True)
+    watch = scheduler.spawn(DiscoveryWatchTask(dispatcher).run, has_priority=True, is_vital=True)
     dispatcher.send_to_task(WatchEndpoints, watch)
     dispatcher.send_to_task(AcceptClients, scheduler.spawn(listener_task.run, is_vital=True))
     dispatcher.send_to_task(SetTimer, scheduler.spawn(partial(timer_task, dispatcher), is_vital=True))
@@ -106,7 +106,7 @@
     if path:
         successor = HandoverServerTask(dispatcher, path, listener_task.sock, configuration.listen, membership)
         handover = partial(_take_over_then_serve_successor, dispatcher, predecessor, successor)
-        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, is_first=True))
+        dispatcher.send_to_task(BeginTakeover, scheduler.spawn(handover, has_priority=True))
     known = predecessor.endpoint_list if predecessor else configuration.known_endpoints
     dispatcher.dispatch(state_machine.start(now, known, predecessor is not None))
     return Server(dispatcher, listener_task, membership)
@@ -118,7 +118,7 @@
     with handle_signals(dispatcher, configuration_reload, server.membership):
         gc.collect()
         gc.freeze()  # what exists now stays; later collections look at new objects only
-        gc.set_threshold(YOUNG_OBJECTS, 10, 50)
+        gc.set_threshold(GC_THRESHOLD, 10, 50)
         dispatcher.scheduler.run()
     for callback in dispatcher.at_end:
         callback()
@@ -186,14 +186,14 @@
 
 
 def _start_membership(
-    configuration: StartupConfiguration, dispatcher: CommandDispatcher, waits: bool
+    configuration: StartupConfiguration, dispatcher: CommandDispatcher, binds_later: bool
 ) -> MembershipTransport | None:
     if configuration.membership is None:
         return None
     # Imported here: a sidecar without membership loads nothing of it.
     from cressrail.network.membership_transport import MembershipTransport
 
-    return MembershipTransport(dispatcher, configuration.membership, waits=waits)
+    return MembershipTransport(dispatcher, configuration.membership, binds_later=binds_later)
 
 
 def _log_start(configuration: StartupConfiguration, log: LogWriter, state_machine: StateMachine) -> None:
@@ -220,5 +220,5 @@
         client = HandoverClientTask(dispatcher, predecessor)
         client.take_over()
         dispatcher.at_end.append(client.announce_exit)
-        dispatcher.scheduler.spawn(client.wait_for_exit, is_first=True)
+        dispatcher.scheduler.spawn(client.wait_for_exit, has_priority=True)
     successor.run()
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -47,7 +47,7 @@
         self.descriptor = sock.fileno()
         self.input_buffer = ReceiveBuffer(pool)
         self.arrived_us = scheduler.earliest_arrival_us
-        self._may_have_come_with_connection = True
+        self._may_precede_stream = True
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -91,7 +91,7 @@
         mask: int,
         until_us: int = NEVER,
         wakes_on_message: bool = False,
-        is_resting: bool = False,
+        is_idle: bool = False,
     ) -> int:
         """Blocks until the socket is ready; returns the poll mask.
 
@@ -99,7 +99,7 @@
             StreamTimeoutError: The time came first.
             StreamInterruptedError: A message came first, if `wakes_on_message`.
         """
-        result = self.scheduler.wait(self.descriptor, mask, until_us, wakes_on_message, is_resting)
+        result = self.scheduler.wait(self.descriptor, mask, until_us, wakes_on_message, is_idle)
         if result == TIMED_OUT:
             raise StreamTimeoutError
         if result == MESSAGE:
@@ -138,13 +138,13 @@
         try:
             count = self.sock.recv_into(self.input_buffer.free_space())
         except BlockingIOError:
-            self._may_have_come_with_connection = False
+            self._may_precede_stream = False
             if not self.input_buffer.unread():
                 self.input_buffer.release()
             return -1
-        if not self._may_have_come_with_connection:
+        if not self._may_precede_stream:
             self.arrived_us = self.scheduler.earliest_arrival_us
-        self._may_have_come_with_connection = False
+        self._may_precede_stream = False
         self.input_buffer.add_received(count)
         return count
 
--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -11,11 +11,11 @@
 from cressrail.event_loop.scheduler import MESSAGE, READABLE, TIMED_OUT, Scheduler
 
 
-class RestingTasks:
+class IdleTasks:
     """A scheduler on a simulated clock, with resting tasks and one that works."""
 
     def __init__(self, number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(scheduler, "MAX_RESTING_IN_ONE_POLL", 4)
+        monkeypatch.setattr(scheduler, "MAX_IDLE_IN_ONE_POLL", 4)
         self.now = 1_000_000
         self.loop = Scheduler(lambda: self.now, lambda text: self.faults.append(text))
         self.faults: list[str] = []
@@ -23,11 +23,11 @@
         self.received: list[tuple[int, int]] = []  # which, and since when it may have come
         for n, (near, _) in enumerate(self.pairs):
             near.setblocking(False)
-            self.loop.spawn(lambda n=n, near=near: self._rest(n, near))  # type: ignore[misc]
+            self.loop.spawn(lambda n=n, near=near: self._wait_idle(n, near))  # type: ignore[misc]
 
-    def _rest(self, n: int, near: socket.socket) -> None:
+    def _wait_idle(self, n: int, near: socket.socket) -> None:
         while True:
-            mask = self.loop.wait(near.fileno(), READABLE, is_resting=True)
+            mask = self.loop.wait(near.fileno(), READABLE, is_idle=True)
             if not near.recv(10):
                 near.close()
                 return
@@ -55,7 +55,7 @@
 
 
 def test_resting_descriptors_leave_the_poll_of_each_round(monkeypatch: pytest.MonkeyPatch) -> None:
-    tasks = RestingTasks(10, monkeypatch)
+    tasks = IdleTasks(10, monkeypatch)
     tasks.work(3, 1000)
     assert len(tasks.loop.busy_masks) == 10
     tasks.work(80, 1000)
@@ -69,7 +69,7 @@
 def test_resting_descriptor_with_data_wakes_its_task_and_is_timed_from_the_poll_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    tasks = RestingTasks(10, monkeypatch)
+    tasks = IdleTasks(10, monkeypatch)
     tasks.work(80, 1000)
     looked = tasks.loop.last_full_poll_us
     tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
@@ -84,10 +84,10 @@
 
 
 def test_idle_scheduler_polls_all_descriptors_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    tasks = RestingTasks(10, monkeypatch)
+    tasks = IdleTasks(10, monkeypatch)
     tasks.work(80, 1000)
     tasks.pairs[7][1].send(b"x")
-    tasks.now += scheduler.IDLE_AFTER_US  # no event for so long; no full poll is due otherwise
+    tasks.now += scheduler.LOOP_IDLE_AFTER_US  # no event for so long; no full poll is due otherwise
     tasks.loop.next_full_poll_us = tasks.now + 50_000
     tasks.loop.is_stopped = False
     tasks.loop.after_round = lambda: setattr(tasks.loop, "is_stopped", True)
@@ -100,7 +100,7 @@
 def test_closed_descriptor_is_unregistered_and_its_number_serves_again(
     monkeypatch: pytest.MonkeyPatch, rounds: int
 ) -> None:
-    tasks = RestingTasks(10, monkeypatch)
+    tasks = IdleTasks(10, monkeypatch)
     tasks.work(rounds, 1000)
     numbers = {near.fileno() for near, _ in tasks.pairs[:6]}
     for _, far in tasks.pairs[:6]:
@@ -113,7 +113,7 @@
     more = socket.socketpair()
     tasks.pairs.append(more)
     more[0].setblocking(False)
-    tasks.loop.spawn(lambda: tasks._rest(99, more[0]))
+    tasks.loop.spawn(lambda: tasks._wait_idle(99, more[0]))
     tasks.work(3, 1000)
     more[1].send(b"x")
     tasks.work(6, 1000)
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -25,7 +25,7 @@
         super().__init__([answer_each_with(response_bytes(b"hello"))])
         self.admin_server = AdminServerTask(self.dispatcher, listener.bind(self.host, 0), None)
         self.admin_address: tuple[str, int] = self.admin_server.sock.getsockname()
-        self.scheduler.spawn(self.admin_server.run, is_first=True)
+        self.scheduler.spawn(self.admin_server.run, has_priority=True)
 
     def connect_admin(self) -> ScriptedPeer:
         """Connects to the admin address."""
