--- a/cressrail/event_loop/__init__.py
+++ b/cressrail/event_loop/__init__.py
@@ -1,4 +1,5 @@
-"""The event loop: tasks on greenlets, one `select.poll` a round, timers and the clock.
+"""The event loop: a scheduler for tasks on greenlets, with one `select.poll` per round, and the clock.
 
-Called by `network`, whose tasks block in `Scheduler.wait` alone. Imports no other package.
+The tasks of `network` run on it and block only in `Scheduler.wait`. This package imports no other package of
+the project.
 """
--- a/cressrail/event_loop/scheduler.py
+++ b/cressrail/event_loop/scheduler.py
@@ -1,14 +1,15 @@
-"""Tasks on greenlets, woken by descriptors, messages and timers; one poll a round.
+"""A cooperative scheduler for tasks on greenlets, woken by descriptors, messages and timers.
 
 A task runs until it calls `Scheduler.wait`, the only place where it blocks. It wakes when its descriptor is
-ready, a message is posted to it, or its time has come.
-
-`select.poll` walks all registered descriptors, so a round costs by what is open, not by what happens. Where
-many connections are idle, two poll objects are therefore used: `busy_poll` holds the descriptors that were
-active recently and is polled each round; `full_poll` holds all. While there is work, the full one is polled
-so rarely that it takes a small part of the time; while there is none, the process blocks in it. A descriptor
-stays registered after its task has woken, since most are waited for again; one that poll reports while no
-task waits for it, a closed one among them, is unregistered then.
+ready, when a message is posted to it, or when its timer expires.
+
+`select.poll` scans all registered descriptors, so the cost of a round grows with the number of open
+descriptors, not with the number of events. When many connections are idle, the scheduler therefore uses two
+poll objects: `busy_poll` holds the recently active descriptors and is polled in each round; `full_poll` holds
+all descriptors. While there is work, `full_poll` is polled rarely enough to take only a small share of the
+time; while there is none, the process blocks in it. A descriptor stays registered after its task has woken,
+because most tasks wait for the same descriptor again. If poll reports a descriptor that no task waits for
+(for example a closed one), the descriptor is unregistered.
 """
 
 from __future__ import annotations
@@ -22,36 +23,37 @@
 
 from greenlet import getcurrent, greenlet
 
-# What `Scheduler.wait` waits for and returns: masks of poll, and two results beside them. Plain numbers,
-# since they are combined and tested on the hot path, where an IntFlag would cost a call each time.
+# Event masks of poll, which `Scheduler.wait` accepts and returns, and its two other results. They are plain
+# integers because they are combined and tested on the hot path, where an IntFlag would cost a call each time.
 READABLE = select.POLLIN  # data, a new connection, or the end of the stream
 WRITABLE = select.POLLOUT  # the socket's send buffer has space
-PEER_CLOSED = select.POLLRDHUP  # the peer has shut down its side
-TIMED_OUT = 0  # the time has come and nothing else has happened
-MESSAGE = -1  # a message is there
-
-NEVER = 1 << 62  # as a time, in microseconds
-BLOCKING_POLL_US = 200  # a poll that took longer had nothing to report at first
-MAX_IDLE_IN_ONE_POLL = 128  # so many idle descriptors cost less than a second poll
-BUSY_POLL_RETENTION_US = 50_000  # after which a descriptor said to be resting leaves `busy_poll`
-LOOP_IDLE_AFTER_US = 20_000  # without any event, after which the process blocks in `full_poll`
-FULL_POLL_SHARE_DIVISOR = 10  # `full_poll` takes at most one such part of the time
+PEER_CLOSED = select.POLLRDHUP  # the peer has closed the connection or its sending side
+TIMED_OUT = 0  # the timer expired first; also the result that starts a new task
+MESSAGE = -1  # a message is in the mailbox of the task
+
+NEVER = 1 << 62  # microseconds; as a time: no time-out
+BLOCKING_POLL_US = 200  # a poll that took longer has blocked: no event was pending when it was called
+MAX_IDLE_IN_ONE_POLL = 128  # up to here, scanning idle descriptors costs less than polling a second object
+BUSY_POLL_RETENTION_US = 50_000  # how long a descriptor that is waited for as idle stays in `busy_poll`
+LOOP_IDLE_AFTER_US = 20_000  # after this long without an event the process blocks in `full_poll`
+FULL_POLL_SHARE_DIVISOR = 10  # while there is work, `full_poll` takes at most 1/10 of the time
 MIN_FULL_POLL_INTERVAL_US = 2_000
-MAX_VITAL_FAULTS = 8  # of a vital task within the window, then the loop ends
+MAX_VITAL_FAULTS = 8  # the loop ends when a vital task has failed this often within the window
 VITAL_FAULT_WINDOW_US = 10_000_000
 
 
 class Task:
-    """One flow of control; made by `Scheduler.spawn`.
+    """A cooperative thread of control, created by `Scheduler.spawn`.
 
     Attributes:
-        greenlet: Where it runs.
-        has_priority: When several are ready, its descriptor goes before the others' in a round.
-        messages: Posted to it and not yet taken; the task takes them.
-        fd: The descriptor it waits for; -1 for none.
-        earliest_arrival_us: The earliest time at which what it was woken for may have arrived.
-        wait_number: Counts waits and wake-ups; a timer set for an earlier one is void.
-        is_waiting_for_message: A message wakes it.
+        greenlet: The greenlet that the task runs on.
+        has_priority: Whether the task runs before other ready tasks of a round.
+        messages: The mailbox: posted messages that the task has not removed yet.
+        fd: The descriptor that the task waits for; -1 for none.
+        earliest_arrival_us: The earliest time at which the input that woke the task may have arrived.
+        wait_number: Number of waits and wake-ups so far; a timer that was set under another number is
+            ignored.
+        is_waiting_for_message: Whether a posted message wakes the task.
     """
 
     __slots__ = (
@@ -78,33 +80,33 @@
     """Runs tasks in rounds: one poll, then every task that is ready.
 
     Attributes:
-        after_round: Called after each round, with no task running.
-        is_stopped: `run` returns after the task that runs now.
-        has_failed: Stopped because a vital task failed again and again.
-        current: The task that runs; None between rounds.
-        round_started_us: Time of the last poll.
-        earliest_event_us: The earliest time at which what the last poll reported may have arrived.
+        after_round: Callback that runs after each round, outside any task.
+        is_stopped: Whether `run` is to return once the running task blocks or ends.
+        has_failed: Whether the loop stopped because a vital task failed too often.
+        current: The running task; None between rounds.
+        round_started_us: Time at which the last poll returned.
+        earliest_event_us: The earliest time at which the input reported by the last poll may have arrived.
     """
 
     def __init__(self, now: Callable[[], int], on_fault: Callable[[str], None]) -> None:
-        """Makes a scheduler without tasks.
+        """Creates a scheduler without tasks.
 
         Args:
-            now: Gives the time in microseconds.
-            on_fault: Is given the traceback of each exception that a task did not handle.
+            now: Returns the current time in microseconds.
+            on_fault: Called with the traceback of each exception that a task did not handle.
         """
         self.now = now
         self.on_fault = on_fault
         self.after_round: Callable[[], None] = lambda: None
         self.busy_poll, self.full_poll = select.poll(), select.poll()
-        self.busy_masks: dict[int, int] = {}  # what each descriptor is registered for
+        self.busy_masks: dict[int, int] = {}  # descriptor -> mask that it is registered with
         self.full_masks: dict[int, int] = {}
-        # Waits that were said to be resting: time, task, its wait number, descriptor.
+        # Waits for idle descriptors, oldest first: time, task, wait number of the task, descriptor.
         self.idle_waits: deque[tuple[int, Task, int, int]] = deque()
         self.last_full_poll_us = self.next_full_poll_us = self.last_event_us = now()
         self.task_by_descriptor: dict[int, Task] = {}
         self.ready: deque[tuple[Task, int]] = deque()
-        # A heap: time, number of the timer, task, its wait number.
+        # A heap of (time, sequence number of the timer, task, wait number of the task).
         self.timers: list[tuple[int, int, Task, int]] = []
         self.timer_count = 0
         self.task_count = 0
@@ -115,13 +117,14 @@
         self.round_started_us = self.earliest_event_us = now()
 
     def spawn(self, work: Callable[[], None], has_priority: bool = False, is_vital: bool = False) -> Task:
-        """Makes a task that starts in the next round.
+        """Creates a task that starts in the next round.
 
         Args:
-            work: What the task does; an exception that it raises ends no other task.
-            has_priority: Its descriptor goes before the others' in a round.
-            is_vital: The process is of no use without the task: after an exception it starts again, and
-                where that happens too often, the loop ends, so that the process does not live on idle.
+            work: The body of the task. An unhandled exception in it does not affect other tasks.
+            has_priority: Whether the task runs before other ready tasks of a round.
+            is_vital: Whether the process cannot do its work without the task. After an exception such a
+                task is restarted; if it fails too often, the loop ends, so that no process stays up
+                without serving.
         """
 
         def body(_: int) -> None:
@@ -131,7 +134,7 @@
                 try:
                     work()
                     runs_again = False
-                except Exception:  # an error on one connection must not end the others
+                except Exception:  # an error on one connection must not affect the others
                     self.on_fault(traceback.format_exc())
                     faults.append(self.now())
                     runs_again = is_vital
@@ -146,24 +149,24 @@
         return task
 
     def post(self, task: Task, message: Any) -> None:
-        """Adds a message to a task, and wakes it if it waits for one."""
+        """Adds a message to the mailbox of a task, and wakes the task if it waits for messages."""
         task.messages.append(message)
         if task.is_waiting_for_message:
             self._wake(task, MESSAGE)
 
     def current_task(self) -> Task:
-        """Returns the task that runs now.
+        """Returns the running task.
 
         Raises:
-            RuntimeError: Called from outside a task.
+            RuntimeError: No task is running.
         """
         if self.current is None:
-            raise RuntimeError("not called from a task")
+            raise RuntimeError("Scheduler.current_task was called outside a task")
         return self.current
 
     @property
     def earliest_arrival_us(self) -> int:
-        """The earliest time at which what the current task reads may have arrived."""
+        """The earliest time at which the input that woke the running task may have arrived."""
         return self.current.earliest_arrival_us if self.current is not None else self.earliest_event_us
 
     def wait(
@@ -174,14 +177,16 @@
         wakes_on_message: bool = True,
         is_idle: bool = False,
     ) -> int:
-        """Blocks the current task; returns at once if it wakes on messages and has one.
+        """Blocks the running task until a descriptor is ready, a message is posted or a time has come.
+
+        Returns at once if `wakes_on_message` is true and the mailbox of the task is not empty.
 
         Args:
-            descriptor: Wakes the task when it is ready; -1 for none. One task at a time waits for it.
-            mask: What it is to be ready for: `READABLE`, `WRITABLE`, `PEER_CLOSED`.
-            until_us: Time at which the task wakes in any case.
-            wakes_on_message: Whether a message wakes it.
-            is_idle: Nothing is expected of the descriptor soon.
+            descriptor: The descriptor to wait for; -1 for none. Only one task may wait for a descriptor.
+            mask: The events to wait for: `READABLE`, `WRITABLE`, `PEER_CLOSED` or a combination of them.
+            until_us: The time at which the task wakes at the latest, in microseconds.
+            wakes_on_message: Whether a posted message wakes the task.
+            is_idle: Whether no event is expected on the descriptor soon.
 
         Returns:
             The mask that poll reported, `MESSAGE` or `TIMED_OUT`.
@@ -209,7 +214,7 @@
         return int(self.hub.switch())
 
     def _wake(self, task: Task, result: int) -> None:
-        """Makes a task ready; its `wait` returns `result`."""
+        """Marks a task as ready to run; its call of `wait` will return `result`."""
         task.is_waiting_for_message = False
         task.wait_number += 1
         task.earliest_arrival_us = self.earliest_event_us
@@ -222,10 +227,10 @@
             self.ready.append((task, result))
 
     def run(self) -> None:
-        """Runs rounds until `is_stopped`."""
+        """Runs rounds until `is_stopped` is set."""
         while not self.is_stopped:
             self._poll()
-            # Tasks that become ready meanwhile run after the next poll.
+            # Tasks that become ready during this loop run after the next poll.
             for _ in range(len(self.ready)):
                 task, result = self.ready.popleft()
                 self.current = task
@@ -236,7 +241,7 @@
             self.after_round()
 
     def _poll(self) -> None:
-        """Polls once, blocking while nothing is ready, and makes ready what has something to do."""
+        """Polls once, and wakes the tasks whose descriptors are ready or whose timers have expired."""
         before_us = self.now()
         wait_us = self._time_to_wait_us(before_us)
         self._remove_idle_descriptors(before_us)
@@ -263,27 +268,35 @@
                 self._wake(task, TIMED_OUT)
 
     def _time_to_wait_us(self, now_us: int) -> int:
-        """Returns how long poll may block: until the next timer, and not at all while a task is ready."""
+        """Returns how long poll may block, in microseconds: until the next timer, or 0 if a task is ready."""
         timers = self.timers
-        while timers and timers[0][2].wait_number != timers[0][3]:  # its task has woken since
+        while timers and timers[0][2].wait_number != timers[0][3]:  # the task has woken since
             heappop(timers)
         if self.ready:
             return 0
         return max(0, timers[0][0] - now_us) if timers else NEVER
 
     def _remove_idle_descriptors(self, now_us: int) -> None:
-        """Takes descriptors that have rested long enough out of `busy_poll`."""
+        """Removes from `busy_poll` the descriptors that have been idle for `BUSY_POLL_RETENTION_US`."""
         while self.idle_waits and self.idle_waits[0][0] + BUSY_POLL_RETENTION_US <= now_us:
             _, task, wait_number, descriptor = self.idle_waits.popleft()
             if task.wait_number == wait_number and self.busy_masks.pop(descriptor, None) is not None:
                 self.busy_poll.unregister(descriptor)
 
     def _after_full_poll(self, before_us: int, now_us: int, wait_us: int) -> int:
-        """Sets the next full poll and `earliest_event_us`; returns the same for resting descriptors.
+        """Schedules the next full poll and sets `earliest_event_us`.
+
+        Events that poll reports without blocking may have arrived at any time since the previous poll, while
+        this process was busy; the time that a request spent in the kernel counts towards its deadline. Events
+        that poll reports after blocking have arrived just now.
 
-        What poll reports at once may have arrived at any time since the poll before, while this process was
-        at work; the time that a request spent in the kernel counts towards its deadline. What it reports
-        after blocking has arrived just now.
+        Args:
+            before_us: The time before the poll.
+            now_us: The time after the poll.
+            wait_us: How long the poll was allowed to block, in microseconds.
+
+        Returns:
+            The earliest arrival time for descriptors that only `full_poll` holds, in microseconds.
         """
         idle_earliest_us = self.earliest_event_us = now_us
         if now_us - before_us <= BLOCKING_POLL_US or wait_us == 0:
@@ -295,11 +308,11 @@
         return idle_earliest_us
 
     def _wake_for_events(self, events: list[tuple[int, int]], idle_earliest_us: int) -> None:
-        """Wakes the tasks whose descriptors are ready, those that go first before the others."""
+        """Wakes the tasks whose descriptors are ready, tasks with priority first."""
         others = []
         for descriptor, mask in events:
             task = self.task_by_descriptor.get(descriptor)
-            if task is None:  # no task waits for it now, or it is closed
+            if task is None:  # no task waits for the descriptor, or it is closed
                 self._unregister(descriptor)
             elif task.has_priority:
                 self._wake(task, mask)
@@ -322,5 +335,5 @@
 
 
 def _poll_timeout_ms(us: int) -> int | None:
-    """Returns the time in whole milliseconds, rounded up; None for `NEVER`."""
+    """Converts a time-out from microseconds to whole milliseconds, rounded up; None for `NEVER`."""
     return None if us >= NEVER else -(-us // 1000)
--- a/cressrail/network/__init__.py
+++ b/cressrail/network/__init__.py
@@ -1,6 +1,6 @@
-"""Sockets of one process: clients, endpoints, discovery, the admin API, membership, hand-over.
+"""The socket I/O of a sidecar: clients, endpoints, discovery, the admin API, membership and hand-over.
 
-Each kind of connection has a task of its own. A task reads, reports events to the proxy's state machine, and
-carries out the commands that the `CommandDispatcher` passes to it; it decides nothing itself. `cli` assembles
-and runs a `Server`; this package may import all others that `serve` needs.
+Each connection is handled by its own task. A task reads from its socket, reports events to the proxy's state
+machine, and executes the commands that the `CommandDispatcher` passes to it; the decisions are made by the
+state machine. `cli` assembles and runs a `Server`. This package may import every package that `serve` needs.
 """
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -1,7 +1,7 @@
-"""The admin API: a second address for operators, one call to a connection.
+"""The admin API: an HTTP server for operators on a separate address, with one request per connection.
 
-It uses no buffer of the pool and has descriptors of its own, and its tasks run before others in a
-round of the event loop, so that it answers however busy the sidecar is.
+The admin API stays responsive however busy the sidecar is: it takes no buffers from the pool, its descriptors
+are reserved, and its tasks run before other ready tasks in a round of the event loop.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-MAX_OPEN_CALLS = 8  # the oldest unfinished one makes room for one more
-DESCRIPTORS = MAX_OPEN_CALLS + 2  # with the listening socket and one that is being accepted
-CALL_TIMEOUT_US = 2_000_000  # from the connection to the end of the head, and for writing the response
-DRAIN_TIMEOUT_US = 500_000  # reads and drops what still comes after the response
+MAX_OPEN_CALLS = 8  # a further connection closes the oldest unfinished call
+DESCRIPTORS = MAX_OPEN_CALLS + 2  # plus the listening socket and a connection that is being accepted
+CALL_TIMEOUT_US = 2_000_000  # from accepting the connection to the end of the head; then for the response
+DRAIN_TIMEOUT_US = 500_000  # for which input after the response is read and discarded
 READ_BYTES = 4096
 CLOSE_CALL = "close call"
-MEMBERSHIP_PATH, ZONES_PATH = b"/membership", b"/zones"  # where membership is configured
+MEMBERSHIP_PATH, ZONES_PATH = b"/membership", b"/zones"  # served only if membership is configured
 JSON = b"application/json"
 
 
 class AdminServerTask:
-    """Owns the listening socket of the admin address and keeps the open calls."""
+    """Owns the listening socket of the admin address and keeps track of the open calls."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         self.dispatcher = dispatcher
         self.sock = sock
         self.membership = membership
-        self.calls: dict[Task, None] = {}  # the oldest first
+        self.calls: dict[Task, None] = {}  # used as an ordered set, oldest first
 
     def run(self) -> None:
-        """Accepts calls until a message ends it."""
+        """Accepts connections until a message is posted to the task."""
         try:
             while self.dispatcher.scheduler.wait(self.sock.fileno(), READABLE) != MESSAGE:
                 self._accept()
@@ -61,7 +61,7 @@
         try:
             sock, _ = self.sock.accept()
         except OSError as error:
-            if error.errno in DESCRIPTORS_EXHAUSTED:  # else the waiting caller would wake this task at once
+            if error.errno in DESCRIPTORS_EXHAUSTED:  # the queued connection would wake this task at once
                 until_us = self.dispatcher.now() + NO_DESCRIPTORS_PAUSE_US
                 scheduler.wait(until_us=until_us, wakes_on_message=False)
             return
@@ -73,7 +73,7 @@
 
 
 class AdminCall:
-    """One connection to the admin address: reads a request, answers it, closes."""
+    """One connection to the admin address: reads a request, sends the response and closes."""
 
     def __init__(self, server: AdminServerTask, sock: socket.socket) -> None:
         self.server = server
@@ -82,7 +82,7 @@
         sock.setblocking(False)
 
     def run(self) -> None:
-        """Handles the call; a caller that is slow or leaves is closed without a response."""
+        """Handles the call; a caller that is too slow or disconnects gets no response."""
         task = self.dispatcher.scheduler.current_task()
         try:
             response = self._read_call()
@@ -95,7 +95,7 @@
             self.sock.close()
 
     def _read_call(self) -> AdminResponse | None:
-        """Reads the head and carries the call out; None where the caller is slow or leaves."""
+        """Reads the request head and executes the call; None if the caller is too slow or disconnects."""
         received, until_us = bytearray(), self.dispatcher.now() + CALL_TIMEOUT_US
         while data := self._receive(until_us):
             received += data
@@ -122,7 +122,7 @@
         return response
 
     def _receive(self, until_us: int) -> bytes:
-        """Returns received bytes, or none at the end of the connection, in time-outs and on a hang-up."""
+        """Returns received bytes; empty at the end of the connection, at a time-out or after `CLOSE_CALL`."""
         while True:
             try:
                 return self.sock.recv(READ_BYTES)
@@ -145,7 +145,7 @@
                     TIMED_OUT,
                 ):
                     return
-        # A close with bytes unread would reset the connection, and the response with it.
+        # Closing a socket with unread input would reset the connection and lose the response.
         self.sock.shutdown(socket.SHUT_WR)
         until_us = self.dispatcher.now() + DRAIN_TIMEOUT_US
         while self._receive(until_us):
@@ -166,7 +166,12 @@
 
 
 def _zones_response(status: int, answer: Any) -> AdminResponse:
-    """`answer` is a JSON value for 200, the allowed method for 405, a message otherwise."""
+    """Converts an answer on zones into an HTTP response.
+
+    Args:
+        status: The HTTP status.
+        answer: A JSON value for 200, the allowed method for 405, otherwise an error message.
+    """
     if status == 405:
         return AdminResponse(405, b"not by this method\n", allow=answer.encode())
     if status != 200:
--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt over an open connection: sends the request, its upload if there is one, reads the response."""
+"""One attempt over an open connection: sends the request with its body and reads the response."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from cressrail.proxy.commands import SendAttempt, SendResponse
 
 OK = 200
-DECLINED_STATUSES = (503, 504)  # with `Srv-Declined: 1`: the endpoint has not begun the request
+DECLINED_STATUSES = (503, 504)  # with `Srv-Declined: 1`: the endpoint has not started the request
 FIRST_CLIENT_ERROR, FIRST_SERVER_ERROR = 400, 500
-# Client errors by status that may be the endpoint's doing: request timeout, too many requests.
+# Client errors by status that the endpoint may itself have caused: request timeout, too many requests.
 AMBIGUOUS_CLIENT_ERRORS = (408, 429)
 
 
@@ -33,8 +33,8 @@
     """How an attempt ended on its connection.
 
     Attributes:
-        outcome: What the endpoint made of it.
-        reason: For the log.
+        outcome: The outcome of the attempt.
+        reason: Why the attempt failed, for the log; empty if there is nothing to add to the outcome.
         is_connection_reusable: Whether the connection may carry another attempt.
         has_endpoint_refused: Whether the endpoint refused the connection.
     """
@@ -46,12 +46,13 @@
 
 
 class AttemptExchange:
-    """The request and the response of one attempt.
+    """Sends the request of one attempt and receives its response.
 
     Attributes:
-        body: Of the response; owned by the exchange until `release_body`.
-        reader: Parses the response.
-        is_streaming: The client receives the response as it comes, so there can be no other answer.
+        body: The body of the response; owned by the exchange until `release_body`.
+        reader: The parser of the response.
+        is_streaming: Whether the response is being streamed to the client, so that no other response can
+            replace it.
     """
 
     def __init__(self, dispatcher: CommandDispatcher, command: SendAttempt) -> None:
@@ -68,8 +69,11 @@
         """Sends the request and reads the response.
 
         Args:
-            stream: An open connection on which nothing is expected.
-            now_us: The time from which the attempt's time limit counts.
+            stream: An open connection without an outstanding response.
+            now_us: The time at which the attempt is sent, in microseconds.
+
+        Returns:
+            How the attempt ended.
         """
         end = self._send_request(stream, now_us)
         if end is not None:
@@ -84,7 +88,7 @@
         return self._read_response(stream, until_us)
 
     def release_body(self, is_complete: bool) -> StreamingBody | None:
-        """Ends the exchange; returns the body of a complete response that has not been streamed."""
+        """Ends the exchange; returns the body if the response is complete and was not streamed, else None."""
         pipe = self.body.pipe
         if self.is_streaming and pipe is not None:
             if is_complete:
@@ -98,11 +102,12 @@
     # The request
 
     def _send_request(self, stream: SocketStream, now_us: int) -> AttemptEnd | None:
-        """Sends the head and what is kept of the body; returns None once that is written."""
+        """Sends the head and the kept part of the body; returns None once they are written."""
         command, request = self.command, self.request
         peer_timeout_us = self.dispatcher.peer_timeout_us
         host = f"[{command.host}]" if ":" in command.host else command.host
-        remaining_us = min(command.timeout_at_us - now_us, peer_timeout_us)  # an upload has no limit yet
+        # The deadline of an upload starts with its last byte; until then only the peer time-out applies.
+        remaining_us = min(command.timeout_at_us - now_us, peer_timeout_us)
         head = memoryview(request.encode_head(f"{host}:{command.port}", remaining_us))
         body = request.body.views()
         if request.is_chunked:
@@ -113,18 +118,18 @@
             )
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
-        except (StreamTimeoutError, OSError) as error:  # endpoints begin a request with its last byte
-            return AttemptEnd(Outcome.CONNECT_FAILED, str(error) or "not written in time")
+        except (StreamTimeoutError, OSError) as error:  # endpoints start a request only after its last byte
+            return AttemptEnd(Outcome.CONNECT_FAILED, str(error) or "request not sent before the time limit")
         return None
 
     def _upload(self, stream: SocketStream) -> AttemptEnd | None:
-        """Sends the rest of a large request as it comes; returns None once all of it is written.
+        """Sends the rest of a large request as it is received; returns None once all of it is written.
 
-        The endpoint does not begin the request before its last byte, but may answer early.
+        The endpoint does not start the request before it has the last byte, but may respond early.
         """
         pipe = self.request.body.pipe if isinstance(self.request.body, StreamingBody) else None
         if pipe is None:
-            raise ValueError("a streaming request without a pipe")
+            raise ValueError("the body of a streaming request has no pipe")
         messages = self.scheduler.current_task().messages
         sender = PipeSender(pipe, self.request.is_chunked)
         try:
@@ -135,20 +140,22 @@
                 if end is not None:
                     return end
         except (OSError, MalformedMessageError) as error:
-            # The endpoint may have answered before it closed the connection.
+            # The endpoint may have responded before it closed the connection.
             with suppress(OSError, MalformedMessageError, BufferPoolExhaustedError):
                 if self.reader.is_complete or self._read_early_response(stream):
                     return self._end_of_response(is_connection_reusable=False)
-            return AttemptEnd(Outcome.CONNECT_FAILED, str(error) or "ended")
+            return AttemptEnd(
+                Outcome.CONNECT_FAILED, str(error) or "endpoint closed the connection during the upload"
+            )
         except BufferPoolExhaustedError:
-            return AttemptEnd(Outcome.CANCELLED, "no buffer left")
+            return AttemptEnd(Outcome.CANCELLED, "buffer pool exhausted during the upload")
         finally:
             sender.unsent.clear()
-            discard_pipe_messages(messages)  # else one would look like a command later
+            discard_pipe_messages(messages)  # a leftover message would later be taken for a command
         return AttemptEnd(Outcome.CANCELLED, "client aborted the request") if pipe.has_failed else None
 
     def _wait_during_upload(self, stream: SocketStream, sender: PipeSender) -> AttemptEnd | None:
-        """Waits until more can be sent; returns how the attempt ended, if it ended meanwhile."""
+        """Waits until more can be sent; returns how the attempt ended, or None if it continues."""
         task = self.scheduler.current_task()
         if sender.unsent:
             until_us = self.dispatcher.now() + self.dispatcher.peer_timeout_us
@@ -158,7 +165,9 @@
             event = self.scheduler.wait(stream.descriptor, READABLE)
             sender.pipe.on_data = None
         if event == TIMED_OUT:
-            return AttemptEnd(Outcome.CONNECT_FAILED, "not written in time")
+            return AttemptEnd(
+                Outcome.CONNECT_FAILED, "endpoint accepted no more of the upload before the time limit"
+            )
         if event == MESSAGE:
             discard_pipe_messages(task.messages)
             return AttemptEnd(Outcome.CANCELLED) if task.messages else None
@@ -167,10 +176,12 @@
         return None
 
     def _read_early_response(self, stream: SocketStream) -> bool:
-        """Reads what has come during an upload; returns whether the response is complete.
+        """Reads what has arrived of the response during an upload; returns whether the response is complete.
 
         Raises:
-            MalformedMessageError: The connection ended before.
+            MalformedMessageError: The response is malformed, or the connection ended before its end.
+            BufferPoolExhaustedError: There is no buffer to receive into.
+            OSError: The connection was reset.
         """
         while not self.reader.is_complete:
             count = stream.receive()
@@ -191,21 +202,23 @@
                 pass
         except StreamTimeoutError:
             if self.is_streaming:
-                return AttemptEnd(Outcome.CONNECTION_RESET, "silent")
+                return AttemptEnd(
+                    Outcome.CONNECTION_RESET, "endpoint stopped sending in the middle of its response"
+                )
             return AttemptEnd(Outcome.TIMED_OUT)
         except StreamInterruptedError:
             return AttemptEnd(Outcome.CANCELLED)
         except BufferPoolExhaustedError:
-            return AttemptEnd(Outcome.CANCELLED, "no buffer left")
+            return AttemptEnd(Outcome.CANCELLED, "buffer pool exhausted while receiving the response")
         except (OSError, MalformedMessageError) as error:
             return AttemptEnd(Outcome.CONNECTION_RESET, str(error))
         if self.reader.status == OK and not self.reader.is_complete:
-            return AttemptEnd(Outcome.CANCELLED)  # the client is gone
+            return AttemptEnd(Outcome.CANCELLED)  # no client receives the response any more
         is_reusable = self.reader.is_complete and self.reader.keep_alive and not stream.input_buffer.unread()
         return self._end_of_response(is_reusable)
 
     def _receive_response(self, stream: SocketStream, until_us: int) -> bool:
-        """Receives once, or waits; returns False where the rest of the response is not wanted."""
+        """Receives once, or waits; returns False if the rest of the response is not needed."""
         pipe = self.body.pipe
         if pipe is not None and not pipe.has_room():
             self._wait_for_client(pipe)
@@ -221,7 +234,7 @@
         if count == 0:
             self.reader.on_connection_closed()
         elif count < 0:
-            if self.is_streaming:  # its client waits for the end: only silence is limited
+            if self.is_streaming:  # the client already has a part of it: only gaps between bytes are limited
                 until_us = self.dispatcher.now() + self.dispatcher.peer_timeout_us
             stream.wait(READABLE, until_us, wakes_on_message=True)
         else:
@@ -231,12 +244,15 @@
         return True
 
     def _is_rest_wanted(self) -> bool:
-        """Decides whether to read on after the head; a response too large to keep begins to stream."""
+        """Returns whether to read on after the head.
+
+        Starts streaming to the client if the response is too large to be kept.
+        """
         reader = self.reader
         if self.body.pipe is None and (reader.content_length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != OK:
-            return False  # the status is all that counts
+            return False  # of a failed attempt only the status is used
         self.body.start_streaming()
         content_type = reader.header(b"content-type")
         response = Response(OK, self.body, content_type, content_length=reader.content_length)
@@ -248,13 +264,13 @@
         return self.is_streaming
 
     def _wait_for_client(self, pipe: Pipe) -> None:
-        """Waits until the client's task has taken something from the pipe.
+        """Waits until the client's task has consumed data from the pipe.
 
         Raises:
-            StreamInterruptedError: The attempt is cancelled.
+            StreamInterruptedError: The attempt has been cancelled.
         """
         task = self.scheduler.current_task()
-        if not pipe.is_full():  # the pool is exhausted: any task may return a buffer
+        if not pipe.is_full():  # the pool is exhausted, and any task may return a buffer to it
             until_us = self.dispatcher.now() + BUFFER_RETRY_US
             self.scheduler.wait(until_us=until_us, wakes_on_message=False)
             return
@@ -273,7 +289,7 @@
         if status in DECLINED_STATUSES and self.reader.header(b"srv-declined") == b"1":
             outcome = Outcome.REJECTED_BY_ENDPOINT
         elif is_client_error and status not in AMBIGUOUS_CLIENT_ERRORS:
-            outcome = Outcome.INVALID_REQUEST  # neither a fault of the endpoint nor worth a retry
+            outcome = Outcome.INVALID_REQUEST  # the endpoint is not at fault, and a retry would fail too
         else:
             outcome = Outcome.ERROR
-        return AttemptEnd(outcome, f"status {status}", is_connection_reusable)
+        return AttemptEnd(outcome, f"endpoint responded with status {status}", is_connection_reusable)
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: receives one request after another and answers each before it reads the next."""
+"""The connection of a client: receives a request and sends its response before reading the next request."""
 
 from __future__ import annotations
 
@@ -18,32 +18,36 @@
 from cressrail.network.stale_messages import discard_stale_messages
 from cressrail.proxy.commands import CloseClient, ReadRequest, SendResponse
 
-LINGER_US = 500_000
-UPLOAD_LINGER_US = 2_000_000  # while the rest of a request that has its answer may still come
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+LINGER_US = 500_000  # how long input is still read and discarded when a connection is closed
+UPLOAD_LINGER_US = 2_000_000  # the same while the rest of a request that was already answered may arrive
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger for SO_LINGER: enabled, zero seconds
 
 
 class ClientConnectionTask:
-    """Owns the connection, and the body of a request until that is complete.
+    """Owns the connection of a client, and the body of a request until the request is complete.
 
     Attributes:
-        number: Of the client, as the state machine knows it.
+        number: The number by which the state machine identifies the client.
         stream: The connection.
-        upload: The rest of a request that was passed on before it was complete.
+        upload: Receives the rest of a request that was forwarded before it was complete; None otherwise.
     """
 
     def __init__(self, dispatcher: CommandDispatcher, number: int, sock: socket.socket) -> None:
-        """Raises `OSError` where the client has left already."""
+        """Sets up the socket.
+
+        Raises:
+            OSError: The client has already disconnected.
+        """
         self.dispatcher = dispatcher
         self.number = number
         self.stream = SocketStream(dispatcher.scheduler, dispatcher.pool, sock)
         self.upload: RequestUpload | None = None
         self._reception: RequestReception | None = None
         self._awaits_first_request = True
-        self._has_unread_input = False  # what the client sent is not read to its end
+        self._has_unread_input = False  # input of the client may remain unread at the close
 
     def run(self) -> None:
-        """Carries out commands of the state machine until the connection ends."""
+        """Executes commands of the state machine until the connection ends."""
         messages = self.dispatcher.scheduler.current_task().messages
         try:
             while self._carry_out(self._next_command(messages)):
@@ -56,14 +60,14 @@
                 self._reception.release()
             if self.upload is not None:
                 self.upload.pipe.fail()
-            for command in messages:  # a response that came too late for its client
+            for command in messages:  # responses that the client is no longer there to receive
                 if isinstance(command, SendResponse) and command.response.body is not None:
                     command.response.body.release()
             messages.clear()
             self.dispatcher.client_connection_closed(self.number)
 
     def _next_command(self, messages: Any) -> Any:
-        """Returns the next command; None if the client leaves first."""
+        """Returns the next command; None if the client disconnects first."""
         while not messages:
             if self.upload is not None:
                 if not self._continue_upload(self.upload):
@@ -73,14 +77,14 @@
         return messages.popleft()
 
     def _carry_out(self, command: Any) -> bool:
-        """Returns whether the connection goes on."""
+        """Executes a command; returns whether the connection stays open."""
         if isinstance(command, ReadRequest):
             return self._read_request()
         if isinstance(command, SendResponse):
             self._send_response(command)
             return True
         if isinstance(command, CloseClient):
-            if command.only_if_idle:  # a request has begun meanwhile
+            if command.only_if_idle:  # a request has started since the command was sent
                 return True
             self._linger(UPLOAD_LINGER_US if self.upload is not None else LINGER_US)
         return False
@@ -88,7 +92,7 @@
     # Requests
 
     def _read_request(self) -> bool:
-        """Receives a request or refuses what came; returns whether the connection goes on."""
+        """Receives a request or refuses it; returns whether the connection stays open."""
         self._reception = RequestReception(
             self.dispatcher, self.number, self.stream, self._awaits_first_request
         )
@@ -109,7 +113,7 @@
         return True
 
     def _continue_upload(self, upload: RequestUpload) -> bool:
-        """Passes on the rest of a large request until there is something else to do; False at the end."""
+        """Forwards the rest of a large request until a command arrives; False if the client disconnects."""
         state = upload.run()
         if state is UploadState.CLIENT_LEFT:
             return False
@@ -124,9 +128,11 @@
         upload.finish()
 
     def _linger(self, span_us: int) -> None:
-        """Closes gently, and at once where new clients wait for the place of this one.
+        """Shuts down the sending side and discards further input before the connection is closed.
 
-        What is sure to come would reset the response: then it lingers in any case.
+        When the client limit is reached, it does so only if more input of the client is certain to arrive,
+        because that input would reset the connection and lose the response. Otherwise the connection is
+        closed at once, to make room for waiting clients.
         """
         has_more_to_come = self._has_unread_input or self.upload is not None
         may_linger = has_more_to_come or not self.dispatcher.state_machine.is_full()
@@ -153,10 +159,10 @@
         dispatcher.dispatch(dispatcher.state_machine.on_response_written(dispatcher.now(), self.number))
 
     def _stream_response(self, pipe: Pipe, is_chunked: bool, ends_with_connection: bool) -> None:
-        """Sends the rest of a response as it comes.
+        """Sends the rest of a response as it is received from the endpoint.
 
         Raises:
-            ConnectionError: The response broke off, or the client left.
+            ConnectionError: The response ended before it was complete, or the client disconnected.
         """
         dispatcher = self.dispatcher
         while True:
@@ -167,9 +173,9 @@
                 del parts, chunk
                 pipe.consume(size)
             elif pipe.has_failed:
-                if ends_with_connection:  # only a reset tells such a client that the response is cut
+                if ends_with_connection:  # only a reset shows such a client that the response is truncated
                     self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-                raise ConnectionError("the response broke off")
+                raise ConnectionError("the response from the endpoint ended before it was complete")
             elif pipe.is_closed:
                 break
             else:
@@ -185,4 +191,4 @@
         pipe.on_data = None
         discard_stale_messages(task.messages)
         if event != MESSAGE:
-            raise ConnectionError("the client left")
+            raise ConnectionError("the client disconnected before the response was complete")
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file again, as SIGHUP asks."""
+"""Reloads the configuration file on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,18 +17,23 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-MAX_NAMED_PATHS = 8  # in one log event, of the settings that wait for a restart
+MAX_NAMED_PATHS = 8  # settings that need a restart, named in one log event
 
 
 class ConfigurationReload:
-    """Holds the configuration that was read last; a file that cannot be used leaves it as it was."""
+    """Holds the current configuration and reloads parts of it; an invalid file changes nothing."""
 
     def __init__(self, path: str, start: StartupConfiguration) -> None:
         self.path = path
         self.start = start
 
     def reload(self, dispatcher: CommandDispatcher, membership: MembershipTransport | None = None) -> None:
-        """Applies the address of discovery and the membership keys; names in the log what needs a restart."""
+        """Applies the address of discovery and the membership keys; logs which changes need a restart.
+
+        Args:
+            dispatcher: Provides the log and the state machine.
+            membership: The membership of this sidecar; None if it is not configured.
+        """
         try:
             start = reread_startup_configuration(self.path, self.start)
             with error_prefix(f"{self.path}: settings."):
@@ -45,7 +50,7 @@
                 "more": len(waiting[MAX_NAMED_PATHS:]),
             },
         )
-        # The other settings stay as they were, so that each reload names them until a restart.
+        # The other settings keep their values, so that each reload logs their paths until a restart.
         self.start.discovery, self.start.discovery_in_file = start.discovery, start.discovery_in_file
         if membership is not None and start.membership is not None:
             membership.set_keys(start.membership)
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: reads updates of the endpoint list, and opens again when it ends."""
+"""The watch on discovery: reads updates of the endpoint list, and is reopened when it ends."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 from cressrail.proxy.commands import WatchEndpoints
 
-HEARTBEAT_US = 2_000_000  # discovery sends an empty line so often where there is nothing else to send
-SILENCE_TIMEOUT_US = 2 * HEARTBEAT_US  # for the next complete line
-FIRST_ANSWER_TIMEOUT_US = HEARTBEAT_US // 2  # doubled with each watch in a row that brought nothing
+HEARTBEAT_US = 2_000_000  # interval at which discovery sends an empty line if there is no update
+SILENCE_TIMEOUT_US = 2 * HEARTBEAT_US  # time limit for the next complete line
+FIRST_ANSWER_TIMEOUT_US = HEARTBEAT_US // 2  # doubled with each consecutive watch without an update
 MAX_TIMEOUT_DOUBLINGS = 2
-MIN_LINE_BYTES_PER_S = 2_000  # a long line gets so much more time
+MIN_LINE_BYTES_PER_S = 2_000  # a partly received line extends the time limit at this rate
 UNLIMITED_BODY_BYTES = 1 << 62
 LIST_PATH = "/catalog/members"
 OK = 200
@@ -31,18 +31,18 @@
 
 
 class DiscoveryWatchTask:
-    """Watches what the last `WatchEndpoints` command names."""
+    """Runs the watch that the most recent `WatchEndpoints` command describes."""
 
     def __init__(self, dispatcher: CommandDispatcher) -> None:
         self.dispatcher = dispatcher
         self._is_watching = False
 
     def run(self) -> None:
-        """Runs for the life of the process; started again after a fault."""
+        """Runs for the lifetime of the process; the scheduler restarts it after an unhandled exception."""
         dispatcher = self.dispatcher
         messages = dispatcher.scheduler.current_task().messages
-        if self._is_watching:  # a fault ended the watch
-            self._report_end("fault")
+        if self._is_watching:  # an unhandled exception ended the watch
+            self._report_end("unhandled exception in the discovery watch")
         while True:
             command = self._next_command(messages)
             self._is_watching = True
@@ -51,7 +51,7 @@
                 self._report_end(reason)
 
     def _next_command(self, messages: Any) -> WatchEndpoints:
-        """Waits for a command and then for its time; a later command takes its place."""
+        """Waits for a command and then until it is due; a later command replaces an earlier one."""
         scheduler = self.dispatcher.scheduler
         while not messages:
             scheduler.wait()
@@ -65,12 +65,12 @@
         dispatcher.dispatch(dispatcher.state_machine.on_watch_ended(dispatcher.now(), reason))
 
     def _watch(self, command: WatchEndpoints, messages: Any) -> str | None:
-        """Watches until the watch ends; returns why, or None where another command has come."""
+        """Watches until the watch ends; returns the reason, or None if another command was received."""
         stream: SocketStream | None = None
         doublings = min(command.consecutive_failures, MAX_TIMEOUT_DOUBLINGS)
         answer_timeout_us = min(SILENCE_TIMEOUT_US, FIRST_ANSWER_TIMEOUT_US << doublings)
         try:
-            # One limit for connecting, asking and the first answer: updates must not come late.
+            # One time limit covers connecting, the request and the first answer: updates must not be late.
             until_us = self.dispatcher.now() + answer_timeout_us
             stream = self._connect(command, until_us)
             after_revision = command.after_revision
@@ -82,15 +82,15 @@
         except StreamInterruptedError:
             return None
         except StreamTimeoutError:
-            return "silent"
-        except BufferPoolExhaustedError:  # waiting for a buffer could leave a drain unnoticed
-            return "no buffer left"
+            return "discovery did not respond before the time limit"
+        except BufferPoolExhaustedError:  # waiting for a buffer could delay the drain of an endpoint
+            return "buffer pool exhausted while reading from discovery"
         except (OSError, MalformedMessageError, MalformedEndpointListError) as error:
-            return str(error) or "ended"
+            return str(error) or "connection to discovery failed"
         finally:
             if stream is not None:
                 stream.close()
-        return "ended"
+        return "discovery ended the response to the watch"
 
     def _connect(self, command: WatchEndpoints, until_us: int) -> SocketStream:
         dispatcher = self.dispatcher
@@ -110,34 +110,42 @@
     def _read_whole_list(
         self, command: WatchEndpoints, stream: SocketStream, until_us: int, messages: Any
     ) -> int:
-        """Reads and reports the whole list; returns its revision."""
+        """Requests the complete endpoint list and reports it; returns its revision."""
         self._request(stream, command.source, "", until_us)
         document = WholeDocument()
         self._read_updates(stream, document, -1, until_us, messages)
         update = parse_update_line(bytes(document.text))
         if not update.is_complete:
-            raise MalformedEndpointListError("not the whole list")
+            raise MalformedEndpointListError("discovery sent a partial update instead of the complete list")
         self._report(update)
         return update.revision
 
     def _read_updates(
         self, stream: SocketStream, lines: WatchLines, lines_before: int, until_us: int, messages: Any
     ) -> None:
-        """Reads a response to its end and reports each document.
+        """Reads a response to its end and reports each complete document in it.
 
-        The first sign of an answer must come by `until_us`: the head where `lines_before` is -1, else a line.
-        From then on complete lines count: half of one is as good as silence.
+        After the first progress, each complete line must follow within `SILENCE_TIMEOUT_US`. A partial line
+        does not count as progress; it only extends the time limit, as set by `MIN_LINE_BYTES_PER_S`.
+
+        Args:
+            stream: The connection to discovery.
+            lines: Receives the body and splits it into lines and documents.
+            lines_before: The number of lines beyond which progress is counted: -1 if the head of the response
+                already counts as progress, 0 if the first complete line does.
+            until_us: The time by which the first progress must be made, in microseconds.
+            messages: The mailbox of this task.
 
         Raises:
-            StreamTimeoutError: Discovery is silent.
-            StreamInterruptedError: Another command has come.
-            MalformedMessageError: The response is malformed or ends early.
-            MalformedEndpointListError: It is of another status, or a document is malformed.
+            StreamTimeoutError: Discovery made no progress in time.
+            StreamInterruptedError: Another command was received.
+            MalformedMessageError: The response is malformed or truncated.
+            MalformedEndpointListError: The status is not 200, or a document is malformed.
         """
         reader = ResponseReader(lines, UNLIMITED_BODY_BYTES)
         line_count = lines_before
         while not reader.is_complete:
-            if messages:  # updates from an address that is no longer watched do not count
+            if messages:  # updates from an address that is no longer watched are ignored
                 raise StreamInterruptedError
             count = stream.receive()
             if count == 0:
@@ -148,7 +156,7 @@
             else:
                 stream.feed_to(reader.feed)
                 if reader.status not in (NO_STATUS_YET, OK):
-                    raise MalformedEndpointListError(f"status {reader.status}")
+                    raise MalformedEndpointListError(f"discovery responded with status {reader.status}")
                 if reader.has_head and lines.line_count > line_count:
                     line_count = lines.line_count
                     until_us = self.dispatcher.now() + SILENCE_TIMEOUT_US
--- a/cressrail/network/dispatcher.py
+++ b/cressrail/network/dispatcher.py
@@ -1,8 +1,8 @@
-"""Hands each command of the state machine to the task or the function that carries it out.
+"""Passes each command of the state machine to the task or function that executes it.
 
-The dispatcher also holds what all tasks on sockets share: the scheduler, the buffer pool, the state
-machine, the log and the time limits. It knows of no task in particular; `server` registers those that
-handle a kind of command.
+The dispatcher also holds the objects that all network tasks share: the scheduler, the buffer pool, the state
+machine, the log and the time-outs. It does not depend on particular tasks; `server` registers the task for a
+type of command.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from cressrail.proxy.commands import Command
 from cressrail.proxy.state_machine import StateMachine
 
-PIPE_CHANGED = "pipe changed"  # the task at the other end of a pipe has filled, emptied or closed it
-BUFFER_RETRY_US = 5_000  # until a task tries again where the buffer pool is exhausted
+PIPE_CHANGED = "pipe changed"  # message: the other task has written to, read from or closed the pipe
+BUFFER_RETRY_US = 5_000  # interval between tries to get a buffer from an exhausted pool
 
 
 def discard_pipe_messages(mailbox: Any) -> None:
-    """Removes `PIPE_CHANGED` messages that belong to a wait which has ended."""
+    """Removes `PIPE_CHANGED` messages that were posted for a wait that has ended."""
     for _ in range(len(mailbox)):
         if (message := mailbox.popleft()) is not PIPE_CHANGED:
             mailbox.append(message)
 
 
 class CommandDispatcher:
-    """Carries commands out by handing them to tasks; never waits.
+    """Executes commands, most of them by posting them to a task; never blocks.
 
     Attributes:
-        clients: the task of each client connection, by its number.
-        connections: the task of each endpoint connection, by its number.
-        client_descriptors: the file descriptor of each client connection.
-        command_tasks: the task that handles a type of command, where it is one task alone.
-        start_connection: makes the work of a new endpoint connection from its number.
-        at_end: callbacks for when the event loop has ended; they may not wait.
+        clients: The task of each client connection, by client number.
+        connections: The task of each endpoint connection, by connection number.
+        client_descriptors: The file descriptor of each client connection, by client number.
+        command_tasks: The task for each type of command that a single task handles.
+        start_connection: Returns the body of the task for a new endpoint connection, given its number.
+        at_end: Callbacks that run after the event loop has ended; they must not block.
     """
 
     def __init__(
@@ -52,7 +52,18 @@
         endpoint_idle_timeout_us: int,
         peer_timeout_us: int,
     ) -> None:
-        """Args name the shared parts; `peer_timeout_us` bounds a peer that sends or reads slowly."""
+        """Creates a dispatcher without tasks.
+
+        Args:
+            scheduler: The event loop.
+            pool: The buffer pool.
+            state_machine: The state machine of the proxy.
+            log: The log of the sidecar.
+            connect_timeout_us: Time limit for establishing a connection, in microseconds.
+            endpoint_idle_timeout_us: Time after which an endpoint may close an idle connection, in
+                microseconds.
+            peer_timeout_us: Time limit for a peer that sends or reads slowly, in microseconds.
+        """
         self.scheduler = scheduler
         self.now = scheduler.now
         self.pool = pool
@@ -68,7 +79,7 @@
         self.at_end: list[Callable[[], None]] = []
         self.command_tasks: dict[type[Command], Task] = {}
         self._disconnect_poll = select.poll()
-        # One look-up by type for each command: a request causes half a dozen of them.
+        # One dictionary look-up per command, because each request causes about six commands.
         self.handlers: dict[type[Command], Callable[[Any], None]] = {
             commands.ReadRequest: self._to_client,
             commands.SendResponse: self._to_client,
@@ -82,17 +93,17 @@
         }
 
     def send_to_task(self, command_type: type[Command], task: Task) -> None:
-        """Makes commands of a type go to the mailbox of a task."""
+        """Registers a task whose mailbox receives all commands of a type."""
         self.command_tasks[command_type] = task
         self.handlers[command_type] = self._to_task
 
     def dispatch(self, pending: Iterable[Command]) -> None:
-        """Carries out commands in their order."""
+        """Executes commands in order."""
         for command in pending:
             self.handlers[type(command)](command)
 
     def has_client_disconnected(self, client: int) -> bool:
-        """Whether a client's connection has ended, even if its task has not been told yet."""
+        """Returns whether a client has closed its connection, even if the task has not noticed it yet."""
         descriptor = self.client_descriptors.get(client, -1)
         if descriptor < 0:
             return False
@@ -102,12 +113,12 @@
         return bool(events)
 
     def client_connection_closed(self, number: int) -> None:
-        """To be called by a client's task as its last act."""
+        """Removes a client connection; its task calls this last."""
         del self.clients[number], self.client_descriptors[number]
         self.dispatch(self.state_machine.on_client_closed(self.now(), number))
 
     def endpoint_connection_closed(self, number: int) -> None:
-        """To be called by an endpoint connection's task as its last act."""
+        """Removes an endpoint connection; its task calls this last."""
         del self.connections[number]
         self.dispatch(self.state_machine.on_connection_closed(number))
 
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint: carries one attempt at a time, rests between them, sends nothing twice."""
+"""A connection to an endpoint: carries one attempt at a time and stays open, idle, between attempts."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from cressrail.proxy.attempts import AttemptResult
 from cressrail.proxy.commands import CancelAttempt, SendAttempt
 
-IDLE_TIMEOUT_SHARE = 0.6  # of the time after which an endpoint may close an idle connection
+IDLE_TIMEOUT_SHARE = 0.6  # idle connections are closed after this share of the endpoint's idle time-out
 
 
 class EndpointConnectionTask:
-    """Owns the connection; opens it with the first attempt.
+    """Owns a connection to an endpoint, which the first attempt opens. No attempt is sent twice.
 
     Attributes:
-        number: Of the connection, as the state machine knows it.
-        stream: None while it is not open.
+        number: The number by which the state machine identifies the connection.
+        stream: The open connection; None while it is closed.
     """
 
     def __init__(self, dispatcher: CommandDispatcher, number: int) -> None:
@@ -43,7 +43,7 @@
             self.dispatcher.endpoint_connection_closed(self.number)
 
     def _wait_for_attempt(self) -> SendAttempt | None:
-        """Rests until there is an attempt to run; None once the connection is to be closed."""
+        """Waits for the next attempt; returns None if the connection is to be closed."""
         scheduler = self.dispatcher.scheduler
         task = scheduler.current_task()
         idle_us = int(self.dispatcher.endpoint_idle_timeout_us * IDLE_TIMEOUT_SHARE)
@@ -53,17 +53,17 @@
                 command = task.messages.popleft()
                 if isinstance(command, SendAttempt):
                     return command
-                if not isinstance(command, CancelAttempt):  # a cancelled attempt has ended by now
+                if not isinstance(command, CancelAttempt):  # the attempt to cancel has already ended
                     return None
             if self.stream is None:
                 return None
             event = scheduler.wait(self.stream.descriptor, READABLE, until_us, is_idle=True)
             if event != MESSAGE:
                 self._close_unless_usable()
-                self._close()  # idle for long enough, or closed by the endpoint
+                self._close()  # idle for too long, or closed by the endpoint
 
     def _close_unless_usable(self) -> None:
-        """Closes a resting connection that its endpoint has closed, and reports a reset."""
+        """Closes an idle connection that the endpoint has closed, and reports it if it was reset."""
         if self.stream is None:
             return
         state = self.stream.idle_state()
@@ -79,7 +79,7 @@
         """Runs one attempt and reports its result; returns whether the connection may carry another."""
         dispatcher = self.dispatcher
         exchange = AttemptExchange(dispatcher, command)
-        end = AttemptEnd(Outcome.CANCELLED, "fault")
+        end = AttemptEnd(Outcome.CANCELLED, "unhandled exception during the attempt")
         try:
             end = self._attempt(command, exchange)
         finally:
@@ -111,7 +111,7 @@
         return exchange.run(stream, now_us) if end is None else end
 
     def _open(self, command: SendAttempt) -> SocketStream:
-        """Returns the connection, once it has settled after the last attempt, or a new one."""
+        """Returns the existing connection, from `not_before_us` on, if it is usable, or else a new one."""
         dispatcher = self.dispatcher
         if (
             self.stream is not None
@@ -134,14 +134,15 @@
             return AttemptEnd(Outcome.NOT_SENT, str(error))
         return AttemptEnd(
             Outcome.CONNECT_FAILED,
-            str(error) or "no connection in time",
+            str(error) or "connection not established before the time limit",
             has_endpoint_refused=isinstance(error, ConnectionRefusedError),
         )
 
     def _check_before_send(self, command: SendAttempt, now_us: int) -> AttemptEnd | None:
-        """Asks once more whether the attempt may go; None if so.
+        """Checks again whether the attempt may be sent; returns None if so.
 
-        While it waited, as for a connection, its client may have left and the endpoint list may have changed.
+        While the attempt waited, for example for its connection, its client may have disconnected and the
+        endpoint list may have changed.
         """
         dispatcher, state_machine = self.dispatcher, self.dispatcher.state_machine
         client = state_machine.waiting_client(now_us, command.attempt)
@@ -151,8 +152,10 @@
         if unsent is not None:
             outcome, reason = unsent
             return AttemptEnd(outcome, reason, outcome is not Outcome.REJECTED_BY_ENDPOINT)
-        if now_us >= command.timeout_at_us:  # the endpoint is not to blame for the time that was left
-            return AttemptEnd(Outcome.NOT_SENT, "no time left", is_connection_reusable=True)
+        if now_us >= command.timeout_at_us:  # NOT_SENT, because the endpoint did not cause the delay
+            return AttemptEnd(
+                Outcome.NOT_SENT, "deadline passed before the request was sent", is_connection_reusable=True
+            )
         return None
 
     def _close(self) -> None:
