--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of failover over membership, and answers operators; decides nothing."""
+"""Executes the commands of failover by way of membership, and answers operators' requests on zones."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from cressrail.proxy.zone_statistics import ZoneStatistics
 
 SECOND_US = 1_000_000
-MAX_DRAIN_S = 43_200  # the datagrams hold no more than 65,535
-SHOWN_CHARACTERS = 40  # of an operator's input that is repeated in an answer
+MAX_DRAIN_S = 43_200  # datagrams encode seconds in 16 bits, so at most 65,535
+SHOWN_CHARACTERS = 40  # at most this much of an operator's input is repeated in an answer
 
 ZONES_PATH = b"/zones"
 EXPLAIN_PATH = b"/zones/explain"
@@ -27,12 +27,12 @@
 
 
 class AdminAnswer(NamedTuple):
-    """An answer at the admin address.
+    """The answer to an admin request on zones.
 
     Attributes:
-        status: HTTP status.
-        body: JSON value; the allowed method for a 405; otherwise the reason.
-        commands: Commands of membership that follow from the request.
+        status: The HTTP status.
+        body: A JSON value for 200, the allowed method for 405, otherwise an error message.
+        commands: Membership commands that result from the request.
     """
 
     status: int
@@ -41,7 +41,7 @@
 
 
 class FailoverDriver:
-    """Runs failover of one sidecar with the membership that it is given."""
+    """Runs failover on one sidecar, using its membership to exchange messages."""
 
     def __init__(
         self, dispatcher: CommandDispatcher, settings: FailoverSettings, membership: MembershipStateMachine
@@ -56,35 +56,35 @@
 
     @property
     def next_timer_us(self) -> int:
-        """When `on_timer` is due, in microseconds of the dispatcher's clock."""
+        """The time at which `on_timer` is due, in microseconds of the dispatcher's clock."""
         return self.host.next_timer_us
 
     def close(self) -> None:
-        """Stops counting attempts by zone: membership ends here, or continues in another process."""
+        """Stops counting attempts by zone, because membership ends or continues in another process."""
         proxy = self.dispatcher.state_machine
         self.dispatcher.dispatch(proxy.set_zone_statistics(self.dispatcher.now(), None))
 
     def on_timer(self, membership: MembershipStateMachine) -> list[membership_messages.Command]:
-        """Runs failover's timer, and gives the load balancer the present zone weights."""
+        """Runs the timer of failover and applies the current zone weights to the load balancer."""
         now_us = self.dispatcher.now()
         load_balancer = self.dispatcher.state_machine.load_balancer
         commands = self.host.on_timer(now_us, membership, load_balancer, self.statistics)
         membership_commands = self._carry_out(membership, commands)
-        # Each time, as a decision that is no longer fresh counts less and less.
+        # Applied on each timer, because the effect of a decision decreases as the decision ages.
         self._apply_zone_weights(now_us)
         return membership_commands
 
     def on_message(
         self, membership: MembershipStateMachine, message: membership_messages.UserMessage
     ) -> list[membership_messages.Command]:
-        """Takes a failover message that membership received."""
+        """Handles a failover message that membership has received."""
         commands = self.host.state_machine.on_message(self.dispatcher.now(), message.sender, message.payload)
         return self._carry_out(membership, commands)
 
     def on_admin_request(
         self, membership: MembershipStateMachine, method: bytes, target: bytes
     ) -> AdminAnswer:
-        """Answers a request at the admin address whose path begins with `/zones`."""
+        """Answers an admin request whose path starts with `/zones`."""
         path, _, query = target.partition(b"?")
         parameters = {name: values[0] for name, values in parse_qs(query.decode("ascii", "replace")).items()}
         if path == ZONES_PATH:
@@ -124,7 +124,7 @@
         return AdminAnswer(200, view, [])
 
     def _answer_drain(self, membership: MembershipStateMachine, zone: int, for_s: int) -> AdminAnswer:
-        """Drains a zone for so many seconds; 0 ends a drain."""
+        """Drains a zone for `for_s` seconds; 0 ends its drain."""
         now_us = self.dispatcher.now()
         until_us = now_us + for_s * SECOND_US if for_s else 0
         commands = self.host.state_machine.request_drain(now_us, zone, until_us)
--- a/cressrail/network/handover_client.py
+++ b/cressrail/network/handover_client.py
@@ -1,4 +1,4 @@
-"""The successor's side of a hand-over: finds the process that serves, and takes over from it."""
+"""The successor's side of a hand-over: finds the running predecessor and takes over from it."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     HeldResources,
 )
 
-FIRST_ANSWER_TIMEOUT_S = 1.0  # a process that serves answers within a round of its event loop
+FIRST_ANSWER_TIMEOUT_S = 1.0  # a serving process answers within one round of its event loop
 STATE_TIMEOUT_US = 1_000_000
-MAX_HELD_BUFFERS_SHARE = 0.75  # of the pool, so that this process has some from the start
+MAX_HELD_BUFFERS_SHARE = 0.75  # of the pool; the rest is available to this process from the start
 
 
 class Predecessor(NamedTuple):
-    """The process that serves.
+    """The process that is serving when this one starts.
 
     Attributes:
-        sock: A connection to it.
-        frames: What was received on the connection after the first frame.
-        listening_socket: The socket on which both processes accept clients, by turns.
-        endpoint_list: As the predecessor knows it.
+        sock: A connection to the predecessor.
+        frames: Holds what was received on the connection after the first frame.
+        listening_socket: The listening socket that both processes share; only one of them accepts at a time.
+        endpoint_list: The endpoint list that the predecessor uses.
     """
 
     sock: socket.socket
@@ -42,7 +42,7 @@
 
 
 def find_predecessor(path: str, listen: tuple[str, int]) -> Predecessor | None:
-    """Connects to the process that serves, blocking; None if there is none that can be relied on.
+    """Connects to the predecessor, blocking; returns None if there is none or it answers incorrectly.
 
     Args:
         path: The rendezvous path.
@@ -73,36 +73,40 @@
 ) -> EndpointListUpdate:
     answer = _receive_first_frame(sock, frames, descriptors)
     if answer.kind != FrameKind.LISTENING or len(descriptors) != 1:
-        raise HandoverError("no socket came")
+        raise HandoverError("predecessor did not send its listening socket")
     return parse_update(answer.fields.get(ENDPOINT_LIST))
 
 
 def _open_listening_socket(descriptors: list[int], listen: tuple[str, int]) -> socket.socket:
-    """Returns the socket behind the one descriptor, which it takes from the list."""
+    """Removes the only descriptor from the list and returns its socket.
+
+    Raises:
+        HandoverError: The socket is bound to another address than `listen`.
+    """
     listening_socket = socket.socket(fileno=descriptors.pop())
     if listening_socket.getsockname()[:2] != listen:
         listening_socket.close()
-        raise HandoverError("another address")
+        raise HandoverError(f"predecessor does not listen on {listen[0]}:{listen[1]}")
     return listening_socket
 
 
 def _receive_first_frame(sock: socket.socket, frames: FrameReader, descriptors: list[int]) -> Frame:
-    """Returns the first frame, and adds the descriptors that come with it to the list."""
+    """Returns the first frame and appends the descriptors that were sent with it to the list."""
     while (frame := frames.next_frame()) is None:
         data, received, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
         descriptors += received
         if not data:
-            raise HandoverError("ended")
+            raise HandoverError("predecessor closed the connection before its first frame")
         frames.feed(data)
     return frame
 
 
 class HandoverClientTask:
-    """Takes over when the state machine asks for it, and waits for the predecessor's exit.
+    """Takes over when the state machine requests it, and waits for the predecessor's exit.
 
     Attributes:
-        connection: To the predecessor.
-        held: What stays with the predecessor until then.
+        connection: The connection to the predecessor.
+        held: The resources that the predecessor keeps until it exits.
     """
 
     def __init__(self, dispatcher: CommandDispatcher, predecessor: Predecessor) -> None:
@@ -111,7 +115,7 @@
         self.held = HeldResources()
 
     def take_over(self) -> None:
-        """Waits for `BeginTakeover`, then asks for the predecessor's state."""
+        """Waits for `BeginTakeover`, then requests the predecessor's state and takes over."""
         dispatcher = self.dispatcher
         task = dispatcher.scheduler.current_task()
         while not task.messages:
@@ -126,12 +130,12 @@
         dispatcher.dispatch(commands)
 
     def wait_for_exit(self) -> None:
-        """Waits until the predecessor has exited, and takes what it held."""
+        """Waits until the predecessor has exited, and claims the resources that it held."""
         dispatcher = self.dispatcher
         try:
             with suppress(OSError):
                 while self.connection.receive():
-                    pass  # nothing that it sends now means anything
+                    pass  # the predecessor sends nothing of interest after its state
         finally:
             self.connection.close()
             dispatcher.pool.max_lent += self.held.buffers
@@ -141,16 +145,16 @@
             dispatcher.dispatch(commands)
 
     def announce_exit(self) -> None:
-        """Tells the predecessor not to serve again, as this process ends and a later one serves.
+        """Tells the predecessor that it must not serve again, because a later process serves.
 
-        Called after the event loop has ended, so it may not wait.
+        Called after the event loop has ended, so it must not block.
         """
         if self.dispatcher.state_machine.lifecycle.has_handed_over:
             with suppress(OSError):
                 self.connection.sock.send(encode_frame(FrameKind.EXITED, {}))
 
     def _receive_state(self) -> dict[str, Any] | None:
-        """Returns the state; None if the predecessor has gone or cannot be relied on."""
+        """Returns the predecessor's state; None if the predecessor has exited or sent something invalid."""
         until_us = self.dispatcher.now() + STATE_TIMEOUT_US
         try:
             self.connection.sock.sendall(encode_frame(FrameKind.TAKE_OVER, {}))
--- a/cressrail/network/handover_connection.py
+++ b/cressrail/network/handover_connection.py
@@ -1,4 +1,4 @@
-"""The connection between a process and its successor: frames both ways, and where the two meet."""
+"""The connection between a process and its successor: frames in both directions, and the rendezvous path."""
 
 from __future__ import annotations
 
@@ -10,13 +10,21 @@
 from cressrail.handover.frame import Frame, FrameReader, HandoverError
 
 READ_BYTES = 65536
-MAX_PATH_BYTES = 100  # of a Unix socket's path: the system takes few more
-# Members of frames, beside those of the hand-over state.
+MAX_PATH_BYTES = 100  # for the path of a Unix socket; the system limit is slightly higher
+# Frame members in addition to those of the hand-over state.
 LISTEN_ADDRESS, ENDPOINT_LIST, HELD_RESOURCES = "listen", "list", "held"
 
 
 def rendezvous_path(listen: tuple[str, int], temporary_folder: str | None) -> str | None:
-    """Returns where processes that listen on an address meet; None where they cannot."""
+    """Returns the path of the Unix socket on which a successor finds the process that listens on an address.
+
+    Args:
+        listen: The address on which clients are accepted.
+        temporary_folder: The folder for the socket; without one there is no hand-over.
+
+    Returns:
+        The path; None if there is no folder or the path is longer than `MAX_PATH_BYTES`.
+    """
     if not temporary_folder:
         return None
     path = os.path.join(temporary_folder, f"cressrail-{listen[0].replace(':', '_')}-{listen[1]}")
@@ -24,12 +32,12 @@
 
 
 class HeldResources(NamedTuple):
-    """What stays with a process that has handed over, until it exits.
+    """The resources that a process keeps after it has handed over, until it exits.
 
     Attributes:
-        clients: Descriptors of clients, with some for other purposes.
-        connections: Connections to endpoints.
-        buffers: Of the pool.
+        clients: Number of descriptors for clients, including a fixed number for other purposes.
+        connections: Number of connections to endpoints.
+        buffers: Number of buffers of the pool.
     """
 
     clients: int = 0
@@ -38,7 +46,7 @@
 
     @classmethod
     def from_frame(cls, value: Any) -> HeldResources:
-        """Reads the member of a frame; what is no such member counts as nothing."""
+        """Parses the member of a frame; an invalid value counts as no held resources."""
         is_triple = isinstance(value, list) and len(value) == len(cls._fields)
         if is_triple and all(isinstance(count, int) and count >= 0 for count in value):
             return cls(*value)
@@ -50,7 +58,7 @@
 
     Attributes:
         sock: The socket.
-        frames: What was received and is no whole frame yet.
+        frames: Assembles frames from the received bytes.
     """
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket, frames: FrameReader | None = None) -> None:
@@ -60,11 +68,11 @@
         sock.setblocking(False)
 
     def send(self, data: bytes, until_us: int) -> None:
-        """Sends all of it.
+        """Sends all of `data`.
 
         Raises:
-            HandoverError: The other process does not read.
-            OSError: It has gone.
+            HandoverError: The other process did not read the data in time.
+            OSError: The other process has closed the connection.
         """
         unsent = memoryview(data)
         while unsent:
@@ -73,13 +81,13 @@
             except BlockingIOError:
                 event = self.scheduler.wait(self.sock.fileno(), WRITABLE, until_us, wakes_on_message=False)
                 if event == TIMED_OUT:
-                    raise HandoverError("does not read") from None
+                    raise HandoverError("other process did not read the data before the time limit") from None
 
     def receive(self, until_us: int = NEVER) -> bytes:
-        """Returns received bytes; none at the end of the connection or of the time.
+        """Returns received bytes; empty at the end of the connection or after `until_us`.
 
         Raises:
-            OSError: The other process has gone.
+            OSError: The connection was reset.
         """
         while True:
             try:
@@ -90,12 +98,12 @@
                     return b""
 
     def receive_frame(self, until_us: int = NEVER) -> Frame | None:
-        """Returns the next frame; None at the end of the connection or of the time.
+        """Returns the next frame; None at the end of the connection or after `until_us`.
 
         Raises:
-            HandoverError: What came is no frame.
-            ValueError: Its body is not JSON.
-            OSError: The other process has gone.
+            HandoverError: The received bytes are not a valid frame.
+            ValueError: The body of the frame is not JSON.
+            OSError: The connection was reset.
         """
         while (frame := self.frames.next_frame()) is None:
             data = self.receive(until_us)
@@ -105,5 +113,5 @@
         return frame
 
     def close(self) -> None:
-        """Returns the descriptor."""
+        """Closes the socket."""
         self.sock.close()
--- a/cressrail/network/handover_server.py
+++ b/cressrail/network/handover_server.py
@@ -23,12 +23,13 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-DESCRIPTORS = 4  # rendezvous socket, a successor, one that is refused, and the way to the predecessor
+DESCRIPTORS = 4  # rendezvous socket, a successor, a refused connection and the connection to the predecessor
 BACKLOG = 4
-PEER_TIMEOUT_US = 1_000_000  # for a hello, and to read what is sent
-FIXED_DESCRIPTORS = 24  # that a process holds beside those of clients and endpoints
-KEPT_DIVISOR = 4  # a process that hands over keeps such a part of buffers and connections, or what is in use
-PEER_CREDENTIALS = struct.Struct("3i")  # of unix(7): process, user and group
+PEER_TIMEOUT_US = 1_000_000  # for the successor to send its hello, and to read each frame
+FIXED_DESCRIPTORS = 24  # descriptors that a process holds beside those of clients and endpoints
+# A process that hands over keeps 1/4 of its buffers and connections, or those in use if these are more.
+KEPT_DIVISOR = 4
+PEER_CREDENTIALS = struct.Struct("3i")  # struct ucred of unix(7): process, user and group id
 
 
 class HandoverServerTask:
@@ -42,7 +43,15 @@
         listen: tuple[str, int],
         membership: MembershipTransport | None,
     ) -> None:
-        """`listen` is the address of `listening_socket`, and part of the rendezvous path."""
+        """Creates the task; `run` publishes the rendezvous path.
+
+        Args:
+            dispatcher: Provides the event loop, the log and the state machine.
+            path: The rendezvous path.
+            listening_socket: The socket on which clients are accepted; it is sent to the successor.
+            listen: The address of `listening_socket`.
+            membership: The membership of this sidecar; None if it is not configured.
+        """
         self.dispatcher = dispatcher
         self.path = path
         self.listening_socket = listening_socket
@@ -52,7 +61,7 @@
         self._buffers_before_handover = dispatcher.pool.max_lent
 
     def run(self) -> None:
-        """Waits for successors until a message ends it or the path cannot be published."""
+        """Waits for successors until a message is posted to the task or the path cannot be published."""
         try:
             while (rendezvous_socket := self._publish()) is not None:
                 if self.dispatcher.scheduler.wait(rendezvous_socket.fileno(), READABLE) == MESSAGE:
@@ -63,7 +72,7 @@
             self._unpublish()
 
     def _publish(self) -> socket.socket | None:
-        """Returns the rendezvous socket; replaces another process's path in one step."""
+        """Returns the rendezvous socket; atomically replaces a path that another process has published."""
         if self.rendezvous_socket is not None:
             return self.rendezvous_socket
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
@@ -76,7 +85,7 @@
             sock.listen(BACKLOG)
             sock.setblocking(False)
             os.rename(own_path, self.path)
-        except OSError as error:  # this process cannot hand over; all else goes on
+        except OSError as error:  # this process cannot hand over, but serves as usual
             sock.close()
             self.dispatcher.log.write_event(events.RENDEZVOUS_UNAVAILABLE, {"reason": str(error)})
             return None
@@ -89,7 +98,7 @@
             self.rendezvous_socket = None
 
     def _serve(self, sock: socket.socket) -> None:
-        """Serves one successor until it is gone; then this process serves again, unless told not to."""
+        """Serves one successor until it exits; then this process serves again, unless `EXITED` was sent."""
         has_handed_over = serves_again = False
         try:
             connection = HandoverConnection(self.dispatcher.scheduler, sock)
@@ -131,7 +140,7 @@
         self._unpublish()
 
     def _limit_held_resources(self) -> HeldResources:
-        """Lowers this process's limits to what stays with it, and returns that."""
+        """Lowers this process's limits to the resources that it keeps, and returns them."""
         pool, state_machine = self.dispatcher.pool, self.dispatcher.state_machine
         self._buffers_before_handover = pool.max_lent
         pool.max_lent = max(pool.lent, pool.max_lent // KEPT_DIVISOR)
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -11,10 +11,10 @@
 from cressrail.network.socket_stream import DESCRIPTORS_EXHAUSTED
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_ROUND = 64  # before other tasks get their turn
-NO_DESCRIPTORS_PAUSE_US = 20_000
-MAX_CLOSE_US = 500_000  # waits for free descriptors while clients are left in the queue at the close
-# Errors of a connection that ended while it waited: they say nothing of those behind it.
+MAX_ACCEPTS_PER_ROUND = 64  # then other tasks run
+NO_DESCRIPTORS_PAUSE_US = 20_000  # before accepting again after the descriptors ran out
+MAX_CLOSE_US = 500_000  # how long closing waits for free descriptors for clients in the accept queue
+# Errors of a connection that ended while it was queued; later connections in the queue may be fine.
 CONNECTION_ABORTED = (errno.ECONNABORTED, errno.EPROTO, errno.EINTR)
 
 
@@ -22,15 +22,15 @@
     """Returns a listening, non-blocking socket.
 
     Args:
-        host: an IPv4 or IPv6 address.
-        port: the port, or 0 for any.
-        shared: a later process of the same user may listen on the address too.
+        host: An IPv4 or IPv6 address.
+        port: The port, or 0 for any free port.
+        shared: Whether another process of the same user may listen on the same address.
 
     Raises:
-        OSError: the address cannot be listened on; the message names it.
+        OSError: The socket cannot listen on the address; the message contains the address.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restart binds at once
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restarted process can bind at once
     if shared:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.setblocking(False)
@@ -47,23 +47,34 @@
     """Owns the listening socket; accepts while the state machine allows it.
 
     Attributes:
-        sock: the listening socket.
-        accepted_clients: connections accepted so far; the last one's number.
+        sock: The listening socket.
+        queued_since_us: The time since which connections may be in the accept queue without having been
+            accepted, in microseconds; None once the queue has been found empty.
+        accepted_clients: The number of connections accepted so far, which is also the last client's number.
+        is_accepting: Whether the state machine allows accepting.
+        is_out_of_descriptors: Whether the last accept failed because the descriptors were exhausted.
     """
 
     def __init__(
         self, dispatcher: CommandDispatcher, sock: socket.socket, queued_since_us: int | None = None
     ) -> None:
-        """`queued_since_us`: the kernel has queued connections since then that nobody has looked at."""
+        """Creates the task; it accepts nothing until the first `AcceptClients` command.
+
+        Args:
+            dispatcher: Provides the event loop and the state machine.
+            sock: The listening socket.
+            queued_since_us: The time since which the kernel may have queued connections, in microseconds;
+                None if the predecessor has accepted them so far.
+        """
         self.dispatcher = dispatcher
         self.sock = sock
         self.queued_since_us = queued_since_us
         self.accepted_clients = 0
         self.is_accepting = False
-        self.is_out_of_descriptors = False  # at the last attempt
+        self.is_out_of_descriptors = False
 
     def run(self) -> None:
-        """Accepts connections until `AcceptClients` says that the listener is closed."""
+        """Accepts connections until a final `AcceptClients` command closes the listener."""
         scheduler = self.dispatcher.scheduler
         task = scheduler.current_task()
         while True:
@@ -81,7 +92,7 @@
                     break
 
     def _close(self) -> None:
-        """Accepts what the kernel has queued, then closes at once: whoever comes in between is reset."""
+        """Accepts the queued connections, then closes; a connection that arrives in between is reset."""
         until_us = self.dispatcher.now() + MAX_CLOSE_US
         try:
             while self._accept() or (self.is_out_of_descriptors and self.dispatcher.now() < until_us):
@@ -90,7 +101,7 @@
             self.sock.close()
 
     def _accept(self) -> bool:
-        """Accepts one connection; returns whether there may be another one to accept now."""
+        """Accepts one connection; returns whether another one may be queued."""
         self.is_out_of_descriptors = False
         try:
             sock, _ = self.sock.accept()
@@ -106,7 +117,7 @@
         return True
 
     def _wait_for_descriptors(self) -> None:
-        """Lets idle connections be closed, and pauses: the waiting client would wake the listener at once."""
+        """Has idle connections closed, then pauses, because a queued client would wake this task at once."""
         dispatcher = self.dispatcher
         dispatcher.dispatch(dispatcher.state_machine.on_descriptors_exhausted(dispatcher.now()))
         dispatcher.scheduler.wait(until_us=dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, wakes_on_message=False)
@@ -117,12 +128,12 @@
         number = self.accepted_clients
         try:
             client = ClientConnectionTask(dispatcher, number, sock)
-        except OSError:  # the client has disconnected already
+        except OSError:  # the client has already disconnected
             sock.close()
             return
-        if self.queued_since_us is not None:  # the first request may have waited since then
+        if self.queued_since_us is not None:  # the first request may have been waiting since then
             client.stream.arrived_us = min(client.stream.arrived_us, self.queued_since_us)
-        # Counted before its task is spawned, as the task's end stops the counting.
+        # Registered before its task is spawned, because the end of the task unregisters the client.
         commands = dispatcher.state_machine.on_client_connected(dispatcher.now(), number)
         dispatcher.clients[number] = dispatcher.scheduler.spawn(client.run)
         dispatcher.client_descriptors[number] = sock.fileno()
--- a/cressrail/network/membership_transport.py
+++ b/cressrail/network/membership_transport.py
@@ -1,7 +1,7 @@
-"""The socket of membership: reads datagrams, carries out the state machine's commands, runs its timers.
+"""The UDP socket of membership: reads datagrams, executes the state machine's commands and runs its timers.
 
-It decides nothing. At a hand-over the process that yields closes the socket, and its successor opens one at
-the same address.
+All decisions are made by the state machine. At a hand-over the predecessor closes its socket, and the
+successor opens one at the same address.
 """
 
 from __future__ import annotations
@@ -36,32 +36,32 @@
 if TYPE_CHECKING:
     from cressrail.network.failover_driver import FailoverDriver
 
-MAX_DATAGRAMS_PER_TURN = 32  # before other tasks get their turn, so that a flood does not hold up requests
-RECEIVE_BYTES = 2048  # more than any datagram of the fleet: a longer one is rejected by its size
-BIND_RETRY_US = 50_000  # until the address is tried again, which the predecessor may still hold
-RECEIVE_BUFFER_BYTES = 1 << 18  # for what waits while this process is at other work
-ANCILLARY_BYTES = 256  # for what the kernel says beside a datagram that was refused
-MIN_ERROR_BYTES = 4  # of an error number
-SEED_BYTES = 8  # of the generator
+MAX_DATAGRAMS_PER_TURN = 32  # then other tasks run, so that a flood of datagrams does not delay requests
+RECEIVE_BYTES = 2048  # larger than any valid datagram, so that a longer one is rejected by its size
+BIND_RETRY_US = 50_000  # interval between tries to bind the address, which the predecessor may still hold
+RECEIVE_BUFFER_BYTES = 1 << 18  # holds datagrams that arrive while this process is busy
+ANCILLARY_BYTES = 256  # for the ancillary data in which the kernel describes a refused datagram
+MIN_ERROR_BYTES = 4  # size of the error number at the start of the ancillary data
+SEED_BYTES = 8  # for the random generator
 MAX_PROCESS_ID = (1 << 32) - 1
-SEND_ATTEMPTS = 2  # the first may fail for an earlier datagram that was refused
-# IP_RECVERR, IPV6_RECVERR (ip(7), ipv6(7)): the kernel keeps refusals, with where the datagram went.
+SEND_ATTEMPTS = 2  # the first may report the refusal of an earlier datagram
+# IP_RECVERR, IPV6_RECVERR (ip(7), ipv6(7)): the kernel queues refusals with the datagram's destination.
 RECEIVE_ERROR_OPTIONS = {socket.AF_INET: (socket.IPPROTO_IP, 11), socket.AF_INET6: (socket.IPPROTO_IPV6, 25)}
 
 
 class _Request(Enum):
-    """What another task asks of the task that serves the socket."""
+    """A request of another task to the task that serves the socket."""
 
-    YIELD = auto()  # close the socket, which a successor opens
-    RESUME = auto()  # take part again: the successor is gone
-    LEAVE = auto()  # announce the end of this instance
+    YIELD = auto()  # close the socket, so that a successor can open it
+    RESUME = auto()  # participate again, because the successor has exited
+    LEAVE = auto()  # announce that this instance stops
 
 
 def bind_datagram_socket(configuration: MembershipConfiguration) -> socket.socket:
-    """Opens the socket of membership.
+    """Opens the UDP socket of membership.
 
     Raises:
-        OSError: The address can't be bound; the text says so.
+        OSError: The address cannot be bound; the message contains the address.
     """
     host, port = configuration.listen
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -78,7 +78,7 @@
 
 
 class MembershipTransport:
-    """Owns the socket, and the task that serves it."""
+    """Owns the UDP socket of membership and the task that serves it."""
 
     def __init__(
         self, dispatcher: CommandDispatcher, configuration: MembershipConfiguration, binds_later: bool
@@ -86,9 +86,9 @@
         """Starts the task.
 
         Args:
-            dispatcher: Gives the clock, the log and the proxy.
-            configuration: Of membership.
-            binds_later: Whether a predecessor may still hold the address, so that the task binds it later.
+            dispatcher: Provides the event loop, the log and the state machine of the proxy.
+            configuration: The configuration of membership.
+            binds_later: Whether the task binds the address itself, because a predecessor may still hold it.
         """
         self.dispatcher, self.configuration = dispatcher, configuration
         self.sock = None if binds_later else bind_datagram_socket(configuration)
@@ -106,13 +106,13 @@
     def _new_failover_driver(self) -> FailoverDriver | None:
         if self.configuration.failover is None:
             return None
-        # Imported here, so that nothing of it is loaded where it is off.
+        # Imported here, so that failover code is not loaded unless failover is configured.
         from cressrail.network.failover_driver import FailoverDriver
 
         return FailoverDriver(self.dispatcher, self.configuration.failover, self.instance)
 
     def run(self) -> None:
-        """The task: takes part until it is told to leave, with breaks while a successor runs."""
+        """Participates in membership until `LEAVE` is requested, except while a successor runs."""
         task = self.dispatcher.scheduler.current
         assert task is not None
         try:
@@ -122,13 +122,13 @@
                     self.dispatcher.scheduler.wait()
                 if task.messages.popleft() is not _Request.RESUME:
                     return
-                # The successor took part under this name meanwhile, so this process begins anew.
+                # The successor has used the same instance name, so this process starts as a new instance.
                 self.instance = self._new_instance()
         finally:
             self._close()
 
     def _take_part(self, requests: deque[_Request]) -> bool:
-        """Takes part until told to yield; false once it has left for good."""
+        """Participates until a request ends it; returns True after `YIELD`, False if it has left for good."""
         if self.sock is None and not self._open(requests):
             return False
         assert self.sock is not None
@@ -141,7 +141,7 @@
         return has_yielded
 
     def _open(self, requests: deque[_Request]) -> bool:
-        """Tries to bind until it succeeds; false if a request came first."""
+        """Tries to bind the address until it succeeds; returns False if a request arrives first."""
         while not requests:
             try:
                 self.sock = bind_datagram_socket(self.configuration)
@@ -157,7 +157,7 @@
             self.sock = None
 
     def _serve(self, sock: socket.socket, requests: deque[_Request]) -> bool:
-        """Serves the socket and the timers until told to yield; false once it has left for good."""
+        """Serves the socket and the timers until a request arrives; returns whether it was `YIELD`."""
         while True:
             reason = self.dispatcher.scheduler.wait(sock.fileno(), READABLE, self._next_timer_us())
             if requests:
@@ -184,7 +184,7 @@
                 payload = sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # about an earlier datagram that did not arrive
+            except OSError:  # reports an earlier datagram that was not delivered
                 continue
             self._execute(self.instance.on_datagram(self.dispatcher.now(), payload))
 
@@ -224,13 +224,13 @@
 
     def _send(self, command: SendDatagram) -> None:
         for _ in range(SEND_ATTEMPTS):
-            with suppress(OSError):  # the datagram counts as lost
+            with suppress(OSError):  # treated like the loss of the datagram
                 if self.sock is not None:
                     self.sock.sendto(command.payload, command.destination)
                 return
 
     def _read_refusals(self, sock: socket.socket) -> None:
-        """Reads from the error queue to which addresses datagrams were refused."""
+        """Reads the socket's error queue and reports the addresses that refused datagrams."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 _, ancillary, _, address = sock.recvmsg(0, ANCILLARY_BYTES, socket.MSG_ERRQUEUE)
@@ -244,27 +244,27 @@
     # Called by other tasks
 
     def yield_to_successor(self) -> None:
-        """Has the task close the socket, so that a successor can open it."""
+        """Requests that the task close the socket, so that a successor can open it."""
         self._post(_Request.YIELD)
 
     def resume(self) -> None:
-        """Has the task take part again, under this name, after a successor that is gone."""
+        """Requests that the task participate again, under the same name, after the successor has exited."""
         self._post(_Request.RESUME)
 
     def leave(self) -> None:
-        """Has the task tell the others that this instance ends."""
+        """Requests that the task announce to the other instances that this one stops."""
         self._post(_Request.LEAVE)
 
     def _post(self, request: _Request) -> None:
         self.dispatcher.scheduler.post(self.task, request)
 
     def set_keys(self, configuration: MembershipConfiguration) -> None:
-        """Takes over the keys of a configuration that was read again."""
+        """Applies the keys of a reloaded configuration."""
         self.instance.set_keys(configuration.settings.keys)
         self.dispatcher.log.write_event(log_events.KEYS_RELOADED, {"keys": len(configuration.settings.keys)})
 
     def on_zones_request(self, method: bytes, target: bytes) -> tuple[int, Any]:
-        """Answers an operator's request on zones with an HTTP status and a JSON value or reason."""
+        """Answers an admin request on zones; returns the HTTP status and the body as in `AdminAnswer`."""
         if self.failover is None:
             return 404, "no part failover in the configuration"
         answer = self.failover.on_admin_request(self.instance, method, target)
@@ -272,5 +272,5 @@
         return answer.status, answer.body
 
     def view_json(self) -> bytes:
-        """The body of `/membership`."""
+        """Returns the response body for `/membership`."""
         return orjson.dumps(self.instance.view(self.dispatcher.now()), option=orjson.OPT_APPEND_NEWLINE)
--- a/cressrail/network/pipe_sender.py
+++ b/cressrail/network/pipe_sender.py
@@ -1,4 +1,4 @@
-"""Sends what comes through a pipe, part by part, in chunks where the length is unknown."""
+"""Prepares the data of a pipe for sending, part by part, with chunked coding if the length is unknown."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class PipeSender:
-    """Keeps the part that is being sent; its bytes stay in the pipe until all of the part is sent.
+    """Holds the part that is being sent; its bytes stay in the pipe until the whole part is sent.
 
     Attributes:
-        pipe: Where the bytes come from.
-        unsent: What is left of the part, to be given to `SocketStream.send_some`.
+        pipe: The source of the data.
+        unsent: The remaining buffers of the current part, which `SocketStream.send_some` shortens.
     """
 
     def __init__(self, pipe: Pipe, is_chunked: bool) -> None:
@@ -24,9 +24,9 @@
         self._is_last_part = False
 
     def is_finished(self) -> bool:
-        """Loads the next part once the last one is sent; returns whether there is none any more.
+        """Loads the next part once the current one is sent; returns whether there are no more parts.
 
-        `unsent` stays empty where the pipe has nothing now. After a failure of the pipe it is finished too.
+        `unsent` stays empty while the pipe has no data. A failure of the pipe also finishes the sender.
         """
         if self.unsent:
             return False
--- a/cressrail/network/request_reception.py
+++ b/cressrail/network/request_reception.py
@@ -1,4 +1,4 @@
-"""Receives one request of a client, from its first byte until it is complete or too large to keep."""
+"""Receives one request from a client, from its first byte until it is complete or too large to keep."""
 
 from __future__ import annotations
 
@@ -14,32 +14,40 @@
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-PROGRESS_STEP_BYTES = 16 << 10  # of a body that is kept: with each the time for the request begins anew
+PROGRESS_STEP_BYTES = 16 << 10  # of a kept body; each step restarts the time limit for the request
 REQUEST_TIMEOUT_STATUS, SERVICE_UNAVAILABLE_STATUS = 408, 503
-NO_BUFFER_REASON = "no buffer left"
+NO_BUFFER_REASON = "buffer pool exhausted while receiving a request"
 
 
 class ReceptionResult(Enum):
-    """How the reception ended."""
+    """How the reception of a request ended."""
 
-    RECEIVED = auto()  # the state machine has the complete request
-    UPLOAD_STARTED = auto()  # it has the request, of which the rest is still to come
-    REFUSED = auto()  # a response says why; the connection closes after it
+    RECEIVED = auto()  # the complete request was passed to the state machine
+    UPLOAD_STARTED = auto()  # the request was passed on while the rest of its body is still to be received
+    REFUSED = auto()  # an error response is sent, then the connection closes
     CLIENT_LEFT = auto()
-    CLOSED_WHILE_IDLE = auto()  # asked for by the state machine, before the request began
+    CLOSED_WHILE_IDLE = auto()  # the state machine requested it before a request started
 
 
 class RequestReception:
-    """One request on its way in.
+    """Receives and parses one request.
 
     Attributes:
-        upload: The rest of the request, after `UPLOAD_STARTED`.
+        upload: Receives the rest of the request; set when the result is `UPLOAD_STARTED`.
     """
 
     def __init__(
         self, dispatcher: CommandDispatcher, client: int, stream: SocketStream, receives_at_once: bool
     ) -> None:
-        """`receives_at_once`: the request may have come already; else it is awaited first."""
+        """Prepares to receive a request.
+
+        Args:
+            dispatcher: Provides the event loop, the buffer pool and the state machine.
+            client: The number of the client.
+            stream: The connection of the client.
+            receives_at_once: Whether to receive before the first wait, because the request may already be
+                there.
+        """
         self.dispatcher = dispatcher
         self.state_machine = dispatcher.state_machine
         self.client = client
@@ -49,7 +57,7 @@
         self._reader: RequestReader | None = None  # None before the first byte
         self._body: StreamingBody | None = None
         self._until_us = NEVER
-        self._progress_steps = 0  # of the body; 0 before the head is complete
+        self._progress_steps = 0  # of `PROGRESS_STEP_BYTES` in the body so far; 0 before the head is complete
         self._last_progress_us = 0
 
     def run(self) -> ReceptionResult:
@@ -57,7 +65,7 @@
 
         Raises:
             OSError: The connection was reset.
-            StreamTimeoutError: The client does not read.
+            StreamTimeoutError: The client did not read the interim response in time.
         """
         while True:
             result = self._parse() if self.stream.input_buffer.unread() else None
@@ -67,13 +75,13 @@
                 return result
 
     def release(self) -> None:
-        """Returns the buffers of a request that the state machine has not taken over."""
+        """Returns the buffers of a request that was not passed to the state machine."""
         if self._body is not None:
             self._body.release()
             self._body = None
 
     def _parse(self) -> ReceptionResult | None:
-        """Parses what was received; None if more is needed."""
+        """Parses the received bytes; returns None if more are needed."""
         try:
             reader = self._reader or self._start()
             self.stream.feed_to(reader.feed)
@@ -84,7 +92,7 @@
         if reader.incomplete_request is not None and reader.incomplete_request.is_streaming:
             return self._start_upload(reader, reader.incomplete_request)
         if reader.request is not None:
-            self._body = None  # the state machine's from here on
+            self._body = None  # now owned by the state machine
             self._pass_on(reader.request, self.stream.arrived_us)
             return ReceptionResult.RECEIVED
         self._note_progress(reader)
@@ -94,7 +102,7 @@
         return None
 
     def _start(self) -> RequestReader:
-        """The first byte has come: the time for the request begins."""
+        """Starts the reader and the time limit for the request when its first byte has arrived."""
         now_us = self.dispatcher.now()
         self.dispatcher.dispatch(self.state_machine.on_request_started(now_us, self.client))
         self._until_us = now_us + self.dispatcher.peer_timeout_us
@@ -114,9 +122,9 @@
             self._until_us = self._last_progress_us + self.dispatcher.peer_timeout_us
 
     def _receive(self) -> ReceptionResult | None:
-        """Receives once, or waits; None if the reception goes on."""
+        """Receives once, or waits; returns None if the reception continues."""
         try:
-            # After a response the next request is a round trip away: receiving at once would find nothing.
+            # The next request arrives a round trip after the response: receiving at once would find nothing.
             receives = self._receives_at_once or self._reader is not None
             count = self.stream.receive() if receives else -1
             self._receives_at_once = True
@@ -128,30 +136,30 @@
         except BufferPoolExhaustedError:
             return self._refuse(SERVICE_UNAVAILABLE_STATUS, NO_BUFFER_REASON)
         except StreamTimeoutError:
-            return self._refuse(REQUEST_TIMEOUT_STATUS, "request not complete in time")
+            return self._refuse(REQUEST_TIMEOUT_STATUS, "request not completed before the time limit")
         except StreamInterruptedError:
             return self._on_close_requested()
         return None
 
     def _on_close_requested(self) -> ReceptionResult | None:
-        """The state machine asks to close the connection if it is idle; None if the reception goes on."""
-        self.dispatcher.scheduler.current_task().messages.popleft()  # nothing else is sent meanwhile
+        """Handles the command to close an idle connection; returns None if the reception continues."""
+        self.dispatcher.scheduler.current_task().messages.popleft()  # the only command that is sent now
         if self._reader is None:
-            count = self.stream.receive()  # what has come meanwhile is still answered
+            count = self.stream.receive()  # a request that has just arrived is still answered
             if count == 0:
                 return ReceptionResult.CLIENT_LEFT
             return ReceptionResult.CLOSED_WHILE_IDLE if count < 0 else None
         now_us = self.dispatcher.now()
         if self.state_machine.has_client_stalled(now_us, self._last_progress_us):
-            return self._refuse(REQUEST_TIMEOUT_STATUS, "request long in coming")
-        # It goes on, and may be asked again.
+            return self._refuse(REQUEST_TIMEOUT_STATUS, "client stopped sending in the middle of its request")
+        # The reception continues; the state machine may ask for the close again.
         self.dispatcher.dispatch(self.state_machine.on_request_started(now_us, self.client))
         return None
 
     def _start_upload(self, reader: RequestReader, request: Request) -> ReceptionResult:
-        """Passes on a request that is too large to keep, before or with its last byte."""
+        """Passes on a request that is too large to keep; its last byte may or may not have arrived."""
         if self._body is None or self._body.pipe is None:
-            raise ValueError("a streaming request without a pipe")
+            raise ValueError("the body of a streaming request has no pipe")
         pipe, self._body = self._body.pipe, None
         self.upload = RequestUpload(self.dispatcher, self.client, self.stream, reader, pipe)
         self._pass_on(request, self.dispatcher.now())
--- a/cressrail/network/request_upload.py
+++ b/cressrail/network/request_upload.py
@@ -1,4 +1,4 @@
-"""The rest of a request that was passed on before it was complete: from the client into a pipe."""
+"""Receives the rest of a request that was forwarded before it was complete, and writes it to a pipe."""
 
 from __future__ import annotations
 
@@ -13,25 +13,29 @@
 from cressrail.network.socket_stream import SocketStream
 from cressrail.network.stale_messages import discard_stale_messages
 
-MIN_UPLOAD_BYTES_PER_S = 48_000  # a client that stays below is refused in time
-MAX_UPLOAD_LAG_US = 4_000_000  # by which a client may be behind that rate
+MIN_UPLOAD_BYTES_PER_S = 48_000  # a client that stays below this rate is refused eventually
+MAX_UPLOAD_LAG_US = 4_000_000  # how far a client may fall behind that rate
 US_PER_S = 1_000_000
 
 
 class UploadState(Enum):
     """Why `RequestUpload.run` has returned."""
 
-    INTERRUPTED = auto()  # a message waits
+    INTERRUPTED = auto()  # a message was posted to the task
     COMPLETE = auto()
-    ABORTED = auto()  # the state machine has been told why
+    ABORTED = auto()  # the reason was reported to the state machine
     CLIENT_LEFT = auto()
 
 
 class RequestUpload:
-    """Receives the rest of a request while its attempt's task sends it on.
+    """Receives the rest of a request while the task of its attempt sends it to an endpoint.
 
     Attributes:
-        pipe: Where the bytes go; failed by whoever ends the upload early.
+        dispatcher: Provides the event loop and the state machine.
+        client: The number of the client.
+        stream: The connection of the client.
+        reader: The parser of the request, which writes the body to the pipe.
+        pipe: The pipe to the attempt's task. The task that ends the upload early marks it as failed.
     """
 
     def __init__(
@@ -47,14 +51,14 @@
         self.stream = stream
         self.reader = reader
         self.pipe = pipe
-        self._due_us = dispatcher.now() + MAX_UPLOAD_LAG_US  # when more of it must have come
+        self._due_us = dispatcher.now() + MAX_UPLOAD_LAG_US  # by when more bytes must have arrived
 
     def is_complete(self) -> bool:
-        """Whether all of the request has been received."""
+        """Returns whether the whole request has been received."""
         return self.reader.request is not None
 
     def finish(self) -> None:
-        """Reports the complete request."""
+        """Reports to the state machine that the request is complete, and closes the pipe."""
         dispatcher = self.dispatcher
         commands = dispatcher.state_machine.on_request_complete(
             dispatcher.now(), self.client, self.stream.arrived_us
@@ -63,7 +67,7 @@
         self.pipe.close()
 
     def run(self) -> UploadState:
-        """Receives until the request is complete, the client leaves, or a message comes."""
+        """Receives until the request is complete, the client disconnects, or a message is posted."""
         now, scheduler = self.dispatcher.now, self.dispatcher.scheduler
         messages = scheduler.current_task().messages
         while not messages:
@@ -71,7 +75,7 @@
                 waits_since_us = now()
                 if not self._wait_for_room():
                     return UploadState.CLIENT_LEFT
-                self._due_us += now() - waits_since_us  # the client was not the one who was slow
+                self._due_us += now() - waits_since_us  # the client did not cause this delay
                 continue
             try:
                 count = self._receive()
@@ -88,7 +92,7 @@
         return UploadState.INTERRUPTED
 
     def _receive(self) -> int:
-        """Receives and parses once, or waits; returns as `SocketStream.receive` does.
+        """Receives and parses once, or waits; returns the result of `SocketStream.receive`.
 
         Raises:
             MalformedMessageError: The request is malformed, or slower than `MIN_UPLOAD_BYTES_PER_S`.
@@ -97,9 +101,9 @@
         if count < 0:
             event = self.dispatcher.scheduler.wait(self.stream.descriptor, READABLE, self._due_us)
             if event == TIMED_OUT:
-                raise RequestTimeoutError("request too slow")
+                raise RequestTimeoutError(f"upload slower than {MIN_UPLOAD_BYTES_PER_S} bytes/s")
         elif count > 0:
-            # A pause is allowed for as long as faster bytes before or after make up for it.
+            # A pause is allowed if faster bytes before or after it make up for it, up to the maximum lag.
             latest_due_us = self.dispatcher.now() + MAX_UPLOAD_LAG_US
             self._due_us = min(self._due_us + count * US_PER_S // MIN_UPLOAD_BYTES_PER_S, latest_due_us)
             self.stream.feed_to(self.reader.feed)
@@ -114,10 +118,10 @@
         dispatcher.dispatch(commands)
 
     def _wait_for_room(self) -> bool:
-        """Waits until the attempt's task has sent something; False if the client leaves."""
+        """Waits until the attempt's task has sent data; returns False if the client disconnects."""
         scheduler = self.dispatcher.scheduler
         task = scheduler.current_task()
-        if not self.pipe.is_full():  # the pool is exhausted: any task may return a buffer
+        if not self.pipe.is_full():  # the pool is exhausted, and any task may return a buffer to it
             scheduler.wait(until_us=self.dispatcher.now() + BUFFER_RETRY_US)
             return True
         self.pipe.on_room = lambda: scheduler.post(task, PIPE_CHANGED)
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a running sidecar and runs them until the event loop ends."""
+"""Assembles the parts of a sidecar and runs them until the event loop ends."""
 
 from __future__ import annotations
 
@@ -37,19 +37,20 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-SPARE_DESCRIPTORS = 16  # for all but clients and endpoints, and for connections being closed
-MIN_CONNECTIONS = 16  # of both sides together
-# Of the descriptors: endpoint connections are reused, clients come in bursts.
+SPARE_DESCRIPTORS = 16  # for everything except clients and endpoints, and for connections being closed
+MIN_CONNECTIONS = 16  # to clients and endpoints together
+# Share of the descriptors. Clients get the larger share, because they arrive in bursts, while connections to
+# endpoints are reused.
 ENDPOINT_CONNECTIONS_SHARE = 3 / 8
-EXTRA_CLIENTS_DIVISOR = 16  # of the descriptors, for clients that are answered 503
+EXTRA_CLIENTS_DIVISOR = 16  # 1/16 of the descriptors are for clients beyond the limit, answered with 503
 MIN_EXTRA_CLIENTS = 4
-BUFFERS_SHARE = 0.5  # of the memory limit
+BUFFERS_SHARE = 0.5  # of the memory limit, for the buffer pool
 BYTES_PER_MB = 1 << 20
-GC_THRESHOLD = 5_000  # allocations between two garbage collections: requests leave few reference cycles
+GC_THRESHOLD = 5_000  # allocations between collections of the youngest generation; requests leave few cycles
 
 
 class Server(NamedTuple):
-    """A sidecar whose parts are connected and whose first tasks wait for the event loop."""
+    """A sidecar whose parts are connected and whose first tasks are ready to run in the event loop."""
 
     dispatcher: CommandDispatcher
     listener: ListenerTask
@@ -57,11 +58,11 @@
 
 
 def connection_limits(max_descriptors: int, reserved: int = 0) -> ConnectionLimits:
-    """Splits the descriptors so that neither clients nor endpoints can crowd out the other side.
+    """Divides the descriptors between clients and endpoints, so that neither side can use up all of them.
 
     Args:
-        max_descriptors: what the configuration allows; the limit of the process holds too.
-        reserved: descriptors for other purposes, beside `SPARE_DESCRIPTORS`.
+        max_descriptors: The configured maximum; the descriptor limit of the process applies too.
+        reserved: The number of descriptors for other purposes, in addition to `SPARE_DESCRIPTORS`.
     """
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     available = min(max_descriptors, soft_limit if soft_limit > 0 else max_descriptors)
@@ -76,11 +77,11 @@
 
 
 def assemble(configuration: StartupConfiguration, log_descriptor: int = 1) -> Server:
-    """Connects the parts and spawns the first tasks; nothing runs before the event loop does.
+    """Connects the parts and spawns the first tasks, which do not run before the event loop.
 
     Raises:
-        ConfigurationError: a setting cannot be used.
-        OSError: an address cannot be listened on.
+        ConfigurationError: A setting is invalid.
+        OSError: A socket cannot listen on its address.
     """
     clock = Clock()
     log = LogWriter(log_descriptor, clock.now_us, configuration.name)
@@ -89,7 +90,8 @@
     now = clock.now_us()
     state_machine = _build_state_machine(configuration, now)
     dispatcher = _build_dispatcher(configuration, scheduler, state_machine, log)
-    # Without an admin address nothing is written under $TMPDIR and no socket is shared.
+    # Hand-over requires an admin address: without one no rendezvous path is created under $TMPDIR and the
+    # listening address is not shared.
     path = rendezvous_path(configuration.listen, os.environ.get("TMPDIR")) if configuration.admin else None
     predecessor = find_predecessor(path, configuration.listen) if path else None
     listener_task = _build_listener(configuration, dispatcher, predecessor, now)
@@ -117,7 +119,7 @@
     dispatcher = server.dispatcher
     with handle_signals(dispatcher, configuration_reload, server.membership):
         gc.collect()
-        gc.freeze()  # what exists now stays; later collections look at new objects only
+        gc.freeze()  # objects that exist now live on; later collections examine only new ones
         gc.set_threshold(GC_THRESHOLD, 10, 50)
         dispatcher.scheduler.run()
     for callback in dispatcher.at_end:
@@ -150,7 +152,7 @@
         discovery=configuration.discovery,
         drain_notice_us=settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
     )
-    rng = RandomGenerator(configuration.seed ^ 1)  # not the policy's own sequence
+    rng = RandomGenerator(configuration.seed ^ 1)  # a different sequence than that of the policy
     return StateMachine(proxy_settings, load_balancer, registry, limits, rng, now_us)
 
 
@@ -190,7 +192,7 @@
 ) -> MembershipTransport | None:
     if configuration.membership is None:
         return None
-    # Imported here: a sidecar without membership loads nothing of it.
+    # Imported here, so that a sidecar without membership does not load its code.
     from cressrail.network.membership_transport import MembershipTransport
 
     return MembershipTransport(dispatcher, configuration.membership, binds_later=binds_later)
--- a/cressrail/network/signals.py
+++ b/cressrail/network/signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGINT ask the sidecar to stop, SIGHUP to read its configuration again."""
+"""Signal handling: SIGTERM and SIGINT stop the sidecar, SIGHUP reloads its configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-MAX_SIGNALS_PER_READ = 64  # bytes, one for each signal
+MAX_SIGNALS_PER_READ = 64  # one byte per signal
 
 
 @contextmanager
@@ -26,7 +26,8 @@
 ) -> Iterator[None]:
     """Handles signals while the context is open.
 
-    A signal does not end a poll by itself: it arrives as a byte on a socket pair that a task polls.
+    A signal alone does not interrupt a poll, so the signal module writes a byte for each signal to a socket
+    pair, which a task reads.
     """
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
@@ -35,7 +36,7 @@
     def receive_signals() -> None:
         while True:
             dispatcher.scheduler.wait(receiver.fileno(), READABLE)
-            signals = receiver.recv(MAX_SIGNALS_PER_READ)  # the number of each signal
+            signals = receiver.recv(MAX_SIGNALS_PER_READ)  # each byte is the number of a signal
             if signal.SIGHUP in signals:
                 configuration_reload.reload(dispatcher, membership)
             if signal.SIGTERM in signals or signal.SIGINT in signals:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking stream socket that one task owns, with what was received and not yet consumed."""
+"""A non-blocking TCP socket that one task owns, with a buffer for received bytes."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 from cressrail.event_loop.scheduler import MESSAGE, NEVER, READABLE, TIMED_OUT, WRITABLE, Scheduler
 
 MAX_BUFFERS_PER_WRITE = 64
-# Errors that say that this process is short of something; the peer is not to blame.
+# Errors that report exhausted resources of this process or system; they are not caused by the peer.
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class IdleState(Enum):
-    """How a connection fares on which nothing is expected."""
+    """The state of an idle connection, on which no input is expected."""
 
     USABLE = "usable"  # open, with nothing to read
-    RESET = "reset"  # by a process that has died
-    ENDED = "ended"  # closed in order, or with bytes that nobody asked for
+    RESET = "reset"  # for example because the peer process has died
+    ENDED = "ended"  # closed by the peer, or carrying unsolicited bytes
 
 
 class StreamTimeoutError(Exception):
-    """The time for an operation is over."""
+    """An operation did not complete before its time limit."""
 
 
 class StreamInterruptedError(Exception):
-    """A message for the task came before the operation was complete."""
+    """A message was posted to the task before the operation completed."""
 
 
 class SocketStream:
-    """Owns the socket; `close` returns descriptor and buffer.
+    """Owns a socket and its input buffer; `close` releases both.
 
     Attributes:
-        descriptor: The socket's file descriptor.
-        input_buffer: What was received and not yet consumed.
-        arrived_us: The earliest time at which what was received last may have arrived.
+        descriptor: The file descriptor of the socket.
+        input_buffer: Received bytes that have not been consumed yet.
+        arrived_us: The earliest time at which the most recently received bytes may have arrived, in
+            microseconds.
     """
 
     def __init__(self, scheduler: Scheduler, pool: BufferPool, sock: socket.socket) -> None:
@@ -61,12 +62,12 @@
         until_us: int,
         wakes_on_message: bool,
     ) -> SocketStream:
-        """Returns an established connection.
+        """Connects to an address and returns the established connection.
 
         Raises:
-            StreamTimeoutError: It was not established in time.
-            StreamInterruptedError: A message came first, if `wakes_on_message`.
-            OSError: It was refused, or there is no descriptor.
+            StreamTimeoutError: The connection was not established before `until_us`.
+            StreamInterruptedError: A message was posted first and `wakes_on_message` is true.
+            OSError: The connection failed, or the descriptors are exhausted.
         """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
@@ -93,11 +94,11 @@
         wakes_on_message: bool = False,
         is_idle: bool = False,
     ) -> int:
-        """Blocks until the socket is ready; returns the poll mask.
+        """Blocks the task until the socket is ready; returns the mask that poll reported.
 
         Raises:
-            StreamTimeoutError: The time came first.
-            StreamInterruptedError: A message came first, if `wakes_on_message`.
+            StreamTimeoutError: `until_us` was reached first.
+            StreamInterruptedError: A message was posted first and `wakes_on_message` is true.
         """
         result = self.scheduler.wait(self.descriptor, mask, until_us, wakes_on_message, is_idle)
         if result == TIMED_OUT:
@@ -107,14 +108,20 @@
         return result
 
     def send(self, parts: list[memoryview], until_us: int = NEVER, wakes_on_message: bool = False) -> None:
-        """Sends all parts; raises as `wait` does, and `OSError`."""
+        """Sends all parts; blocks while the socket's send buffer is full.
+
+        Raises:
+            StreamTimeoutError: The parts were not sent before `until_us`.
+            StreamInterruptedError: A message was posted first and `wakes_on_message` is true.
+            OSError: The connection was closed or reset.
+        """
         unsent = [part for part in parts if part]
         while unsent:
             if not self.send_some(unsent):
                 self.wait(WRITABLE, until_us, wakes_on_message)
 
     def send_some(self, unsent: list[memoryview]) -> bool:
-        """Sends what goes without blocking and removes it from the list; False if nothing went."""
+        """Sends without blocking and removes the sent bytes from the list; False if none were sent."""
         try:
             count = self.sock.sendmsg(unsent[:MAX_BUFFERS_PER_WRITE])
         except BlockingIOError:
@@ -129,7 +136,7 @@
         """Receives into `input_buffer` without blocking.
 
         Returns:
-            The number of bytes received: 0 at the end of the stream, -1 if none have come yet.
+            The number of bytes received: 0 at the end of the stream, -1 if no bytes are available yet.
 
         Raises:
             BufferPoolExhaustedError: There is no buffer to receive into.
@@ -149,11 +156,11 @@
         return count
 
     def feed_to(self, parse: Callable[[memoryview], int]) -> None:
-        """Gives the unconsumed bytes to a parser, which returns how many of them it has consumed."""
+        """Passes the unconsumed bytes to a parser, which returns how many of them it has consumed."""
         self.input_buffer.consume(parse(self.input_buffer.unread()))
 
     def idle_state(self) -> IdleState:
-        """Looks at a connection on which nothing is expected, without consuming anything."""
+        """Returns the state of an idle connection without consuming any input."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -165,10 +172,11 @@
         return IdleState.ENDED
 
     def linger(self, until_us: int) -> None:
-        """Shuts the sending side and drops what still comes, until the peer closes or the time is over.
+        """Shuts down the sending side and discards input until the peer closes or `until_us` is reached.
 
-        A close with bytes unread would reset the connection, and with it a response that is on its way; and
-        a request that crosses the close would look like one that was accepted.
+        Closing a socket with unread input would reset the connection. The reset could destroy a response that
+        is still in transit, and to the client a request that it sent during the close would look as if it
+        had been accepted.
         """
         self.input_buffer.release()
         try:
@@ -180,6 +188,6 @@
             return
 
     def close(self) -> None:
-        """Returns the descriptor and the buffer."""
+        """Closes the socket and returns the input buffer to the pool."""
         self.input_buffer.release()
         self.sock.close()
--- a/cressrail/network/stale_messages.py
+++ b/cressrail/network/stale_messages.py
@@ -1,4 +1,4 @@
-"""Messages in a task's queue that belong to a wait which has ended."""
+"""Removes messages from a mailbox that no longer apply."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def discard_stale_messages(messages: Any) -> None:
-    """Removes messages of a wait that is over, and closes of an idle connection that a request has overtaken.
+    """Removes `PIPE_CHANGED` messages of past waits, and `CloseClient` commands that apply only when idle.
 
-    A message that nobody takes would end the next wait at once.
+    These commands were posted before a request started on the connection. A message that stays in the mailbox
+    would end the next wait at once.
     """
     discard_pipe_messages(messages)
     for _ in range(len(messages)):
--- a/cressrail/network/timer_task.py
+++ b/cressrail/network/timer_task.py
@@ -1,14 +1,14 @@
-"""Calls the state machine when its timer is due."""
+"""The task that runs the timer of the state machine."""
 
 from __future__ import annotations
 
 from cressrail.network.dispatcher import CommandDispatcher
 
-MAX_WAIT_US = 1_000_000  # between two calls, unless the state machine sets its timer earlier
+MAX_WAIT_US = 1_000_000  # maximum interval between two calls of `on_timer`
 
 
 def timer_task(dispatcher: CommandDispatcher) -> None:
-    """Runs for the life of the process; `SetTimer` commands in its mailbox move the time."""
+    """Calls `on_timer` when it is due, for the lifetime of the process; `SetTimer` commands set the time."""
     scheduler = dispatcher.scheduler
     task = scheduler.current_task()
     due_us = dispatcher.state_machine.timer_us
