--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -21,15 +21,15 @@
         self.faults: list[str] = []
         self.pairs = [socket.socketpair() for _ in range(number)]
         self.received: list[tuple[int, int]] = []  # which, and since when it may have come
-        for n, (near, _) in enumerate(self.pairs):
-            near.setblocking(False)
-            self.loop.spawn(lambda n=n, near=near: self._wait_idle(n, near))  # type: ignore[misc]
+        for n, (local, _) in enumerate(self.pairs):
+            local.setblocking(False)
+            self.loop.spawn(lambda n=n, local=local: self._wait_idle(n, local))  # type: ignore[misc]
 
-    def _wait_idle(self, n: int, near: socket.socket) -> None:
+    def _wait_idle(self, n: int, local: socket.socket) -> None:
         while True:
-            mask = self.loop.wait(near.fileno(), READABLE, is_idle=True)
-            if not near.recv(10):
-                near.close()
+            mask = self.loop.wait(local.fileno(), READABLE, is_idle=True)
+            if not local.recv(10):
+                local.close()
                 return
             assert mask & select.POLLIN
             self.received.append((n, self.loop.earliest_arrival_us))
@@ -54,7 +54,7 @@
                 sock.close()
 
 
-def test_resting_descriptors_leave_the_poll_of_each_round(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_descriptors_leave_busy_poll(monkeypatch: pytest.MonkeyPatch) -> None:
     tasks = IdleTasks(10, monkeypatch)
     tasks.work(3, 1000)
     assert len(tasks.loop.busy_masks) == 10
@@ -66,18 +66,18 @@
     tasks.close()
 
 
-def test_resting_descriptor_with_data_wakes_its_task_and_is_timed_from_the_poll_before(
+def test_idle_descriptor_with_data_wakes_its_task_with_time_of_previous_full_poll(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tasks = IdleTasks(10, monkeypatch)
     tasks.work(80, 1000)
-    looked = tasks.loop.last_full_poll_us
+    previous_full_poll_us = tasks.loop.last_full_poll_us
     tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
     tasks.pairs[3][1].send(b"x")
     tasks.work(8, 1000)
     assert len(tasks.received) == 1
     assert tasks.received[0][0] == 3
-    assert tasks.received[0][1] == looked  # no later than it can have come
+    assert tasks.received[0][1] == previous_full_poll_us  # no later than it can have come
     assert list(tasks.loop.busy_masks) == [tasks.pairs[3][0].fileno()]
     tasks.close()
     assert not tasks.faults
@@ -97,14 +97,14 @@
 
 
 @pytest.mark.parametrize("rounds", [3, 80])
-def test_closed_descriptor_is_unregistered_and_its_number_serves_again(
+def test_closed_descriptor_is_unregistered_and_its_number_can_be_reused(
     monkeypatch: pytest.MonkeyPatch, rounds: int
 ) -> None:
     tasks = IdleTasks(10, monkeypatch)
     tasks.work(rounds, 1000)
-    numbers = {near.fileno() for near, _ in tasks.pairs[:6]}
-    for _, far in tasks.pairs[:6]:
-        far.close()
+    numbers = {local.fileno() for local, _ in tasks.pairs[:6]}
+    for _, remote in tasks.pairs[:6]:
+        remote.close()
     tasks.work(10, 1000)  # their tasks see the end and close
     tasks.work(10, 1000)
     assert not numbers & set(tasks.loop.full_masks)
@@ -124,14 +124,14 @@
 def test_task_is_woken_by_message_timer_and_descriptor_and_arrivals_are_timed() -> None:
     now = 0
     scheduler = Scheduler(lambda: now, lambda _fault: None)
-    near, far = socket.socketpair()
+    local, remote = socket.socketpair()
     results: list[object] = []
 
     def waiting() -> None:
-        results.append(scheduler.wait(near.fileno(), READABLE, 50))
+        results.append(scheduler.wait(local.fileno(), READABLE, 50))
         results.append(task.messages.popleft())
         results.append(scheduler.wait(until_us=70))
-        results.append(scheduler.wait(near.fileno(), READABLE) & select.POLLIN)
+        results.append(scheduler.wait(local.fileno(), READABLE) & select.POLLIN)
         results.append(scheduler.earliest_arrival_us)
         scheduler.is_stopped = True
 
@@ -141,17 +141,17 @@
         scheduler.wait(until_us=0)
         now = 80
         scheduler.wait(until_us=0)
-        far.send(b"x")
+        remote.send(b"x")
         now = 5000  # busy for so long; the byte may have come at 80
 
-    with near, far:
+    with local, remote:
         task = scheduler.spawn(waiting)
         scheduler.spawn(driving)
         scheduler.run()
     assert results == [MESSAGE, "a message", TIMED_OUT, select.POLLIN, 80]
 
 
-def test_failed_task_is_reported_and_the_others_go_on() -> None:
+def test_failed_task_is_reported_and_other_tasks_continue() -> None:
     faults: list[str] = []
     loop = Scheduler(lambda: 0, faults.append)
 
@@ -166,7 +166,7 @@
     assert loop.task_count == 0
 
 
-def test_repeated_fault_ends_process_with_status() -> None:
+def test_repeated_fault_of_vital_task_stops_loop_as_failed() -> None:
     scheduler = Scheduler(lambda: 5, lambda fault: faults.append(fault))
     faults: list[str] = []
 
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -82,7 +82,9 @@
     assert b"connection: close" in responses[0]
 
 
-def test_unfinished_admin_calls_keep_nobody_out_and_the_oldest_is_closed(harness: AdminHarness) -> None:
+def test_unfinished_admin_calls_do_not_block_new_calls_and_the_oldest_is_closed(
+    harness: AdminHarness,
+) -> None:
     status_lines: list[bytes] = []
     received_by_oldest: list[bytes] = []
     open_calls: list[int] = []
--- a/tests/network/test_attempt_exchange.py
+++ b/tests/network/test_attempt_exchange.py
@@ -40,13 +40,13 @@
             chunked_response(LARGE_BODY[: KEPT_BODY_BYTES + 1], chunk_size=1000),
             False,
             LARGE_BODY[: KEPT_BODY_BYTES + 1],
-            id="just-too-large-to-keep",
+            id="smallest-streamed",
         ),
         pytest.param(
             response_with_length(LARGE_BODY[:KEPT_BODY_BYTES]),
             False,
             LARGE_BODY[:KEPT_BODY_BYTES],
-            id="just-kept",
+            id="largest-kept",
         ),
     ],
 )
@@ -64,7 +64,7 @@
     assert harness.state_machine.counters.final["read"]["answered"] == 1
 
 
-def test_connection_serves_on_after_large_response() -> None:
+def test_connection_is_reused_after_large_response() -> None:
     harness = SidecarHarness([answer_each_with(chunked_response(LARGE_BODY))])
     responses: list[ReceivedResponse] = []
 
@@ -78,7 +78,7 @@
     assert responses == [ReceivedResponse(b"200", LARGE_BODY)] * 3
 
 
-def test_first_bytes_are_forwarded_before_the_rest_has_come() -> None:
+def test_first_bytes_are_forwarded_before_the_rest_arrives() -> None:
     response = response_with_length(LARGE_BODY)
     first_parts: list[bytes] = []
     bodies: list[bytes] = []
@@ -109,7 +109,7 @@
         pytest.param(response_with_length(LARGE_BODY)[:90_000], id="most-missing"),
     ],
 )
-def test_truncated_large_response_ends_short_and_counts_as_errored(truncated_response: bytes) -> None:
+def test_truncated_large_response_stays_truncated_and_counts_as_errored(truncated_response: bytes) -> None:
     attempts: list[bytes] = []
 
     def endpoint(peer: ScriptedPeer) -> None:
@@ -159,7 +159,7 @@
     assert endings == ["reset"]
 
 
-def test_slow_client_holds_only_its_own_buffers_and_delays_nobody() -> None:
+def test_slow_client_holds_bounded_buffers_and_delays_no_other_client() -> None:
     body = LARGE_BODY * 8
     harness = SidecarHarness(
         [tolerating_disconnect(answer_each_with(response_with_length(body))) for _ in range(2)]
@@ -215,12 +215,16 @@
         ),
         pytest.param(OK_STATUS_LINE + b"x: " + b"a" * 20_000, False, "write", b"502", id="head-too-large"),
         pytest.param(
-            INTERIM_RESPONSE * 3 + response_bytes(b"hello"), False, "write", b"200", id="after-interim-ones"
+            INTERIM_RESPONSE * 3 + response_bytes(b"hello"),
+            False,
+            "write",
+            b"200",
+            id="after-interim-responses",
         ),
-        pytest.param(INTERIM_RESPONSE, True, "write", b"502", id="interim-alone"),
+        pytest.param(INTERIM_RESPONSE, True, "write", b"502", id="interim-response-only"),
     ],
 )
-def test_answer_counts_if_complete_by_its_own_framing(
+def test_response_counts_if_complete_by_its_own_framing(
     response: bytes, is_reset: bool, request_class: str, answer: bytes
 ) -> None:
     def endpoint(peer: ScriptedPeer) -> None:
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -33,7 +33,7 @@
     assert exchange(harness, request_text)[0][:3] == status
 
 
-def test_pipelined_requests_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     harness = SidecarHarness([answer_each_with(response_bytes(b"hello"))])
     responses: list[bytes] = []
 
@@ -71,7 +71,7 @@
     assert set(statuses) == {b"200", b"503"}
 
 
-def test_client_that_stalls_within_its_request_gives_way_to_another(harness: SidecarHarness) -> None:
+def test_stalled_client_at_the_limit_gets_408_and_next_client_is_served(harness: SidecarHarness) -> None:
     limit_connections(harness, clients=1, extra_clients=1, endpoint_connections=4)
     statuses: dict[str, bytes] = {}
 
@@ -98,7 +98,7 @@
         pytest.param(b"POST /api HTTP/1.1\r\ncontent-length: 9\r\n\r\nabc", b"408", id="part-of-body"),
     ],
 )
-def test_silent_client_is_closed_and_halting_one_gets_408(
+def test_silent_client_is_closed_and_stalled_client_gets_408(
     harness: SidecarHarness, sent: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clients, "CLIENT_SILENCE_LIMIT_US", 20_000)
--- a/tests/network/test_close_crossings.py
+++ b/tests/network/test_close_crossings.py
@@ -34,7 +34,7 @@
     monkeypatch.setattr(SocketStream, "receive", receive_then_send)
 
 
-def test_request_crossing_idle_close_meets_close_without_reset(
+def test_request_sent_during_idle_close_sees_close_without_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     endpoint = RecordingEndpoint()
@@ -59,7 +59,7 @@
     assert len(endpoint.heads) == 1  # the second was read after the end, so not sent on
 
 
-def test_idle_client_that_stays_is_closed_in_bounded_time() -> None:
+def test_idle_client_that_does_not_close_is_closed_in_bounded_time() -> None:
     harness = SidecarHarness([RecordingEndpoint()])
 
     def client(peer: ScriptedPeer) -> None:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("is_at_client_limit", [True, False], ids=["at-limit", "below-limit"])
-def test_last_answer_arrives_complete_despite_further_bytes(
+def test_last_response_arrives_complete_despite_unread_input(
     is_at_client_limit: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The answer is in the kernel's buffers, for a client that reads late; a reset would drop it."""
@@ -107,7 +107,7 @@
     assert bodies == [BODY_64_KIB * 8]
 
 
-def test_close_command_overtaken_by_request_does_not_spin() -> None:
+def test_stale_idle_close_command_does_not_make_client_task_spin() -> None:
     body, first_part = BODY_64_KIB * 10, len(BODY_64_KIB) * 2
     first_parts_sent: list[int] = []
 
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EMFILE, errno.EPROTO], ids=errno.errorcode.get)
-def test_queued_client_is_answered_as_listener_closes_despite_accept_fault(error: int) -> None:
+def test_queued_client_is_answered_as_listener_closes_despite_accept_error(error: int) -> None:
     harness = SidecarHarness([RecordingEndpoint()])
     statuses: list[bytes] = []
 
--- a/tests/network/test_configuration_reload.py
+++ b/tests/network/test_configuration_reload.py
@@ -64,7 +64,7 @@
         yield server
 
 
-def test_sighup_moves_the_watch_and_leaves_requests_in_flight(
+def test_sighup_changes_discovery_address_and_keeps_requests_in_flight(
     tmp_path: Path,
     endpoint_socket: socket.socket,
     old_discovery: DiscoveryServer,
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -30,13 +30,13 @@
 
 INTERIM_RESPONSE = b"HTTP/1.1 102 X\r\n\r\n"
 LAST_PART = b"the end"
-CROWD = 120  # clients
+CLIENTS = 120  # clients
 
 
 class Change(Enum):
     """What has changed for a request once its retry is connected."""
 
-    WINDOW_OVER = auto()
+    WINDOW_EXPIRED = auto()
     OTHER_CELL = auto()
 
 
@@ -155,9 +155,9 @@
     ("request_class", "change", "answer", "sent"),
     [
         pytest.param("write", None, b"200", 1, id="write-in-time"),
-        pytest.param("write", Change.WINDOW_OVER, b"502", 0, id="write-window-over"),
+        pytest.param("write", Change.WINDOW_EXPIRED, b"502", 0, id="write-window-expired"),
         pytest.param("write", Change.OTHER_CELL, b"502", 0, id="write-other-cell"),
-        pytest.param("read", Change.WINDOW_OVER, b"200", 1, id="read-window-over"),
+        pytest.param("read", Change.WINDOW_EXPIRED, b"200", 1, id="read-window-expired"),
     ],
 )
 def test_retry_is_checked_again_once_connected(
@@ -186,7 +186,7 @@
         peer.wait_until(lambda: gate.connects)
         [pending] = harness.state_machine.requests.pending
         assert pending.fixed_endpoint is not None
-        if change is Change.WINDOW_OVER:
+        if change is Change.WINDOW_EXPIRED:
             pending.fixed_us -= 2 * SECOND
         elif change is Change.OTHER_CELL:
             load_balancer.endpoints[1].cell = 7
@@ -226,7 +226,7 @@
     assert not harness.state_machine.registry.endpoints  # the record goes with the attempt
 
 
-def test_late_second_answer_is_not_given_to_next_client(
+def test_late_second_response_is_not_sent_to_next_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # In place of some milliseconds, since a machine may be slow.
@@ -258,7 +258,7 @@
     assert len(harness.open_sockets) > 3  # each over a connection of its own
 
 
-def test_answer_with_simultaneous_client_close_releases_buffers() -> None:
+def test_response_with_simultaneous_client_close_releases_buffers() -> None:
     leaving: list[socket.socket] = []
 
     def endpoint(peer: ScriptedPeer) -> None:
@@ -281,7 +281,7 @@
     harness.run()  # which checks that all buffers and records are back
 
 
-def test_wakeup_crossing_upload_end_is_not_a_cancellation() -> None:
+def test_wakeup_at_upload_end_is_not_taken_for_cancellation() -> None:
     endpoint_peers: list[ScriptedPeer] = []
 
     def endpoint(peer: ScriptedPeer) -> None:
@@ -339,7 +339,7 @@
     harness.scheduler.spawn(measure_stalls)
 
     def client(peer: ScriptedPeer) -> None:
-        for number in range(CROWD):
+        for number in range(CLIENTS):
             sock = socket.create_connection(harness.address)
             name = b"leaves%d" % number
             request = request_bytes("read", Req_Id=name.decode(), Req_Deadline="900m")
@@ -357,6 +357,6 @@
     harness.run()
     with capsys.disabled():
         worst_us = max(delays_us, default=0)
-        print(f"sent on after its client left: {len(delays_us)} of {CROWD}, {worst_us} us later at most")
+        print(f"sent on after its client left: {len(delays_us)} of {CLIENTS}, {worst_us} us later at most")
     assert not [delay_us for delay_us in delays_us if delay_us > 300_000 + 2 * max(stalls_us)]
     assert len(delays_us) <= 30
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -23,7 +23,7 @@
 WATCH_HEAD = OK_STATUS_LINE + CHUNKED_HEADER
 
 
-def test_watch_applies_updates_and_keeps_the_list_through_malformed_and_truncated_lines() -> None:
+def test_watch_applies_updates_and_keeps_the_list_after_malformed_and_truncated_lines() -> None:
     polls: list[bytes] = []
     may_drain: list[bool] = []
 
@@ -70,7 +70,7 @@
     assert polls == [b"GET /catalog/members?watch=1&after=%d HTTP/1.1" % revision for revision in (4, 5, 5)]
 
 
-def test_watch_is_opened_again_after_it_found_no_buffer() -> None:
+def test_watch_is_reopened_after_buffer_pool_was_exhausted() -> None:
     harness = SidecarHarness([answer_each_with(response_bytes())])
     pool = harness.dispatcher.pool
     max_lent, pool.max_lent = pool.max_lent, 0
@@ -100,9 +100,9 @@
     "answer",
     [
         pytest.param(b"", id="nothing"),
-        pytest.param(WATCH_HEAD, id="head-alone"),
-        pytest.param(WATCH_HEAD + chunk_bytes(b'{"revis'), id="part-of-line"),
-        pytest.param(WATCH_HEAD + chunk_bytes(b'{\n  "revision": 5,\n\n'), id="part-of-indented-object"),
+        pytest.param(WATCH_HEAD, id="head-only"),
+        pytest.param(WATCH_HEAD + chunk_bytes(b'{"revis'), id="partial-line"),
+        pytest.param(WATCH_HEAD + chunk_bytes(b'{\n  "revision": 5,\n\n'), id="partial-indented-object"),
     ],
 )
 def test_watch_without_complete_line_is_reopened(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,7 +150,7 @@
     assert polls[1:3] == [b"GET /catalog/members?watch=1&after=4"] * 2
 
 
-def test_dribbled_line_counts_as_silence_and_long_list_does_not(
+def test_slowly_sent_line_counts_as_silence_and_long_list_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_US", 100_000)
--- a/tests/network/test_endpoint_connection.py
+++ b/tests/network/test_endpoint_connection.py
@@ -52,7 +52,7 @@
     assert exchange(harness, request_bytes(), request_bytes()) == [b"200 hello"] * 2
 
 
-def test_bodies_pass_both_ways_when_each_side_pauses_reading() -> None:
+def test_bodies_pass_in_both_directions_when_each_side_pauses_reading() -> None:
     received_by_endpoint: list[bytes] = []
     received_by_client: list[bytes] = []
 
@@ -89,7 +89,7 @@
         pytest.param(
             "write", OK_STATUS_LINE + CHUNKED_HEADER + chunk_bytes(b"hello"), b"502 ", id="no-last-chunk"
         ),
-        pytest.param("write", OK_STATUS_LINE, b"502 ", id="status-line-alone"),
+        pytest.param("write", OK_STATUS_LINE, b"502 ", id="status-line-only"),
         pytest.param("write", b"nonsense\r\n\r\n", b"502 ", id="malformed"),
         pytest.param(
             "write", OK_STATUS_LINE + b"content-length: 3000000000\r\n\r\na", b"502 ", id="too-large"
@@ -110,7 +110,7 @@
         pytest.param("read", response_bytes(status=429), b"503 ", id="429"),
     ],
 )
-def test_failed_attempt_is_answered_by_whether_it_may_have_taken_effect(
+def test_response_to_failed_attempt_depends_on_whether_it_may_have_taken_effect(
     request_class: str, response: bytes, answer: bytes
 ) -> None:
     harness = SidecarHarness([answer_each_with(response, closes=True)])
@@ -176,7 +176,7 @@
     assert endpoint_state.is_available(harness.scheduler.now()) is not is_reset
 
 
-def test_attempt_whose_deadline_has_passed_is_not_held_against_its_endpoint(
+def test_attempt_past_its_deadline_does_not_lower_success_rate_of_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = SidecarHarness([answer_each_with(response_bytes())])
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize("request_class", ["read", "write", "note"])
-def test_per_client_sidecar_rejects_request_that_finds_no_connection(request_class: str) -> None:
+def test_per_client_sidecar_rejects_request_if_all_connections_are_refused(request_class: str) -> None:
     # As where endpoints' tables are full: a new connection is refused, so the attempt surely never ran.
     harness = SidecarHarness([answer_each_with(response_bytes())] * 3, configure=mesh_configuration)
     for sock in harness.listening_sockets[:3]:
--- a/tests/network/test_request_upload.py
+++ b/tests/network/test_request_upload.py
@@ -32,12 +32,12 @@
     "size",
     [
         pytest.param(KEPT_BODY_BYTES, id="kept"),
-        pytest.param(KEPT_BODY_BYTES + 1, id="one-byte-more"),
+        pytest.param(KEPT_BODY_BYTES + 1, id="one-byte-too-large-to-keep"),
         pytest.param(KEPT_BODY_BYTES * 3, id="triple"),
         pytest.param(len(LARGE_BODY), id="megabyte"),
     ],
 )
-def test_upload_arrives_whole_and_connection_serves_on(is_chunked: bool, size: int) -> None:
+def test_upload_arrives_complete_and_connection_is_reused(is_chunked: bool, size: int) -> None:
     received: list[ReceivedRequest] = []
     harness = SidecarHarness([receive_requests(received, response_bytes(b"hello"))])
     responses: list[ReceivedResponse] = []
@@ -99,7 +99,7 @@
     assert statuses == [status]
 
 
-def test_upload_is_retried_only_if_it_is_whole_and_surely_not_run() -> None:
+def test_upload_is_retried_only_if_complete_and_certainly_not_run() -> None:
     received: list[ReceivedRequest] = []
 
     def declining(peer: ScriptedPeer) -> None:
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize(
     ("tail", "status"),
-    [pytest.param(b"", b"408", id="halted"), pytest.param(b"xyz\r\n", b"400", id="malformed-chunk")],
+    [pytest.param(b"", b"408", id="stalled"), pytest.param(b"xyz\r\n", b"400", id="malformed-chunk")],
 )
 def test_broken_upload_is_answered_and_counted_as_errored(
     tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
--- a/tests/network/test_server.py
+++ b/tests/network/test_server.py
@@ -104,22 +104,22 @@
         assert "stopping" in events
 
 
-def listen_plainly() -> socket.socket:
+def listen_with_standard_server() -> socket.socket:
     return socket.create_server(("127.0.0.1", 0))
 
 
-def listen_as_a_sidecar() -> socket.socket:
+def listen_with_sidecar_bind() -> socket.socket:
     return listener.bind("127.0.0.1", 0)
 
 
 @pytest.mark.parametrize(
     ("setting", "occupy_address"),
     [
-        pytest.param("listen", listen_plainly, id="listen"),
-        pytest.param("ops", listen_as_a_sidecar, id="ops"),
+        pytest.param("listen", listen_with_standard_server, id="listen"),
+        pytest.param("ops", listen_with_sidecar_bind, id="ops"),
     ],
 )
-def test_address_in_use_ends_the_start_and_is_named(
+def test_startup_fails_with_error_that_names_address_in_use(
     tmp_path: Path, setting: str, occupy_address: Callable[[], socket.socket]
 ) -> None:
     path = tmp_path / "config.json"
--- a/tests/network/test_socket_stream.py
+++ b/tests/network/test_socket_stream.py
@@ -17,22 +17,22 @@
 def connection() -> Iterator[tuple[socket.socket, socket.socket]]:
     """Both ends of a TCP connection: the accepted one, and the one that connected."""
     with socket.create_server(("127.0.0.1", 0)) as server:
-        far = socket.create_connection(server.getsockname())
-        near, _ = server.accept()
-    with near, far:
-        yield near, far
+        remote = socket.create_connection(server.getsockname())
+        local, _ = server.accept()
+    with local, remote:
+        yield local, remote
 
 
-def test_only_bytes_that_preceded_the_stream_are_timed_from_its_creation(
+def test_only_first_bytes_take_arrival_time_from_stream_creation(
     connection: tuple[socket.socket, socket.socket],
 ) -> None:
-    near, far = connection
+    local, remote = connection
     scheduler = Scheduler(lambda: 100, lambda _fault: None)
-    stream = SocketStream(scheduler, BufferPool(10), near)
+    stream = SocketStream(scheduler, BufferPool(10), local)
 
     def receive_byte() -> int:
-        far.send(b"x")
-        select.select([near], [], [])
+        remote.send(b"x")
+        select.select([local], [], [])
         stream.receive()
         return stream.arrived_us
 
