--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -1,4 +1,4 @@
-"""What wakes a task, and a scheduler with many resting descriptors that no round polls."""
+"""Tests of what wakes a task, and of many idle descriptors, which are not polled in each round."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class IdleTasks:
-    """A scheduler on a simulated clock, with resting tasks and one that works."""
+    """A scheduler on a simulated clock, with tasks that wait for idle descriptors and one that works."""
 
     def __init__(self, number: int, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(scheduler, "MAX_IDLE_IN_ONE_POLL", 4)
@@ -20,7 +20,7 @@
         self.loop = Scheduler(lambda: self.now, lambda text: self.faults.append(text))
         self.faults: list[str] = []
         self.pairs = [socket.socketpair() for _ in range(number)]
-        self.received: list[tuple[int, int]] = []  # which, and since when it may have come
+        self.received: list[tuple[int, int]] = []  # task number, earliest arrival time of its byte
         for n, (local, _) in enumerate(self.pairs):
             local.setblocking(False)
             self.loop.spawn(lambda n=n, local=local: self._wait_idle(n, local))  # type: ignore[misc]
@@ -35,7 +35,7 @@
             self.received.append((n, self.loop.earliest_arrival_us))
 
     def work(self, rounds: int, step_us: int) -> None:
-        """A task that wakes at every step, so there is work all the time."""
+        """Runs a task that wakes at every step, so that the loop is never idle."""
 
         def works() -> None:
             for _ in range(rounds):
@@ -72,12 +72,12 @@
     tasks = IdleTasks(10, monkeypatch)
     tasks.work(80, 1000)
     previous_full_poll_us = tasks.loop.last_full_poll_us
-    tasks.loop.next_full_poll_us = tasks.now + 3500  # some rounds go by before the next look
+    tasks.loop.next_full_poll_us = tasks.now + 3500  # several rounds pass before the next full poll
     tasks.pairs[3][1].send(b"x")
     tasks.work(8, 1000)
     assert len(tasks.received) == 1
     assert tasks.received[0][0] == 3
-    assert tasks.received[0][1] == previous_full_poll_us  # no later than it can have come
+    assert tasks.received[0][1] == previous_full_poll_us  # not later than the byte may have arrived
     assert list(tasks.loop.busy_masks) == [tasks.pairs[3][0].fileno()]
     tasks.close()
     assert not tasks.faults
@@ -87,7 +87,7 @@
     tasks = IdleTasks(10, monkeypatch)
     tasks.work(80, 1000)
     tasks.pairs[7][1].send(b"x")
-    tasks.now += scheduler.LOOP_IDLE_AFTER_US  # no event for so long; no full poll is due otherwise
+    tasks.now += scheduler.LOOP_IDLE_AFTER_US  # the loop is idle, and no full poll is due otherwise
     tasks.loop.next_full_poll_us = tasks.now + 50_000
     tasks.loop.is_stopped = False
     tasks.loop.after_round = lambda: setattr(tasks.loop, "is_stopped", True)
@@ -105,7 +105,7 @@
     numbers = {local.fileno() for local, _ in tasks.pairs[:6]}
     for _, remote in tasks.pairs[:6]:
         remote.close()
-    tasks.work(10, 1000)  # their tasks see the end and close
+    tasks.work(10, 1000)  # their tasks read the end of the stream and close
     tasks.work(10, 1000)
     assert not numbers & set(tasks.loop.full_masks)
     assert len(tasks.loop.full_masks) == 4
@@ -142,7 +142,7 @@
         now = 80
         scheduler.wait(until_us=0)
         remote.send(b"x")
-        now = 5000  # busy for so long; the byte may have come at 80
+        now = 5000  # the loop was busy until now; the byte may have arrived at 80
 
     with local, remote:
         task = scheduler.spawn(waiting)
--- a/tests/network/support.py
+++ b/tests/network/support.py
@@ -1,4 +1,4 @@
-"""Peers that record what they receive, and faults that tests put into sockets."""
+"""Scripted peers that record what they receive, and wrappers that inject faults into sockets."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from tests.support.scripted_peer import POLL_US, ScriptedPeer
 
 BODY_64_KIB = bytes(range(256)) * 256
-FIRST_UPDATE_REVISION = 5  # the configured list has the one before
+FIRST_UPDATE_REVISION = 5  # the configured list has revision 4
 
 
 class RecordingEndpoint:
-    """The script of an endpoint that answers each request head, with these responses in turn.
+    """The script of an endpoint that answers request heads with the given responses in rotation.
 
     Attributes:
-        heads: The request heads so far, over all its connections.
+        responses: The responses, one for each request in turn.
+        heads: The request heads received so far, over all connections.
     """
 
     def __init__(self, *responses: bytes) -> None:
@@ -38,11 +39,11 @@
 
 
 class ScriptedDiscovery:
-    """The script of a discovery service that sends its list, and its updates to all who watch.
+    """The script of a discovery service that sends its endpoint list, and updates on each watch.
 
     Attributes:
-        endpoint_list: Sent where no watch is requested.
-        updates: One entry for each update; what is appended is sent to every open watch.
+        endpoint_list: The response to requests without a watch.
+        updates: The endpoint entries to send, one per update; appended entries go to every open watch.
     """
 
     def __init__(self) -> None:
@@ -66,15 +67,20 @@
 
 
 class ConnectGate:
-    """Holds connections to one port back until it is opened.
+    """Delays connections to one port until the gate is opened.
 
     Attributes:
-        connects: Number of connections to the port that were begun.
-        is_open: Set by the test.
+        connects: The number of connection attempts to the port so far.
+        is_open: Whether connections proceed; set by the test.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, port: Callable[[], int]) -> None:
-        """`port` is called at each connect, since a harness may not have it yet."""
+        """Patches `SocketStream.connect`.
+
+        Args:
+            monkeypatch: Undoes the patch after the test.
+            port: Returns the port; called on each connect, because the harness may not have chosen it yet.
+        """
         self.connects = 0
         self.is_open = False
         connect = SocketStream.connect.__func__  # type: ignore[attr-defined]
@@ -105,10 +111,10 @@
 
 
 class FailingListener:
-    """A listening socket whose first calls of `accept` fail with these errors.
+    """A listening socket whose first calls of `accept` fail with the given errors.
 
     Attributes:
-        errors: Those still to come.
+        errors: The error numbers of the remaining failures.
     """
 
     def __init__(self, sock: socket.socket, *errors: int) -> None:
@@ -116,7 +122,7 @@
         self._sock = sock
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Fails, or accepts."""
+        """Raises the next error, if any are left, or accepts a connection."""
         if self.errors:
             raise OSError(self.errors.pop(0), "injected")
         return self._sock.accept()
@@ -126,7 +132,7 @@
 
 
 def read_status(peer: ScriptedPeer) -> bytes:
-    """Reads a response whose length is announced; returns its status."""
+    """Reads a response, whose body length its head announces; returns its status code."""
     head = peer.receive_until()
     peer.receive(int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0))
     return head[9:12]
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin API on sockets."""
+"""Tests of the admin API over sockets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """A sidecar with an admin address.
 
     Attributes:
-        admin_server: Its task.
-        admin_address: Where it accepts calls.
+        admin_server: The task that accepts admin calls.
+        admin_address: The host and port of the admin address.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         return ScriptedPeer(self.scheduler, socket.create_connection(self.admin_address))
 
     def add_admin_caller(self, script: Script) -> None:
-        """Adds a client whose peer talks to the admin address."""
+        """Adds a client that runs a script on a connection to the admin address."""
 
         def run(peer: ScriptedPeer) -> None:
             peer.sock.close()
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def harness() -> AdminHarness:
-    """Answers each request with `hello`."""
+    """A sidecar whose endpoint answers each request with `hello`."""
     return AdminHarness()
 
 
@@ -73,7 +73,7 @@
         peer.wait_until(lambda: harness.state_machine.can_serve(harness.scheduler.now()))
         for piece in pieces:
             peer.send(piece)
-            peer.sleep(2000)  # each comes on its own
+            peer.sleep(2000)  # so that each piece is received separately
         responses.append(peer.receive_all())
 
     harness.add_admin_caller(caller)
@@ -96,7 +96,7 @@
             caller.send(admin_request("/control/counters"))
             status_lines.append(caller.receive_all()[:12])
             caller.sock.close()
-            if number == 0:  # with the oldest and those above they fill all places
+            if number == 0:  # together with the earlier ones they reach the limit
                 unfinished += [harness.connect_admin() for _ in range(2)]
         open_calls.append(len(harness.admin_server.calls))
         received_by_oldest.append(peer.receive_all())
--- a/tests/network/test_attempt_exchange.py
+++ b/tests/network/test_attempt_exchange.py
@@ -1,4 +1,4 @@
-"""Responses, kept or streamed to a client, amid peers that break off or are slow."""
+"""Tests of responses that are kept or streamed to a client, with slow and disconnecting peers."""
 
 from __future__ import annotations
 
@@ -174,7 +174,7 @@
         lent.append(harness.dispatcher.pool.lent)
 
     def fast_client(peer: ScriptedPeer) -> None:
-        peer.wait_until(lambda: harness.dispatcher.pool.lent >= MAX_PIPE_BUFFERS)  # the slow one's
+        peer.wait_until(lambda: harness.dispatcher.pool.lent >= MAX_PIPE_BUFFERS)  # those of the slow client
         peer.send(request_bytes())
         responses.append(read_response(peer))
 
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Clients whose requests are malformed, pipelined, partial or slow, and clients beyond the limits."""
+"""Tests of clients that send malformed, pipelined, partial or slow requests or exceed the limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def harness() -> SidecarHarness:
-    """One endpoint that answers each request with an empty body."""
+    """A sidecar with one endpoint that answers each request with an empty body."""
     return SidecarHarness([answer_each_with(response_bytes())])
 
 
@@ -60,7 +60,7 @@
     statuses: list[bytes] = []
 
     def client(peer: ScriptedPeer) -> None:
-        peer.sleep(20_000)  # its request comes well after its connection
+        peer.sleep(20_000)  # the request arrives well after the connection
         peer.send(request_bytes())
         statuses.append(peer.receive_until()[9:12])
 
--- a/tests/network/test_close_crossings.py
+++ b/tests/network/test_close_crossings.py
@@ -1,4 +1,7 @@
-"""Closes of client connections and of the listener that cross what clients send, each order forced."""
+"""Tests of races between closing a connection or the listener and a client that sends.
+
+Each test forces one order of the events.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 def send_after_empty_read(sock: socket.socket, data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lets a client send right after the sidecar has read its connection and found nothing."""
+    """Makes a client send right after the sidecar has read from its connection and found no data."""
     receive = SocketStream.receive
     has_sent = False
 
@@ -49,14 +52,15 @@
         harness.dispatcher.dispatch([harness.state_machine.clients.close_if_idle(1)])
         assert peer.scheduler.wait(peer.sock.fileno(), READABLE)
         received.append(peer.sock.recv(100))
-        assert 1 in harness.dispatcher.clients  # read from for a while after it was sent the end
+        # The sidecar still reads from the connection for a while after it has shut down its sending side.
+        assert 1 in harness.dispatcher.clients
         peer.sock.close()
         peer.wait_until(lambda: not harness.dispatcher.clients)
 
     harness.add_client(client)
     harness.run()
     assert received == [b""]
-    assert len(endpoint.heads) == 1  # the second was read after the end, so not sent on
+    assert len(endpoint.heads) == 1  # the second request was read after the shutdown, so it was not forwarded
 
 
 def test_idle_client_that_does_not_close_is_closed_in_bounded_time() -> None:
@@ -77,7 +81,7 @@
 def test_last_response_arrives_complete_despite_unread_input(
     is_at_client_limit: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer is in the kernel's buffers, for a client that reads late; a reset would drop it."""
+    """A reset would discard the response, which is still in the kernel's buffers for a slow reader."""
     harness = SidecarHarness([RecordingEndpoint(response_bytes(BODY_64_KIB * 8))])
     bodies: list[bytes] = []
     if is_at_client_limit:
@@ -85,7 +89,7 @@
     on_response_written = StateMachine.on_response_written
 
     def send_then_report(machine: StateMachine, now: int, client: int) -> list[do.Command]:
-        sock.send(b"GET /more HTTP/1.1\r\n")  # unread when the answer is written
+        sock.send(b"GET /more HTTP/1.1\r\n")  # unread when the response is written
         return on_response_written(machine, now, client)
 
     monkeypatch.setattr(StateMachine, "on_response_written", send_then_report)
--- a/tests/network/test_configuration_reload.py
+++ b/tests/network/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration file is read again."""
+"""Tests of reloading the configuration file on SIGHUP."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DiscoveryServer:
-    """Listens as discovery for one watch."""
+    """A discovery service that serves one watch."""
 
     def __init__(self, revision: int, entries: list[dict[str, Any]]) -> None:
         self.revision = revision
@@ -32,7 +32,7 @@
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def serve_list_and_watch(self) -> socket.socket:
-        """Accepts a sidecar, sends it the list and starts its watch; returns the open connection."""
+        """Accepts a sidecar, sends it the endpoint list and starts its watch; returns the open connection."""
         connection, _ = self.sock.accept()
         assert b"GET /catalog/members HTTP" in receive_until(connection)
         connection.sendall(response_bytes(json.dumps(self.endpoint_list).encode()))
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def old_discovery(endpoint_socket: socket.socket) -> Iterator[DiscoveryServer]:
-    """Lists the endpoint."""
+    """A discovery service that lists the endpoint, at revision 70."""
     server = DiscoveryServer(70, [endpoint_entry("s0", endpoint_socket.getsockname()[1])])
     with server.sock:
         yield server
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def new_discovery() -> Iterator[DiscoveryServer]:
-    """Does not list the endpoint, and counts its revisions anew."""
+    """A discovery service that does not list the endpoint and has lower revisions."""
     server = DiscoveryServer(3, [endpoint_entry("s1", 9)])
     with server.sock:
         yield server
@@ -73,7 +73,7 @@
     path, address = tmp_path / "config.json", unused_address()
     configuration = {**SIDECAR_CONFIGURATION, "listen": address, "discovery": old_discovery.address}
     path.write_text(json.dumps(configuration))
-    # The environment stands above the file until the file's value changes.
+    # The environment variable overrides the file until the value in the file changes.
     with serving(path, BALANCER_DISCOVERY=old_discovery.address) as sidecar:
         sidecar.wait_for_event("start")
         with old_discovery.serve_list_and_watch() as old_watch:
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -1,4 +1,7 @@
-"""Events of clients, endpoints and discovery that cross, each order forced on loopback."""
+"""Tests of races between clients, endpoints and discovery.
+
+Each test forces one order of the events on loopback connections.
+"""
 
 from __future__ import annotations
 
@@ -30,11 +33,11 @@
 
 INTERIM_RESPONSE = b"HTTP/1.1 102 X\r\n\r\n"
 LAST_PART = b"the end"
-CLIENTS = 120  # clients
+CLIENTS = 120
 
 
 class Change(Enum):
-    """What has changed for a request once its retry is connected."""
+    """A change that occurs while the connection for a retry is being established."""
 
     WINDOW_EXPIRED = auto()
     OTHER_CELL = auto()
@@ -46,17 +49,17 @@
 def test_request_received_with_client_close_is_not_sent(
     has_idle_connection: bool, may_cancel: bool, requests: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request counts as one that lay unread for long: else its client would not be checked."""
+    """With an age limit of 0, the sidecar checks before sending whether the client has disconnected."""
     monkeypatch.setattr(forwarding, "CLIENT_CHECK_AGE_US", 0)
     endpoint = RecordingEndpoint()
     harness = SidecarHarness([endpoint], may_cancel=may_cancel)
 
     def client(peer: ScriptedPeer) -> None:
-        if has_idle_connection:  # so nothing is waited for
+        if has_idle_connection:  # so that the attempt does not wait for a connection
             peer.send(request_bytes())
             assert read_status(peer) == b"200"
             peer.wait_until(lambda: harness.state_machine.connections.idle)
-            peer.sleep(20_000)  # until it has settled
+            peer.sleep(20_000)  # until the idle connection has settled
         leaving = socket.create_connection(harness.address)
         leaving.sendall(b"".join(request_bytes() for _ in range(requests)))
         leaving.close()
@@ -85,7 +88,7 @@
         gate.is_open = True
         peer.wait_until(lambda: not harness.state_machine.attempts.in_flight)
         peer.sleep(20_000)
-        if not may_cancel:  # the connection was not wasted
+        if not may_cancel:  # the new connection is reused
             peer.send(request_bytes())
             assert read_status(peer) == b"200"
             assert gate.connects == 1
@@ -107,7 +110,10 @@
 
         def request_then_disconnect(now: int, client: int, *details: Any) -> list[do.Command]:
             commands = on_request(now, client, *details)
-            return [*commands, *machine.on_client_disconnected(now, client)]  # sent and cancelled at once
+            return [
+                *commands,
+                *machine.on_client_disconnected(now, client),
+            ]  # the attempt is sent and cancelled in one step
 
         machine.on_request = request_then_disconnect  # type: ignore[method-assign, assignment]
         peer.send(request_bytes())
@@ -148,7 +154,7 @@
     harness.add_client(client)
     harness.run()
     assert not endpoint.heads
-    assert statuses == [b"503"]  # it never ran, so it may be rejected
+    assert statuses == [b"503"]  # the request never ran, so it may be rejected
 
 
 @pytest.mark.parametrize(
@@ -165,14 +171,15 @@
 ) -> None:
     def resetting_endpoint(peer: ScriptedPeer) -> None:
         peer.receive_until()
-        # The retry has to have somewhere to go.
+        # Until then there is no other endpoint for the retry.
         peer.wait_until(lambda: harness.state_machine.endpoint_watch.revision == FIRST_UPDATE_REVISION)
         peer.reset()
 
     endpoint, discovery = RecordingEndpoint(), ScriptedDiscovery()
     harness = SidecarHarness([resetting_endpoint, endpoint], discovery)
     discovery.endpoint_list = json.loads(harness.endpoint_list_json)
-    discovery.endpoint_list["members"][1]["phase"] = "draining"  # so the first attempt goes to the other
+    # So that the first attempt goes to the other endpoint.
+    discovery.endpoint_list["members"][1]["phase"] = "draining"
     gate = ConnectGate(monkeypatch, lambda: harness.ports[1])
     statuses: list[bytes] = []
 
@@ -223,13 +230,13 @@
     harness.add_client(client)
     harness.run()
     assert statuses == [b"200"]
-    assert not harness.state_machine.registry.endpoints  # the record goes with the attempt
+    assert not harness.state_machine.registry.endpoints  # the record is removed at the end of the attempt
 
 
 def test_late_second_response_is_not_sent_to_next_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # In place of some milliseconds, since a machine may be slow.
+    # Longer than the usual few milliseconds, because the machine may be slow.
     monkeypatch.setattr(endpoint_connections, "CONNECTION_SETTLE_US", SECOND)
 
     def answer_twice(peer: ScriptedPeer) -> None:
@@ -237,7 +244,7 @@
         while peer.receive_until():
             peer.send(response_bytes(b"answer %d" % number))
             if not number:
-                # The next attempt is on its way.
+                # The next attempt has started.
                 peer.wait_until(lambda: len(bodies) == 1 and harness.state_machine.attempts.in_flight)
             peer.send(response_bytes(b"answer %d" % number))
             number += 1
@@ -255,7 +262,7 @@
     harness.add_client(client)
     harness.run()
     assert bodies == [b"answer 0", b"answer 0"]
-    assert len(harness.open_sockets) > 3  # each over a connection of its own
+    assert len(harness.open_sockets) > 3  # each attempt used its own connection
 
 
 def test_response_with_simultaneous_client_close_releases_buffers() -> None:
@@ -278,7 +285,7 @@
         assert read_status(peer) == b"200"
 
     harness.add_client(client)
-    harness.run()  # which checks that all buffers and records are back
+    harness.run()  # checks that all buffers and records have been released
 
 
 def test_wakeup_at_upload_end_is_not_taken_for_cancellation() -> None:
@@ -298,7 +305,7 @@
         peer.send(request[: -len(LAST_PART)])
         peer.wait_until(lambda: endpoint_peers)
         peer.sleep(20_000)
-        # Both are seen in one poll: the attempt's task is woken by its endpoint and by the client's task.
+        # One poll reports both: the attempt's task is woken by its endpoint and by the client's task.
         endpoint_peers[0].sock.send(INTERIM_RESPONSE)
         peer.send(request[-len(LAST_PART) :])
         statuses.append(read_status(peer))
@@ -309,10 +316,9 @@
 
 
 def test_request_is_not_forwarded_long_after_client_left(capsys: pytest.CaptureFixture[str]) -> None:
-    """Many clients leave at each step of a request, before one slow endpoint.
+    """Clients disconnect at various stages of their requests to one slow endpoint.
 
-    Counts the requests that were sent on after their client had left, and how much later, and prints the
-    worst case.
+    Counts the requests that were forwarded after their client had disconnected, and prints the longest delay.
     """
     left_at_us: dict[bytes, int] = {}
     delays_us: list[int] = []
@@ -323,12 +329,12 @@
             if name in left_at_us:
                 delays_us.append(peer.scheduler.now() - left_at_us[name])
             peer.sleep(15_000)
-            with suppress(OSError):  # cancelled, as its client has left
+            with suppress(OSError):  # the attempt was cancelled because its client disconnected
                 peer.send(response_bytes(b"hello"))
 
     harness = SidecarHarness([slow_endpoint], connect_timeout_us=500_000)
-    harness.state_machine.load_balancer.endpoints[0].limit = 2.0  # so that most wait in the queue
-    stalls_us = [0]  # for how long the machine has let this process wait, which is not its fault
+    harness.state_machine.load_balancer.endpoints[0].limit = 2.0  # so that most requests wait in the queue
+    stalls_us = [0]  # delays that the machine, not the sidecar, caused
 
     def measure_stalls() -> None:
         while True:
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list, against a scripted discovery service."""
+"""Tests of the discovery watch against a scripted discovery service."""
 
 from __future__ import annotations
 
@@ -78,16 +78,16 @@
     def client(peer: ScriptedPeer) -> None:
         peer.wait_until(lambda: harness.state_machine.endpoint_watch.consecutive_failures)
         pool.max_lent = max_lent
-        peer.wait_until(lambda: len(harness.open_sockets) == 3)  # this client, the first watch and another
+        peer.wait_until(lambda: len(harness.open_sockets) == 3)  # of this client and two watches
 
     harness.add_client(client)
     harness.run()
 
 
 def test_watch_silence_budget_covers_all_stages() -> None:
-    """Updates count as known six seconds after a watch fell silent, four after the address has changed.
+    """An update must be known within 6 s after a watch falls silent and 4 s after the address changes.
 
-    A further connection that is silent too may come between.
+    In both cases one more connection to discovery may be silent before the one that succeeds.
     """
     longest_first_backoff_us, margin_us = 75_000, 500_000
     first_answer_us = discovery_watch.FIRST_ANSWER_TIMEOUT_US
@@ -135,7 +135,7 @@
                 peer.send(response_bytes(harness.endpoint_list_json))
                 continue
             peer.send(OK_STATUS_LINE + CHUNKED_HEADER + chunk_bytes(b'{"revision": 5,\n\n'))
-            while len(polls) < 3:  # never silent
+            while len(polls) < 3:  # sends empty lines, so that the watch does not time out
                 try:
                     peer.send(chunk_bytes(b"\n"))
                 except OSError:
@@ -161,7 +161,7 @@
 
     def discovery(peer: ScriptedPeer) -> None:
         if b"watch" not in peer.receive_until():
-            for start in range(0, len(long_list), 3_000):  # longer in all than the silence allowed
+            for start in range(0, len(long_list), 3_000):  # takes longer in total than the silence time-out
                 peer.send(long_list[start : start + 3_000])
                 peer.sleep(15_000)
             peer.receive_until()
@@ -237,7 +237,7 @@
     statuses: list[bytes] = []
 
     def client(peer: ScriptedPeer) -> None:
-        peer.send(request_bytes())  # before discovery answers
+        peer.send(request_bytes())  # sent before discovery answers
         statuses.append(read_status(peer))
 
     harness.add_client(client)
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Commands reach the tasks that handle them, and tasks that the process needs start again after a fault."""
+"""Tests that commands reach the tasks that handle them, and that vital tasks restart after a fault."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_each_task_receives_only_commands_that_it_handles() -> None:
-    """The tasks' handling of their messages rests on this."""
+    """The watch, listener and timer tasks rely on it: they do not check the types of their messages."""
     harness = SidecarHarness([RecordingEndpoint()])
     types_by_task: dict[str, set[type]] = {}
     post = harness.scheduler.post
@@ -43,7 +43,7 @@
             peer.send(request_bytes())
             assert read_status(peer) == b"200"
         harness.dispatcher.dispatch(harness.state_machine.on_watch_ended(harness.scheduler.now(), "injected"))
-        with socket.socket() as closed:  # nobody else can listen there meanwhile
+        with socket.socket() as closed:  # bound but not listening, so that connections are refused
             closed.bind((harness.host, 0))
             commands = harness.state_machine.on_discovery_address(
                 harness.scheduler.now(), closed.getsockname()
@@ -84,7 +84,7 @@
     statuses: list[bytes] = []
 
     def client(peer: ScriptedPeer) -> None:
-        peer.wait_until(lambda: len(watches) > 1)  # the watch is opened again
+        peer.wait_until(lambda: len(watches) > 1)  # the watch has been reopened
         late_client = socket.create_connection(harness.address)
         late_client.sendall(request_bytes())
         statuses.append(read_status(ScriptedPeer(harness.scheduler, late_client)))
--- a/tests/network/test_endpoint_connection.py
+++ b/tests/network/test_endpoint_connection.py
@@ -1,4 +1,4 @@
-"""Attempts over connections to scripted endpoints: framing, failures, reuse and refusal."""
+"""Tests of attempts over connections to scripted endpoints: framing, failures, reuse and refusal."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 def test_refused_connection_rejects_request_and_makes_endpoint_unavailable() -> None:
     harness = SidecarHarness([answer_each_with(response_bytes())])
     harness.listening_sockets[0].close()
-    harness.listening_sockets[0] = socket.socket()  # nobody listens any more
+    harness.listening_sockets[0] = socket.socket()  # nothing listens on the port any more
     assert exchange(harness, request_bytes("write")) == [b"503 "]
     assert not harness.state_machine.load_balancer.endpoints[0].is_available(harness.scheduler.now())
 
@@ -217,7 +217,7 @@
         full.bind((SidecarHarness.host, 0))
         full.listen(0)
         port = full.getsockname()[1]
-        for _ in range(4):  # its queue is full: nobody answers
+        for _ in range(4):  # fills the accept queue, so that further connects get no answer
             sock = stack.enter_context(socket.socket())
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("request_class", ["read", "write", "note"])
 def test_per_client_sidecar_rejects_request_if_all_connections_are_refused(request_class: str) -> None:
-    # As where endpoints' tables are full: a new connection is refused, so the attempt surely never ran.
+    # As with an endpoint at its connection limit: a refused connection proves that the attempt never ran.
     harness = SidecarHarness([answer_each_with(response_bytes())] * 3, configure=mesh_configuration)
     for sock in harness.listening_sockets[:3]:
         sock.close()
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients while the system refuses."""
+"""Tests of accepting clients while `accept` fails."""
 
 from __future__ import annotations
 
--- a/tests/network/test_request_upload.py
+++ b/tests/network/test_request_upload.py
@@ -1,4 +1,4 @@
-"""Requests too large to keep, streamed amid peers that break off, answer early or are slow."""
+"""Tests of requests too large to keep, with peers that disconnect, respond early or are slow."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     def client(peer: ScriptedPeer) -> None:
         head = request_bytes(Content_Length=str(len(LARGE_BODY)), Req_Deadline="300m")
         request = head + LARGE_BODY
-        for start in range(0, len(request), 200_000):  # half a second in all
+        for start in range(0, len(request), 200_000):  # takes half a second in total
             peer.send(request[start : start + 200_000])
             peer.sleep(100_000)
         responses.append(read_response(peer))
@@ -110,7 +110,7 @@
             peer.sock.close()
 
     harness = SidecarHarness([declining, receive_requests(received, response_bytes(b"hello"))])
-    for _ in range(40):  # so that there is budget for a retry
+    for _ in range(40):  # fills the retry budget
         harness.state_machine.load_balancer.budget.count_request(harness.scheduler.now())
     responses: list[ReceivedResponse] = []
 
@@ -127,7 +127,7 @@
     harness.add_client(client)
     harness.run()
     assert {response.status for response in responses} <= {b"200", b"503"}
-    assert {request.body for request in received} <= {b"", DOUBLE_KEPT_BODY}  # whole, or not at all
+    assert {request.body for request in received} <= {b"", DOUBLE_KEPT_BODY}  # complete, or not at all
 
 
 def test_upload_ends_attempt_when_client_disconnects() -> None:
@@ -192,7 +192,7 @@
 
     harness.add_client(client)
     harness.run()
-    assert statuses == [b"503"]  # not 502: its last byte was never written
+    assert statuses == [b"503"]  # not 502, because the last byte of the upload was never sent
 
 
 def test_upload_may_pause_after_a_faster_part_but_not_be_slow_throughout(
@@ -217,9 +217,9 @@
         return client
 
     harness.add_client(sending("120 kB/s with long pauses", 30_000, 250_000))
-    harness.add_client(sending("40 kB/s without", 2_000, 50_000))
+    harness.add_client(sending("40 kB/s with short pauses", 2_000, 50_000))
     harness.run()
-    assert statuses == {"120 kB/s with long pauses": b"200", "40 kB/s without": b"408"}
+    assert statuses == {"120 kB/s with long pauses": b"200", "40 kB/s with short pauses": b"408"}
 
 
 def test_slow_response_is_not_taken_for_a_slow_upload(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_server.py
+++ b/tests/network/test_server.py
@@ -1,4 +1,4 @@
-"""Start and orderly stop of a sidecar, in this process and as one of its own."""
+"""Tests of the start and orderly stop of a sidecar, in the test process and in a separate process."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     for _ in range(4):
         harness.add_client(client)
     harness.scheduler.run()
-    unread_responses = 0  # the scripts end with the scheduler
+    unread_responses = 0  # responses that the scripts did not read before the scheduler stopped
     for sock in harness.open_sockets:
         with suppress(OSError):
             unread_responses += sock.recv(1 << 16).count(b"hello")
@@ -96,7 +96,8 @@
             assert next(sidecar.events())["event"] == "start"
             with connect(address) as sock:
                 sock.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
-                assert sock.recv(100).startswith(b"HTTP/1.1 503")  # no list, and discovery is not there
+                # There is no endpoint list, and discovery is unreachable.
+                assert sock.recv(100).startswith(b"HTTP/1.1 503")
                 sidecar.process.send_signal(signal.SIGTERM)
                 assert sidecar.process.wait(PATIENCE_S) == 0
             events = [event["event"] for event in sidecar.events()]
--- a/tests/network/test_socket_stream.py
+++ b/tests/network/test_socket_stream.py
@@ -1,4 +1,4 @@
-"""When bytes on a stream may have come."""
+"""Tests of the arrival times that a stream records for received bytes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def connection() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Both ends of a TCP connection: the accepted one, and the one that connected."""
+    """Both ends of a TCP connection: the accepted socket and the connecting socket."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         remote = socket.create_connection(server.getsockname())
         local, _ = server.accept()
