--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -27,9 +27,9 @@
 MAX_OPEN_CALLS = 8  # a further connection closes the oldest unfinished call
 DESCRIPTORS = MAX_OPEN_CALLS + 2  # plus the listening socket and a connection that is being accepted
 CALL_TIMEOUT_US = 2_000_000  # from accepting the connection to the end of the head; then for the response
-DRAIN_TIMEOUT_US = 500_000  # for which input after the response is read and discarded
+DRAIN_TIMEOUT_US = 500_000  # how long input after the response is read and discarded
 READ_BYTES = 4096
-CLOSE_CALL = "close call"
+CLOSE_CALL = "close call"  # message that closes a call to make room for another one
 MEMBERSHIP_PATH, ZONES_PATH = b"/membership", b"/zones"  # served only if membership is configured
 JSON = b"application/json"
 
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -82,8 +82,8 @@
         except StreamInterruptedError:
             return None
         except StreamTimeoutError:
-            return "discovery did not respond before the time limit"
-        except BufferPoolExhaustedError:  # waiting for a buffer could delay the drain of an endpoint
+            return "discovery timed out: no connection or no complete line before the time limit"
+        except BufferPoolExhaustedError:  # waiting for a buffer could leave a drain unnoticed
             return "buffer pool exhausted while reading from discovery"
         except (OSError, MalformedMessageError, MalformedEndpointListError) as error:
             return str(error) or "connection to discovery failed"
--- a/cressrail/network/request_reception.py
+++ b/cressrail/network/request_reception.py
@@ -143,7 +143,8 @@
 
     def _on_close_requested(self) -> ReceptionResult | None:
         """Handles the command to close an idle connection; returns None if the reception continues."""
-        self.dispatcher.scheduler.current_task().messages.popleft()  # the only command that is sent now
+        # The state machine posts no other command during the reception of a request.
+        self.dispatcher.scheduler.current_task().messages.popleft()
         if self._reader is None:
             count = self.stream.receive()  # a request that has just arrived is still answered
             if count == 0:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -96,6 +96,8 @@
     ) -> int:
         """Blocks the task until the socket is ready; returns the mask that poll reported.
 
+        The arguments have the same meaning as in `Scheduler.wait`.
+
         Raises:
             StreamTimeoutError: `until_us` was reached first.
             StreamInterruptedError: A message was posted first and `wakes_on_message` is true.
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -110,10 +110,8 @@
 
         def request_then_disconnect(now: int, client: int, *details: Any) -> list[do.Command]:
             commands = on_request(now, client, *details)
-            return [
-                *commands,
-                *machine.on_client_disconnected(now, client),
-            ]  # the attempt is sent and cancelled in one step
+            # The attempt is sent and cancelled in one step.
+            return [*commands, *machine.on_client_disconnected(now, client)]
 
         machine.on_request = request_then_disconnect  # type: ignore[method-assign, assignment]
         peer.send(request_bytes())
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -43,7 +43,8 @@
             peer.send(request_bytes())
             assert read_status(peer) == b"200"
         harness.dispatcher.dispatch(harness.state_machine.on_watch_ended(harness.scheduler.now(), "injected"))
-        with socket.socket() as closed:  # bound but not listening, so that connections are refused
+        # Bound but not listening: connections are refused, and no other process can listen on the port.
+        with socket.socket() as closed:
             closed.bind((harness.host, 0))
             commands = harness.state_machine.on_discovery_address(
                 harness.scheduler.now(), closed.getsockname()
