--- a/tests/network/test_request_upload.py
+++ b/tests/network/test_request_upload.py
@@ -1,4 +1,4 @@
-"""Requests too large to keep, streamed amid peers that break off, answer early or are slow."""
+"""Tests of requests too large to keep, with peers that disconnect, respond early or are slow."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     "size",
     [
         pytest.param(KEPT_BODY_BYTES, id="kept"),
-        pytest.param(KEPT_BODY_BYTES + 1, id="one-byte-more"),
+        pytest.param(KEPT_BODY_BYTES + 1, id="one-byte-too-large-to-keep"),
         pytest.param(KEPT_BODY_BYTES * 3, id="triple"),
         pytest.param(len(LARGE_BODY), id="megabyte"),
     ],
 )
-def test_upload_arrives_whole_and_connection_serves_on(is_chunked: bool, size: int) -> None:
+def test_upload_arrives_complete_and_connection_is_reused(is_chunked: bool, size: int) -> None:
     received: list[ReceivedRequest] = []
     harness = SidecarHarness([receive_requests(received, response_bytes(b"hello"))])
     responses: list[ReceivedResponse] = []
@@ -60,7 +60,7 @@
     def client(peer: ScriptedPeer) -> None:
         head = request_bytes(Content_Length=str(len(LARGE_BODY)), Req_Deadline="300m")
         request = head + LARGE_BODY
-        for start in range(0, len(request), 200_000):  # half a second in all
+        for start in range(0, len(request), 200_000):  # takes half a second in total
             peer.send(request[start : start + 200_000])
             peer.sleep(100_000)
         responses.append(read_response(peer))
@@ -99,7 +99,7 @@
     assert statuses == [status]
 
 
-def test_upload_is_retried_only_if_it_is_whole_and_surely_not_run() -> None:
+def test_upload_is_retried_only_if_complete_and_certainly_not_run() -> None:
     received: list[ReceivedRequest] = []
 
     def declining(peer: ScriptedPeer) -> None:
@@ -110,7 +110,7 @@
             peer.sock.close()
 
     harness = SidecarHarness([declining, receive_requests(received, response_bytes(b"hello"))])
-    for _ in range(40):  # so that there is budget for a retry
+    for _ in range(40):  # fills the retry budget
         harness.state_machine.load_balancer.budget.count_request(harness.scheduler.now())
     responses: list[ReceivedResponse] = []
 
@@ -127,7 +127,7 @@
     harness.add_client(client)
     harness.run()
     assert {response.status for response in responses} <= {b"200", b"503"}
-    assert {request.body for request in received} <= {b"", DOUBLE_KEPT_BODY}  # whole, or not at all
+    assert {request.body for request in received} <= {b"", DOUBLE_KEPT_BODY}  # complete, or not at all
 
 
 def test_upload_ends_attempt_when_client_disconnects() -> None:
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize(
     ("tail", "status"),
-    [pytest.param(b"", b"408", id="halted"), pytest.param(b"xyz\r\n", b"400", id="malformed-chunk")],
+    [pytest.param(b"", b"408", id="stalled"), pytest.param(b"xyz\r\n", b"400", id="malformed-chunk")],
 )
 def test_broken_upload_is_answered_and_counted_as_errored(
     tail: bytes, status: bytes, monkeypatch: pytest.MonkeyPatch
@@ -192,7 +192,7 @@
 
     harness.add_client(client)
     harness.run()
-    assert statuses == [b"503"]  # not 502: its last byte was never written
+    assert statuses == [b"503"]  # not 502, because the last byte of the upload was never sent
 
 
 def test_upload_may_pause_after_a_faster_part_but_not_be_slow_throughout(
@@ -217,9 +217,9 @@
         return client
 
     harness.add_client(sending("120 kB/s with long pauses", 30_000, 250_000))
-    harness.add_client(sending("40 kB/s without", 2_000, 50_000))
+    harness.add_client(sending("40 kB/s with short pauses", 2_000, 50_000))
     harness.run()
-    assert statuses == {"120 kB/s with long pauses": b"200", "40 kB/s without": b"408"}
+    assert statuses == {"120 kB/s with long pauses": b"200", "40 kB/s with short pauses": b"408"}
 
 
 def test_slow_response_is_not_taken_for_a_slow_upload(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_server.py
+++ b/tests/network/test_server.py
@@ -1,4 +1,4 @@
-"""Start and orderly stop of a sidecar, in this process and as one of its own."""
+"""Tests of the start and orderly stop of a sidecar, in the test process and in a separate process."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     for _ in range(4):
         harness.add_client(client)
     harness.scheduler.run()
-    unread_responses = 0  # the scripts end with the scheduler
+    unread_responses = 0  # responses that the scripts did not read before the scheduler stopped
     for sock in harness.open_sockets:
         with suppress(OSError):
             unread_responses += sock.recv(1 << 16).count(b"hello")
@@ -96,7 +96,8 @@
             assert next(sidecar.events())["event"] == "start"
             with connect(address) as sock:
                 sock.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
-                assert sock.recv(100).startswith(b"HTTP/1.1 503")  # no list, and discovery is not there
+                # There is no endpoint list, and discovery is unreachable.
+                assert sock.recv(100).startswith(b"HTTP/1.1 503")
                 sidecar.process.send_signal(signal.SIGTERM)
                 assert sidecar.process.wait(PATIENCE_S) == 0
             events = [event["event"] for event in sidecar.events()]
@@ -104,22 +105,22 @@
         assert "stopping" in events
 
 
-def listen_plainly() -> socket.socket:
+def listen_with_standard_server() -> socket.socket:
     return socket.create_server(("127.0.0.1", 0))
 
 
-def listen_as_a_sidecar() -> socket.socket:
+def listen_with_sidecar_bind() -> socket.socket:
     return listener.bind("127.0.0.1", 0)
 
 
 @pytest.mark.parametrize(
     ("setting", "occupy_address"),
     [
-        pytest.param("listen", listen_plainly, id="listen"),
-        pytest.param("ops", listen_as_a_sidecar, id="ops"),
+        pytest.param("listen", listen_with_standard_server, id="listen"),
+        pytest.param("ops", listen_with_sidecar_bind, id="ops"),
     ],
 )
-def test_address_in_use_ends_the_start_and_is_named(
+def test_startup_fails_with_error_that_names_address_in_use(
     tmp_path: Path, setting: str, occupy_address: Callable[[], socket.socket]
 ) -> None:
     path = tmp_path / "config.json"
