--- a/cressrail/load/__init__.py
+++ b/cressrail/load/__init__.py
@@ -1,5 +1,6 @@
-"""The load generator: an open loop whose arrival schedule is drawn before the run, and its figures.
+"""An open-loop load generator that draws its arrival schedule before the run, and the figures of its runs.
 
-Called by `cli` for `cressrail load` and by `experiment`; `testbed` shares the settings in `plan`. Imports
-`http_testing` for the clients' side of HTTP and `logs` for the names of events in a sidecar's log.
+`cli` calls it for `cressrail load`, and so does `experiment`; `testbed` shares the settings in `plan`. The
+package imports `http_testing` for the client side of HTTP and `logs` for the names of events in a sidecar's
+log.
 """
--- a/cressrail/load/attempt_log.py
+++ b/cressrail/load/attempt_log.py
@@ -1,6 +1,6 @@
-"""The log of attempts that `--ledger` names: a JSON line for each, the evidence of the rule checker.
+"""The attempt log, written to the file given by `--ledger`: one JSON line per attempt, for the rule checker.
 
-The keys of its lines stand here alone.
+This is the only module that defines the keys of its lines.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt of a request; times on the steady clock.
+    """One attempt of a request.
 
     Attributes:
-        attempt_id: Seed, request number and attempt number.
-        target: HOST:PORT.
-        timeout_us: What the client told the target.
+        attempt_id: The id built from seed, request number and attempt number.
+        target: The address of the target, as HOST:PORT.
+        started_us: When the attempt started, on the monotonic clock.
+        timeout_us: The timeout that the client sent to the target with the request.
     """
 
     attempt_id: str
@@ -30,7 +31,7 @@
 
 
 class AttemptLog:
-    """Writes to a file that its caller opens and closes."""
+    """Writes the attempt log to a file that the caller opens and closes."""
 
     def __init__(self, file: IO[bytes]) -> None:
         self._file = file
@@ -45,7 +46,7 @@
         request_class: str,
         tenant: str,
     ) -> None:
-        """Writes an attempt that has ended; `due_us` is on the steady clock."""
+        """Writes an attempt that has ended; `due_us` is when its request was due, on the monotonic clock."""
         self._write(
             {
                 "id": attempt.attempt_id,
@@ -67,7 +68,7 @@
         )
 
     def write_surplus(self, size: int, target: str) -> None:
-        """Writes that bytes came after a final response."""
+        """Writes that `target` sent `size` bytes after the end of a final response."""
         self._write({"surplus": size, "target": target})
 
     def _write(self, line: dict[str, object]) -> None:
--- a/cressrail/load/backoff.py
+++ b/cressrail/load/backoff.py
@@ -1,4 +1,4 @@
-"""How long a client waits before it retries."""
+"""The delay before a client's retry."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 def retry_delay_us(
     behaviour: ClientBehaviour, attempts: int, retry_after_us: int, generator: random.Random
 ) -> int:
-    """Draws the time until the next attempt.
+    """Returns the delay until the next attempt, in microseconds.
 
     Args:
-        behaviour: The backoff, and how many clients wait as they are asked to.
-        attempts: Attempts of this request so far.
-        retry_after_us: What the answer asked for; 0 for none.
-        generator: Drawn from once for an answer with Retry-After, and once for an exponential backoff.
+        behaviour: The backoff, and the share of clients that honour Retry-After.
+        attempts: The number of attempts of this request so far.
+        retry_after_us: The delay in the response's Retry-After header; 0 without one.
+        generator: Used for one draw if the response has Retry-After, and one for exponential backoff.
     """
     if retry_after_us and generator.random() < behaviour.retry_after_share:
         return retry_after_us
--- a/cressrail/load/closed_loop.py
+++ b/cressrail/load/closed_loop.py
@@ -1,7 +1,7 @@
-"""What a closed-loop generator would have reported of the same requests.
+"""The latencies that a closed-loop load generator would have reported for the same requests.
 
-A closed loop sends its next request when it has the last answer, so a stall of the server costs it samples
-instead of showing in them: coordinated omission (Tene, 'How NOT to Measure Latency').
+A closed loop sends a request only after the previous response, so during a server stall it takes fewer
+samples instead of recording high latencies: coordinated omission (Tene, 'How NOT to Measure Latency').
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 def closed_loop_latencies(
     due_us: Microseconds, sent_us: Microseconds, ended_us: Microseconds, workers: int
 ) -> Microseconds:
-    """Returns the latencies, from the send, that `workers` in a closed loop would have seen.
+    """Returns the latencies, measured from the send, that a closed loop with `workers` workers would record.
 
-    A worker takes the next request that is due while it is free; what is due while all of them wait is never
-    sent, and so never seen.
+    A free worker takes the next due request. Requests that are due while all workers wait for responses are
+    never sent, so they add no latency to the result.
     """
     free_at_us = [0] * workers
     latencies_us = []
@@ -32,6 +32,6 @@
 
 
 def typical_worker_count(due_us: Microseconds, latency_us: Microseconds) -> int:
-    """Returns how many requests are usually in flight (Little's law, with the median latency)."""
+    """Returns the typical number of requests in flight (Little's law, with the median latency)."""
     span_us = max(1, int(due_us.max() - due_us.min()))
     return max(1, round(len(due_us) / span_us * float(np.median(latency_us))))
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -1,7 +1,7 @@
-"""The figures of a run, computed from its request records once it is over.
+"""The figures of a run, computed from its request records after it ends.
 
-Latency counts from when a request was due, also for those without an answer: they took at least as long as
-they were waited for.
+Latency is measured from when a request was due. Requests without a response are included: their latency is at
+least the time for which the client waited.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from cressrail.load.stall_detector import Pause
 from cressrail.load.units import US_PER_MS, US_PER_S
 
-MAX_SEND_DELAY_US = 5_000  # a later send is the generator's fault
-MAX_UNRELIABLE_SHARE = 0.001  # of the requests, before no latency is reported
-AFTER_PAUSE_US = 20_000  # an answer read this soon after a pause may have waited for its end
+MAX_SEND_DELAY_US = 5_000  # a send delayed by more than this is attributed to the generator
+MAX_UNRELIABLE_SHARE = 0.001  # share of late or paused requests above which no latency is reported
+AFTER_PAUSE_US = 20_000  # a response read this soon after a pause may have been delayed by the pause
 MAX_STATUS = 599
 WHOLE_RUN = slice(None)
 
 
 class RequestOutcome(Enum):
-    """What the client knows of a request at its end; the values are the words of figures files."""
+    """The outcome of a request as the client sees it; the values are those written to figures files."""
 
     SUCCEEDED = "committed"
     REJECTED = "rolled back"
@@ -45,12 +45,12 @@
 
 
 def outcome_of(status: int) -> RequestOutcome:
-    """Returns the outcome of a request by the status of its last attempt, 0 without a whole answer."""
+    """Returns the outcome for the status of a request's last attempt; 0 stands for no complete response."""
     return OUTCOME_BY_STATUS.get(status, RequestOutcome.FAILED)
 
 
 class RequestGroup(NamedTuple):
-    """Requests of one class, tenant and outcome; `indices` count within the stretch that was asked for."""
+    """Requests of one class, tenant and outcome; `indices` are relative to the slice that was split."""
 
     request_class: str
     tenant: str
@@ -59,7 +59,7 @@
 
 
 class LoadFigures:
-    """The records of a run, ordered by when requests were due, and what follows from them."""
+    """The records of a run, ordered by due time, and the figures computed from them."""
 
     def __init__(self, path: Path, class_names: Sequence[str], tenant_names: Sequence[str]) -> None:
         records = read_records(path)
@@ -70,7 +70,7 @@
         self.histogram = new_histogram()
 
     def requests_in_pauses(self, pauses: Iterable[Pause]) -> Microseconds:
-        """Returns the indices of requests that were due in a pause, or ended in one or just after it."""
+        """Returns the indices of requests that were due during a pause, or ended during or just after one."""
         is_affected = np.zeros(len(self.records), bool)
         due_us, ended_us = self.records["due_us"], self.records["ended_us"]
         for start_us, end_us in pauses:
@@ -79,24 +79,22 @@
         return np.flatnonzero(is_affected)
 
     def unreliability(self, pauses: Sequence[Pause]) -> str | None:
-        """Returns one line that says why latencies can't be reported, or None where they can."""
+        """Returns one line that says why latencies cannot be reported, or None if they can."""
         count = len(self.records)
         late_count = int((self.send_delay_us > MAX_SEND_DELAY_US).sum())
         in_pauses = len(self.requests_in_pauses(pauses))
         if not count or max(late_count, in_pauses) <= MAX_UNRELIABLE_SHARE * count:
             return None
         longest_us = max((pause.end_us - pause.start_us for pause in pauses), default=0)
-        paused = (
-            f"; it stood still {len(pauses)} times, for up to {longest_us // US_PER_MS} ms" if pauses else ""
-        )
+        paused = f"; pauses: {len(pauses)}, the longest {longest_us // US_PER_MS} ms" if pauses else ""
         return (
-            f"no latencies: the generator itself was late with {late_count} of {count} sends "
-            f"(over {MAX_SEND_DELAY_US // US_PER_MS} ms, "
-            f"by up to {int(self.send_delay_us.max()) // US_PER_MS} ms){paused}"
+            f"latencies are not reported: the generator itself was late for {late_count} of {count} sends "
+            f"(by more than {MAX_SEND_DELAY_US // US_PER_MS} ms, "
+            f"up to {int(self.send_delay_us.max()) // US_PER_MS} ms){paused}"
         )
 
     def build_report(self, pauses: Sequence[Pause]) -> LoadReport:
-        """Returns the figures that follow from the records alone."""
+        """Returns the part of the report that is computed from the records and the generator's pauses."""
         statuses = self.records["status"]
         answered = int((statuses > 0).sum())
         refused = self.unreliability(pauses)
@@ -140,7 +138,7 @@
         }
 
     def split_into_groups(self, stretch: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
-        """Yields the requests of a stretch of the records by class, tenant and status."""
+        """Yields the requests of a slice of the records, grouped by class, tenant and status."""
         records = self.records[stretch]
         if not len(records):
             return
@@ -155,7 +153,7 @@
             )
 
     def count_by_second(self) -> list[dict[str, int]]:
-        """Returns counts by outcome for each second in which requests were due."""
+        """Returns the number of requests that were due in each second of the run, by outcome."""
         if not len(self.records):
             return []
         second_due = self.records["due_us"] // US_PER_S
--- a/cressrail/load/histogram_log.py
+++ b/cressrail/load/histogram_log.py
@@ -1,6 +1,6 @@
-"""Writes latencies as a histogram log, version 1.2 of the format of HdrHistogram.
+"""Writes latencies as a histogram log in version 1.2 of the HdrHistogram format.
 
-The library's own writer cannot write tags.
+The writer of the HdrHistogram library is not used because it cannot write tags.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     """Writes one histogram for each second, request class, tenant and outcome, as tagged interval lines.
 
     Args:
-        path: The file, overwritten.
-        figures: The run.
+        path: The file to write; an existing file is overwritten.
+        figures: The records and figures of the run.
         start_s: The start of the run, in seconds since the epoch.
     """
     second_count = len(figures.count_by_second())
--- a/cressrail/load/http_messages.py
+++ b/cressrail/load/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests in the platform's protocol, and what the generator reads from responses."""
+"""Encodes requests in the platform's protocol and decodes the parts of responses that the generator uses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     *,
     is_retry: bool,
 ) -> bytes:
-    """Returns the bytes of one attempt; a request that is idempotent and has no body is a GET."""
+    """Encodes one attempt: a GET for an idempotent request without a body, else a POST."""
     is_get = request_class.idempotency is Idempotency.IDEMPOTENT and not scheduled.body_bytes
     lines = [
         f"{'GET' if is_get else 'POST'} /api HTTP/1.1",
@@ -40,7 +40,7 @@
 
 
 def retry_after_us(response: Response) -> int:
-    """Returns what Retry-After asks for, 0 where it is missing or no number."""
+    """Returns the delay in the Retry-After header in microseconds, or 0 if it is missing or not a number."""
     try:
         return max(0, int(float(response.headers.get(b"retry-after", b"0")) * US_PER_S))
     except ValueError:
@@ -48,5 +48,5 @@
 
 
 def echoed_attempt_id(body: bytes) -> str:
-    """Returns the id of the attempt that an endpoint answered: what stands before the first space."""
+    """Returns the attempt id that an endpoint echoed: the part of the body before the first space."""
     return body[:MAX_ECHO_BYTES].partition(b" ")[0].decode("latin-1")
--- a/cressrail/load/plan.py
+++ b/cressrail/load/plan.py
@@ -1,6 +1,6 @@
-"""The settings of a load run: arrival rate, request classes, tenants, and how clients behave.
+"""The settings of a load run: arrival rate, request classes, tenants, and client behaviour.
 
-The keys of plan and scenario files stand here alone, as aliases of the fields.
+The keys of plan and scenario files are defined only here, as aliases of the fields.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class StrictModel(BaseModel):
-    """An immutable part of a file; a key that it does not know is an error."""
+    """Base class for the immutable sections of a file; an unknown key is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 def first_validation_error(error: ValidationError) -> str:
-    """Returns the first thing that is wrong, after the path at which it stands."""
+    """Returns the message of the first error, preceded by the path of the offending key."""
     first = error.errors()[0]
     path = ".".join(str(part) for part in first["loc"])
     message = first["msg"].removeprefix("Value error, ")
@@ -31,7 +31,7 @@
 
 
 class Idempotency(StrEnum):
-    """Whether a request may be sent again; the values are the words of files and options."""
+    """Whether a request may be sent again; the values are those used in files and options."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -39,11 +39,16 @@
 
 
 class RequestClassLoad(StrictModel):
-    """A part of the load: requests of one class.
+    """A request class and its share of the load.
 
     Attributes:
-        weight: Its part of the load, relative to the other classes.
-        mean_body_bytes: Of a lognormal distribution with a coefficient of variation of 0.5.
+        name: The name of the class.
+        idempotency: Whether its requests may be sent again.
+        weight: The class's share of the load, relative to the weights of the other classes.
+        deadline_ms: The deadline of a request, counted from when it was due.
+        latency_objective_ms: The latency objective of a request, counted from when it was due.
+        priority_weight: The value of a request that meets the objective, relative to other classes.
+        mean_body_bytes: The mean body size; sizes are lognormal with a coefficient of variation of 0.5.
     """
 
     name: str
@@ -56,19 +61,21 @@
 
 
 class TenantLoad(StrictModel):
-    """A tenant and its part of the load, relative to the other tenants."""
+    """A tenant and its share of the load, relative to the weights of the other tenants."""
 
     name: str
     weight: float = Field(1.0, ge=0, alias="part")
 
 
 class ClientBehaviour(StrictModel):
-    """What clients do when an answer is slow or missing.
+    """How clients react when a response is slow or missing.
 
     Attributes:
-        patience_share: The part of the deadline after which a client gives an attempt up.
-        max_retries: Further attempts after the first one.
-        retry_after_share: The part of the clients that wait for as long as Retry-After asks.
+        patience_share: The share of the deadline after which a client abandons an attempt.
+        max_retries: The largest number of attempts after the first one.
+        backoff: The kind of backoff: no delay, a fixed delay, or exponential backoff with jitter.
+        backoff_ms: The fixed delay, or the mean delay before the first retry of an exponential backoff.
+        retry_after_share: The share of clients that wait for the time given by Retry-After.
         keeps_connections: Whether a connection is used for more than one request.
     """
 
@@ -84,9 +91,15 @@
     """All settings of a load run.
 
     Attributes:
-        rate_per_s: Requests a second where the shape gives 1.
-        shape_parameters: Arguments of the shape, by name.
-        max_connections: Open at once, over all targets.
+        rate_per_s: The number of requests per second where the shape's rate is 1.
+        duration_s: The length of the run.
+        seed: The seed of the schedule and of the retry delays.
+        shape: The name of the shape of the arrival rate.
+        shape_parameters: The arguments of the shape, by name.
+        request_classes: The request classes.
+        tenants: The tenants.
+        client_behaviour: How clients react when a response is slow or missing.
+        max_connections: The largest number of open connections over all targets.
     """
 
     rate_per_s: float = Field(100.0, gt=0, le=1e6, alias="rate")
@@ -106,11 +119,15 @@
         except TypeError as error:
             raise ValueError(f"with: {str(error).replace('()', '')}") from None
         if not sum(tenant.weight for tenant in self.tenants):
-            raise ValueError("members: no part is above 0")
+            raise ValueError("members: at least one part must be greater than 0")
         return self
 
     def rate_shape(self) -> RateShape:
-        """Returns the arrival rate over time; raises `TypeError` for a parameter the shape does not have."""
+        """Returns the arrival rate over time.
+
+        Raises:
+            TypeError: If the shape has no parameter of a given name.
+        """
         parameters: dict[str, Any] = {
             name: int(value) if name == "trains" else value for name, value in self.shape_parameters.items()
         }
--- a/cressrail/load/progress.py
+++ b/cressrail/load/progress.py
@@ -1,4 +1,4 @@
-"""How far a run is, on standard error: a bar on a terminal, a line every few seconds elsewhere."""
+"""Shows the progress of a run on standard error: a bar on a terminal, else a line every few seconds."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @contextmanager
 def _progress_bar(sender: LoadSender, duration_s: float) -> Iterator[None]:
-    # Loaded only where there is a terminal: it takes its time.
+    # Imported only if there is a terminal, because the import is slow.
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn
 
--- a/cressrail/load/report.py
+++ b/cressrail/load/report.py
@@ -1,6 +1,6 @@
-"""What a run came to, as `--json` writes it and as a terminal shows it.
+"""The report of a run, as JSON for `--json` and as text for a terminal.
 
-The keys and the words for outcomes are those of figures files, which are kept and compared.
+The keys and the outcome names are part of the format of figures files, which are stored and compared.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from cressrail.load.latency_histogram import Quantiles
 from cressrail.load.units import US_PER_MS
 
-MAX_BUSY_US = 25_000  # a longer backlog of answers is worth a line
+MAX_BUSY_US = 25_000  # the summary mentions a longer delay in reading responses
 
 
 class GroupFigures(TypedDict):
-    """Requests of one request class ("profile"), tenant ("member") and outcome."""
+    """The figures of one request class ("profile"), tenant ("member") and outcome; `n` counts requests."""
 
     profile: str
     member: str
@@ -27,23 +27,27 @@
 
 
 class LoadReport(TypedDict, total=False):
-    """The figures of a run; latencies are missing where the generator itself was late.
+    """The figures of a run; latencies are missing if the generator itself was late.
 
     Attributes:
-        statuses: Requests by the status of their last attempt.
-        late_sends_us: How late the generator turned to requests.
-        latency_us: From when requests were due.
-        closed_loop_us: What a closed loop of `closed_loop_workers` would have reported.
-        tries: Attempts of all requests.
-        pauses_us: Start and end of each pause of the generator itself, from the start of the run.
-        refused: Why there are no latencies.
-        by: Figures by request class, tenant and outcome.
-        seconds: Requests by the second in which they were due and by outcome.
-        held_back: Attempts that waited for a connection.
-        surplus_bytes: Bytes that came after a final answer.
-        busy_us: The longest time for which answers may have waited to be read.
-        connections: How many were opened.
-        start_us: The start of the run on the steady clock.
+        offered: The number of requests that were due.
+        answered: The number of requests with a complete response.
+        unanswered: The number of requests without a complete response.
+        statuses: The number of requests by the status of their last attempt.
+        late_sends_us: Quantiles of the delay between a request's due time and its start.
+        latency_us: Quantiles of the latency, measured from when requests were due.
+        closed_loop_us: The quantiles that a closed loop of `closed_loop_workers` workers would have reported.
+        tries: The number of attempts of all requests.
+        pauses_us: The start and end of each pause of the generator itself, from the start of the run.
+        refused: The reason why latencies are not reported, or None if they are.
+        by: The figures by request class, tenant and outcome.
+        seconds: The number of requests by outcome, for each second in which they were due.
+        held_back: The number of attempts that waited for a connection.
+        surplus_bytes: The number of bytes received after final responses.
+        busy_us: The longest time for which responses may have waited to be read.
+        interrupted: Whether the run was ended by SIGINT.
+        connections: The number of connections opened.
+        start_us: The start of the run on the monotonic clock.
     """
 
     offered: int
@@ -68,7 +72,7 @@
 
 
 def summary_text(report: LoadReport) -> str:
-    """Returns a few lines for a terminal."""
+    """Returns a summary of a few lines for a terminal."""
     statuses = ", ".join(f"{status}: {count}" for status, count in report["statuses"].items())
     lines = [
         f"offered {report['offered']}, answered {report['answered']}, unanswered {report['unanswered']}, "
@@ -84,8 +88,8 @@
             lines.append(f"{title:12}" + "  ".join(columns))
     if report["busy_us"] > MAX_BUSY_US:
         lines.append(
-            "busy: so much came at once that answers waited up to "
-            f"{report['busy_us'] // US_PER_MS} ms to be read"
+            "busy: responses arrived faster than they were read and waited up to "
+            f"{report['busy_us'] // US_PER_MS} ms"
         )
     if report["refused"]:
         lines.append(report["refused"])
--- a/cressrail/load/request_records.py
+++ b/cressrail/load/request_records.py
@@ -1,6 +1,6 @@
-"""What became of each request, in records of one size on disk.
+"""Fixed-size records on disk, one for each request that has ended.
 
-Memory stays flat for the length of a run, and nothing is evaluated before it is over.
+Records are written during a run and evaluated only after it, so memory use does not grow with its length.
 """
 
 from __future__ import annotations
@@ -31,25 +31,33 @@
         ("body_bytes", "<u4"),
     ]
 )
-MAX_ATTEMPTS = 255  # that the record can hold
+MAX_ATTEMPTS = 255  # the largest value of the "attempts" field
 
 
 class RecordFlag(IntFlag):
-    """What else is known of a request."""
+    """Flags of a request record."""
 
     ANSWERED = 1
     WAITED_FOR_CONNECTION = 2
 
 
 class RequestRecord(NamedTuple):
-    """One request that has ended; fields in the order of `RECORD_DTYPE`, times from the start of the run.
+    """One request that has ended; its fields are in the order of `RECORD_DTYPE`.
+
+    All times count from the start of the run.
 
     Attributes:
-        due_us: When the schedule wanted it sent.
-        started_us: When the generator turned to it.
-        sent_us: When the bytes of its last attempt were written; 0 if they never were.
-        ended_us: The end of its last attempt.
-        status: Of its last attempt; 0 without a whole answer.
+        due_us: When the request was due by the schedule.
+        started_us: When the generator started to send the request.
+        sent_us: When the bytes of the last attempt were written; 0 if they never were.
+        ended_us: When the last attempt ended.
+        number: The number of the request in the run, from 1.
+        request_class: The index of the request class.
+        tenant: The index of the tenant.
+        status: The status of the last attempt; 0 without a complete response.
+        attempts: The number of attempts, at most `MAX_ATTEMPTS`.
+        flags: The value of a `RecordFlag`.
+        body_bytes: The size of the request body.
     """
 
     due_us: int
@@ -66,7 +74,7 @@
 
 
 class RequestRecordWriter(AbstractContextManager["RequestRecordWriter"]):
-    """Writes records to a new file, a batch at a time."""
+    """Writes records to a new file in batches."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("wb")
@@ -88,14 +96,14 @@
         self._batch_size = 0
 
     def close(self) -> None:
-        """Writes what is left and closes the file; does nothing the second time."""
+        """Writes the remaining records and closes the file; does nothing if it is already closed."""
         if not self._file.closed:
             self._flush()
             self._file.close()
 
 
 def read_records(path: Path) -> npt.NDArray[Any]:
-    """Returns all records of a file in the order in which they were written."""
+    """Returns all records of a file in the order in which they were written, without a truncated last one."""
     batches = list(_read_batches(path)) or [np.empty(0, RECORD_DTYPE)]
     return np.concatenate(batches)
 
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -1,4 +1,4 @@
-"""One run of the generator, from its settings to its figures."""
+"""Runs the load generator once and computes the figures of the run."""
 
 from __future__ import annotations
 
@@ -26,21 +26,24 @@
 from cressrail.load.sender import Address, LoadSender
 from cressrail.load.trace import UNSCALED, TraceScale, read_trace
 
-SPARE_DESCRIPTORS = 64  # beside those of connections
-MAX_DESCRIPTORS = 1 << 20  # where the system sets no limit
+SPARE_DESCRIPTORS = 64  # file descriptors for everything but connections
+MAX_DESCRIPTORS = 1 << 20  # used if the system sets no hard limit
 
 
 @dataclass(frozen=True)
 class LoadJob:
-    """What to run, and where its results go.
+    """A load run: its settings, its input and its output files.
 
     Attributes:
-        trace: Played in place of the plan's schedule.
-        attempt_log: A JSON line for each attempt.
-        records: The request records, which otherwise go with the run.
-        histogram_log: Latencies in the format of HdrHistogram.
-        start_us: The start on the steady clock, where others are to begin at the same moment.
-        is_quiet: Whether no progress is shown.
+        plan: The settings of the run.
+        targets: The addresses to which requests are sent.
+        trace: A trace to replay instead of the plan's schedule, or None.
+        trace_scale: The factors for the trace's times and rate.
+        attempt_log: The file for one JSON line per attempt, or None for no log.
+        records: The file for the request records, or None to delete them after the run.
+        histogram_log: The file for latencies in the HdrHistogram format, or None for no log.
+        start_us: The start on the monotonic clock, if other processes share it; None to start at once.
+        is_quiet: Whether progress output is suppressed.
     """
 
     plan: LoadPlan
@@ -56,13 +59,16 @@
 
 @dataclass
 class NameTables:
-    """Request classes and tenants by index; a trace adds those that the plan does not have."""
+    """Request classes and tenants by index, extended by those that occur only in a trace."""
 
     request_classes: list[RequestClassLoad]
     tenant_names: list[str]
 
     def extended_by_trace(self, path: Path, scale: TraceScale) -> Iterator[ScheduledRequest]:
-        """Yields the requests of a trace; a class it alone names has the settings of the plan's first."""
+        """Yields the requests of a trace.
+
+        A request class that only the trace names gets the settings of the plan's first request class.
+        """
         class_indices = {item.name: index for index, item in enumerate(self.request_classes)}
         tenant_indices = {name: index for index, name in enumerate(self.tenant_names)}
         for scheduled in read_trace(path, class_indices, tenant_indices, scale):
@@ -76,7 +82,7 @@
     """Sends the load and returns its figures.
 
     Raises:
-        MalformedTraceError: For a trace that cannot be read, once all that was sent has ended.
+        MalformedTraceError: If the trace cannot be read; raised after all requests sent so far have ended.
     """
     plan = fit_connections_to_descriptors(job.plan)
     tables = NameTables(list(plan.request_classes), [tenant.name for tenant in plan.tenants])
@@ -101,7 +107,11 @@
 
 
 def fit_connections_to_descriptors(plan: LoadPlan) -> LoadPlan:
-    """Raises the limit of descriptors as far as needed and allowed, and returns the plan within it."""
+    """Raises the file descriptor limit as needed and fits the plan's connections to it.
+
+    Returns:
+        The plan, with `max_connections` reduced if the hard limit allows fewer connections.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     allowed = hard if hard != resource.RLIM_INFINITY else MAX_DESCRIPTORS
     wanted = min(allowed, max(soft, plan.max_connections + SPARE_DESCRIPTORS))
@@ -134,9 +144,10 @@
 
 @contextmanager
 def _without_garbage_collection() -> Iterator[None]:
-    """With thousands of requests open, even a young collection takes longer than a send may be late.
+    """Disables garbage collection while the context is open.
 
-    The generator leaves no cycles behind, so memory does not grow for it.
+    With thousands of open requests, even a collection of the youngest generation takes longer than a send may
+    be late. The load generator creates no reference cycles, so memory use does not grow without it.
     """
     gc.collect()
     gc.freeze()
--- a/cressrail/load/schedule.py
+++ b/cressrail/load/schedule.py
@@ -1,4 +1,4 @@
-"""The arrival schedule: which request is due when, drawn before the run starts."""
+"""The arrival schedule of a run: the requests and their due times, drawn from the plan's seed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cressrail.load.plan import MAX_BODY_BYTES, LoadPlan
 from cressrail.load.shapes import draw_arrival_times
 
-BLOCK_REQUESTS = 65536  # drawn at a time, so that memory does not grow with the length of the run
+BLOCK_REQUESTS = 65536  # drawn at a time, to limit memory use in long runs
 # Parameters of a lognormal distribution with a mean of 1 and a coefficient of variation of 0.5.
 BODY_SIZE_MU, BODY_SIZE_SIGMA = -0.1116, 0.4724
 
@@ -19,10 +19,11 @@
     """A request before it is sent.
 
     Attributes:
-        due_us: When it is to be sent, from the start of the run.
-        request_class: Index into the run's request classes.
-        tenant: Index into the run's tenants.
-        idempotency_key: Sent with requests of classes that have one; the same for all attempts.
+        due_us: When the request is due, from the start of the run.
+        request_class: The index of the request class in the run's list.
+        tenant: The index of the tenant in the run's list.
+        body_bytes: The size of the request body.
+        idempotency_key: The key sent with all attempts of the request if its class uses idempotency keys.
     """
 
     due_us: int
@@ -33,7 +34,7 @@
 
 
 def draw_schedule(plan: LoadPlan) -> Iterator[ScheduledRequest]:
-    """Yields the requests of a plan in the order in which they are due; the same for the same plan."""
+    """Yields the requests of a plan in order of their due times; equal plans give equal schedules."""
     generator = np.random.Generator(np.random.PCG64(plan.seed))
     due_times_us = draw_arrival_times(plan.rate_shape(), plan.rate_per_s, plan.duration_s, generator)
     class_weights = np.array([request_class.weight for request_class in plan.request_classes])
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -1,7 +1,7 @@
-"""The open loop: each request is sent when it is due, whatever became of those before it.
+"""The open loop: sends each request when it is due, regardless of the responses to earlier requests.
 
-One timer waits for the next request; when it fires, all that are due by then are sent. A request that finds
-no connection free waits for one, and is timed from when it was due all the same.
+One timer waits for the next due time; when it fires, all requests due by then are sent. A request that finds
+no free connection waits for one, and its latency is still measured from when it was due.
 """
 
 from __future__ import annotations
@@ -23,22 +23,32 @@
 from cressrail.load.stall_detector import TICK_S, StallDetector
 from cressrail.load.units import MS_PER_S, US_PER_MS, US_PER_S
 
-START_DELAY_US = 200_000  # from the end of the preparations to the first request that can be due
-# Clients that wait to the end wait this much longer than they tell: over what the rules allow beyond a
-# deadline, so that an answer in the last moment is seen and judged.
+START_DELAY_US = 200_000  # between the setup of the sender and the earliest due time
+# Clients that wait for the whole deadline wait this much longer than the timeout that they send. This is more
+# than the rule checker allows beyond a deadline, so that late responses are recorded and checked.
 EXTRA_WAIT_US = 250_000
 MIN_TIMEOUT_US = 1000
-TIMER_RESOLUTION_US = US_PER_MS  # of the event loop
+TIMER_RESOLUTION_US = US_PER_MS  # the resolution of the event loop's timers
 REPORT_INTERVAL_S = 1
 OK = 200
-REJECTED_STATUSES = (429, 503)  # had no effect: safe to retry, whatever the request class
+REJECTED_STATUSES = (429, 503)  # rejected without an effect: safe to retry for every request class
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that has no final answer yet."""
+    """A request without a final response so far.
+
+    Attributes:
+        number: The number of the request in the run, from 1.
+        scheduled: The request as drawn from the schedule.
+        request_class: The settings of its request class.
+        started_us: When the generator started to send it, on the monotonic clock.
+        deadline_us: The end of its deadline, on the monotonic clock.
+        attempts: The number of attempts so far.
+        has_waited_for_connection: Whether an attempt has waited for a free connection.
+    """
 
     number: int
     scheduled: ScheduledRequest
@@ -50,12 +60,12 @@
 
 
 class LoadSender:
-    """Sends the requests of a schedule to its targets in turn, and writes a record of each.
+    """Sends the requests of a schedule to the targets in turn, and writes a record of each request.
 
     Attributes:
-        start_us: The start of the run on the steady clock; it may be set before `run`.
-        schedule_error: What ended the schedule early, such as a row of a trace that can't be used.
-        on_report: Called once a second.
+        start_us: The start of the run on the monotonic clock; may be set before `run`.
+        schedule_error: The error that ended the schedule early, such as a malformed row of a trace, or None.
+        on_report: A callback that is called once a second during the run.
     """
 
     def __init__(
@@ -94,7 +104,7 @@
 
     @property
     def start_us(self) -> int:
-        """The start of the run on the steady clock."""
+        """The start of the run on the monotonic clock."""
         return self.stall_detector.start_us
 
     @start_us.setter
@@ -103,21 +113,21 @@
 
     @property
     def waits_for_connection(self) -> int:
-        """How many attempts found no connection free."""
+        """The number of attempts that waited for a free connection."""
         return sum(client.queued_calls for client in self._clients)
 
     @property
     def surplus_bytes(self) -> int:
-        """How many bytes came after final answers."""
+        """The number of bytes received after final responses."""
         return sum(client.excess_bytes for client in self._clients)
 
     @property
     def connections_opened(self) -> int:
-        """How many connections were opened over the run."""
+        """The number of connections opened during the run."""
         return sum(client.connections_opened for client in self._clients)
 
     async def run(self) -> None:
-        """Sends the whole schedule and returns when each request has ended."""
+        """Sends the whole schedule and returns when all requests have ended."""
         background = [
             self._loop.create_task(self.stall_detector.run()),
             self._loop.create_task(self._report_regularly()),
@@ -126,18 +136,18 @@
         self._send_and_wait()
         try:
             await self._finished.wait()
-            # A pause that ended the run is unseen until the detector has had its turn.
+            # A pause at the end of the run is recorded only when the stall detector runs again.
             await asyncio.sleep(2 * TICK_S)
         finally:
             for task in background:
                 task.cancel()
-            # Attempts that are cut off here were not failed by their target: they are not logged.
+            # Closing the clients aborts attempts that their target did not fail, so these are not logged.
             self._attempt_log = None
             for client in self._clients:
                 client.close()
 
     def interrupt(self) -> None:
-        """Ends the run; requests without an answer count as unanswered."""
+        """Ends the run; requests without a response are recorded as unanswered."""
         self.is_interrupted = self._is_schedule_over = True
         self._next = None
         for request in list(self.pending.values()):
@@ -152,7 +162,7 @@
     def _advance(self) -> None:
         try:
             self._next = next(self._schedule, None)
-        except Exception as error:  # raised by `run_load` once all is closed
+        except Exception as error:  # `run_load` raises it after the run
             self.schedule_error, self._next = error, None
         if self._next is None:
             self._is_schedule_over = True
@@ -160,7 +170,7 @@
                 self._finished.set()
 
     def _send_due_requests(self) -> int:
-        """Returns the time from the start of the run, once all that are due by then are sent."""
+        """Sends all requests that are due and returns the time since the start of the run."""
         now = now_us()
         self.stall_detector.record_activity(now)
         elapsed_us = now - self.start_us
@@ -175,7 +185,7 @@
         if self._next is None:
             return
         wait_us = self._next.due_us - elapsed_us
-        # Timers go by whole milliseconds; nearer than that, each round of the loop looks again.
+        # The event loop's timers have millisecond resolution, so shorter waits poll on each iteration.
         if wait_us >= TIMER_RESOLUTION_US:
             self._loop.call_later(wait_us // US_PER_MS / MS_PER_S, self._send_and_wait)
         else:
@@ -185,7 +195,7 @@
         self.sent_count += 1
         self.last_due_us = scheduled.due_us
         request_class = self.request_classes[scheduled.request_class]
-        # The client's time runs from when the request was due, so that a late generator can't hide.
+        # The deadline counts from when the request was due, so that it includes delays of the generator.
         deadline_us = self.start_us + scheduled.due_us + int(request_class.deadline_ms * US_PER_MS)
         request = PendingRequest(self.sent_count, scheduled, request_class, now_us(), deadline_us)
         self.pending[request.number] = request
@@ -222,8 +232,8 @@
 
     def _on_response(self, request: PendingRequest, attempt: Attempt, response: Response) -> None:
         self.stall_detector.record_activity(response.finished_us)
-        # When a stall ends, thousands of responses come before the loop looks at its timers: requests that
-        # are due meanwhile must not wait for that.
+        # After a stall, the event loop may handle thousands of responses before it checks its timers. Due
+        # requests are therefore also sent from here, so that they do not wait for the timer.
         if self._next is not None and self.start_us + self._next.due_us <= response.finished_us:
             self._send_due_requests()
         if self._attempt_log is not None:
@@ -240,7 +250,7 @@
             self._finish(request, status, response.sent_us, response.finished_us)
 
     def _schedule_retry(self, request: PendingRequest, response: Response) -> bool:
-        """Returns whether a further attempt will be made."""
+        """Schedules another attempt if the client may and can retry, and returns whether it did."""
         behaviour = self.plan.client_behaviour
         if request.attempts > behaviour.max_retries or response.status == OK or self.is_interrupted:
             return False
@@ -249,14 +259,14 @@
             return False
         delay_us = retry_delay_us(behaviour, request.attempts, retry_after_us(response), self._generator)
         if response.outcome is CallOutcome.TIMED_OUT:
-            delay_us = 0  # it has waited long enough
+            delay_us = 0  # the time spent waiting for a response replaces the backoff
         if now_us() + delay_us >= request.deadline_us:
             return False
         self._loop.call_later(delay_us / US_PER_S, self._send_attempt, request)
         return True
 
     def _finish(self, request: PendingRequest, status: int, sent_us: int, ended_us: int) -> None:
-        """Ends a request; nothing else does."""
+        """Ends a request and writes its record; this is the only place where requests end."""
         del self.pending[request.number]
         is_answered = status > 0
         self.answered_count += is_answered
--- a/cressrail/load/shapes.py
+++ b/cressrail/load/shapes.py
@@ -1,7 +1,7 @@
-"""The arrival rate over time, as a multiple of the plan's rate, and the arrival times drawn from it.
+"""Arrival rates over time, as multiples of the plan's rate, and arrival times drawn from them.
 
-Arrival times are an inhomogeneous Poisson process, drawn by thinning (Lewis and Shedler 1979): candidates at
-the highest rate, each kept with the probability that the rate at its time has over the highest.
+Arrival times follow an inhomogeneous Poisson process and are drawn by thinning (Lewis and Shedler 1979):
+candidates are drawn at the peak rate, and each is kept with probability rate / peak rate at its time.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from cressrail.load.units import US_PER_S
 
-# Maps times, as parts of the whole run from 0 to 1, to multiples of the plan's rate.
+# Maps times, as fractions of the run from 0 to 1, to multiples of the plan's rate.
 RateFunction = Callable[[npt.NDArray[np.float64]], npt.NDArray[np.float64]]
 DEFAULT_SURGE_MULTIPLE = 2.4
 
 
 @dataclass(frozen=True)
 class RateShape:
-    """The arrival rate over the run, and the highest value that `rate` returns."""
+    """The arrival rate over the run, and an upper bound (`peak`) on the values of `rate`."""
 
     rate: RateFunction
     peak: float
@@ -34,7 +34,7 @@
 
 
 def wave(swing: float = 0.3, periods: float = 3.0) -> RateShape:
-    """Returns a sine of `swing` around 1, with `periods` in the run."""
+    """Returns a sine wave around 1 with amplitude `swing` and `periods` periods in the run."""
     return RateShape(lambda elapsed: 1 + swing * np.sin(2 * math.pi * periods * elapsed), 1 + swing)
 
 
@@ -44,7 +44,7 @@
 
 
 def bursts(times: float = 3.0, trains: int = 4, part: float = 0.1, idle: float = 0.7) -> RateShape:
-    """Returns `trains` periods, each with a burst at `times` for `part` of the period and `idle` after it."""
+    """Returns `trains` periods: each has rate `times` for the fraction `part`, then rate `idle`."""
     return RateShape(lambda elapsed: np.where((elapsed * trains) % 1.0 < part, times, idle), max(times, idle))
 
 
@@ -55,13 +55,21 @@
     hold: float = 0.35,
     fall: float = 0.1,
 ) -> RateShape:
-    """Returns a rise from 1 to `times` within `rise` of the run, held for `hold`, and a fall in `fall`."""
+    """Returns a rate that rises from 1 to `times`, stays there, and falls back to 1.
+
+    Args:
+        times: The rate during the surge.
+        start: When the rise begins, as a fraction of the run.
+        rise: The duration of the rise, as a fraction of the run.
+        hold: The duration of the rate `times`, as a fraction of the run.
+        fall: The duration of the fall, as a fraction of the run.
+    """
     points = [0.0, start, start + rise, start + rise + hold, start + rise + hold + fall, 1.0]
     return RateShape(lambda elapsed: np.interp(elapsed, points, [1, 1, times, times, 1, 1]), max(times, 1.0))
 
 
 def snowmelt(times: float = DEFAULT_SURGE_MULTIPLE) -> RateShape:
-    """Returns a spring morning: a ramp, a surge with waves and hourly bursts on it, and a calm end."""
+    """Returns a ramp up, a surge with waves and periodic bursts on it, and a ramp down at the end."""
     morning, waves = surge(times, 0.35, 0.12, 0.28, 0.1), wave(0.12, 9.0)
     reports = bursts(1.35, 8, 0.06, 1.0)
 
@@ -72,7 +80,7 @@
     return RateShape(rate, times * waves.peak * reports.peak)
 
 
-# By the name in plan files; the functions' parameters are the keys of a plan's `with`.
+# Shapes by their name in plan files; the functions' parameters are the keys of a plan's `with`.
 RATE_SHAPES: dict[str, Callable[..., RateShape]] = {
     "steady": steady,
     "wave": wave,
@@ -90,9 +98,9 @@
 
     Args:
         shape: The rate over time.
-        rate_per_s: Arrivals a second where the shape gives 1.
+        rate_per_s: The number of arrivals per second where the shape's rate is 1.
         duration_s: The length of the run.
-        generator: Drawn from for the count, the candidates and the thinning, in this order.
+        generator: Used for draws of the count, the candidates and the thinning, in this order.
     """
     count = generator.poisson(rate_per_s * shape.peak * duration_s)
     elapsed = np.sort(generator.random(count))
--- a/cressrail/load/stall_detector.py
+++ b/cressrail/load/stall_detector.py
@@ -1,4 +1,4 @@
-"""Notices when the generator itself stands still: stopped, swapped out, or kept from its core."""
+"""Detects pauses of the load generator itself: stopped, swapped out, or not scheduled by the system."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 TICK_S = 0.005
 TICK_US = int(TICK_S * US_PER_S)
-MIN_PAUSE_US = 25_000  # a tick that is late by more than this was no jitter
+MIN_PAUSE_US = 25_000  # a tick that is late by more than this counts as a pause, not as jitter
 
 
 class Pause(NamedTuple):
-    """A time in which the generator itself stood still, from the start of the run."""
+    """A period in which the load generator itself did not run; times count from the start of the run."""
 
     start_us: int
     end_us: int
 
 
 class StallDetector:
-    """Watches for gaps between signs of life of this process.
+    """Detects gaps in the activity of this process.
 
-    Working through what came at once, as after a stall of the target, is no pause of the generator;
-    `max_busy_us` tells how long an answer may have waited to be read meanwhile.
+    A long time spent on responses that arrived at once, as after a stall of the target, is not a pause of the
+    generator.
 
     Attributes:
-        start_us: The start of the run on the steady clock.
-        pauses: The gaps, from the start of the run.
+        start_us: The start of the run on the monotonic clock.
+        max_busy_us: The longest time for which a response may have waited to be read.
+        pauses: The pauses so far; their times count from the start of the run.
     """
 
     def __init__(self, start_us: int) -> None:
@@ -38,13 +39,13 @@
         self._last_active_us = 0
 
     def record_activity(self, now: int) -> None:
-        """Notes that the process runs, and a pause if the last sign of life is too long ago."""
+        """Records that the process runs at `now`, and a pause if its last activity was too long ago."""
         if self._last_active_us and now - self._last_active_us > MIN_PAUSE_US + TICK_US:
             self.pauses.append(Pause(self._last_active_us - self.start_us, now - self.start_us))
         self._last_active_us = now
 
     async def run(self) -> None:
-        """Gives a sign of life each tick until it is cancelled."""
+        """Records activity on each tick until the task is cancelled."""
         before_us = now_us()
         while True:
             await asyncio.sleep(TICK_S)
--- a/cressrail/load/trace.py
+++ b/cressrail/load/trace.py
@@ -1,6 +1,6 @@
-"""Traces: recorded requests, one a row, read and written a row at a time.
+"""Traces of recorded requests, with one request per row, read and written row by row.
 
-The names of columns stand here alone.
+The names of the columns are defined only here.
 """
 
 from __future__ import annotations
@@ -21,15 +21,18 @@
 
 
 class MalformedTraceError(Exception):
-    """A row that cannot be used; the text names the file, the row's number and the reason."""
+    """A row is malformed; the message names the file, the row number and the reason."""
 
 
 class TraceRow(NamedTuple):
     """One request of a trace.
 
     Attributes:
-        time_us: When it was sent, on any clock that does not go back.
-        idempotency_key: Empty where none is known.
+        time_us: When the request was sent, on any monotonic clock.
+        request_class: The name of the request class.
+        tenant: The name of the tenant.
+        body_bytes: The size of the request body.
+        idempotency_key: The idempotency key, or an empty string if it is unknown.
     """
 
     time_us: int
@@ -40,11 +43,11 @@
 
 
 class TraceScale(NamedTuple):
-    """How a trace is played.
+    """The scale at which a trace is replayed.
 
     Attributes:
-        time: Factor for the times.
-        rate: How many requests are sent for each row; of a fraction, the same rows are kept each time.
+        time: The factor for the times.
+        rate: The number of requests sent per row; a fraction selects the same rows in every replay.
     """
 
     time: float = 1.0
@@ -57,24 +60,24 @@
 def read_trace(
     path: Path, class_indices: dict[str, int], tenant_indices: dict[str, int], scale: TraceScale = UNSCALED
 ) -> Iterator[ScheduledRequest]:
-    """Yields the requests of a trace, with times from its first row on.
+    """Yields the requests of a trace, with due times that count from its first row.
 
     Args:
-        path: CSV with a header line, or JSON lines where the name ends in .jsonl.
-        class_indices: Request classes by name; a name that is missing gets the next index.
-        tenant_indices: Tenants by name, extended in the same way.
-        scale: Factors for times and rate.
+        path: The trace: JSON lines if the name ends in .jsonl, else CSV with a header line.
+        class_indices: Indices of request classes by name; a new name is added with the next index.
+        tenant_indices: Indices of tenants by name, extended in the same way.
+        scale: The factors for times and rate.
 
     Raises:
-        MalformedTraceError: At the first row that cannot be used.
+        MalformedTraceError: At the first malformed row.
     """
     first_us = latest_us = NO_TIME_YET
-    outstanding = 0.0  # requests to send for the rows so far, less those sent
+    outstanding = 0.0  # requests to send for the rows so far, minus those already sent
     for number, fields in _numbered_rows(path):
         try:
             row = _parse_row(fields, latest_us)
         except KeyError as error:
-            raise MalformedTraceError(f"{path}: row {number}: no {error.args[0]}") from None
+            raise MalformedTraceError(f"{path}: row {number}: column {error.args[0]} is missing") from None
         except (TypeError, ValueError) as error:
             raise MalformedTraceError(f"{path}: row {number}: {error}") from None
         first_us = row.time_us if first_us <= NO_TIME_YET else first_us
@@ -93,7 +96,7 @@
 
 
 def write_trace(file: IO[bytes], rows: Iterable[TraceRow]) -> int:
-    """Writes rows as JSON lines and returns how many there were."""
+    """Writes rows as JSON lines and returns their number."""
     count = 0
     for row in rows:
         fields = dict(zip((*REQUIRED_COLUMNS, KEY), row, strict=True))
@@ -111,7 +114,7 @@
         table = csv.DictReader(file)
         for column in REQUIRED_COLUMNS:
             if column not in (table.fieldnames or []):
-                raise MalformedTraceError(f"{path}: row 1: no column {column}")
+                raise MalformedTraceError(f"{path}: row 1: column {column} is missing from the header")
         yield from ((table.line_num, row) for row in table)
 
 
@@ -121,20 +124,27 @@
             try:
                 row = orjson.loads(line)
             except orjson.JSONDecodeError as error:
-                raise MalformedTraceError(f"{path}: row {number}: not JSON: {error}") from None
+                raise MalformedTraceError(f"{path}: row {number}: not valid JSON: {error}") from None
             if not isinstance(row, dict):
-                raise MalformedTraceError(f"{path}: row {number}: no JSON object")
+                raise MalformedTraceError(
+                    f"{path}: row {number}: expected a JSON object, got {type(row).__name__}"
+                )
             yield number, row
 
 
 def _parse_row(fields: Mapping[str, Any], latest_us: int) -> TraceRow:
-    """Raises `KeyError` for a column that is missing, `TypeError` or `ValueError` for a value."""
+    """Returns the row of a trace.
+
+    Raises:
+        KeyError: If a column is missing.
+        TypeError, ValueError: If a value is malformed or out of range.
+    """
     time_us, body_bytes = int(fields[TIME]), int(fields[SIZE])
     request_class, tenant = fields[REQUEST_CLASS], fields[TENANT]
     if not (isinstance(request_class, str) and request_class and isinstance(tenant, str)):
-        raise ValueError("profile or member is no name")
+        raise ValueError("profile must be a non-empty string and member a string")
     if not 0 <= body_bytes <= MAX_BODY_BYTES:
-        raise ValueError(f"size is not within 0 and {MAX_BODY_BYTES}: {body_bytes}")
+        raise ValueError(f"size must be between 0 and {MAX_BODY_BYTES}: {body_bytes}")
     if time_us < latest_us:
-        raise ValueError(f"time_us goes back: {time_us} after {latest_us}")
+        raise ValueError(f"time_us must not decrease: {time_us} after {latest_us}")
     return TraceRow(time_us, request_class, tenant, body_bytes, str(fields.get(KEY) or ""))
--- a/cressrail/load/trace_recording.py
+++ b/cressrail/load/trace_recording.py
@@ -1,4 +1,4 @@
-"""Traces from what is there already: the attempts of a load run, or a sidecar's log."""
+"""Converts the attempt log of a load run, or a sidecar's log, into a trace."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from cressrail.load.trace import MalformedTraceError, TraceRow
 from cressrail.logs import events
 
-# Events of a sidecar's log that end a request without an endpoint's answer, and those of earlier versions.
+# Log events of requests that end without an endpoint's response, and their names in earlier versions.
 END_EVENTS = (events.REQUEST_REJECTED, events.REQUEST_FAILED)
 OLD_END_EVENTS = (events.OLD_REQUEST_REJECTED, events.OLD_REQUEST_FAILED)
 
 
 def read_recorded_requests(path: Path, default_body_bytes: int = 0) -> Iterator[TraceRow]:
-    """Yields the requests of a run or a log as rows of a trace, in order of time from the first on.
+    """Yields the requests of a run or a log as rows of a trace, ordered by time from the first request.
 
-    A log has neither sizes nor keys, and names only the requests that were rejected or failed.
+    A sidecar's log contains neither body sizes nor idempotency keys, and only requests that were rejected or
+    failed.
 
     Args:
-        path: Attempts as `--ledger` writes them, or a sidecar's log; JSON lines.
-        default_body_bytes: The size where the source has none.
+        path: The attempt log that `--ledger` writes, or a sidecar's log; both are JSON lines.
+        default_body_bytes: The body size of requests for which the source has none.
 
     Raises:
-        MalformedTraceError: At the first line that cannot be used.
+        MalformedTraceError: At the first malformed line.
     """
     rows: list[TraceRow] = []
     with path.open("rb") as file:
@@ -50,7 +51,7 @@
 
 
 def _parse_attempt(fields: Mapping[str, Any], default_body_bytes: int) -> TraceRow | None:
-    # The retries of a run are drawn anew when its trace is played, so only first attempts count.
+    # A replay of the trace generates its own retries, so only first attempts are included.
     if not is_first_attempt(str(fields["id"])):
         return None
     return TraceRow(
--- a/cressrail/load/units.py
+++ b/cressrail/load/units.py
@@ -1,4 +1,4 @@
-"""Units of time."""
+"""Conversion factors between units of time."""
 
 US_PER_MS = 1000
 US_PER_S = 1_000_000
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -74,7 +74,7 @@
     assert report["closed_loop_us"] is None
     assert report["answered"] == report["offered"]
     assert max(end_us - start_us for start_us, end_us in report["pauses_us"]) > 400_000
-    assert b"no latencies: the generator itself was late" in output
+    assert b"latencies are not reported: the generator itself was late" in output
 
 
 def test_interrupt_ends_the_run_with_its_figures_so_far(tmp_path: Path) -> None:
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -17,36 +17,41 @@
 @pytest.mark.parametrize(
     ("name", "text", "reason"),
     [
-        pytest.param("t.csv", "time_us,profile,member\n", "row 1: no column size", id="csv column missing"),
+        pytest.param(
+            "t.csv",
+            "time_us,profile,member\n",
+            "row 1: column size is missing from the header",
+            id="csv column missing",
+        ),
         pytest.param(
             "t.csv", f"{CSV_HEADER}1,read,acme,0\nx,read,acme,0\n", "row 3: invalid literal", id="no number"
         ),
         pytest.param(
             "t.csv",
             f"{CSV_HEADER}5,read,a,0\n4,read,a,0\n",
-            "row 3: time_us goes back: 4 after 5",
+            "row 3: time_us must not decrease: 4 after 5",
             id="time goes back",
         ),
         pytest.param(
             "t.csv",
             f"{CSV_HEADER}5,read,a,-1\n",
-            "row 2: size is not within 0 and 65536: -1",
+            "row 2: size must be between 0 and 65536: -1",
             id="negative size",
         ),
         pytest.param(
             "t.jsonl",
             '{"time_us":1,"profile":"read","member":"a"}\n',
-            "row 1: no size",
+            "row 1: column size is missing",
             id="json key missing",
         ),
         pytest.param(
             "t.jsonl",
             '{"time_us":1,"profile":"","member":"a","size":0}\n',
-            "row 1: profile or member is no name",
+            "row 1: profile must be a non-empty string and member a string",
             id="empty class",
         ),
-        pytest.param("t.jsonl", "[]\n", "row 1: no JSON object", id="json array"),
-        pytest.param("t.jsonl", "{\n", "row 1: not JSON", id="no json"),
+        pytest.param("t.jsonl", "[]\n", "row 1: expected a JSON object, got list", id="json array"),
+        pytest.param("t.jsonl", "{\n", "row 1: not valid JSON", id="no json"),
     ],
 )
 def test_malformed_row_is_named(tmp_path: Path, name: str, text: str, reason: str) -> None:
