--- a/cressrail/experiment/__init__.py
+++ b/cressrail/experiment/__init__.py
@@ -1,6 +1,6 @@
-"""Experiments: variants run in turns with the same seeds, checked against the rules and compared in pairs.
+"""Experiments: runs variants of a fleet with the same seeds, checks the rules and compares paired results.
 
-Called by `cli` for `cressrail experiment`, by `make fleet` and by tests that run whole fleets. Imports
-`load`, `testbed` and `http_testing`; the relay that sidecars are compared with imports `event_loop` and
-`network`.
+`cli` calls it for `cressrail experiment`, and so do `make fleet` and tests that run whole fleets. The package
+imports `load`, `testbed` and `http_testing`; the relay that serves as the baseline for the cost of sidecars
+imports `event_loop` and `network`.
 """
--- a/cressrail/experiment/checkouts.py
+++ b/cressrail/experiment/checkouts.py
@@ -1,4 +1,4 @@
-"""Checkouts of earlier revisions of this repository, beside it for as long as they are needed."""
+"""Temporary checkouts of earlier revisions of this repository."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 
 
 class RevisionError(Exception):
-    """A revision that git cannot give; the text names it and says why."""
+    """Git cannot provide a revision; the message names the revision and gives the reason."""
 
 
 @contextmanager
 def checkout(revision: str) -> Iterator[Path]:
-    """Gives the folder with the package as of a revision; this repository itself for an empty one.
+    """Yields a folder with the package at a revision, which is deleted when the context ends.
+
+    Args:
+        revision: A commit, tag or branch; if empty, the folder is this repository itself.
 
     Raises:
-        RevisionError: If git does not know the revision.
+        RevisionError: If git cannot provide the revision.
     """
     if not revision:
         yield REPOSITORY
@@ -32,7 +35,9 @@
         ["git", "archive", revision, PACKAGE], cwd=REPOSITORY, capture_output=True, check=False
     )
     if archived.returncode:
-        raise RevisionError(f"revision {revision}: {archived.stderr.decode().strip().splitlines()[-1]}")
+        raise RevisionError(
+            f"cannot check out revision {revision}: {archived.stderr.decode().strip().splitlines()[-1]}"
+        )
     with TemporaryDirectory(prefix="cressrail-") as folder:
         with tarfile.open(fileobj=BytesIO(archived.stdout)) as archive:
             archive.extractall(folder, filter="data")
--- a/cressrail/experiment/comparison.py
+++ b/cressrail/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Paired differences between variants, with intervals."""
+"""Paired differences between variants, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PairedDifference(TypedDict):
-    """The mean of paired differences and its 95% interval, as report files hold it."""
+    """The mean of paired differences and its 95% confidence interval, as written to report files."""
 
     mean: float
     low: float
@@ -24,10 +24,15 @@
 
 
 def paired_difference(values: Sequence[float], baseline: Sequence[float], seed: int = 1) -> PairedDifference:
-    """Compares values with those of a baseline, pair by pair.
+    """Returns the mean difference between values and their paired baseline values, with an interval.
 
-    The interval is that of a bootstrap over pairs (Efron 1979). With one pair it is that pair: nothing is
-    known of its spread.
+    The confidence interval is computed by a bootstrap over pairs (Efron 1979). With a single pair, both ends
+    are the difference of that pair, because the spread is unknown.
+
+    Args:
+        values: The values, in the order of `baseline`.
+        baseline: The baseline values.
+        seed: The seed of the bootstrap.
     """
     differences: npt.NDArray[np.float64] = np.array(values) - np.array(baseline)
     count = len(differences)
@@ -40,7 +45,7 @@
 def compare_variants(
     rounds_by_variant: Mapping[str, Sequence[Figures]],
 ) -> dict[str, dict[str, PairedDifference]]:
-    """Compares each variant after the first one with it, figure by figure, in pairs of the same round."""
+    """Compares each variant with the first one, figure by figure, in pairs of the same round."""
     first, *others = rounds_by_variant
     baseline = rounds_by_variant[first]
     return {
--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -1,6 +1,6 @@
-"""What a request costs one sidecar, beside a bare relay and an earlier revision.
+"""Compares the cost of a request in a sidecar with that in a bare relay and in an earlier revision.
 
-Contenders take turns, round by round, so that what else goes on at the machine meets them alike.
+Contenders are measured in turn in each round, so that other load on the machine affects them equally.
 """
 
 from __future__ import annotations
@@ -26,7 +26,13 @@
 
 
 class CaseFigures(TypedDict):
-    """By the keys of figures files: CPU and median latency in each round, and the highest peak memory."""
+    """The figures of a contender in a case, by the keys of figures files.
+
+    Attributes:
+        us: The CPU time of a request in each round, in microseconds.
+        p50_us: The median latency in each round, in microseconds.
+        mb: The highest peak memory over the rounds, in megabytes.
+    """
 
     us: list[float]
     p50_us: list[float]
@@ -38,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Contender:
-    """A sidecar's checkout, or the bare relay where there is none."""
+    """A program to measure: the sidecar in `checkout`, or the bare relay if `checkout` is None."""
 
     name: str
     checkout: Path | None
@@ -47,17 +53,19 @@
 def compare_costs(
     against: str, rounds: int, report_progress: Callable[[str], None], *, is_quick: bool
 ) -> CostFigures:
-    """Measures all contenders in all cases; the relay has no list, so it is measured in the first one.
+    """Measures all contenders in all cases.
+
+    The relay has no endpoint list, so it is measured in the first case only.
 
     Args:
-        against: An earlier revision, or empty for none.
-        rounds: How often each contender is measured.
-        report_progress: Called with a line of text after each measurement.
+        against: An earlier revision to measure as well, or an empty string.
+        rounds: The number of rounds.
+        report_progress: A callback that is called with a line of text after each measurement.
         is_quick: Whether only the first case is measured.
 
     Raises:
         RevisionError: If `against` does not exist.
-        RuntimeError: If a contender does not come up or answers too little.
+        RuntimeError: If a contender does not start or too few of its responses are successful.
     """
     cores = sorted(os.sched_getaffinity(0))
     cases = CASES[:1] if is_quick else CASES
@@ -92,7 +100,7 @@
 
 
 def build_cost_table(found: CostFigures) -> list[list[str]]:
-    """Returns medians over rounds by case and contender; the first row is the header."""
+    """Returns a table of the medians over rounds, by case and contender; the first row is the header."""
     case_names = dict.fromkeys(name for by_case in found.values() for name in by_case)
     rows = [[name, *(_cell(by_case.get(name)) for by_case in found.values())] for name in case_names]
     return [["CPU us a request (peak MB)", *found], *rows]
--- a/cressrail/experiment/cost_measurement.py
+++ b/cressrail/experiment/cost_measurement.py
@@ -1,6 +1,6 @@
-"""Measures what a request costs a contender: CPU by the kernel's count of its run time, and peak memory.
+"""Measures the cost of a request in a contender: CPU time, as counted by the kernel, and peak memory.
 
-The contender is pinned to a core of its own, with the load and the endpoints on others.
+The contender is pinned to a core of its own; the load generator and the endpoints run on other cores.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 READY_TIMEOUT_S = 15.0
 READY_POLL_S = 0.02
 CONNECT_TIMEOUT_S = 1
-DESCRIPTOR_LIMIT = 12_000  # of the contender, so that it may hold thousands of idle clients
+DESCRIPTOR_LIMIT = 12_000  # for the contender, which holds connections of thousands of idle clients
 SIDECAR_SEED = 7
 SIDECAR_PORT = 9000
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n"
@@ -52,11 +52,12 @@
 
 @dataclass(frozen=True)
 class CostCase:
-    """Under which conditions a contender is measured.
+    """The conditions under which a contender is measured.
 
     Attributes:
-        idle_clients: Clients that have had an answer and keep their connection.
-        listed_endpoints: Endpoints in the list of discovery.
+        name: The name of the case.
+        idle_clients: The number of clients that keep their connection open after one response.
+        listed_endpoints: The number of endpoints in discovery's list.
     """
 
     name: str
@@ -65,7 +66,13 @@
 
 
 class Cost(NamedTuple):
-    """What a request cost; the latency is not a number where the generator could not report it."""
+    """The cost of a request.
+
+    Attributes:
+        cpu_us: The CPU time of a request.
+        median_latency_us: The median latency, or NaN if the load generator could not report it.
+        peak_memory_mb: The peak memory of the contender.
+    """
 
     cpu_us: float
     median_latency_us: float
@@ -73,14 +80,14 @@
 
 
 class SinkPorts(NamedTuple):
-    """Where the first endpoint and discovery listen."""
+    """The ports on which the first endpoint and discovery listen."""
 
     endpoint: int
     discovery: int
 
 
 class RunningContender(NamedTuple):
-    """A contender that answers."""
+    """A contender that is ready for requests."""
 
     pid: int
     address: Address
@@ -90,9 +97,12 @@
     """Starts a contender and measures it.
 
     Args:
-        checkout: Of the sidecar; None for the bare relay.
-        case: The conditions.
-        cores: The first is for the contender, the last for the load.
+        checkout: The checkout of the sidecar, or None for the bare relay.
+        case: The conditions of the measurement.
+        cores: The cores: the first is for the contender, the second for the endpoints, the last for the load.
+
+    Raises:
+        RuntimeError: If the contender does not start or too few of its responses are successful.
     """
     with ExitStack() as stack:
         folder = Path(stack.enter_context(TemporaryDirectory(prefix="cressrail-")))
@@ -104,7 +114,7 @@
             {"rate": RATE_PER_S, "seconds": SLICE_S, "seed": WARMUP_SEED, "connections": LOAD_CONNECTIONS}
         )
         run_load(LoadJob(plan, [contender.address], is_quiet=True))
-        # Others on the machine only ever add to what is spent, so the lowest of several slices counts.
+        # Other load on the machine can only increase the cost, so the lowest of several slices is used.
         cpu_us, median_latency_us = min(
             _measure_slice(plan, contender, WARMUP_SEED + number) for number in range(1, SLICES + 1)
         )
@@ -112,20 +122,23 @@
 
 
 def _measure_slice(plan: LoadPlan, contender: RunningContender, seed: int) -> tuple[float, float]:
-    """Returns the CPU of a request and the median latency, in microseconds."""
+    """Returns the CPU time of a request and the median latency, both in microseconds."""
     before_ns = _cpu_time_ns(contender.pid)
     seeded_plan = plan.model_copy(update={"seed": seed})
     report = run_load(LoadJob(seeded_plan, [contender.address], is_quiet=True))
     spent_ns = _cpu_time_ns(contender.pid) - before_ns
     succeeded, offered = report["statuses"].get("200", 0), report["offered"]
     if succeeded < MIN_SUCCESS_SHARE * offered:
-        raise RuntimeError(f"only {succeeded} of {offered} were answered 200")
+        raise RuntimeError(
+            f"only {succeeded} of {offered} requests were answered with status 200, "
+            f"required share: {MIN_SUCCESS_SHARE}"
+        )
     latency_us = report["latency_us"]
     return spent_ns / NS_PER_US / offered, latency_us["p50"] if latency_us else float("nan")
 
 
 def _cpu_time_ns(pid: int) -> int:
-    """Returns what the scheduler of the system counts of its one thread (proc(5), schedstat)."""
+    """Returns the CPU time of a process with one thread, as counted by the scheduler (proc(5), schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
 
 
@@ -138,7 +151,7 @@
 
 @contextmanager
 def _pinned(cores: list[int]) -> Iterator[None]:
-    """Keeps this process, and what it starts, on some cores."""
+    """Pins this process, and processes that it starts, to the given cores while the context is open."""
     before = os.sched_getaffinity(0)
     os.sched_setaffinity(0, cores)
     try:
@@ -151,8 +164,8 @@
 def _running_process(
     arguments: list[str], package_folder: Path, cores: list[int], stdout: int
 ) -> Iterator[subprocess.Popen[str]]:
-    """Runs a module of the package in `package_folder` on some cores, and kills it at the end."""
-    # The child inherits the cores: setting them in the child would run code between fork and exec.
+    """Runs Python with the package in `package_folder`, pinned to the given cores; kills it at the end."""
+    # The child inherits the affinity; setting it in the child would need code between fork and exec.
     with _pinned(cores):
         process = subprocess.Popen(
             [sys.executable, *arguments],
@@ -184,7 +197,7 @@
 def _running_contender(
     checkout: Path | None, folder: Path, ports: SinkPorts, cores: list[int]
 ) -> Iterator[RunningContender]:
-    """Starts the sidecar of a checkout, or the relay, and waits until it answers."""
+    """Starts the sidecar of a checkout, or the relay, and waits until it is ready."""
     if checkout is None:
         address = ("127.0.0.1", _free_port())
         arguments = ["-m", "cressrail.experiment.relay", str(address[1]), str(ports.endpoint)]
@@ -199,7 +212,9 @@
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not _is_ready(address):
             if process.poll() is not None or time.monotonic() > deadline:
-                raise RuntimeError(f"{' '.join(arguments)} does not get ready")
+                raise RuntimeError(
+                    f"{' '.join(arguments)} exited or was not ready after {READY_TIMEOUT_S:.0f} s"
+                )
             time.sleep(READY_POLL_S)
         yield RunningContender(process.pid, address)
 
@@ -239,7 +254,7 @@
 
 @contextmanager
 def _idle_clients(address: Address, count: int) -> Iterator[None]:
-    """Holds connections that have each had an answer."""
+    """Opens connections, waits for one response on each, and keeps them open until the context ends."""
     with ExitStack() as stack:
         for _ in range(count):
             connection = stack.enter_context(socket.create_connection(address))
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run, by which variants are compared."""
+"""The figures of a run that are used to compare variants."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from cressrail.load.units import US_PER_MS
 from cressrail.testbed.scenario import FleetScenario
 
-Figures = dict[str, float]  # by the names in `FIGURE_DIRECTIONS`
+Figures = dict[str, float]  # by the keys of `FIGURE_DIRECTIONS`
 
 
 class Direction(IntEnum):
-    """Which way a figure is better."""
+    """Whether higher or lower values of a figure are better."""
 
     HIGHER_IS_BETTER = 1
     LOWER_IS_BETTER = -1
 
 
-# In the order of reports; the names are keys of report files, which stay as they are.
+# In the order of reports. The names are keys of report files and must not change.
 FIGURE_DIRECTIONS = {
     "goodput": Direction.HIGHER_IS_BETTER,
     "goodput_first": Direction.HIGHER_IS_BETTER,
@@ -45,14 +45,14 @@
     "goodput_harmed": Direction.HIGHER_IS_BETTER,
     "recovery_s": Direction.LOWER_IS_BETTER,
 }
-CAPACITY_FAULTS = ("kill", "die", "err", "slow", "stall", "cut")  # that take processes or endpoints away
-RECOVERED_SHARE = 0.9  # of the goodput before a fault
-RECOVERED_FOR_S = 3  # for which it has to stay
+CAPACITY_FAULTS = ("kill", "die", "err", "slow", "stall", "cut")  # faults that reduce the capacity
+RECOVERED_SHARE = 0.9  # share of the goodput before a fault that counts as recovered
+RECOVERED_FOR_S = 3  # how long goodput must stay at that share
 
 
 @dataclass(frozen=True)
 class FinishedRequest:
-    """A client's request, by its last attempt."""
+    """A client's request as of its last attempt."""
 
     request_class: str
     tenant: str
@@ -66,21 +66,24 @@
     """Returns the figures of a run.
 
     The names of figures:
-        goodput: Share of requests that met their latency objective, from when they were due.
-        goodput_first: The same by their first attempt.
-        revenue: The same by priority weight.
+        goodput: The share of requests that met their latency objective, counted from when they were due.
+        goodput_first: The same for first attempts only.
+        revenue: The same share, weighted by priority weight.
         worst_member, worst_profile: The lowest goodput of a tenant and of a request class.
-        worst_due: The lowest share that a tenant got of its quota or, if less, of what it offered.
-        hops_per_tx: Attempts at endpoints of the first tier for each of the clients' attempts.
-        retry_share: Retries over calls, at all tiers.
-        late_work_share: Work that ended after the caller's time was up, of all work.
-        effects_after_end: Attempts that are not idempotent and ran on after that.
-        breaks: Violations of rules.
+        worst_due: The lowest ratio, over tenants, of requests in time to the tenant's quota or, if fewer, the
+            requests that it offered.
+        p50_ms, p99_ms: The median and the 99th percentile of latency.
+        hops_per_tx: The number of attempts at endpoints of the first tier per attempt of a client.
+        retry_share: The ratio of retries to calls, over all tiers.
+        late_work_share: The share of work in attempts that ended after the caller's deadline.
+        effects_after_end: The number of non-idempotent attempts that ended after the caller's deadline.
+        breaks: The number of rule violations.
+        goodput_harmed, recovery_s: The effect of the first fault that reduces the capacity.
 
     Args:
-        scenario: What was run.
-        run: What came of it.
-        quotas_per_s: Of tenants; those without a quota do not count for `worst_due`.
+        scenario: The scenario that was run.
+        run: The results of the run.
+        quotas_per_s: The quotas of tenants by name; tenants without one are ignored in `worst_due`.
     """
     requests = _finished_requests(scenario, run)
     weights = {item.name: item.priority_weight for item in scenario.request_classes}
@@ -183,10 +186,10 @@
 
 
 def _recovery_figures(scenario: FleetScenario, series: TimeSeries) -> Figures:
-    """Returns how the first fault that takes capacity away was felt.
+    """Returns the effect of the first fault that reduces the capacity.
 
-    `goodput_harmed`: goodput while it lasts. `recovery_s`: from its start until goodput is back; the rest of
-    the run if it does not come back. Both 0 without such a fault.
+    `goodput_harmed` is the goodput during the fault. `recovery_s` is the time from the start of the fault to
+    the recovery of goodput, or to the end of the run if it does not recover. Both are 0 without such a fault.
     """
     fault = next((fault for fault in scenario.faults if fault.kind in CAPACITY_FAULTS), None)
     if fault is None:
@@ -204,7 +207,16 @@
 
 
 def seconds_to_recover(goodput: Sequence[float], start_s: int, end_s: int) -> int:
-    """Returns how long after `start_s` goodput is back for good enough, compared with that just before."""
+    """Returns the time from `start_s` until goodput has recovered, or until `end_s` if it does not.
+
+    Goodput has recovered when, for `RECOVERED_FOR_S` seconds, it is at least `RECOVERED_SHARE` of its mean
+    over the second half of the time before `start_s`.
+
+    Args:
+        goodput: The goodput of each second of the run.
+        start_s: The start of the fault.
+        end_s: The end of the run.
+    """
     before = sum(goodput[start_s // 2 : start_s]) / max(1, start_s - start_s // 2)
     for second in range(start_s, end_s - RECOVERED_FOR_S + 1):
         following = goodput[second : second + RECOVERED_FOR_S]
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -1,9 +1,9 @@
-"""Fleets with faults between their sidecars, and what became of the sidecars' views of each other.
+"""Runs fleets with network faults between sidecars and reports the accuracy of their membership views.
 
     python -m cressrail.experiment.fleet_faults FILE ... [--out DIR]
 
-Exits with 3 where a rule was broken or a living instance was declared dead, with 4 where the machine lagged
-and the run says nothing.
+Exits with status 3 if a rule was violated or a live instance was declared dead, and with status 4 if a run is
+invalid because the machine lagged.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
-RETURN_PAUSES = 3  # tolerated pauses within which all have heard of a return
+RETURN_PAUSES = 3  # number of tolerated pauses after which every sidecar knows of a returned instance
 OUT_OPTION = "--out"
 Row = dict[str, Any]
 
 
 class ExitStatus(IntEnum):
-    """What the command ends with; the highest of its files."""
+    """Exit statuses of the command; with several files, the highest one is used."""
 
     OK = 0
     FLEET_FAILED = 1
@@ -48,10 +48,10 @@
 
 
 def compute_fleet_figures(scenario: FleetScenario, run: ScenarioRun, folder: Path) -> dict[str, Any]:
-    """Returns the figures of a run, by the keys that its output has.
+    """Returns the figures of a run, by the keys of the command's output.
 
-    Times are in seconds unless the key says otherwise; `bytes_per_s` and `cpu` are for one sidecar and
-    second, the latter with all of its work.
+    Times are in seconds unless the key names another unit. `bytes_per_s` is the mean number of bytes sent per
+    sidecar and second; `cpu` is the mean CPU time per sidecar and second, including all of its work.
     """
     membership = scenario.fleet.membership
     assert membership is not None
@@ -95,7 +95,7 @@
 
 
 def _slowest(detections: Sequence[DetectionTime], part: str) -> float | None:
-    """Returns the longest time until a part of the others knew of a death, None where none ever did."""
+    """Returns the longest time in seconds until a death was known to `part` of the others, or None."""
     times_s: list[float | None] = [getattr(detection, part) for detection in detections]
     return max((time_s for time_s in times_s if time_s is not None), default=None)
 
@@ -110,7 +110,7 @@
 
 
 def _cpu_share(usage: Sequence[Row]) -> float:
-    """Returns the mean over the sidecars that were not restarted meanwhile."""
+    """Returns the mean CPU seconds per second over the sidecars that were not restarted in between."""
     first, last = usage[0]["spent_s"], usage[-1]["spent_s"]
     spent_s = [last[name] - before_s for name, before_s in first.items() if last[name] >= before_s]
     return float(round(sum(spent_s) / max(1, len(spent_s)) / _usage_span_s(usage), 5))
@@ -125,7 +125,7 @@
 
 def _run_files(files: Sequence[Path], out: Path | None) -> ExitStatus:
     if not files:
-        raise ScenarioError("no file is named")
+        raise ScenarioError("no scenario file is given")
     worst = ExitStatus.OK
     for file in files:
         with TemporaryDirectory(prefix="cressrail-") as discarded:
@@ -139,7 +139,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the files that are named and returns the exit status."""
+    """Runs the scenario files given on the command line and returns the exit status."""
     files, out = _parse_arguments(arguments)
     try:
         return _run_files(files, out)
@@ -152,7 +152,7 @@
 
 
 def _parse_arguments(arguments: Sequence[str]) -> tuple[list[Path], Path | None]:
-    """Returns the files, and the folder after the first `--out`; one without a folder is left out."""
+    """Returns the scenario files and the folder after the first `--out`; a trailing `--out` is ignored."""
     out = Path(arguments[arguments.index(OUT_OPTION) + 1]) if OUT_OPTION in arguments[:-1] else None
     files = [
         Path(argument)
--- a/cressrail/experiment/fleet_process.py
+++ b/cressrail/experiment/fleet_process.py
@@ -1,4 +1,4 @@
-"""The fleet of a scenario as a process of its own, on cores apart from the load generator's."""
+"""Runs the fleet of a scenario in a process of its own, on other cores than the load generator."""
 
 from __future__ import annotations
 
@@ -18,15 +18,21 @@
 from cressrail.load.sender import Address
 from cressrail.testbed.scenario import FleetScenario
 
-START_DELAY_US = 400_000  # from the order to begin to the first request that can be due
-MIN_CORES_TO_SPLIT = 4  # with fewer, the generator gets none to itself
+START_DELAY_US = 400_000  # between the start command to the fleet and the earliest due time
+MIN_CORES_TO_SPLIT = 4  # with fewer cores, the load generator shares them with the fleet
 EXIT_TIMEOUT_S = 10
 SCENARIO_FILE, FLEET_LOG = "world.toml", "standin.log"
 
 
 @dataclass(frozen=True)
 class SidecarVersion:
-    """What the sidecars of a fleet run: a checkout, and the policy or defect that replaces their own."""
+    """The version of the sidecar that a fleet runs.
+
+    Attributes:
+        checkout: The folder with the package.
+        policy: The policy of the sidecars: their own or a baseline.
+        defect: The deliberate defect of the sidecars, or an empty string.
+    """
 
     checkout: Path = REPOSITORY
     policy: str = "own"
@@ -35,11 +41,11 @@
 
 @dataclass(frozen=True)
 class RunningFleet:
-    """A fleet that is up.
+    """A fleet that is ready for requests.
 
     Attributes:
-        ingress_addresses: Where clients send their requests.
-        start_us: When the time of the faults begins, on the steady clock.
+        ingress_addresses: The addresses to which clients send requests.
+        start_us: The start of the run, from which the times of faults count, on the monotonic clock.
     """
 
     ingress_addresses: list[Address]
@@ -48,10 +54,10 @@
 
 @contextmanager
 def running_fleet(scenario: FleetScenario, folder: Path, version: SidecarVersion) -> Iterator[RunningFleet]:
-    """Starts a fleet and ends it with the context; its files are left in `folder`.
+    """Runs a fleet while the context is open; its files are kept in `folder`.
 
     Raises:
-        RuntimeError: If the fleet does not come up.
+        RuntimeError: If the fleet does not start.
     """
     folder.mkdir(parents=True, exist_ok=True)
     scenario_file = folder / SCENARIO_FILE
@@ -85,12 +91,12 @@
 
 
 def _begin(process: subprocess.Popen[bytes], log: Path) -> RunningFleet:
-    """Waits until the fleet is up and tells it when to begin."""
+    """Waits until the fleet is ready and sends it the start time."""
     assert process.stdin is not None
     assert process.stdout is not None
     line = process.stdout.readline()
     if not line:
-        raise RuntimeError(f"the fleet did not come up: {log.read_text().strip()}")
+        raise RuntimeError(f"the fleet did not start, its log says: {log.read_text().strip()}")
     start_us = now_us() + START_DELAY_US
     process.stdin.write(b"go %d\n" % start_us)
     process.stdin.flush()
@@ -99,7 +105,7 @@
 
 
 def _end(process: subprocess.Popen[bytes]) -> None:
-    """Ends the fleet by the end of its input, and by a signal where that does not do."""
+    """Stops the fleet by closing its standard input, or by SIGTERM if it does not exit in time."""
     assert process.stdin is not None
     assert process.stdout is not None
     process.stdin.close()
@@ -113,9 +119,9 @@
 
 @contextmanager
 def core_of_its_own(other_pid: int) -> Iterator[None]:
-    """Gives this process a core, and the other one, with the children that it starts, the rest.
+    """Pins this process to one core, and the other process and its children to the remaining cores.
 
-    A generator that its fleet crowds out would be late.
+    A load generator that competes with its fleet for cores would send requests late.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < MIN_CORES_TO_SPLIT:
--- a/cressrail/experiment/html_report.py
+++ b/cressrail/experiment/html_report.py
@@ -1,6 +1,6 @@
-"""One page that holds all of an experiment: tables and plots, the plots as pictures inside it.
+"""Renders the report of an experiment as one HTML page with tables and embedded plots.
 
-Its wording is that of the report files that are kept.
+The text of the page is part of stored report files and must not change.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}img{max-width:100%}"
     ".good{color:#06732f}.bad{color:#a5161b}.note{color:#666}"
 )
-MAX_VIOLATIONS_PER_RUN = 5  # that the page lists
+MAX_VIOLATIONS_PER_RUN = 5  # listed on the page
 
 Table = list[list[str]]  # the first row is the header
 
 
 def render_report(result: ExperimentResult) -> str:
-    """Returns the page."""
+    """Returns the page as HTML."""
     title = escape(result["name"])
     body = [
         f"<h1>{title}</h1>",
@@ -55,7 +55,7 @@
 
 
 def build_figures_table(result: ExperimentResult) -> Table:
-    """Returns the mean of each figure by variant, for a terminal as for the page."""
+    """Returns a table of the mean of each figure by variant, used on a terminal and on the page."""
     variants = list(result["arms"])
     rows = [
         [_figure_title(name), *(f"{_mean_figure(result, variant, name):.4g}" for variant in variants)]
@@ -73,7 +73,7 @@
 
 
 def _table_html(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Cells of `rows` are HTML, those of `header` are text."""
+    """Returns a table as HTML; the cells of `rows` are HTML already, those of `header` are plain text."""
     header_cells = "".join(f"<th>{escape(cell)}</th>" for cell in header)
     lines = "".join("<tr>" + "".join(f"<td>{cell}</td>" for cell in row) + "</tr>" for row in rows)
     return f"<table><tr>{header_cells}</tr>{lines}</table>"
@@ -81,7 +81,7 @@
 
 def _figures_section(result: ExperimentResult) -> str:
     header, *rows = build_figures_table(result)
-    # Names in the header are escaped here as the cells are, and once more as text of the header.
+    # Header cells are escaped here like other cells, and a second time when `_table_html` escapes the header.
     escaped = [[escape(cell) for cell in row] for row in rows]
     return "<h2>Figures</h2>" + _table_html([escape(cell) for cell in header], escaped)
 
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -1,6 +1,6 @@
-"""An experiment's file: a scenario, and the variants to run it with.
+"""Experiment files: a scenario and the variants to run.
 
-The keys of the file stand here alone, as aliases of the fields.
+The keys of the file are defined only here, as aliases of the fields.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 
 
 class Variant(StrictModel):
-    """A configuration, a baseline policy, or an earlier revision of this repository.
+    """A variant to run: a configuration, a baseline policy, or an earlier revision of this repository.
 
     Attributes:
-        policy: The sidecars' own policy, or a baseline.
-        defect: With which sidecars are broken on purpose; empty for none.
-        revision: A commit that is checked out for the run; empty for this repository as it stands.
-        setting_overrides: Values by their path in each sidecar's configuration.
+        name: The name of the variant.
+        policy: The policy of the sidecars: their own or a baseline.
+        defect: The deliberate defect of the sidecars, or an empty string for none.
+        revision: The commit to check out for the run, or an empty string for the current working tree.
+        setting_overrides: Values of settings, by their path in each sidecar's configuration.
         has_tenant_quotas: Whether tenants have the quotas of the scenario.
-        has_common_failover: Whether sidecars decide on zones in common, where the scenario says so.
+        has_common_failover: Whether the scenario's common failover decisions on zones are enabled.
     """
 
     name: str
@@ -35,10 +36,11 @@
 
 
 class Experiment(FleetScenario):
-    """A scenario, how often to run it, and with which variants.
+    """A scenario, the variants to run, and the number of rounds.
 
     Attributes:
-        rounds: Each variant is run so often, each round with a seed of its own.
+        rounds: The number of runs of each variant; each round has a seed of its own.
+        variants: The variants to run; the first one is the baseline of comparisons.
     """
 
     rounds: int = Field(3, ge=1, le=50)
@@ -48,16 +50,16 @@
     def _check_variants(self) -> Self:
         names = [variant.name for variant in self.variants]
         if len(set(names)) < len(names):
-            raise ValueError("arms: two of the same name")
+            raise ValueError("arms: variant names must be unique")
         for index, variant in enumerate(self.variants):
             if variant.revision and (variant.policy != "own" or variant.defect):
                 raise ValueError(
-                    f"arms.{index}.revision: a revision is played as it was, without policy or break"
+                    f"arms.{index}.revision: a revision requires policy 'own' and an empty 'broken'"
                 )
         return self
 
     def build_scenario(self, variant: Variant, round_index: int) -> FleetScenario:
-        """Returns what a variant runs in a round; rounds differ in their seeds, variants do not."""
+        """Returns the scenario of a variant in a round; all variants of a round have the same seed."""
         fields = self.model_dump(exclude={"rounds", "variants"}, by_alias=True)
         fields["seed"] = self.seed + round_index
         fields["fleet"]["settings"] |= variant.setting_overrides
--- a/cressrail/experiment/plots.py
+++ b/cressrail/experiment/plots.py
@@ -1,4 +1,4 @@
-"""The plots of a report, each as a PNG picture in base64."""
+"""The plots of a report, each as a base64-encoded PNG image."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from cressrail.experiment.result import ExperimentResult
 
-mpl.use("Agg")  # before pyplot looks for a screen
+mpl.use("Agg")  # must precede the import of pyplot, which would look for a display
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
@@ -23,13 +23,13 @@
 RETRY_BUDGET_SHARE = 0.1
 WIDTH_INCHES, HEIGHT_INCHES, HEAT_HEIGHT_INCHES, MARGIN_INCHES = 11, 2.2, 2.6, 1.2
 DOTS_PER_INCH = 80
-MIN_EXCEEDANCE = 1e-4  # the highest percentile is drawn there
+MIN_EXCEEDANCE = 1e-4  # higher percentiles are drawn at the position of this one
 
 SeriesName = Literal["offered", "good", "revenue", "worth", "retries", "calls"]
 
 
 class _Picture:
-    """Rows of axes, and the picture once they are drawn on."""
+    """The axes to draw on, one per row, and the encoded image once the context has ended."""
 
     def __init__(self, axes: list[Axes]) -> None:
         self.axes = axes
@@ -51,7 +51,7 @@
 
 
 def plot_goodput(result: ExperimentResult) -> str:
-    """Plots offered load and goodput by second, a row for each variant."""
+    """Plots offered load and goodput by second, with one row per variant."""
     with _picture(len(result["arms"])) as picture:
         for axes, variant in zip(picture.axes, result["arms"], strict=True):
             axes.plot(_mean_by_second(result, variant, "offered"), color="#999", label="offered")
@@ -65,7 +65,7 @@
 
 
 def plot_earned_weight(result: ExperimentResult) -> str:
-    """Plots the part of the offered priority weight that met its latency objective, by second."""
+    """Plots the share of the offered priority weight that met its latency objective, by second."""
     with _picture(1) as picture:
         [axes] = picture.axes
         for variant in result["arms"]:
@@ -79,7 +79,7 @@
 
 
 def plot_latency(result: ExperimentResult) -> str:
-    """Plots the median of the rounds' latencies by percentile."""
+    """Plots latency by percentile; each value is the median over the rounds."""
     with _picture(1) as picture:
         [axes] = picture.axes
         for variant, runs in result["arms"].items():
@@ -98,12 +98,12 @@
 
 
 def _percentile_positions(percentiles: Sequence[float]) -> list[float]:
-    """Places nines evenly apart: from 90 to 99 is as far as from 99 to 99.9."""
+    """Returns positions on a logarithmic axis on which 90, 99 and 99.9 are evenly spaced."""
     return [-np.log10(max(MIN_EXCEEDANCE, 1 - percentile / 100)) for percentile in percentiles]
 
 
 def plot_retries(result: ExperimentResult) -> str:
-    """Plots retries over calls by second, and the share that the design allows."""
+    """Plots the ratio of retries to calls by second, and the ratio that the retry budget allows."""
     with _picture(1) as picture:
         [axes] = picture.axes
         for variant in result["arms"]:
@@ -118,7 +118,7 @@
 
 
 def plot_attempts(result: ExperimentResult) -> str:
-    """Plots attempts by endpoint and second as a heat map, a row for each variant."""
+    """Plots attempts by endpoint and second as a heat map, with one row per variant."""
     with _picture(len(result["arms"]), HEAT_HEIGHT_INCHES) as picture:
         for axes, (variant, runs) in zip(picture.axes, result["arms"].items(), strict=True):
             rounds = [run["series"]["heat"] for run in runs["rounds"]]
@@ -133,7 +133,10 @@
 
 
 def _mean_by_second(result: ExperimentResult, variant: str, name: SeriesName) -> npt.NDArray[Any]:
-    """Returns the mean of the rounds, of the seconds in which load was sent: what follows is no dip."""
+    """Returns the mean over the rounds for each second in which load was sent.
+
+    Later seconds are left out, because they would look like a drop.
+    """
     duration_s = max(1, int(result["seconds"]))
     rounds = [run["series"][name][:duration_s] for run in result["arms"][variant]["rounds"]]
     mean: npt.NDArray[Any] = np.mean(rounds, axis=0)
--- a/cressrail/experiment/relay.py
+++ b/cressrail/experiment/relay.py
@@ -1,6 +1,7 @@
-"""A bare relay on the sidecar's scheduler: bytes from a client to one endpoint and back.
+"""A bare relay on the sidecar's scheduler, which copies bytes between clients and one endpoint.
 
-It reads and decides nothing, so its cost is the floor under a sidecar that is built on the same loop.
+It neither parses requests nor makes decisions, so its cost is a lower bound for that of a sidecar on the same
+event loop.
 
     python -m cressrail.experiment.relay LISTEN_PORT ENDPOINT_PORT
 """
@@ -21,7 +22,10 @@
 
 
 def relay_bytes(scheduler: Scheduler, source: socket.socket, destination: socket.socket) -> None:
-    """Copies until the source ends; what the kernel does not take at once is small here and is waited for."""
+    """Copies bytes until the source ends the connection, and then shuts both connections down.
+
+    Writes may block the event loop, which is acceptable because the messages of this measurement are small.
+    """
     try:
         with suppress(OSError):
             while True:
@@ -37,7 +41,7 @@
 
 
 def accept_clients(scheduler: Scheduler, listener: socket.socket, endpoint_port: int) -> None:
-    """Gives each client a connection to the endpoint, with a task for each direction."""
+    """Opens a connection to the endpoint for each client and spawns one task per direction."""
     while True:
         scheduler.wait(listener.fileno(), READABLE)
         client, _ = listener.accept()
@@ -49,7 +53,7 @@
 
 
 def main(listen_port: int, endpoint_port: int) -> None:
-    """Relays until it is killed."""
+    """Runs the relay until the process is killed."""
     scheduler = Scheduler(Clock().now_us, lambda text: print(text, file=sys.stderr))
     listener = bind(HOST, listen_port)
     print("ready", flush=True)
--- a/cressrail/experiment/result.py
+++ b/cressrail/experiment/result.py
@@ -1,4 +1,4 @@
-"""The result of an experiment, as `result.json` holds it."""
+"""The result of an experiment, as written to `result.json`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,16 @@
 
 
 class RoundResult(TypedDict):
-    """One run of a variant; `broken` are violations of rules, `failed` faults that could not be injected."""
+    """One run of a variant.
+
+    Attributes:
+        seed: The seed of the run.
+        figures: The figures of the run.
+        broken: The rule violations.
+        load: The report of the load generator.
+        series: Counts by second.
+        failed: The faults that could not be injected.
+    """
 
     seed: int
     figures: Figures
@@ -22,7 +31,7 @@
 
 
 class VariantResult(TypedDict, total=False):
-    """A variant by the keys of its file, and its runs."""
+    """A variant, with the keys of its experiment file, and the results of its rounds."""
 
     name: str
     policy: str
@@ -35,7 +44,17 @@
 
 
 class ExperimentResult(TypedDict):
-    """All runs; `arms` are the variants by name, `differences` those of each after the first one to it."""
+    """The results of all runs of an experiment.
+
+    Attributes:
+        name: The name of the experiment.
+        seconds: The duration of a run.
+        rounds: The number of rounds.
+        seed: The seed of the first round.
+        faults: The faults of the scenario.
+        arms: The variants by name.
+        differences: The differences of each other variant from the first one, by variant and figure.
+    """
 
     name: str
     seconds: float
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment: each round, each variant in turn with that round's seed; the order rotates."""
+"""Runs an experiment: every round runs all variants with the round's seed, in an order that rotates."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 def run_experiment(
     experiment: Experiment, out: Path, report_progress: ProgressCallback, *, keeps_runs: bool = False
 ) -> ExperimentResult:
-    """Runs all rounds and leaves result.json and report.html in `out`.
+    """Runs all rounds and writes result.json and report.html to `out`.
 
     Args:
-        experiment: What to run.
-        out: The folder, made where it is missing.
-        report_progress: Called with a line of text after each run.
-        keeps_runs: Whether records and logs of each run are kept there too.
+        experiment: The experiment to run.
+        out: The output folder, which is created if it does not exist.
+        report_progress: A callback that is called with a line of text after each run.
+        keeps_runs: Whether the records and logs of each run are kept in `out` as well.
 
     Raises:
         RevisionError: If a variant's revision does not exist.
-        RuntimeError: If a fleet does not come up.
+        RuntimeError: If a fleet does not start.
     """
     out.mkdir(parents=True, exist_ok=True)
     with ExitStack() as stack:
@@ -109,7 +109,7 @@
     (out / RESULT_FILE).write_bytes(
         orjson.dumps(result, option=orjson.OPT_INDENT_2 | orjson.OPT_SERIALIZE_NUMPY)
     )
-    # Loaded only now: plotting takes its time to load, and cores that a run needs.
+    # Imported only after the runs: the import is slow and would take CPU time from them.
     from cressrail.experiment.html_report import render_report
 
     (out / REPORT_FILE).write_text(render_report(result))
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -1,4 +1,4 @@
-"""One scenario, once: the fleet, load on its ingress sidecars, and the rules checked by the evidence."""
+"""Runs a scenario once: starts the fleet, sends load to its ingress sidecars and checks the rules."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 @dataclass
 class ScenarioRun:
-    """What came of a run.
+    """The results of a run.
 
     Attributes:
-        evidence: What clients, endpoints and discovery recorded.
-        violations: Where a rule was broken.
+        load_report: The report of the load generator.
+        evidence: The records of clients, endpoints and discovery.
+        violations: The rule violations.
     """
 
     load_report: LoadReport
@@ -38,10 +39,10 @@
 def run_scenario(
     scenario: FleetScenario, folder: Path, version: SidecarVersion = OWN_VERSION, *, is_quiet: bool = True
 ) -> ScenarioRun:
-    """Runs a scenario and checks the rules; records and logs are left in `folder`.
+    """Runs a scenario and checks the rules; records and logs are kept in `folder`.
 
     Raises:
-        RuntimeError: If the fleet does not come up.
+        RuntimeError: If the fleet does not start.
     """
     attempt_log, fleet_record = folder / ATTEMPT_LOG, folder / FLEET_RECORD
     with running_fleet(scenario, folder, version) as fleet:
@@ -69,7 +70,7 @@
 
 
 def build_load_plan(scenario: FleetScenario) -> LoadPlan:
-    """Returns the load that a scenario asks for."""
+    """Returns the load plan of a scenario."""
     return LoadPlan.model_validate(
         {
             "rate": scenario.load.rate_per_s,
@@ -86,13 +87,16 @@
 
 
 def _reduce_to(model: type[Model], extended: Model) -> Model:
-    """Returns the fields of `extended` that `model` has."""
+    """Returns an instance of `model` with the values of its fields in `extended`."""
     fields = extended.model_dump(include=set(model.model_fields), by_alias=True)
     return model.model_validate(fields)
 
 
 def calls_to_stopped_processes(collected: RunEvidence, membership: MembershipEvidence) -> set[str]:
-    """Returns the ids of calls to a process that did not run for all of their time: nobody could answer."""
+    """Returns the ids of calls to a sidecar whose process did not run for the whole timeout of the call.
+
+    Such calls cannot be expected to have a response.
+    """
     names = {target: row["sidecar"] for target, row in collected.sidecars.items()}
     return {
         call["id"]
--- a/cressrail/experiment/sink.py
+++ b/cressrail/experiment/sink.py
@@ -1,8 +1,9 @@
-"""Endpoints that answer at once, and discovery that lists them: in front of them a sidecar is measured.
+"""Endpoints that respond at once, and discovery that lists them, for cost measurements of a sidecar.
 
     python -m cressrail.experiment.sink NUMBER OUT
 
-Prints the port of the first endpoint and that of discovery; OUT is the record of what discovery sends.
+Starts NUMBER endpoints, prints the port of the first one and the port of discovery, and writes the record of
+discovery's messages to the file OUT.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 ZONE = "here"
 HOST = "127.0.0.1"
 LISTEN_BACKLOG = 256
-MAX_LIFETIME_S = 600  # whoever started it kills it long before
+MAX_LIFETIME_S = 600  # a safeguard: the process that started it kills it much earlier
 
 
 def answer_at_once(request: ReceivedRequest) -> None:
-    """Answers 200 with the request's id."""
+    """Responds with status 200 and the request's id."""
     request.connection.respond(200, request.headers.get(b"req-id", b"-") + b" sink committed\n")
 
 
 def ignore_close(_connection: ServerConnection) -> None:
-    """Does nothing: an endpoint that answers at once has nothing in hand for a client that leaves."""
+    """Does nothing: an endpoint that responds at once has no pending work for a closed connection."""
 
 
 async def serve(endpoint_count: int, record: Path) -> None:
-    """Serves endpoints and discovery on ports that the system picks, and prints two of them."""
+    """Serves endpoints and discovery on free ports; prints the ports of the first endpoint and discovery."""
     loop = asyncio.get_running_loop()
     endpoints = []
     for number in range(endpoint_count):
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -1,4 +1,4 @@
-"""A run second by second, for the plots."""
+"""Time series of a run by second, for the plots."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from cressrail.load.units import US_PER_MS, US_PER_S
 from cressrail.testbed.scenario import FleetScenario
 
-SECONDS_AFTER_LOAD = 3  # that are counted too
+SECONDS_AFTER_LOAD = 3  # seconds after the end of the load that are included
 PLOTTED_PERCENTILES = [0.0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100]
 
 
 class TimeSeries(TypedDict):
-    """Counts by second, by the keys of report files.
+    """Time series with one value per second, by the keys of report files.
 
     Attributes:
-        offered: Requests that were due.
-        good: Requests that were due and met their latency objective.
-        revenue: The priority weights of those.
-        worth: The priority weights of what was offered.
-        retries: Attempts at endpoints beyond the first of a call.
-        calls: Calls of clients and of endpoints.
-        heat: Attempts by endpoint.
-        latency_ms: Percentiles of clients' attempts, from when their request was due.
+        offered: The number of requests that were due.
+        good: The number of requests that were due and met their latency objective.
+        revenue: The sum of the priority weights of the requests in `good`.
+        worth: The sum of the priority weights of the requests in `offered`.
+        retries: The number of attempts at endpoints beyond the first attempt of a call.
+        calls: The number of calls of clients and endpoints.
+        heat: The number of attempts, by endpoint.
+        latency_ms: Pairs of a percentile and the latency of client attempts over the whole run, counted from
+            when their request was due.
     """
 
     offered: list[float]
@@ -42,7 +43,7 @@
 
 
 class _Seconds:
-    """Maps times to the seconds of a run; what is outside counts in its first or last one."""
+    """Maps times to seconds of a run; a time outside the run is mapped to its first or last second."""
 
     def __init__(self, start_us: int, count: int) -> None:
         self.start_us, self.count = start_us, count
@@ -55,7 +56,7 @@
 
 
 def build_time_series(scenario: FleetScenario, run: ScenarioRun) -> TimeSeries:
-    """Returns the series of a run."""
+    """Returns the time series of a run."""
     seconds = _Seconds(run.evidence.start_us, int(scenario.duration_s) + SECONDS_AFTER_LOAD)
     heat, retries = _attempts_by_second(scenario, run, seconds)
     classes = {item.name: item for item in scenario.request_classes}
@@ -88,7 +89,7 @@
 def _attempts_by_second(
     scenario: FleetScenario, run: ScenarioRun, seconds: _Seconds
 ) -> tuple[dict[str, npt.NDArray[Any]], npt.NDArray[np.float64]]:
-    """Returns the attempts by endpoint, and how many were retries."""
+    """Returns the number of attempts by endpoint and second, and the number of retries by second."""
     names = [f"{tier.name}{number}" for tier in scenario.fleet.tiers for number in range(tier.endpoint_count)]
     heat = {name: np.zeros(seconds.count, int) for name in names}
     retries = seconds.zeros()
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -19,14 +19,14 @@
 @pytest.mark.parametrize(
     ("path", "value", "reason"),
     [
-        pytest.param("arms.1.name", "own", "arms: two of the same name", id="name twice"),
+        pytest.param("arms.1.name", "own", "arms: variant names must be unique", id="name twice"),
         pytest.param("arms.0.policy", "best", "arms.0.policy: Input should be", id="policy"),
         pytest.param("rounds", 0, "rounds: Input should be greater", id="rounds"),
         pytest.param("members.0.allowance", 3, "members.0.allowance: Extra inputs", id="unknown key"),
         pytest.param(
             "arms.0",
             {"name": "old", "revision": "abc", "policy": "random"},
-            "arms.0.revision: a revision is played as",
+            "arms.0.revision: a revision requires policy",
             id="revision with policy",
         ),
     ],
