--- a/tests/experiment/support.py
+++ b/tests/experiment/support.py
@@ -1,4 +1,4 @@
-"""An experiment's file, and the evidence of a run of it that was written by hand."""
+"""An experiment file, and handwritten evidence of one of its runs."""
 
 from __future__ import annotations
 
@@ -47,16 +47,16 @@
 
 
 def experiment() -> Experiment:
-    """Returns the experiment of the file."""
+    """Returns the experiment of `EXPERIMENT_FILE`."""
     return Experiment.model_validate(EXPERIMENT_FILE)
 
 
 def scenario_run() -> ScenarioRun:
-    """Returns a run with all of the evidence and one violation."""
+    """Returns a run with the whole evidence and one violation."""
     violations = [RuleViolation(Rule.NO_REPEATED_EFFECT, "5-3-1", "<twice>")]
     return ScenarioRun(EMPTY_LOAD_REPORT, collect_evidence(ATTEMPT_LOG, FLEET_RECORD), violations)
 
 
 def run_of_first_requests(count: int) -> ScenarioRun:
-    """Returns a run with the first attempts of the log alone and no violation."""
+    """Returns a run with only the first `count` attempts of the attempt log and no violation."""
     return ScenarioRun(EMPTY_LOAD_REPORT, collect_evidence(ATTEMPT_LOG[:count], FLEET_RECORD), [])
--- a/tests/experiment/test_checkouts.py
+++ b/tests/experiment/test_checkouts.py
@@ -1,4 +1,4 @@
-"""Checkouts of revisions."""
+"""Tests of checkouts of revisions."""
 
 from __future__ import annotations
 
--- a/tests/experiment/test_comparison.py
+++ b/tests/experiment/test_comparison.py
@@ -1,4 +1,4 @@
-"""Paired differences and their intervals."""
+"""Tests of paired differences and their confidence intervals."""
 
 from __future__ import annotations
 
--- a/tests/experiment/test_cost.py
+++ b/tests/experiment/test_cost.py
@@ -1,4 +1,4 @@
-"""Contenders, each in the cases that concern it, and the table of their costs."""
+"""Tests of the order in which contenders are measured, of their figures, and of the cost table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def measured(monkeypatch: pytest.MonkeyPatch) -> list[tuple[bool, str]]:
-    """Replaces the measurement; lists whether it was of the relay, and the case."""
+    """Replaces the measurement; lists for each call whether it measured the relay, and the case name."""
     calls: list[tuple[bool, str]] = []
 
     def measure(checkout: Path | None, case: CostCase, _cores: list[int]) -> Cost:
--- a/tests/experiment/test_cost_measurement.py
+++ b/tests/experiment/test_cost_measurement.py
@@ -1,4 +1,4 @@
-"""The measurement of a contender, with real processes and little load."""
+"""Tests of the measurement of a contender, with real processes and a low load."""
 
 from __future__ import annotations
 
--- a/tests/experiment/test_figures.py
+++ b/tests/experiment/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run."""
+"""Tests of the figures of a run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     figures = compute_figures(experiment(), scenario_run(), {"acme": 1.0, "umea": 10.0})
 
     assert (figures["goodput"], figures["goodput_first"], figures["breaks"]) == (0.5, 0.25, 1)
-    assert figures["revenue"] == pytest.approx(2 / 6)  # the late note earned nothing
+    assert figures["revenue"] == pytest.approx(2 / 6)  # the late "note" request does not count
     assert (figures["worst_member"], figures["worst_profile"]) == (0.0, 0.0)
     assert figures["worst_due"] == 0.0
     assert figures["hops_per_tx"] == pytest.approx(4 / 5)
@@ -23,15 +23,15 @@
 def test_quota_share_counts_no_more_than_the_tenant_offered() -> None:
     figures = compute_figures(experiment(), run_of_first_requests(3), {"acme": 1.0})
 
-    assert figures["worst_due"] == 1.0  # two offered, a quota of three, two succeeded in time
+    assert figures["worst_due"] == 1.0  # two requests offered, quota for three, two in time
 
 
 @pytest.mark.parametrize(
     ("goodput", "seconds"),
     [
-        pytest.param([1, 1, 1, 1, 1, 1, 1], 0, id="never down"),
-        pytest.param([1, 1, 0.2, 0.95, 0.5, 0.9, 0.9, 0.9], 3, id="back for good after a second dip"),
-        pytest.param([1, 1, 0.2, 0.2, 0.9, 0.9], 4, id="not back for long enough"),
+        pytest.param([1, 1, 1, 1, 1, 1, 1], 0, id="no drop"),
+        pytest.param([1, 1, 0.2, 0.95, 0.5, 0.9, 0.9, 0.9], 3, id="recovered after a second drop"),
+        pytest.param([1, 1, 0.2, 0.2, 0.9, 0.9], 4, id="recovered for too short a time"),
     ],
 )
 def test_goodput_has_recovered_once_it_stays(goodput: list[float], seconds: int) -> None:
--- a/tests/experiment/test_html_report.py
+++ b/tests/experiment/test_html_report.py
@@ -1,4 +1,4 @@
-"""The page of an experiment."""
+"""Tests of the HTML report of an experiment."""
 
 from __future__ import annotations
 
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -1,4 +1,4 @@
-"""Experiment files, and what a variant runs."""
+"""Tests of experiment files and of the scenarios of their variants."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     ("path", "value", "reason"),
     [
-        pytest.param("arms.1.name", "own", "arms: variant names must be unique", id="name twice"),
+        pytest.param("arms.1.name", "own", "arms: variant names must be unique", id="duplicate name"),
         pytest.param("arms.0.policy", "best", "arms.0.policy: Input should be", id="policy"),
         pytest.param("rounds", 0, "rounds: Input should be greater", id="rounds"),
         pytest.param("members.0.allowance", 3, "members.0.allowance: Extra inputs", id="unknown key"),
--- a/tests/experiment/test_run.py
+++ b/tests/experiment/test_run.py
@@ -1,4 +1,4 @@
-"""The order of an experiment's runs, and the files that it leaves."""
+"""Tests of the order of an experiment's runs and of the files that it writes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def run_seeds(monkeypatch: pytest.MonkeyPatch) -> list[tuple[int, bool]]:
-    """Replaces the runs; lists the seed of each, and whether tenants had quotas."""
+    """Replaces the runs; lists the seed of each run, and whether tenants had quotas."""
     calls: list[tuple[int, bool]] = []
 
     def run(scenario: FleetScenario, folder: Path, _version: SidecarVersion) -> ScenarioRun:
--- a/tests/experiment/test_scenario_run.py
+++ b/tests/experiment/test_scenario_run.py
@@ -1,4 +1,4 @@
-"""Which violations of a run do not count."""
+"""Tests of the calls that are excused from the one-answer rule."""
 
 from __future__ import annotations
 
--- a/tests/experiment/test_time_series.py
+++ b/tests/experiment/test_time_series.py
@@ -1,4 +1,4 @@
-"""A run second by second."""
+"""Tests of the time series of a run."""
 
 from __future__ import annotations
 
--- a/tests/load/support.py
+++ b/tests/load/support.py
@@ -1,4 +1,4 @@
-"""Request records written by hand, targets that misbehave as told, and load that is sent to them."""
+"""Handwritten request records, targets with configurable faults, and helpers that send load to them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class EndedRequest:
-    """A request that was sent when the generator turned to it; times in milliseconds."""
+    """A request that was sent as soon as the generator started on it; times are in milliseconds."""
 
     due: int
     started: int
@@ -38,7 +38,7 @@
     status: int = 200
 
     def record(self, number: int) -> RequestRecord:
-        """Of the class 0, by the tenants 0 and 1 in turn."""
+        """Returns the record of the request, with class 0 and with tenants 0 and 1 in turn."""
         return RequestRecord(
             due_us=self.due * 1000,
             started_us=self.started * 1000,
@@ -54,7 +54,7 @@
         )
 
 
-# A server that stalls for a second, from 500 ms on, and answers within 5 ms otherwise.
+# Requests to a server that stalls for one second, from 500 ms on, and otherwise responds within 5 ms.
 STALL = [
     EndedRequest(number * 10, number * 10, number * 10 + 5 if number < 50 or number >= 150 else 1505)
     for number in range(200)
@@ -62,7 +62,7 @@
 
 
 def figures_of(path: Path, requests: Iterable[EndedRequest]) -> LoadFigures:
-    """Writes records of the requests and reads them as a run's."""
+    """Writes records of the requests and returns the figures that are read from them."""
     with RequestRecordWriter(path) as records:
         for number, request in enumerate(requests):
             records.add(request.record(number))
@@ -70,50 +70,50 @@
 
 
 def answer_at_once(request: ReceivedRequest) -> None:
-    """Answers 200 with the request's id."""
+    """Responds with status 200 and the request's id."""
     request.connection.respond(200, request.headers[b"req-id"])
 
 
 def answer_late(request: ReceivedRequest) -> None:
-    """Answers 200 after a while."""
+    """Responds with status 200 after `LATE_ANSWER_S`."""
     asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_at_once, request)
 
 
 def answer_a_byte_a_second(request: ReceivedRequest) -> None:
-    """Sends an answer so slowly that no client waits for its end."""
+    """Sends a response one byte per second, so that clients time out before its end."""
     for delay_s, byte in enumerate(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"):
         asyncio.get_running_loop().call_later(delay_s, request.connection.write, bytes([byte]))
 
 
 def answer_half(request: ReceivedRequest) -> None:
-    """Sends an answer that ends before its body does, and keeps the connection open."""
+    """Sends a response with an incomplete body and keeps the connection open."""
     request.connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
 
 
 def answer_no_http(request: ReceivedRequest) -> None:
-    """Sends a line that is no status line."""
+    """Sends a line that is not a valid status line."""
     request.connection.write(b"what?\r\n\r\n")
 
 
 def close_without_answer(request: ReceivedRequest) -> None:
-    """Closes the connection."""
+    """Closes the connection without a response."""
     request.connection.close()
 
 
 @dataclass
 class Target:
-    """A server on a loop of its own; without `respond` one that accepts connections and never reads."""
+    """A server on an event loop of its own; without `respond` it accepts connections and never reads."""
 
     respond: Respond | None
     address: Address = ("", 0)
     is_listening: threading.Event = field(default_factory=threading.Event)
-    # A connection that is not read from would be collected, and so closed, unless somebody holds it.
+    # Keeps references to connections: one that is not read from would be garbage-collected and so closed.
     connections: list[ServerConnection] = field(default_factory=list)
     loop: asyncio.AbstractEventLoop | None = None
     stopped: asyncio.Event | None = None
 
     async def serve(self) -> None:
-        """Accepts connections until it is stopped."""
+        """Accepts connections until `stop` is called."""
         self.loop, self.stopped = asyncio.get_running_loop(), asyncio.Event()
         server = await self.loop.create_server(
             lambda: ServerConnection(
@@ -129,7 +129,7 @@
         server.close()
 
     def stop(self) -> None:
-        """Ends `serve`; called from another thread."""
+        """Ends `serve`; may be called from another thread."""
         assert self.loop is not None
         assert self.stopped is not None
         self.loop.call_soon_threadsafe(self.stopped.set)
@@ -142,7 +142,7 @@
 
 @contextmanager
 def running_target(respond: Respond | None) -> Iterator[Address]:
-    """Runs a target on a thread and gives its address."""
+    """Runs a target on a thread and yields its address."""
     target = Target(respond)
     thread = threading.Thread(target=lambda: asyncio.run(target.serve()))
     thread.start()
@@ -156,14 +156,14 @@
 
 @dataclass(frozen=True)
 class LoadResult:
-    """The figures of a run, and its log of attempts."""
+    """The report of a run, and its attempt log."""
 
     report: Any
     attempts: list[dict[str, Any]]
 
 
 def send_load(target: Address, folder: Path, **settings: Any) -> LoadResult:
-    """Sends a short load; `settings` by the keys of a plan file."""
+    """Sends a short load; `settings` overrides its settings by the keys of a plan file."""
     plan = {"rate": 100, "seconds": 0.5, "profiles": [{"name": "read", "limit_ms": 400}], **settings}
     attempt_log = folder / "ledger"
     job = LoadJob(LoadPlan.model_validate(plan), [target], attempt_log=attempt_log, is_quiet=True)
@@ -173,7 +173,7 @@
 
 @contextmanager
 def load_command(target: Address, report_file: Path, *options: str) -> Iterator[subprocess.Popen[bytes]]:
-    """Runs `cressrail load run` as a process, which is killed where the test does not wait for its end."""
+    """Runs `cressrail load run` as a process and kills it if it is still running when the context ends."""
     command = [sys.executable, "-m", "cressrail", "load", "run", "--target", "{}:{}".format(*target)]
     with subprocess.Popen(
         [*command, "--json", str(report_file), *options],
--- a/tests/load/test_backoff.py
+++ b/tests/load/test_backoff.py
@@ -1,4 +1,4 @@
-"""How long clients wait before they retry."""
+"""Tests of the delay before retries."""
 
 from __future__ import annotations
 
--- a/tests/load/test_closed_loop.py
+++ b/tests/load/test_closed_loop.py
@@ -1,4 +1,4 @@
-"""What a closed loop would have reported."""
+"""Tests of the latencies that a closed loop would have reported."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 @pytest.mark.parametrize(
     ("workers", "latencies"),
     [
-        pytest.param(1, [25, 5], id="one worker misses what is due while it waits"),
-        pytest.param(2, [25, 5, 5, 5], id="a second worker sends it"),
+        pytest.param(1, [25, 5], id="one worker skips requests due while it waits"),
+        pytest.param(2, [25, 5, 5, 5], id="two workers send all requests"),
     ],
 )
 def test_workers_of_closed_loop_send_only_when_free(workers: int, latencies: list[int]) -> None:
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -1,4 +1,4 @@
-"""`cressrail load run` as a process: its limits, signals, and options that it can't use."""
+"""Tests of `cressrail load run` as a process: descriptor limits, signals and invalid options."""
 
 from __future__ import annotations
 
--- a/tests/load/test_figures.py
+++ b/tests/load/test_figures.py
@@ -1,4 +1,4 @@
-"""What a run's records come to."""
+"""Tests of the figures that are computed from request records."""
 
 from __future__ import annotations
 
--- a/tests/load/test_histogram_log.py
+++ b/tests/load/test_histogram_log.py
@@ -1,4 +1,4 @@
-"""The histogram log, read with the library that made the format."""
+"""Tests that the HdrHistogram library can read the histogram log."""
 
 from __future__ import annotations
 
--- a/tests/load/test_request_records.py
+++ b/tests/load/test_request_records.py
@@ -1,4 +1,4 @@
-"""The file of request records."""
+"""Tests of request record files."""
 
 from __future__ import annotations
 
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -1,4 +1,4 @@
-"""The requests that are drawn from a plan."""
+"""Tests of the schedule that is drawn from a plan."""
 
 from __future__ import annotations
 
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -1,4 +1,4 @@
-"""The open loop against targets that answer, and that fail in each way."""
+"""Tests of the open-loop sender against targets that respond and targets that fail in various ways."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
     ("respond", "ending"),
     [
         pytest.param(None, "gave up", id="never reads"),
-        pytest.param(answer_half, "gave up", id="half an answer"),
-        pytest.param(answer_a_byte_a_second, "gave up", id="a byte a second"),
-        pytest.param(close_without_answer, "reset", id="closes"),
-        pytest.param(answer_no_http, "not http", id="no http"),
+        pytest.param(answer_half, "gave up", id="incomplete body"),
+        pytest.param(answer_a_byte_a_second, "gave up", id="one byte per second"),
+        pytest.param(close_without_answer, "reset", id="closes the connection"),
+        pytest.param(answer_no_http, "not http", id="not HTTP"),
     ],
 )
 def test_request_without_answer_is_counted_and_its_ending_logged(
@@ -43,7 +43,7 @@
 
 def test_refused_connection_is_counted_and_logged(tmp_path: Path) -> None:
     with running_target(None) as target:
-        pass  # from here on nobody listens there
+        pass  # after this context, nothing listens on the address
 
     result = send_load(target, tmp_path)
 
@@ -87,7 +87,7 @@
     assert report["held_back"] > 20
     assert report["connections"] == 2
     assert report["answered"] == report["offered"]
-    # Timed from when they were due, so the wait for a connection shows.
+    # Latency is measured from when requests were due, so it includes the wait for a connection.
     assert report["latency_us"] is None or report["latency_us"]["p90"] > 400_000
 
 
--- a/tests/load/test_shapes.py
+++ b/tests/load/test_shapes.py
@@ -1,4 +1,4 @@
-"""The shapes of the arrival rate, and arrival times drawn from them."""
+"""Tests of the shapes of the arrival rate and of the arrival times drawn from them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     times_us = draw_arrival_times(shape, 1000, 60, np.random.Generator(np.random.PCG64(3)))
 
-    assert shape.rate(elapsed).max() <= shape.peak * 1.000001  # otherwise thinning would cut the peak off
+    assert shape.rate(elapsed).max() <= shape.peak * 1.000001  # a lower peak would make thinning cap the rate
     assert abs(len(times_us) - expected_count) < 5 * expected_count**0.5
     assert (np.diff(times_us) >= 0).all()
 
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces: rows that can't be used, scaling, memory."""
+"""Tests of traces: malformed rows, scaling and memory use."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
             "t.csv",
             "time_us,profile,member\n",
             "row 1: column size is missing from the header",
-            id="csv column missing",
+            id="CSV column missing",
         ),
         pytest.param(
-            "t.csv", f"{CSV_HEADER}1,read,acme,0\nx,read,acme,0\n", "row 3: invalid literal", id="no number"
+            "t.csv",
+            f"{CSV_HEADER}1,read,acme,0\nx,read,acme,0\n",
+            "row 3: invalid literal",
+            id="time is not a number",
         ),
         pytest.param(
             "t.csv",
             f"{CSV_HEADER}5,read,a,0\n4,read,a,0\n",
             "row 3: time_us must not decrease: 4 after 5",
-            id="time goes back",
+            id="time decreases",
         ),
         pytest.param(
             "t.csv",
@@ -42,16 +45,16 @@
             "t.jsonl",
             '{"time_us":1,"profile":"read","member":"a"}\n',
             "row 1: column size is missing",
-            id="json key missing",
+            id="JSON key missing",
         ),
         pytest.param(
             "t.jsonl",
             '{"time_us":1,"profile":"","member":"a","size":0}\n',
             "row 1: profile must be a non-empty string and member a string",
-            id="empty class",
+            id="empty request class",
         ),
-        pytest.param("t.jsonl", "[]\n", "row 1: expected a JSON object, got list", id="json array"),
-        pytest.param("t.jsonl", "{\n", "row 1: not valid JSON", id="no json"),
+        pytest.param("t.jsonl", "[]\n", "row 1: expected a JSON object, got list", id="JSON array"),
+        pytest.param("t.jsonl", "{\n", "row 1: not valid JSON", id="not JSON"),
     ],
 )
 def test_malformed_row_is_named(tmp_path: Path, name: str, text: str, reason: str) -> None:
@@ -76,7 +79,7 @@
     assert len(schedule) == 150
     assert (schedule[0].due_us, schedule[-1].due_us) == (0, 2 * 99_000)
     assert (class_indices, tenant_indices) == ({"x": 0, "read": 1}, {"acme": 0})
-    # A request that scaling adds is no retry of the first.
+    # Requests added by scaling have keys of their own, so that they do not look like retries.
     assert len({request.idempotency_key for request in schedule}) == 150
 
 
--- a/tests/load/test_trace_recording.py
+++ b/tests/load/test_trace_recording.py
@@ -1,4 +1,4 @@
-"""Traces that are recorded from a run's log of attempts and from a sidecar's log."""
+"""Tests of traces that are recorded from a run's attempt log and from a sidecar's log."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
     "log_event",
     [
         pytest.param({"event": "rolled_back", "profile": "read", "member": None}, id="earlier version"),
-        pytest.param({"event": "request_rejected", "request_class": "read", "tenant": None}, id="present"),
+        pytest.param(
+            {"event": "request_rejected", "request_class": "read", "tenant": None}, id="current version"
+        ),
     ],
 )
 def test_attempts_and_log_events_are_recorded_as_trace(log_event: dict[str, Any], tmp_path: Path) -> None:
