--- a/cressrail/load/attempt_log.py
+++ b/cressrail/load/attempt_log.py
@@ -67,7 +67,7 @@
             }
         )
 
-    def write_surplus(self, size: int, target: str) -> None:
+    def write_excess_bytes(self, size: int, target: str) -> None:
         """Writes that `target` sent `size` bytes after the end of a final response."""
         self._write({"surplus": size, "target": target})
 
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -78,7 +78,7 @@
             is_affected |= (ended_us >= start_us) & (ended_us <= end_us + AFTER_PAUSE_US) & (due_us <= end_us)
         return np.flatnonzero(is_affected)
 
-    def unreliability(self, pauses: Sequence[Pause]) -> str | None:
+    def unreliability_reason(self, pauses: Sequence[Pause]) -> str | None:
         """Returns one line that says why latencies cannot be reported, or None if they can."""
         count = len(self.records)
         late_count = int((self.send_delay_us > MAX_SEND_DELAY_US).sum())
@@ -97,7 +97,7 @@
         """Returns the part of the report that is computed from the records and the generator's pauses."""
         statuses = self.records["status"]
         answered = int((statuses > 0).sum())
-        refused = self.unreliability(pauses)
+        refused = self.unreliability_reason(pauses)
         report: LoadReport = {
             "offered": len(self.records),
             "answered": answered,
@@ -137,9 +137,9 @@
             "latency_us": compute_quantiles(self.latency_us[group.indices], self.histogram),
         }
 
-    def split_into_groups(self, stretch: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
+    def split_into_groups(self, record_range: slice = WHOLE_RUN) -> Iterator[RequestGroup]:
         """Yields the requests of a slice of the records, grouped by class, tenant and status."""
-        records = self.records[stretch]
+        records = self.records[record_range]
         if not len(records):
             return
         keys = np.stack([records["request_class"], records["tenant"], records["status"]], 1)
--- a/cressrail/load/histogram_log.py
+++ b/cressrail/load/histogram_log.py
@@ -32,9 +32,9 @@
             '"StartTimestamp","Interval_Length","Interval_Max","Interval_Compressed_Histogram"\n'
         )
         for second, (first, end) in enumerate(pairwise(edges)):
-            stretch = slice(first, end)
-            for request_class, tenant, outcome, indices in figures.split_into_groups(stretch):
-                histogram = fill_histogram(figures.histogram, figures.latency_us[stretch][indices])
+            record_range = slice(first, end)
+            for request_class, tenant, outcome, indices in figures.split_into_groups(record_range):
+                histogram = fill_histogram(figures.histogram, figures.latency_us[record_range][indices])
                 tag = f"{request_class}.{tenant}.{outcome.value}".replace(" ", "_").replace(",", "_")
                 file.write(
                     f"Tag={tag},{second:.3f},1.000,{histogram.get_max_value() / US_PER_S:.6f},"
--- a/cressrail/load/latency_histogram.py
+++ b/cressrail/load/latency_histogram.py
@@ -32,7 +32,7 @@
     if not len(values_us):
         return None
     fill_histogram(histogram, values_us)
-    found = {
+    quantiles = {
         name: int(histogram.get_value_at_percentile(percentile)) for name, percentile in PERCENTILES.items()
     }
-    return {**found, "max": int(values_us.max())}
+    return {**quantiles, "max": int(values_us.max())}
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -64,7 +64,7 @@
     request_classes: list[RequestClassLoad]
     tenant_names: list[str]
 
-    def extended_by_trace(self, path: Path, scale: TraceScale) -> Iterator[ScheduledRequest]:
+    def read_trace_requests(self, path: Path, scale: TraceScale) -> Iterator[ScheduledRequest]:
         """Yields the requests of a trace.
 
         A request class that only the trace names gets the settings of the plan's first request class.
@@ -95,8 +95,8 @@
         report = figures.build_report(sender.stall_detector.pauses)
         if job.histogram_log is not None and report["refused"] is None:
             write_histogram_log(job.histogram_log, figures, time.time() - job.plan.duration_s)
-    report["held_back"] = sender.waits_for_connection
-    report["surplus_bytes"] = sender.surplus_bytes
+    report["held_back"] = sender.queued_attempts
+    report["surplus_bytes"] = sender.excess_bytes
     report["busy_us"] = sender.stall_detector.max_busy_us
     report["interrupted"] = sender.is_interrupted
     report["connections"] = sender.connections_opened
@@ -125,7 +125,7 @@
     if job.trace is None:
         schedule = draw_schedule(plan)
     else:
-        schedule = tables.extended_by_trace(job.trace, job.trace_scale)
+        schedule = tables.read_trace_requests(job.trace, job.trace_scale)
     with ExitStack() as stack:
         attempt_log = None
         if job.attempt_log is not None:
--- a/cressrail/load/sender.py
+++ b/cressrail/load/sender.py
@@ -100,7 +100,7 @@
             for host, port in targets
         ]
         for client, name in zip(self._clients, self._target_names, strict=True):
-            client.on_excess_bytes = partial(self._on_surplus, target=name)
+            client.on_excess_bytes = partial(self._on_excess_bytes, target=name)
 
     @property
     def start_us(self) -> int:
@@ -112,12 +112,12 @@
         self.stall_detector.start_us = start_us
 
     @property
-    def waits_for_connection(self) -> int:
+    def queued_attempts(self) -> int:
         """The number of attempts that waited for a free connection."""
         return sum(client.queued_calls for client in self._clients)
 
     @property
-    def surplus_bytes(self) -> int:
+    def excess_bytes(self) -> int:
         """The number of bytes received after final responses."""
         return sum(client.excess_bytes for client in self._clients)
 
@@ -130,9 +130,9 @@
         """Sends the whole schedule and returns when all requests have ended."""
         background = [
             self._loop.create_task(self.stall_detector.run()),
-            self._loop.create_task(self._report_regularly()),
+            self._loop.create_task(self._report_periodically()),
         ]
-        self._advance()
+        self._take_next_request()
         self._send_and_wait()
         try:
             await self._finished.wait()
@@ -154,12 +154,12 @@
             self._finish(request, 0, 0, now_us())
         self._finished.set()
 
-    async def _report_regularly(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             self.on_report()
 
-    def _advance(self) -> None:
+    def _take_next_request(self) -> None:
         try:
             self._next = next(self._schedule, None)
         except Exception as error:  # `run_load` raises it after the run
@@ -176,7 +176,7 @@
         elapsed_us = now - self.start_us
         while self._next is not None and self._next.due_us <= elapsed_us:
             self._start_request(self._next)
-            self._advance()
+            self._take_next_request()
             elapsed_us = now_us() - self.start_us
         return elapsed_us
 
@@ -292,6 +292,6 @@
         if self._is_schedule_over and not self.pending:
             self._finished.set()
 
-    def _on_surplus(self, size: int, target: str) -> None:
+    def _on_excess_bytes(self, size: int, target: str) -> None:
         if self._attempt_log is not None:
-            self._attempt_log.write_surplus(size, target)
+            self._attempt_log.write_excess_bytes(size, target)
