--- a/cressrail/experiment/cost.py
+++ b/cressrail/experiment/cost.py
@@ -69,15 +69,15 @@
     """
     cores = sorted(os.sched_getaffinity(0))
     cases = CASES[:1] if is_quick else CASES
-    found: CostFigures = {}
+    costs: CostFigures = {}
     with ExitStack() as stack:
         contenders = [Contender(RELAY, None), Contender(SIDECAR, REPOSITORY)]
         if against:
             contenders.append(Contender(f"sidecar at {against}", stack.enter_context(checkout(against))))
         for round_index in range(rounds):
-            for case, contender in _turns(cases, contenders, round_index):
+            for case, contender in _measurement_order(cases, contenders, round_index):
                 cost = measure_cost(contender.checkout, case, cores)
-                by_case = found.setdefault(contender.name, {})
+                by_case = costs.setdefault(contender.name, {})
                 figures = by_case.setdefault(case.name, {"us": [], "p50_us": [], "mb": 0.0})
                 figures["us"].append(cost.cpu_us)
                 figures["p50_us"].append(cost.median_latency_us)
@@ -86,10 +86,10 @@
                     f"round {round_index + 1}, {case.name}, {contender.name}: "
                     f"{cost.cpu_us:.1f} us, {cost.peak_memory_mb:.1f} MB"
                 )
-    return found
+    return costs
 
 
-def _turns(
+def _measurement_order(
     cases: list[CostCase], contenders: list[Contender], round_index: int
 ) -> Iterator[tuple[CostCase, Contender]]:
     first = round_index % len(contenders)
@@ -99,11 +99,11 @@
                 yield case, contender
 
 
-def build_cost_table(found: CostFigures) -> list[list[str]]:
+def build_cost_table(costs: CostFigures) -> list[list[str]]:
     """Returns a table of the medians over rounds, by case and contender; the first row is the header."""
-    case_names = dict.fromkeys(name for by_case in found.values() for name in by_case)
-    rows = [[name, *(_cell(by_case.get(name)) for by_case in found.values())] for name in case_names]
-    return [["CPU us a request (peak MB)", *found], *rows]
+    case_names = dict.fromkeys(name for by_case in costs.values() for name in by_case)
+    rows = [[name, *(_cell(by_case.get(name)) for by_case in costs.values())] for name in case_names]
+    return [["CPU us a request (peak MB)", *costs], *rows]
 
 
 def _cell(figures: CaseFigures | None) -> str:
--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -199,9 +199,9 @@
     goodput = [
         good / max(1, offered) for good, offered in zip(series["good"], series["offered"], strict=True)
     ]
-    offered_meanwhile = sum(series["offered"][start_s:end_s])
+    offered_during_fault = sum(series["offered"][start_s:end_s])
     return {
-        "goodput_harmed": sum(series["good"][start_s:end_s]) / max(1, offered_meanwhile),
+        "goodput_harmed": sum(series["good"][start_s:end_s]) / max(1, offered_during_fault),
         "recovery_s": float(seconds_to_recover(goodput, start_s, int(scenario.duration_s))),
     }
 
--- a/cressrail/experiment/fleet_process.py
+++ b/cressrail/experiment/fleet_process.py
@@ -73,10 +73,10 @@
             stderr=log,
         )
     try:
-        with core_of_its_own(process.pid):
-            yield _begin(process, folder / FLEET_LOG)
+        with separate_cores(process.pid):
+            yield _start_run(process, folder / FLEET_LOG)
     finally:
-        _end(process)
+        _stop(process)
 
 
 def _fleet_command(scenario_file: Path, folder: Path, version: SidecarVersion) -> list[str]:
@@ -86,11 +86,11 @@
         "--policy": version.policy,
         "--break": version.defect,
     }
-    words = [word for option in options.items() for word in option]
-    return [sys.executable, "-m", "cressrail", "standin", "run", str(scenario_file), "--wait", *words]
+    arguments = [argument for option in options.items() for argument in option]
+    return [sys.executable, "-m", "cressrail", "standin", "run", str(scenario_file), "--wait", *arguments]
 
 
-def _begin(process: subprocess.Popen[bytes], log: Path) -> RunningFleet:
+def _start_run(process: subprocess.Popen[bytes], log: Path) -> RunningFleet:
     """Waits until the fleet is ready and sends it the start time."""
     assert process.stdin is not None
     assert process.stdout is not None
@@ -104,7 +104,7 @@
     return RunningFleet([(host, int(port)) for host, _, port in names], start_us)
 
 
-def _end(process: subprocess.Popen[bytes]) -> None:
+def _stop(process: subprocess.Popen[bytes]) -> None:
     """Stops the fleet by closing its standard input, or by SIGTERM if it does not exit in time."""
     assert process.stdin is not None
     assert process.stdout is not None
@@ -118,7 +118,7 @@
 
 
 @contextmanager
-def core_of_its_own(other_pid: int) -> Iterator[None]:
+def separate_cores(other_pid: int) -> Iterator[None]:
     """Pins this process to one core, and the other process and its children to the remaining cores.
 
     A load generator that competes with its fleet for cores would send requests late.
--- a/cressrail/experiment/html_report.py
+++ b/cressrail/experiment/html_report.py
@@ -95,9 +95,9 @@
         row = [_figure_title(name)]
         for differences in result["differences"].values():
             difference = differences[name]
-            is_certain = difference["low"] > 0 or difference["high"] < 0
+            is_significant = difference["low"] > 0 or difference["high"] < 0
             style = ""
-            if is_certain:
+            if is_significant:
                 style = " class=good" if difference["mean"] * direction > 0 else " class=bad"
             interval = f"({difference['low']:+.3g} to {difference['high']:+.3g})"
             row.append(f"<span{style}>{difference['mean']:+.4g}</span> {interval}")
--- a/cressrail/experiment/plots.py
+++ b/cressrail/experiment/plots.py
@@ -86,7 +86,7 @@
             rounds = [run["series"]["latency_ms"] for run in runs["rounds"] if run["series"]["latency_ms"]]
             if rounds:
                 positions = _percentile_positions([percentile for percentile, _ in rounds[0]])
-                latencies_ms = np.median([[value_ms for _, value_ms in found] for found in rounds], axis=0)
+                latencies_ms = np.median([[value_ms for _, value_ms in pairs] for pairs in rounds], axis=0)
                 axes.plot(positions, latencies_ms, marker=".", label=variant)
         axes.set_xticks([0, 0.301, 1, 2, 3, 4], ["0", "50", "90", "99", "99.9", "99.99+"])
         axes.set_yscale("log")
--- a/cressrail/experiment/run.py
+++ b/cressrail/experiment/run.py
@@ -49,7 +49,7 @@
         }
         rounds: dict[str, list[RoundResult]] = {variant.name: [] for variant in experiment.variants}
         for round_index in range(experiment.rounds):
-            for variant in _in_turn(experiment.variants, round_index):
+            for variant in _rotate_variants(experiment.variants, round_index):
                 scenario = experiment.build_scenario(variant, round_index)
                 with TemporaryDirectory(prefix="cressrail-") as discarded:
                     kept = out / "runs" / f"{round_index}-{variant.name}"
@@ -61,7 +61,7 @@
     return _write_result(experiment, rounds, out)
 
 
-def _in_turn(variants: list[Variant], round_index: int) -> list[Variant]:
+def _rotate_variants(variants: list[Variant], round_index: int) -> list[Variant]:
     first = round_index % len(variants)
     return variants[first:] + variants[:first]
 
--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -55,18 +55,18 @@
             is_quiet=is_quiet,
         )
         load_report = run_load(job)
-    collected = collect_evidence(read_events(attempt_log), read_events(fleet_record))
-    violations = check_rules(scenario, collected)
+    evidence = collect_evidence(read_events(attempt_log), read_events(fleet_record))
+    violations = check_rules(scenario, evidence)
     if scenario.fleet.membership is not None:
         excused_ids = calls_to_stopped_processes(
-            collected, collect_membership_evidence(read_events(fleet_record))
+            evidence, collect_membership_evidence(read_events(fleet_record))
         )
         violations = [
             violation
             for violation in violations
             if violation.rule is not Rule.ONE_ANSWER or violation.request_id not in excused_ids
         ]
-    return ScenarioRun(load_report, collected, violations)
+    return ScenarioRun(load_report, evidence, violations)
 
 
 def build_load_plan(scenario: FleetScenario) -> LoadPlan:
@@ -92,15 +92,15 @@
     return model.model_validate(fields)
 
 
-def calls_to_stopped_processes(collected: RunEvidence, membership: MembershipEvidence) -> set[str]:
+def calls_to_stopped_processes(evidence: RunEvidence, membership: MembershipEvidence) -> set[str]:
     """Returns the ids of calls to a sidecar whose process did not run for the whole timeout of the call.
 
     Such calls cannot be expected to have a response.
     """
-    names = {target: row["sidecar"] for target, row in collected.sidecars.items()}
+    names = {target: row["sidecar"] for target, row in evidence.sidecars.items()}
     return {
         call["id"]
-        for call in collected.calls
+        for call in evidence.calls
         if call["target"] in names
         and not membership.processes[names[call["target"]]].has_run_for(
             call["sent_us"] + call["limit_us"], call["limit_us"]
--- a/cressrail/experiment/time_series.py
+++ b/cressrail/experiment/time_series.py
@@ -42,7 +42,7 @@
     latency_ms: list[tuple[float, float]]
 
 
-class _Seconds:
+class _SecondBins:
     """Maps times to seconds of a run; a time outside the run is mapped to its first or last second."""
 
     def __init__(self, start_us: int, count: int) -> None:
@@ -57,7 +57,7 @@
 
 def build_time_series(scenario: FleetScenario, run: ScenarioRun) -> TimeSeries:
     """Returns the time series of a run."""
-    seconds = _Seconds(run.evidence.start_us, int(scenario.duration_s) + SECONDS_AFTER_LOAD)
+    seconds = _SecondBins(run.evidence.start_us, int(scenario.duration_s) + SECONDS_AFTER_LOAD)
     heat, retries = _attempts_by_second(scenario, run, seconds)
     classes = {item.name: item for item in scenario.request_classes}
     offered, good, revenue, worth, calls = (seconds.zeros() for _ in range(5))
@@ -87,7 +87,7 @@
 
 
 def _attempts_by_second(
-    scenario: FleetScenario, run: ScenarioRun, seconds: _Seconds
+    scenario: FleetScenario, run: ScenarioRun, seconds: _SecondBins
 ) -> tuple[dict[str, npt.NDArray[Any]], npt.NDArray[np.float64]]:
     """Returns the number of attempts by endpoint and second, and the number of retries by second."""
     names = [f"{tier.name}{number}" for tier in scenario.fleet.tiers for number in range(tier.endpoint_count)]
