--- a/tests/experiment/test_comparison.py
+++ b/tests/experiment/test_comparison.py
@@ -28,13 +28,13 @@
     assert difference == paired_difference(values, baseline)
 
 
-def test_interval_holds_the_true_mean_about_as_often_as_it_says() -> None:
+def test_interval_contains_the_true_mean_about_as_often_as_its_level() -> None:
     generator = np.random.Generator(np.random.PCG64(1))
-    held = 0
+    intervals_with_mean = 0
 
     for seed in range(200):
         sample = (generator.normal(1.0, 0.5, 30)).tolist()
         difference = paired_difference(sample, [0.0] * 30, seed)
-        held += difference["low"] <= 1.0 <= difference["high"]
+        intervals_with_mean += difference["low"] <= 1.0 <= difference["high"]
 
-    assert 0.88 <= held / 200 <= 0.99
+    assert 0.88 <= intervals_with_mean / 200 <= 0.99
--- a/tests/experiment/test_cost.py
+++ b/tests/experiment/test_cost.py
@@ -24,14 +24,14 @@
     return calls
 
 
-def test_contenders_take_turns_and_relay_has_first_case_only(measured: list[tuple[bool, str]]) -> None:
+def test_contenders_rotate_and_relay_is_measured_in_first_case_only(measured: list[tuple[bool, str]]) -> None:
     compare_costs("", 2, lambda _text: None, is_quick=False)
 
     first, others = CASES[0].name, [(False, case.name) for case in CASES[1:]]
     assert measured == [(True, first), (False, first), *others, (False, first), (True, first), *others]
 
 
-def test_figures_hold_each_round_and_the_highest_memory(measured: list[tuple[bool, str]]) -> None:
+def test_figures_contain_each_round_and_the_highest_memory(measured: list[tuple[bool, str]]) -> None:
     lines: list[str] = []
 
     figures = compare_costs("", 2, lines.append, is_quick=True)
--- a/tests/experiment/test_figures.py
+++ b/tests/experiment/test_figures.py
@@ -20,7 +20,7 @@
     assert (figures["late_work_share"], figures["effects_after_end"]) == (0.25, 1.0)
 
 
-def test_quota_share_counts_no_more_than_the_tenant_offered() -> None:
+def test_quota_share_is_relative_to_offered_requests_below_the_quota() -> None:
     figures = compute_figures(experiment(), run_of_first_requests(3), {"acme": 1.0})
 
     assert figures["worst_due"] == 1.0  # two requests offered, quota for three, two in time
@@ -34,5 +34,5 @@
         pytest.param([1, 1, 0.2, 0.2, 0.9, 0.9], 4, id="recovered for too short a time"),
     ],
 )
-def test_goodput_has_recovered_once_it_stays(goodput: list[float], seconds: int) -> None:
+def test_goodput_has_recovered_only_if_it_stays_high(goodput: list[float], seconds: int) -> None:
     assert seconds_to_recover(goodput, 2, len(goodput)) == seconds
--- a/tests/experiment/test_html_report.py
+++ b/tests/experiment/test_html_report.py
@@ -39,7 +39,7 @@
     return cast(ExperimentResult, fields)
 
 
-def test_page_holds_plots_and_violations_as_text(result: ExperimentResult) -> None:
+def test_page_contains_plots_and_escaped_violations(result: ExperimentResult) -> None:
     page = render_report(result)
 
     assert page.count("data:image/png;base64,") == 5
@@ -47,7 +47,7 @@
     assert "<twice>" not in page
 
 
-def test_page_loads_nothing_from_elsewhere(result: ExperimentResult) -> None:
+def test_page_loads_no_external_resources(result: ExperimentResult) -> None:
     page = render_report(result)
 
     assert "src='http" not in page
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -31,9 +31,7 @@
         ),
     ],
 )
-def test_unusable_file_is_named_with_path_and_reason(
-    tmp_path: Path, path: str, value: object, reason: str
-) -> None:
+def test_error_names_file_key_path_and_reason(tmp_path: Path, path: str, value: object, reason: str) -> None:
     changed = copy.deepcopy(EXPERIMENT_FILE)
     override_setting(changed, path, value)
     file = tmp_path / "e.toml"
@@ -45,7 +43,7 @@
     assert str(error.value).startswith(f"{file}: {reason}")
 
 
-def test_setting_path_that_does_not_exist_is_named() -> None:
+def test_error_names_setting_path_that_does_not_exist() -> None:
     changed = Experiment.model_validate(
         {**EXPERIMENT_FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
     )
@@ -54,7 +52,7 @@
         check_settings(changed.build_scenario(changed.variants[0], 0))
 
 
-def test_variants_change_configuration_and_rounds_the_seed() -> None:
+def test_variants_differ_in_configuration_and_rounds_in_seed() -> None:
     own, other = (experiment().build_scenario(variant, 1) for variant in experiment().variants)
     sidecar = SidecarProcess("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
 
@@ -69,11 +67,11 @@
     assert other_configuration["settings"]["tenants"] == []
 
 
-def test_variant_may_go_without_common_failover() -> None:
-    shared = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
+def test_variant_can_disable_common_failover() -> None:
+    fleet = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
     changed = Experiment.model_validate(
         {
-            "fleet": shared,
+            "fleet": fleet,
             "profiles": [{"name": "read"}],
             "members": [{"name": "m"}],
             "arms": [{"name": "one", "failover": False}, {"name": "two"}],
--- a/tests/experiment/test_run.py
+++ b/tests/experiment/test_run.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.usefixtures("run_seeds")
 @pytest.mark.parametrize("keeps_runs", [False, True])
-def test_result_is_left_with_the_keys_of_earlier_versions(tmp_path: Path, keeps_runs: bool) -> None:
+def test_result_file_has_the_keys_of_earlier_versions(tmp_path: Path, keeps_runs: bool) -> None:
     run_experiment(experiment(), tmp_path, lambda _text: None, keeps_runs=keeps_runs)
 
     result = orjson.loads((tmp_path / "result.json").read_bytes())
--- a/tests/experiment/test_scenario_run.py
+++ b/tests/experiment/test_scenario_run.py
@@ -7,7 +7,7 @@
 from cressrail.testbed.run_evidence import RunEvidence
 
 
-def test_only_calls_to_a_process_that_stopped_meanwhile_are_excused() -> None:
+def test_only_calls_to_a_process_that_stopped_during_them_are_excused() -> None:
     collected = RunEvidence(sidecars={"t": {"sidecar": "door0"}})
     collected.calls = [
         {"id": f"{sent_us}", "target": "t", "sent_us": sent_us, "limit_us": 10} for sent_us in (10, 45, 80)
--- a/tests/load/support.py
+++ b/tests/load/support.py
@@ -55,13 +55,13 @@
 
 
 # Requests to a server that stalls for one second, from 500 ms on, and otherwise responds within 5 ms.
-STALL = [
+REQUESTS_DURING_STALL = [
     EndedRequest(number * 10, number * 10, number * 10 + 5 if number < 50 or number >= 150 else 1505)
     for number in range(200)
 ]
 
 
-def figures_of(path: Path, requests: Iterable[EndedRequest]) -> LoadFigures:
+def figures_from(path: Path, requests: Iterable[EndedRequest]) -> LoadFigures:
     """Writes records of the requests and returns the figures that are read from them."""
     with RequestRecordWriter(path) as records:
         for number, request in enumerate(requests):
@@ -79,18 +79,18 @@
     asyncio.get_running_loop().call_later(LATE_ANSWER_S, answer_at_once, request)
 
 
-def answer_a_byte_a_second(request: ReceivedRequest) -> None:
+def answer_one_byte_per_second(request: ReceivedRequest) -> None:
     """Sends a response one byte per second, so that clients time out before its end."""
     for delay_s, byte in enumerate(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"):
         asyncio.get_running_loop().call_later(delay_s, request.connection.write, bytes([byte]))
 
 
-def answer_half(request: ReceivedRequest) -> None:
+def answer_incomplete_body(request: ReceivedRequest) -> None:
     """Sends a response with an incomplete body and keeps the connection open."""
     request.connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
 
 
-def answer_no_http(request: ReceivedRequest) -> None:
+def answer_invalid_http(request: ReceivedRequest) -> None:
     """Sends a line that is not a valid status line."""
     request.connection.write(b"what?\r\n\r\n")
 
--- a/tests/load/test_backoff.py
+++ b/tests/load/test_backoff.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("backoff", "retry_after_us", "honour", "least_us", "most_us"),
+    ("backoff", "retry_after_us", "retry_after_share", "min_delay_us", "max_delay_us"),
     [
         pytest.param("none", 0, 1.0, 0, 0, id="no backoff"),
         pytest.param("fixed", 0, 1.0, 50_000, 50_000, id="fixed backoff"),
@@ -21,10 +21,10 @@
     ],
 )
 def test_retry_delay_follows_backoff_and_retry_after(
-    backoff: str, retry_after_us: int, honour: float, least_us: int, most_us: int
+    backoff: str, retry_after_us: int, retry_after_share: float, min_delay_us: int, max_delay_us: int
 ) -> None:
-    behaviour = ClientBehaviour.model_validate({"backoff": backoff, "honour": honour})
+    behaviour = ClientBehaviour.model_validate({"backoff": backoff, "honour": retry_after_share})
 
     delay_us = retry_delay_us(behaviour, 3, retry_after_us, random.Random(1))
 
-    assert least_us <= delay_us <= most_us
+    assert min_delay_us <= delay_us <= max_delay_us
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -24,7 +24,7 @@
 )
 
 
-def test_requests_wait_where_descriptors_run_out(tmp_path: Path) -> None:
+def test_requests_wait_for_connections_when_descriptors_run_out(tmp_path: Path) -> None:
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     report_file = tmp_path / "report.json"
 
@@ -36,16 +36,16 @@
             "--limit-ms": "300",
             "--json": str(report_file),
         }
-        words = [word for option in options.items() for word in option]
-        ended = subprocess.run(
-            [sys.executable, "-c", RUN_WITH_FEW_DESCRIPTORS, "run", *words],
+        arguments = [argument for option in options.items() for argument in option]
+        result = subprocess.run(
+            [sys.executable, "-c", RUN_WITH_FEW_DESCRIPTORS, "run", *arguments],
             cwd=REPOSITORY,
             capture_output=True,
             check=False,
         )
 
     report = orjson.loads(report_file.read_bytes())
-    assert ended.returncode == 0
+    assert result.returncode == 0
     assert report["held_back"] > 0
     assert report["unanswered"] == report["offered"] > 100
     assert resource.getrlimit(resource.RLIMIT_NOFILE) == limits
@@ -53,17 +53,17 @@
 
 def test_pause_of_the_generator_is_detected_and_reported(tmp_path: Path) -> None:
     report_file = tmp_path / "report.json"
-    has_request = threading.Event()
+    request_received = threading.Event()
 
     def respond(request: ReceivedRequest) -> None:
-        has_request.set()
+        request_received.set()
         answer_at_once(request)
 
     with (
         running_target(respond) as target,
         load_command(target, report_file, "--rate", "200", "--seconds", "2.5") as process,
     ):
-        assert has_request.wait(FIRST_REQUEST_TIMEOUT_S)
+        assert request_received.wait(FIRST_REQUEST_TIMEOUT_S)
         os.kill(process.pid, signal.SIGSTOP)
         time.sleep(0.6)  # the length of the pause
         os.kill(process.pid, signal.SIGCONT)
@@ -77,17 +77,17 @@
     assert b"latencies are not reported: the generator itself was late" in output
 
 
-def test_interrupt_ends_the_run_with_its_figures_so_far(tmp_path: Path) -> None:
+def test_interrupt_ends_the_run_and_reports_figures_so_far(tmp_path: Path) -> None:
     report_file, attempt_log = tmp_path / "report.json", tmp_path / "attempts"
-    has_request = threading.Event()
+    request_received = threading.Event()
 
     with (
-        running_target(lambda _request: has_request.set()) as target,
+        running_target(lambda _request: request_received.set()) as target,
         load_command(
             target, report_file, "--rate", "100", "--seconds", "60", "--ledger", str(attempt_log)
         ) as process,
     ):
-        assert has_request.wait(FIRST_REQUEST_TIMEOUT_S)
+        assert request_received.wait(FIRST_REQUEST_TIMEOUT_S)
         process.send_signal(signal.SIGINT)
         _, errors = process.communicate()
 
@@ -111,7 +111,7 @@
         pytest.param(["--target", "nowhere"], "no HOST:PORT: nowhere", id="target"),
     ],
 )
-def test_unusable_option_is_one_line(tmp_path: Path, options: list[str], reason: str) -> None:
+def test_invalid_option_is_reported_in_one_line(tmp_path: Path, options: list[str], reason: str) -> None:
     with load_command(("127.0.0.1", 9), tmp_path / "report.json", *options) as process:
         _, errors = process.communicate()
 
--- a/tests/load/test_histogram_log.py
+++ b/tests/load/test_histogram_log.py
@@ -8,13 +8,13 @@
 from hdrh.histogram import HdrHistogram
 
 from cressrail.load.histogram_log import write_histogram_log
-from tests.load.support import STALL, figures_of
+from tests.load.support import REQUESTS_DURING_STALL, figures_from
 
 
-def test_histogram_log_is_read_by_the_library(tmp_path: Path) -> None:
+def test_library_can_read_the_histogram_log(tmp_path: Path) -> None:
     path = tmp_path / "histograms"
 
-    write_histogram_log(path, figures_of(tmp_path / "records", STALL), 1000.0)
+    write_histogram_log(path, figures_from(tmp_path / "records", REQUESTS_DURING_STALL), 1000.0)
 
     lines = [line.split(",") for line in path.read_text().splitlines() if line.startswith("Tag=")]
     histograms = [HdrHistogram.decode(columns[4]) for columns in lines]
--- a/tests/load/test_request_records.py
+++ b/tests/load/test_request_records.py
@@ -8,7 +8,7 @@
 from tests.load.support import EndedRequest
 
 
-def test_file_holds_each_record_whatever_the_number(tmp_path: Path) -> None:
+def test_file_contains_every_record_across_write_batches(tmp_path: Path) -> None:
     path = tmp_path / "records"
 
     with RequestRecordWriter(path) as records:
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -10,11 +10,11 @@
 from cressrail.http_testing.server import ReceivedRequest
 from tests.load.support import (
     Respond,
-    answer_a_byte_a_second,
     answer_at_once,
-    answer_half,
+    answer_incomplete_body,
+    answer_invalid_http,
     answer_late,
-    answer_no_http,
+    answer_one_byte_per_second,
     close_without_answer,
     running_target,
     send_load,
@@ -22,23 +22,23 @@
 
 
 @pytest.mark.parametrize(
-    ("respond", "ending"),
+    ("respond", "outcome"),
     [
         pytest.param(None, "gave up", id="never reads"),
-        pytest.param(answer_half, "gave up", id="incomplete body"),
-        pytest.param(answer_a_byte_a_second, "gave up", id="one byte per second"),
+        pytest.param(answer_incomplete_body, "gave up", id="incomplete body"),
+        pytest.param(answer_one_byte_per_second, "gave up", id="one byte per second"),
         pytest.param(close_without_answer, "reset", id="closes the connection"),
-        pytest.param(answer_no_http, "not http", id="not HTTP"),
+        pytest.param(answer_invalid_http, "not http", id="not HTTP"),
     ],
 )
 def test_request_without_answer_is_counted_and_its_ending_logged(
-    tmp_path: Path, respond: Respond | None, ending: str
+    tmp_path: Path, respond: Respond | None, outcome: str
 ) -> None:
     with running_target(respond) as target:
         result = send_load(target, tmp_path)
 
     assert result.report["unanswered"] == result.report["offered"] == len(result.attempts) > 20
-    assert {attempt["how"] for attempt in result.attempts} == {ending}
+    assert {attempt["how"] for attempt in result.attempts} == {outcome}
 
 
 def test_refused_connection_is_counted_and_logged(tmp_path: Path) -> None:
@@ -51,7 +51,7 @@
     assert {attempt["how"] for attempt in result.attempts} == {"no connection"}
 
 
-def test_clients_retry_only_what_is_safe(tmp_path: Path) -> None:
+def test_clients_retry_only_safe_requests(tmp_path: Path) -> None:
     retry_fields: list[str] = []
 
     def reject(request: ReceivedRequest) -> None:
@@ -77,7 +77,7 @@
     assert retry_fields.count("1") == 2 * statuses["503"]
 
 
-def test_connections_are_bounded_and_waits_for_one_counted(tmp_path: Path) -> None:
+def test_connections_are_limited_and_waiting_attempts_counted(tmp_path: Path) -> None:
     with running_target(answer_late) as target:
         result = send_load(
             target, tmp_path, connections=2, rate=200, profiles=[{"name": "read", "limit_ms": 5000}]
@@ -91,7 +91,7 @@
     assert report["latency_us"] is None or report["latency_us"]["p90"] > 400_000
 
 
-def test_steps_of_the_wall_clock_change_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wall_clock_steps_do_not_affect_the_run(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     steps = iter(range(10**9, 10**18, 10**7))
     monkeypatch.setattr(time, "time", lambda: float(next(steps)))
     monkeypatch.setattr(time, "time_ns", lambda: next(steps))
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -57,7 +57,9 @@
         pytest.param("t.jsonl", "{\n", "row 1: not valid JSON", id="not JSON"),
     ],
 )
-def test_malformed_row_is_named(tmp_path: Path, name: str, text: str, reason: str) -> None:
+def test_error_names_file_row_and_reason_of_malformed_row(
+    tmp_path: Path, name: str, text: str, reason: str
+) -> None:
     path = tmp_path / name
     path.write_text(text)
 
