--- a/cressrail/experiment/checkouts.py
+++ b/cressrail/experiment/checkouts.py
@@ -15,7 +15,7 @@
 
 
 class RevisionError(Exception):
-    """Git cannot provide a revision; the message names the revision and gives the reason."""
+    """Raised if git cannot provide a revision; the message names the revision and gives the reason."""
 
 
 @contextmanager
--- a/cressrail/experiment/cost_measurement.py
+++ b/cressrail/experiment/cost_measurement.py
@@ -114,7 +114,7 @@
             {"rate": RATE_PER_S, "seconds": SLICE_S, "seed": WARMUP_SEED, "connections": LOAD_CONNECTIONS}
         )
         run_load(LoadJob(plan, [contender.address], is_quiet=True))
-        # Other load on the machine can only increase the cost, so the lowest of several slices is used.
+        # Other processes on the machine can only increase the cost, so the lowest of several slices is used.
         cpu_us, median_latency_us = min(
             _measure_slice(plan, contender, WARMUP_SEED + number) for number in range(1, SLICES + 1)
         )
--- a/cressrail/experiment/fleet_process.py
+++ b/cressrail/experiment/fleet_process.py
@@ -18,7 +18,7 @@
 from cressrail.load.sender import Address
 from cressrail.testbed.scenario import FleetScenario
 
-START_DELAY_US = 400_000  # between the start command to the fleet and the earliest due time
+START_DELAY_US = 400_000  # between the start command sent to the fleet and the earliest due time
 MIN_CORES_TO_SPLIT = 4  # with fewer cores, the load generator shares them with the fleet
 EXIT_TIMEOUT_S = 10
 SCENARIO_FILE, FLEET_LOG = "world.toml", "standin.log"
--- a/cressrail/experiment/html_report.py
+++ b/cressrail/experiment/html_report.py
@@ -1,4 +1,4 @@
-"""Renders the report of an experiment as one HTML page with tables and embedded plots.
+"""Renders the report of an experiment as a single HTML page with tables and embedded plots.
 
 The text of the page is part of stored report files and must not change.
 """
--- a/cressrail/load/request_records.py
+++ b/cressrail/load/request_records.py
@@ -14,8 +14,8 @@
 import numpy as np
 import numpy.typing as npt
 
-WRITE_BATCH = 4096  # records
-READ_BATCH = 65536  # records
+WRITE_BATCH = 4096  # records per write
+READ_BATCH = 65536  # records per read
 RECORD_DTYPE = np.dtype(
     [
         ("due_us", "<i8"),
--- a/cressrail/load/stall_detector.py
+++ b/cressrail/load/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects pauses of the load generator itself: stopped, swapped out, or not scheduled by the system."""
+"""Detects when the load generator itself is paused: stopped, swapped out, or not scheduled on a core."""
 
 from __future__ import annotations
 
--- a/cressrail/load/trace.py
+++ b/cressrail/load/trace.py
@@ -21,7 +21,7 @@
 
 
 class MalformedTraceError(Exception):
-    """A row is malformed; the message names the file, the row number and the reason."""
+    """Raised for a malformed row; the message names the file, the row number and the reason."""
 
 
 class TraceRow(NamedTuple):
