--- a/cressrail/load/trace.py
+++ b/cressrail/load/trace.py
@@ -142,7 +142,9 @@
     time_us, body_bytes = int(fields[TIME]), int(fields[SIZE])
     request_class, tenant = fields[REQUEST_CLASS], fields[TENANT]
     if not (isinstance(request_class, str) and request_class and isinstance(tenant, str)):
-        raise ValueError("profile must be a non-empty string and member a string")
+        raise ValueError(
+            f"profile must be a non-empty string and member a string: {request_class!r:.40}, {tenant!r:.40}"
+        )
     if not 0 <= body_bytes <= MAX_BODY_BYTES:
         raise ValueError(f"size must be between 0 and {MAX_BODY_BYTES}: {body_bytes}")
     if time_us < latest_us:
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -50,7 +50,7 @@
         pytest.param(
             "t.jsonl",
             '{"time_us":1,"profile":"","member":"a","size":0}\n',
-            "row 1: profile must be a non-empty string and member a string",
+            "row 1: profile must be a non-empty string and member a string: '', 'a'",
             id="empty request class",
         ),
         pytest.param("t.jsonl", "[]\n", "row 1: expected a JSON object, got list", id="JSON array"),
