--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -1,4 +1,4 @@
-"""Experiment files, and what a variant runs."""
+"""Tests of experiment files and of the scenarios of their variants."""
 
 from __future__ import annotations
 
@@ -19,21 +19,19 @@
 @pytest.mark.parametrize(
     ("path", "value", "reason"),
     [
-        pytest.param("arms.1.name", "own", "arms: two of the same name", id="name twice"),
+        pytest.param("arms.1.name", "own", "arms: variant names must be unique", id="duplicate name"),
         pytest.param("arms.0.policy", "best", "arms.0.policy: Input should be", id="policy"),
         pytest.param("rounds", 0, "rounds: Input should be greater", id="rounds"),
         pytest.param("members.0.allowance", 3, "members.0.allowance: Extra inputs", id="unknown key"),
         pytest.param(
             "arms.0",
             {"name": "old", "revision": "abc", "policy": "random"},
-            "arms.0.revision: a revision is played as",
+            "arms.0.revision: a revision requires policy",
             id="revision with policy",
         ),
     ],
 )
-def test_unusable_file_is_named_with_path_and_reason(
-    tmp_path: Path, path: str, value: object, reason: str
-) -> None:
+def test_error_names_file_key_path_and_reason(tmp_path: Path, path: str, value: object, reason: str) -> None:
     changed = copy.deepcopy(EXPERIMENT_FILE)
     override_setting(changed, path, value)
     file = tmp_path / "e.toml"
@@ -45,7 +43,7 @@
     assert str(error.value).startswith(f"{file}: {reason}")
 
 
-def test_setting_path_that_does_not_exist_is_named() -> None:
+def test_error_names_setting_path_that_does_not_exist() -> None:
     changed = Experiment.model_validate(
         {**EXPERIMENT_FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
     )
@@ -54,7 +52,7 @@
         check_settings(changed.build_scenario(changed.variants[0], 0))
 
 
-def test_variants_change_configuration_and_rounds_the_seed() -> None:
+def test_variants_differ_in_configuration_and_rounds_in_seed() -> None:
     own, other = (experiment().build_scenario(variant, 1) for variant in experiment().variants)
     sidecar = SidecarProcess("s", 0, 0, "a", ("127.0.0.1", 1), ("127.0.0.1", 2))
 
@@ -69,11 +67,11 @@
     assert other_configuration["settings"]["tenants"] == []
 
 
-def test_variant_may_go_without_common_failover() -> None:
-    shared = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
+def test_variant_can_disable_common_failover() -> None:
+    fleet = {"zones": ["a", "b"], "tiers": [{"name": "x"}], "membership": {}, "failover": {}}
     changed = Experiment.model_validate(
         {
-            "fleet": shared,
+            "fleet": fleet,
             "profiles": [{"name": "read"}],
             "members": [{"name": "m"}],
             "arms": [{"name": "one", "failover": False}, {"name": "two"}],
