--- a/cressrail/buffers/__init__.py
+++ b/cressrail/buffers/__init__.py
@@ -1,6 +1,6 @@
-"""Buffers of one size from one pool: received data, bodies, and pipes for bodies too large to keep.
+"""Fixed-size buffers from one pool, for received data, for bodies, and for pipes that stream large bodies.
 
-A buffer has one owner at a time: the pool, or the `ReceiveBuffer`, `BufferChain` or `Pipe` that borrowed it
-and returns it through its `release`, `consume` or `discard`. Called by `http1`, `proxy` and `network`.
-Imports no other package.
+A buffer has exactly one owner at a time: the pool, or the `ReceiveBuffer`, `BufferChain` or `Pipe` that has
+borrowed it. The borrower gives it back through its `release`, `consume` or `discard`. The package is used by
+`http1`, `proxy` and `network` and imports no other package.
 """
--- a/cressrail/buffers/pipe.py
+++ b/cressrail/buffers/pipe.py
@@ -1,4 +1,4 @@
-"""Bodies too large to keep: a bounded row of buffers between the receiving and the sending task."""
+"""Streaming of large bodies through a bounded queue between the receiving and the sending task."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 from cressrail.buffers.pool import BUFFER_BYTES, BufferChain, BufferPool
 
-KEPT_BODY_BYTES = 65536  # of a body are kept whole, so that a request can be sent again
-MAX_PIPE_BUFFERS = 8  # the writing side checks `has_room` before it receives more
+KEPT_BODY_BYTES = 65536  # a body up to this size is kept, so that its request can be sent again
+MAX_PIPE_BUFFERS = 8  # the writer checks `has_room` against this limit before it receives more data
 
 
 class Pipe:
     """A bounded queue of bytes between two tasks.
 
-    One side calls `append`, then `close` or `fail`; the other `views` and `consume`, or `discard`. Neither
-    call blocks: a side that has to wait for the other sets `on_data` or `on_room`, which is called once and
-    then cleared. Buffers return to the pool when their bytes are consumed, or all at once by `discard`.
+    The writer calls `append`, and finally `close` or `fail`. The reader calls `views` and `consume`, or
+    `discard`. None of these calls blocks: a task that has to wait for the other one sets `on_data` or
+    `on_room`, which is called once and then cleared. Buffers return to the pool when their bytes are
+    consumed, or all at once by `discard`.
 
     Attributes:
-        is_closed: All of the body has been appended.
-        has_failed: The writing side can't provide the rest.
-        is_discarded: Nobody reads any more; what is appended is dropped.
-        has_been_consumed: Some bytes are gone for good.
-        on_data: Called when there is more to read, or no more to come.
-        on_room: Called when more may be appended.
+        is_closed: Whether the writer has appended the whole body.
+        has_failed: Whether the writer has reported that it can't provide the rest of the body.
+        is_discarded: Whether the reader has stopped reading; appended data is then dropped.
+        has_been_consumed: Whether some bytes have been consumed and can't be read again.
+        on_data: Callback for the reader, called when more data is available or none will follow.
+        on_room: Callback for the writer, called when more data may be appended.
     """
 
     __slots__ = (
@@ -43,27 +44,33 @@
     def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
         self.buffers: deque[bytearray] = deque()
-        self.start = self.end = 0  # offsets in the first buffer and in the last
+        self.start = self.end = 0  # first unread byte of the first buffer, end of the data in the last one
         self.is_closed = self.has_failed = self.is_discarded = False
         self.has_been_consumed = False
         self.on_data: Callable[[], None] | None = None
         self.on_room: Callable[[], None] | None = None
 
     def has_room(self) -> bool:
-        """Returns whether more may be received for it; always so where what comes is dropped."""
+        """Returns whether the writer may receive more data.
+
+        This is always true for a discarded pipe, because its data is dropped.
+        """
         return self.is_discarded or (
             len(self.buffers) < MAX_PIPE_BUFFERS and self.pool.lent < self.pool.max_lent
         )
 
     def is_full(self) -> bool:
-        """Returns whether its own buffers are in use, which its reader ends; an empty pool does not count."""
+        """Returns whether the pipe holds its maximum number of buffers, so that its reader must free some.
+
+        Unlike `has_room`, this does not depend on whether the pool has buffers left.
+        """
         return len(self.buffers) >= MAX_PIPE_BUFFERS
 
     def append(self, data: memoryview) -> None:
-        """Copies data to the end, and calls `on_data`.
+        """Copies data to the end of the queue and calls `on_data`.
 
-        Data that was received has to be stored: the pool's bound is exceeded where necessary, by at most one
-        buffer, as the writing side checks `has_room` before it receives.
+        Data that has been received must be stored, so the pool's limit is exceeded if necessary. The excess
+        is at most one buffer, because the writer checks `has_room` before it receives.
         """
         if self.is_discarded:
             return
@@ -79,12 +86,12 @@
         self._wake_reader()
 
     def close(self) -> None:
-        """Says that all has been appended, and calls `on_data`."""
+        """Marks the body as completely appended and calls `on_data`."""
         self.is_closed = True
         self._wake_reader()
 
     def fail(self) -> None:
-        """Says that the rest will not come, and calls `on_data`."""
+        """Marks the rest of the body as unavailable and calls `on_data`."""
         self.has_failed = True
         self._wake_reader()
 
@@ -111,7 +118,7 @@
             self._wake_writer()
 
     def discard(self) -> None:
-        """Says that nobody reads any more: returns all buffers and calls `on_room`."""
+        """Ends reading: returns all buffers to the pool and calls `on_room`."""
         self.is_discarded = True
         while self.buffers:
             self.pool.return_buffer(self.buffers.popleft())
@@ -129,10 +136,10 @@
 
 
 class StreamingBody(BufferChain):
-    """A body whose first `KEPT_BODY_BYTES` are kept; the rest, if there is any, goes through a pipe.
+    """A body whose first `KEPT_BODY_BYTES` bytes are kept; any further bytes are passed through a pipe.
 
     Attributes:
-        pipe: Of the rest; None while the whole body is kept.
+        pipe: Pipe for the bytes that are not kept; None as long as the whole body is kept.
     """
 
     __slots__ = ("pipe",)
@@ -142,10 +149,10 @@
         self.pipe: Pipe | None = None
 
     def append(self, data: memoryview) -> None:
-        """Copies data to the kept part, and what exceeds it to the pipe.
+        """Copies data to the kept part, and any data beyond its limit to the pipe.
 
         Raises:
-            BufferPoolExhaustedError: No buffer is left for the kept part.
+            BufferPoolExhaustedError: The pool has no buffer left for the kept part.
         """
         if self.pipe is None:
             kept = data[: KEPT_BODY_BYTES - self.size]
@@ -158,21 +165,21 @@
         self.pipe.append(data)
 
     def start_streaming(self) -> None:
-        """Makes what is appended from here on go through the pipe."""
+        """Creates the pipe, through which all data appended from now on is passed."""
         if self.pipe is None:
             self.pipe = Pipe(self.pool)
 
     def release_kept(self) -> None:
-        """Returns the buffers of the kept part, which is not sent again."""
+        """Returns the buffers of the kept part to the pool; the body can't be sent again afterwards."""
         super().release()
 
     def release(self) -> None:
-        """Returns all buffers, and discards the pipe."""
+        """Returns all buffers to the pool and discards the pipe."""
         self.release_kept()
         if self.pipe is not None:
             self.pipe.discard()
 
     @property
     def is_partly_consumed(self) -> bool:
-        """Whether some of it is gone for good, so that it can't be sent again."""
+        """Whether part of the body has been consumed from the pipe, so that it can't be sent again."""
         return self.pipe is not None and self.pipe.has_been_consumed
--- a/cressrail/buffers/pool.py
+++ b/cressrail/buffers/pool.py
@@ -1,4 +1,4 @@
-"""The pool that owns every buffer, and the holders of borrowed buffers for received data and for bodies."""
+"""The buffer pool, and containers of borrowed buffers for received data and for bodies."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class BufferPoolExhaustedError(Exception):
-    """All buffers that the memory limit allows are lent out."""
+    """All buffers that the memory limit permits are lent out."""
 
 
 class BufferPool:
     """Lends buffers of `BUFFER_BYTES` and keeps returned ones for reuse.
 
     Attributes:
-        max_lent: Buffers that may be lent out at a time.
-        lent: Buffers lent out now.
-        free: Returned buffers.
+        max_lent: Maximum number of buffers lent out at the same time.
+        lent: Number of buffers currently lent out.
+        free: Returned buffers that are kept for reuse.
     """
 
     def __init__(self, max_lent: int) -> None:
@@ -24,13 +24,14 @@
         self.free: list[bytearray] = []
 
     def borrow(self, may_exceed: bool = False) -> bytearray:
-        """Lends a buffer; its contents are undefined.
+        """Lends a buffer, whose contents are undefined.
 
         Args:
-            may_exceed: Lend one beyond the bound too, for data that has been received already.
+            may_exceed: Whether to lend a buffer even if `max_lent` is reached, for data that has already
+                been received.
 
         Raises:
-            BufferPoolExhaustedError: The bound is reached.
+            BufferPoolExhaustedError: `max_lent` is reached and `may_exceed` is false.
         """
         if self.lent >= self.max_lent and not may_exceed:
             raise BufferPoolExhaustedError
@@ -38,21 +39,21 @@
         return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def release_excess(self) -> None:
-        """Frees the memory of returned buffers beyond the bound, after `max_lent` was lowered."""
+        """Frees returned buffers that exceed the limit after `max_lent` has been lowered."""
         del self.free[max(0, self.max_lent - self.lent) :]
 
     def return_buffer(self, buffer: bytearray) -> None:
-        """Takes back a lent buffer, to which the caller keeps no reference."""
+        """Takes back a lent buffer; the caller must not keep a reference to it."""
         self.lent -= 1
         self.free.append(buffer)
 
 
 class BufferChain:
-    """Bytes in a row of borrowed buffers, such as a body; `release` is the one place where they return.
+    """A byte sequence, such as a body, stored in borrowed buffers that only `release` returns to the pool.
 
     Attributes:
-        buffers: All full but the last.
-        size: Bytes held.
+        buffers: The buffers in order; all but the last are full.
+        size: Number of bytes stored.
     """
 
     __slots__ = ("buffers", "pool", "size")
@@ -66,7 +67,7 @@
         """Copies data to the end.
 
         Raises:
-            BufferPoolExhaustedError: No buffer is left; what was copied before stays.
+            BufferPoolExhaustedError: The pool has no buffer left; the data copied up to then stays stored.
         """
         while data:
             offset = self.size % BUFFER_BYTES
@@ -78,27 +79,27 @@
             data = data[count:]
 
     def views(self) -> list[memoryview]:
-        """Returns the bytes as views of the buffers, valid until `release`."""
+        """Returns the stored bytes as views of the buffers, valid until `release`."""
         return [
             memoryview(buffer)[: min(BUFFER_BYTES, self.size - index * BUFFER_BYTES)]
             for index, buffer in enumerate(self.buffers)
         ]
 
     def release(self) -> None:
-        """Returns all buffers; the chain is empty afterwards and may be released again."""
+        """Returns all buffers to the pool; the chain is empty afterwards and may be released again."""
         buffers, self.buffers, self.size = self.buffers, [], 0
         for buffer in buffers:
             self.pool.return_buffer(buffer)
 
 
 class ReceiveBuffer:
-    """What has been received on a connection and not yet consumed.
+    """Bytes that have been received on a connection and not yet consumed.
 
-    Its buffer is borrowed for reading and returned as soon as all is consumed, so that an idle connection
-    holds none.
+    The buffer is borrowed when data is to be received and returned once all bytes are consumed, so that an
+    idle connection holds no buffer.
 
     Attributes:
-        buffer: The borrowed buffer, if any.
+        buffer: The borrowed buffer, or None.
         start: Offset of the first unconsumed byte.
         end: Offset after the last received byte.
     """
@@ -111,10 +112,10 @@
         self.start = self.end = 0
 
     def free_space(self) -> memoryview:
-        """Returns where to receive to; empty when the buffer is full of unconsumed bytes.
+        """Returns the memory to receive into; it is empty if the buffer is full of unconsumed bytes.
 
         Raises:
-            BufferPoolExhaustedError: A buffer is needed and none is left.
+            BufferPoolExhaustedError: A buffer has to be borrowed and the pool has none left.
         """
         if self.buffer is None:
             self.buffer = self.pool.borrow()
@@ -124,23 +125,23 @@
         return memoryview(self.buffer)[self.end :]
 
     def add_received(self, count: int) -> None:
-        """Counts bytes that were received into `free_space`."""
+        """Records that `count` bytes were received into the memory returned by `free_space`."""
         self.end += count
 
     def unread(self) -> memoryview:
-        """Returns the unconsumed bytes, valid until the next call of another method."""
+        """Returns a view of the unconsumed bytes, valid until the next call of another method."""
         if self.buffer is None:
             return memoryview(b"")
         return memoryview(self.buffer)[self.start : self.end]
 
     def consume(self, count: int) -> None:
-        """Drops the first `count` unconsumed bytes; returns the buffer when none is left."""
+        """Drops the first `count` unconsumed bytes; returns the buffer to the pool when none is left."""
         self.start += count
         if self.start == self.end:
             self.release()
 
     def release(self) -> None:
-        """Drops all and returns the buffer."""
+        """Drops all unconsumed bytes and returns the buffer to the pool."""
         if self.buffer is not None:
             self.pool.return_buffer(self.buffer)
         self.buffer, self.start, self.end = None, 0, 0
--- a/cressrail/discovery/__init__.py
+++ b/cressrail/discovery/__init__.py
@@ -1,5 +1,6 @@
-"""The endpoint list as discovery sends it, whole or as watch events that carry what has changed.
+"""The endpoint list as discovery sends it: either whole, or as watch events that carry the changes.
 
-Called by `configuration` for the list in the file, by `network` for what discovery sends, and by `proxy` and
-`handover`. Imports no other package; maps the names of the protocol to the terms of the code.
+Used by `configuration` for the list in the configuration file, by `network` for the messages of discovery,
+and by `proxy` and `handover`. Imports only the errors of `http1`; translates the names of discovery's
+protocol into the terms of the code.
 """
--- a/cressrail/discovery/endpoint_list.py
+++ b/cressrail/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Reads and writes the endpoint list in the form of discovery's protocol.
+"""Reads and writes the endpoint list in the JSON format of discovery's protocol.
 
-The names of the protocol's members stand in this module alone.
+The JSON member names of the protocol are defined in this module only.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 import orjson
 
-# Members of a list.
+# JSON members of a list.
 REVISION, IS_COMPLETE, ENTRIES = "revision", "complete", "members"
-# Members of an entry.
+# JSON members of an entry.
 NAME, ADDRESS, ZONE, CELL = "id", "host_port", "locality", "cell"
 PHASE, SCALE, STARTED_MS = "phase", "size", "up_since_ms"
 
 MAX_PORT = 65535
 MAX_SCALE = 1e12
-MAX_SHOWN_CHARS = 80  # of an entry that can't be read, in a message
+MAX_SHOWN_CHARS = 80  # part of a malformed entry that is quoted in an error message
 
 
 class Phase(NamedTuple):
-    """What a phase of the protocol means.
+    """The meaning of an endpoint's phase in the protocol.
 
     Attributes:
-        accepts_requests: New requests may be sent to the endpoint.
-        is_removed: The endpoint is no longer in the list.
+        accepts_requests: Whether new requests may be sent to the endpoint.
+        is_removed: Whether the endpoint has been removed from the list.
     """
 
     accepts_requests: bool
@@ -39,22 +39,23 @@
 
 
 class MalformedEndpointListError(Exception):
-    """What discovery sent is no list; the list known before stays in force."""
+    """Discovery sent something other than an endpoint list; the previously known list stays in use."""
 
 
 class EndpointEntry(NamedTuple):
     """One endpoint of a list.
 
     Attributes:
-        name: Identifies the endpoint, also after a restart.
+        name: Identifier of the endpoint, which it keeps across restarts.
         host: IP address.
         port: TCP port.
-        zone: Name of its zone; empty where none is named.
-        cell: Group of endpoints that share their state, for requests whose key holds in one cell.
+        zone: Name of the endpoint's zone; empty if the entry names none.
+        cell: Number of the group of endpoints that share state. An idempotency key with the key scope `cell`
+            is valid only within one such group.
         scale: Capacity relative to the other endpoints.
-        accepts_requests: New requests may be sent to it.
-        is_removed: It is no longer in the list.
-        started_us: Unix time of its last start; zero where it is not known.
+        accepts_requests: Whether new requests may be sent to the endpoint.
+        is_removed: Whether the endpoint has been removed from the list.
+        started_us: Unix time in microseconds of the endpoint's last start; zero if unknown.
     """
 
     name: str
@@ -69,14 +70,14 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """A whole list, or the entries that have changed.
+    """A whole list, or only the entries that have changed.
 
     Attributes:
-        revision: Number of the list; grows with each change.
-        is_complete: Endpoints that it does not name are removed.
-        entries: Those that could be read.
-        unreadable_names: Endpoints whose entry can't be read: they stay as they were.
-        errors: What was wrong with entries, one line each.
+        revision: Revision number of the list, which increases with each change.
+        is_complete: Whether this is a whole list, so that endpoints that are not in it are removed.
+        entries: The entries that could be parsed.
+        unreadable_names: Names of endpoints whose entry could not be parsed; these endpoints stay unchanged.
+        errors: One line for each entry that could not be parsed, with the reason.
     """
 
     revision: int
@@ -87,28 +88,32 @@
 
 
 def parse_update_line(line: bytes) -> EndpointListUpdate:
-    """Returns the update in one line of discovery's answer.
+    """Parses an update from one line of discovery's response.
 
     Raises:
-        MalformedEndpointListError: The line holds no list.
+        MalformedEndpointListError: The line is not an endpoint list in JSON.
     """
     try:
         return parse_update(orjson.loads(line))
     except orjson.JSONDecodeError as error:
-        raise MalformedEndpointListError(f"not JSON: {error}") from None
+        raise MalformedEndpointListError(f"endpoint list is not JSON: {error}") from None
 
 
 def parse_update(value: Any) -> EndpointListUpdate:
-    """Returns the update in a JSON object; entries that can't be read are named in it and passed over.
+    """Parses an update from a decoded JSON object.
+
+    Malformed entries are skipped, and reported in the update.
 
     Raises:
-        MalformedEndpointListError: The value is no list.
+        MalformedEndpointListError: The value is not an endpoint list.
     """
     if not isinstance(value, dict) or not isinstance(value.get(ENTRIES), list):
-        raise MalformedEndpointListError("no members")
+        raise MalformedEndpointListError(f'endpoint list is not an object with an array "{ENTRIES}"')
     revision, is_complete = value.get(REVISION), value.get(IS_COMPLETE)
     if not isinstance(revision, int) or not isinstance(is_complete, bool):
-        raise MalformedEndpointListError("no revision, or not told whether it is complete")
+        raise MalformedEndpointListError(
+            f'endpoint list needs an integer "{REVISION}" and a boolean "{IS_COMPLETE}"'
+        )
     entries: list[EndpointEntry] = []
     unreadable_names: list[str] = []
     errors: list[str] = []
@@ -127,10 +132,13 @@
     host, _, port = address.rpartition(":")
     phase = PHASES[entry[PHASE]]
     scale = float(entry.get(SCALE, 1.0))
-    host = str(ip_address(host.strip("[]")))  # a host name is refused: a look-up could block
+    host = str(ip_address(host.strip("[]")))  # refuses host names, because a DNS look-up could block
     is_named = isinstance(name, str) and name
     if not (is_named and 0 < int(port) <= MAX_PORT and 0 <= scale < MAX_SCALE):
-        raise ValueError(f"entry that is none: {str(entry)[:MAX_SHOWN_CHARS]}")
+        raise ValueError(
+            f"entry needs a non-empty {NAME}, a port from 1 to {MAX_PORT} and a {SCALE} from 0 to below "
+            f"{MAX_SCALE:g}: {str(entry)[:MAX_SHOWN_CHARS]}"
+        )
     return EndpointEntry(
         name=name,
         host=host,
@@ -145,7 +153,7 @@
 
 
 def encode_endpoint_list(entries: Iterable[EndpointEntry], revision: int) -> dict[str, Any]:
-    """Returns a complete list in the form of discovery, which `parse_update` reads and checks."""
+    """Encodes entries as a complete list in discovery's format, which `parse_update` can read."""
     return {
         REVISION: revision,
         IS_COMPLETE: True,
--- a/cressrail/discovery/watch_lines.py
+++ b/cressrail/discovery/watch_lines.py
@@ -1,4 +1,4 @@
-"""Splits the body of a watch into the JSON documents that it consists of."""
+"""Splits the body of a watch response into JSON documents."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 
 
 class WatchLines:
-    """Collects a body that never ends and returns its documents: a line each, or an indented object.
+    """Collects the unbounded body of a watch response and splits it into documents.
+
+    A document is one line, or a JSON object that is indented over several lines.
 
     Attributes:
-        text: What has been received after the last line end.
-        line_count: Complete lines so far, empty ones too.
+        text: Received bytes that have not been split into lines yet.
+        line_count: Number of complete lines received so far, including empty ones.
     """
 
     def __init__(self) -> None:
         self.text = bytearray()
         self.line_count = 0
-        self._lines_of_object: list[bytes] = []  # an indented object that is not complete
-        self._depth = 0  # of braces in it
+        self._lines_of_object: list[bytes] = []  # lines of an indented object that is still incomplete
+        self._depth = 0  # number of braces that are open in these lines
 
     def append(self, data: memoryview) -> None:
         """Adds received bytes.
 
         Raises:
-            ContentTooLargeError: A document is longer than `MAX_DOCUMENT_BYTES`.
+            ContentTooLargeError: A document exceeds `MAX_DOCUMENT_BYTES`.
         """
         self.text += data
         self.line_count += bytes(data).count(b"\n")
         if len(self.text) + sum(map(len, self._lines_of_object)) > MAX_DOCUMENT_BYTES:
-            raise ContentTooLargeError("line too long")
+            raise ContentTooLargeError(f"endpoint list document exceeds {MAX_DOCUMENT_BYTES} bytes")
 
     def take_documents(self) -> list[bytes]:
-        """Returns the documents that are complete by now.
+        """Removes and returns the documents that are complete.
 
         Raises:
-            MalformedEndpointListError: An object breaks off: what follows would be taken for more of it.
+            MalformedEndpointListError: An empty line occurs inside an object, which is therefore cut short.
+                Without this check the next document would be parsed as its continuation.
         """
         *lines, rest = self.text.split(b"\n")
         self.text = bytearray(rest)
@@ -46,11 +49,11 @@
             if line.strip():
                 documents += self._add_line(line)
             elif self._lines_of_object:
-                raise MalformedEndpointListError("an empty line inside an object")
+                raise MalformedEndpointListError("empty line inside a JSON object of the endpoint list watch")
         return documents
 
     def _add_line(self, line: bytes) -> list[bytes]:
-        """Returns the document that ends with the line, if one does."""
+        """Adds a line; returns the document that it completes, or an empty list if it completes none."""
         self._lines_of_object.append(line)
         self._depth += line.count(b"{") - line.count(b"}")
         is_object = self._lines_of_object[0].lstrip().startswith(b"{")
@@ -62,8 +65,8 @@
 
 
 class WholeDocument(WatchLines):
-    """Collects a body that is one document, of any number of lines."""
+    """Collects a body that consists of a single document, regardless of its line breaks."""
 
     def take_documents(self) -> list[bytes]:
-        """Returns none: the document is complete with the body."""
+        """Returns an empty list, because the document is complete only at the end of the body."""
         return []
--- a/cressrail/http1/__init__.py
+++ b/cressrail/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 messages by RFC 9110 and RFC 9112: parsers that are fed with received bytes, and encoders.
+"""HTTP/1.1 messages (RFC 9110 and RFC 9112): incremental parsers and encoders.
 
-No input or output of its own (sans-I/O): `network` receives and sends, `proxy` decides on the requests. A
-message that must not be taken is refused with an error of `errors`, which carries the status for the client.
-May import `buffers`.
+The package does no input or output of its own (sans-I/O): `network` receives and sends the bytes, and
+`proxy` decides what happens to each request. A parser refuses a message by raising an error of `errors`,
+which carries the status code for the client. May import `buffers`.
 """
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -1,4 +1,4 @@
-"""The body of a message, of any framing, received in pieces of any size."""
+"""Incremental readers for message bodies, one for each kind of framing."""
 
 from __future__ import annotations
 
@@ -12,81 +12,82 @@
 )
 
 MAX_BODY_BYTES = 1 << 30
-MAX_CHUNK_LINE_BYTES = 1024  # of a line between chunks, or of a trailer
+MAX_CHUNK_LINE_BYTES = 1024  # length of a chunk size line, with its extensions, or of a trailer line
 MAX_CHUNK_SIZE_DIGITS = 8
 MAX_TRAILER_LINES = 64
 HEX_DIGITS = b"0123456789abcdefABCDEF"
 
-# States of `ChunkedReader`: what comes next. The last chunk, of no bytes, leads to the trailer section.
+# States of `ChunkedReader`, named after the element that it expects next. The last chunk, whose size is
+# zero, is followed by the trailer section.
 CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER = "chunk size", "chunk data", "chunk end", "trailer"
 
 
 class Sink(Protocol):
-    """Where the bytes of a body go."""
+    """Destination for the content of a body."""
 
     def append(self, data: memoryview, /) -> None:
-        """Takes bytes; the view is valid during the call."""
+        """Stores the bytes; the view is valid only during the call."""
 
 
 class BodyReader:
-    """Takes what belongs to a body and passes its bytes to a sink.
+    """Base class of the readers: decodes the framing of one body and passes its content to a sink.
 
     Attributes:
-        is_complete: The body is whole.
-        received_bytes: Passed to the sink so far.
+        is_complete: Whether the whole body has been received.
+        received_bytes: Number of content bytes passed to the sink so far.
     """
 
     is_complete = False
 
     def __init__(self, sink: Sink, max_bytes: int) -> None:
-        """Makes a reader that refuses a body of more than `max_bytes`."""
+        """Creates a reader that refuses a body whose content exceeds `max_bytes`."""
         self.sink = sink
         self.max_bytes = max_bytes
         self.received_bytes = 0
 
     def feed(self, data: memoryview) -> int:
-        """Takes received bytes.
+        """Parses received bytes.
 
         Returns:
-            How many of them were consumed; the others come again with the next call.
+            The number of bytes consumed; the caller passes the others again with the next call.
 
         Raises:
-            MalformedMessageError: They are no body.
+            MalformedMessageError: The framing of the body is malformed, or the body is too large.
         """
         raise NotImplementedError
 
     def on_connection_closed(self) -> None:
-        """Says that no more will come, before the body is complete.
+        """Handles the end of the connection while the body is incomplete.
 
         Raises:
-            IncompleteMessageError: The end of the connection does not end this body.
+            IncompleteMessageError: The framing of this body does not allow the connection's end to end it.
         """
-        raise IncompleteMessageError("ends inside a body")
+        raise IncompleteMessageError("connection closed before the end of the body")
 
     def _append(self, data: memoryview) -> None:
         self.received_bytes += len(data)
         if self.received_bytes > self.max_bytes:
-            raise ContentTooLargeError("body too large")
+            raise ContentTooLargeError(f"body exceeds {self.max_bytes} bytes")
         self.sink.append(data)
 
 
 class ContentLengthReader(BodyReader):
-    """A body of a stated length."""
+    """Reads a body whose length is given by Content-Length."""
 
     def __init__(self, sink: Sink, max_bytes: int, content_length: int) -> None:
-        """Makes a reader of `content_length` bytes.
+        """Creates a reader of `content_length` bytes.
 
         Raises:
-            ContentTooLargeError: More are stated than may be taken.
+            ContentTooLargeError: `content_length` exceeds `max_bytes`.
         """
         super().__init__(sink, max_bytes)
         if content_length > max_bytes:
-            raise ContentTooLargeError("body too large")
+            raise ContentTooLargeError(f"content-length {content_length} exceeds {max_bytes} bytes")
         self.remaining_bytes = content_length
         self.is_complete = content_length == 0
 
     def feed(self, data: memoryview) -> int:
-        """Takes the bytes that the body still lacks."""
+        """Consumes bytes up to the end of the body."""
         count = min(self.remaining_bytes, len(data))
         self._append(data[:count])
         self.remaining_bytes -= count
@@ -95,30 +96,33 @@
 
 
 class UntilCloseReader(BodyReader):
-    """A body that ends with the connection."""
+    """Reads a body that ends when the connection is closed."""
 
     def feed(self, data: memoryview) -> int:
-        """Takes all bytes."""
+        """Consumes all bytes."""
         self._append(data)
         return len(data)
 
     def on_connection_closed(self) -> None:
-        """Ends the body."""
+        """Marks the body as complete."""
         self.is_complete = True
 
 
 class ChunkedReader(BodyReader):
-    """A body in chunked transfer coding (RFC 9112, section 7.1); extensions and trailers are dropped."""
+    """Reads a body in the chunked transfer coding (RFC 9112, section 7.1).
+
+    Chunk extensions and trailer fields are discarded.
+    """
 
     def __init__(self, sink: Sink, max_bytes: int) -> None:
-        """Makes a reader that refuses more than `max_bytes` of content."""
+        """Creates a reader that refuses more than `max_bytes` of content."""
         super().__init__(sink, max_bytes)
-        self.remaining_bytes = 0  # of the chunk
+        self.remaining_bytes = 0  # of the current chunk
         self.state = CHUNK_SIZE
         self.trailer_lines = 0
 
     def feed(self, data: memoryview) -> int:
-        """Takes whole lines and the content between them."""
+        """Consumes chunk data and complete lines; an incomplete line stays unconsumed."""
         used = 0
         while used < len(data) and not self.is_complete:
             if self.state == CHUNK_DATA:
@@ -133,21 +137,21 @@
             end = text.find(b"\r\n")
             if end < 0:
                 if len(text) > MAX_CHUNK_LINE_BYTES:
-                    raise MalformedMessageError("chunk that is none")
+                    raise MalformedMessageError(f"chunk or trailer line exceeds {MAX_CHUNK_LINE_BYTES} bytes")
                 return used
             used += end + 2
-            self._take_line(text[:end])
+            self._parse_line(text[:end])
         return used
 
-    def _take_line(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         if self.state == CHUNK_END:
             if line:
-                raise MalformedMessageError("chunk that is none")
+                raise MalformedMessageError("chunk data is longer than the chunk size")
             self.state = CHUNK_SIZE
         elif self.state == TRAILER:
             self.trailer_lines += 1
             if self.trailer_lines > MAX_TRAILER_LINES:
-                raise HeaderSectionTooLargeError("too many trailers")
+                raise HeaderSectionTooLargeError(f"trailer section exceeds {MAX_TRAILER_LINES} lines")
             self.is_complete = not line
         else:
             self.remaining_bytes = _parse_chunk_size(line)
@@ -157,10 +161,19 @@
 def _parse_chunk_size(line: bytes) -> int:
     size = line.partition(b";")[0].strip()
     if not 0 < len(size) <= MAX_CHUNK_SIZE_DIGITS or any(digit not in HEX_DIGITS for digit in size):
-        raise MalformedMessageError("chunk that is none")
+        raise MalformedMessageError(f"chunk size is not 1 to {MAX_CHUNK_SIZE_DIGITS} hexadecimal digits")
     return int(size, 16)
 
 
 def encode_chunk(parts: list[memoryview], size: int) -> list[memoryview]:
-    """Returns `size` bytes of content as one chunk; no chunk for no bytes, which would end the body."""
+    """Encodes content as one chunk.
+
+    Args:
+        parts: The content, in order.
+        size: Total length of `parts` in bytes.
+
+    Returns:
+        The views to send. The list is empty when `size` is zero, because a chunk of size zero would end the
+        body.
+    """
     return [memoryview(b"%x\r\n" % size), *parts, memoryview(b"\r\n")] if size else []
--- a/cressrail/http1/duration.py
+++ b/cressrail/http1/duration.py
@@ -1,4 +1,4 @@
-"""Durations in header fields, such as the deadline of a request."""
+"""Parsing of durations in header fields, such as a request's deadline."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def parse_duration_us(text: str) -> int | None:
-    """Returns a duration in microseconds; None for text that is none.
+    """Returns a duration in microseconds, or None if `text` is not a valid duration.
 
-    A duration is a whole number and a unit: `m` for milliseconds or `u` for microseconds, as in `480m`.
+    A duration is a whole number followed by a unit, `m` for milliseconds or `u` for microseconds, as in
+    `480m`.
     """
     found = DURATION_PATTERN.match(text.strip())
     if found is None:
--- a/cressrail/http1/errors.py
+++ b/cressrail/http1/errors.py
@@ -1,20 +1,20 @@
-"""Refusals of messages, each with the status that its sender is answered with."""
+"""Errors for refused messages, each with the status code of the response to the sender."""
 
 from __future__ import annotations
 
 
 class MalformedMessageError(Exception):
-    """What was received is no message that may be taken."""
+    """The received bytes are not a message that may be accepted."""
 
     status = 400
 
 
 class AmbiguousMessageError(MalformedMessageError):
-    """Two recipients may read the message differently, for instance where it ends."""
+    """Two recipients could interpret the message differently, for instance where it ends."""
 
 
 class IncompleteMessageError(MalformedMessageError):
-    """The connection was closed inside the message."""
+    """The connection was closed before the end of the message."""
 
 
 class RequestTimeoutError(MalformedMessageError):
@@ -24,12 +24,12 @@
 
 
 class ContentTooLargeError(MalformedMessageError):
-    """The body has more bytes than may be taken."""
+    """The body exceeds the maximum size."""
 
     status = 413
 
 
 class HeaderSectionTooLargeError(MalformedMessageError):
-    """The header or trailer section is larger than may be taken."""
+    """The header or trailer section exceeds the maximum size."""
 
     status = 431
--- a/cressrail/http1/headers.py
+++ b/cressrail/http1/headers.py
@@ -1,4 +1,4 @@
-"""The head of a message: its start line and its header section."""
+"""Parsing of a message's head, which consists of the start line and the header section."""
 
 from __future__ import annotations
 
@@ -7,14 +7,19 @@
 
 from cressrail.http1.errors import HeaderSectionTooLargeError, MalformedMessageError
 
-MAX_HEADER_SECTION_BYTES = 8000  # of a head; it must fit in one buffer
+MAX_HEADER_SECTION_BYTES = 8000  # length of a whole head, which must fit in one buffer of the pool
 MAX_CONTENT_LENGTH_DIGITS = 15
+# Error messages that the admin API returns as the body of a 400 response, so their texts must not change.
+HEAD_TOO_LARGE = "head too large"
+MALFORMED_FIELD_LINE = "field that is none"
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-# A name, and a value without leading blanks in which no control character but a tab stands. The quantifiers
-# are possessive (*+): without backtracking, a line of blanks with one bad byte takes linear time.
+# Matches a field name, and a value without leading blanks and without control characters other than tab.
+# The quantifiers are possessive (`*+`): without backtracking, a line of blanks that ends in an invalid byte
+# is rejected in linear time.
 FIELD_LINE_PATTERN = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
 HEADER_SECTION_END = b"\r\n\r\n"
-# Fields of one connection (RFC 9110, section 7.6.1), and those by which this proxy frames messages anew.
+# Fields that apply to a single connection (RFC 9110, section 7.6.1), and fields that this proxy sets itself
+# because it frames messages anew.
 HOP_BY_HOP_FIELDS = {
     b"connection",
     b"keep-alive",
@@ -29,12 +34,12 @@
 
 
 class Headers(list[tuple[bytes, bytes]]):
-    """Names, in lower case, and values of a header section, in the order of its lines.
+    """The fields of a header section: pairs of lower-case name and value, in the order of the field lines.
 
     Attributes:
-        first_values: The first value of each name: finds a field without a walk, which each message needs a
-            dozen times.
-        has_repeated_name: Some name came more than once.
+        first_values: First value of each name. It makes a look-up independent of the number of fields; each
+            message needs about a dozen look-ups.
+        has_repeated_name: Whether at least one name occurs more than once.
     """
 
     __slots__ = ("first_values", "has_repeated_name")
@@ -47,7 +52,7 @@
             self.add(name, value)
 
     def add(self, name: bytes, value: bytes) -> None:
-        """Adds a field line; the name is in lower case."""
+        """Appends a field line; `name` must be in lower case."""
         self.append((name, value))
         if name in self.first_values:
             self.has_repeated_name = True
@@ -56,20 +61,20 @@
 
 
 def parse_head(data: memoryview) -> tuple[int, bytes, Headers] | None:
-    """Parses the head at the start of received bytes.
+    """Parses the head at the start of the received bytes.
 
     Returns:
-        The number of bytes that the head takes, its start line and its fields; None while it is incomplete.
+        The length of the head in bytes, its start line and its fields, or None if the head is incomplete.
 
     Raises:
-        HeaderSectionTooLargeError: It is longer than `MAX_HEADER_SECTION_BYTES`.
-        MalformedMessageError: A line of it is no field line.
+        HeaderSectionTooLargeError: The head is longer than `MAX_HEADER_SECTION_BYTES`.
+        MalformedMessageError: A line of the header section is not a valid field line.
     """
     text = bytes(data)
-    start = 2 if text.startswith(b"\r\n") else 0  # one empty line before a message is passed over
+    start = 2 if text.startswith(b"\r\n") else 0  # skips one empty line before the message
     end = text.find(HEADER_SECTION_END, start)
     if end > MAX_HEADER_SECTION_BYTES or (end < 0 and len(text) > MAX_HEADER_SECTION_BYTES):
-        raise HeaderSectionTooLargeError("head too large")
+        raise HeaderSectionTooLargeError(HEAD_TOO_LARGE)
     if end < 0:
         return None
     start_line, *lines = text[start:end].split(b"\r\n")
@@ -77,14 +82,14 @@
     for line in lines:
         found = FIELD_LINE_PATTERN.match(line)
         if found is None:
-            raise MalformedMessageError("field that is none")
+            raise MalformedMessageError(MALFORMED_FIELD_LINE)
         name, value = found.groups()
         headers.add(name.lower(), value.rstrip(b" \t"))
     return end + len(HEADER_SECTION_END), start_line, headers
 
 
 def field_values(headers: Headers, name: bytes) -> list[bytes]:
-    """Returns the values of all lines with this name."""
+    """Returns the values of all field lines with the given lower-case name."""
     if headers.has_repeated_name:
         return [value for field_name, value in headers if field_name == name]
     found = headers.first_values.get(name)
@@ -92,23 +97,25 @@
 
 
 def list_items(headers: Headers, name: bytes) -> list[bytes]:
-    """Returns the items, in lower case, of a comma-separated field, over all lines that carry it."""
+    """Returns the items of a comma-separated field, in lower case, combined over all its field lines."""
     if name not in headers.first_values:
         return []
     return [item.strip().lower() for value in field_values(headers, name) for item in value.split(b",")]
 
 
 def parse_content_length(headers: Headers) -> int | None:
-    """Returns the stated length of the body in bytes; None where none is stated.
+    """Returns the value of Content-Length in bytes, or None if the field is absent.
 
     Raises:
-        MalformedMessageError: It is no number, or stated in different ways.
+        MalformedMessageError: The value is not a decimal number, or the field has several different values.
     """
-    stated = list_items(headers, b"content-length")
-    if not stated:
+    values = list_items(headers, b"content-length")
+    if not values:
         return None
-    first = stated[0]
+    first = values[0]
     is_number = first.isdigit() and len(first) <= MAX_CONTENT_LENGTH_DIGITS
-    if not is_number or any(other != first for other in stated):
-        raise MalformedMessageError("content-length that is none")
+    if not is_number or any(other != first for other in values):
+        raise MalformedMessageError(
+            f"content-length is not one decimal number of at most {MAX_CONTENT_LENGTH_DIGITS} digits"
+        )
     return int(first)
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -1,4 +1,4 @@
-"""Requests: as a client sends them, and as they are sent to an endpoint."""
+"""HTTP requests: parsing of what a client sends, and encoding for an endpoint."""
 
 from __future__ import annotations
 
@@ -18,25 +18,29 @@
     parse_head,
 )
 
-# Beginnings of the names of fields that identify a request: repeated, they could be read differently.
+# Name prefixes of the fields that identify a request. If such a field were repeated, the sidecar and the
+# endpoint could each use a different one of its values.
 UNREPEATABLE_FIELDS = (b"req-", b"idempotency-key", b"host")
 NOT_FORWARDED = frozenset(HOP_BY_HOP_FIELDS | {b"host", b"req-deadline"})
 METHODS_WITHOUT_CONTENT = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
 TARGET_PATTERN = re.compile(rb"[\x21-\x7e]+\Z")
 REQUEST_LINE_PARTS = 3
+# Error messages that the admin API returns as the body of a 400 response, so their texts must not change.
+MALFORMED_REQUEST_LINE = "first line that is none"
+UNSUPPORTED_HTTP_VERSION = "neither HTTP/1.1 nor HTTP/1.0"
 
 
 class Request(NamedTuple):
-    """A request of a client.
+    """A client's request.
 
     Attributes:
-        method: As it came.
-        target: Path and query as they came.
-        headers: All fields that came.
-        body: The body, or what has been received of it.
-        keep_alive: The client may use its connection further.
-        content_length: Stated for the body, in bytes, if any.
-        is_http11: The client reads HTTP/1.1.
+        method: Request method, as received.
+        target: Path and query, as received.
+        headers: All received header fields.
+        body: The body, or the part of it that has been received so far.
+        keep_alive: Whether the client's connection stays open after the response.
+        content_length: Value of the Content-Length field in bytes, or None if the field is absent.
+        is_http11: Whether the client uses HTTP/1.1, as opposed to HTTP/1.0.
     """
 
     method: bytes
@@ -49,7 +53,7 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Whether a part of the body goes through a pipe."""
+        """Whether part of the body is passed through a pipe."""
         return isinstance(self.body, StreamingBody) and self.body.pipe is not None
 
     @property
@@ -59,19 +63,19 @@
 
     @property
     def is_partly_consumed(self) -> bool:
-        """Whether a part of the body is gone for good, so that the request can't be sent again."""
+        """Whether part of the body has been discarded after sending, so that the request can't be retried."""
         return isinstance(self.body, StreamingBody) and self.body.is_partly_consumed
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition(b"?")[0]
 
     def header_text(self, name: bytes) -> str | None:
-        """Returns the first value of a field as text; None where there is none.
+        """Returns the first value of a field as text, or None if the field is absent.
 
-        Values are read as UTF-8, in which the settings write the same names; what is no UTF-8 is read byte
-        by byte, as Latin-1.
+        Values are decoded as UTF-8, because the names that they are compared with are UTF-8 in the settings.
+        A value that is not valid UTF-8 is decoded as Latin-1.
         """
         value = self.headers.first_values.get(name)
         if value is None:
@@ -82,11 +86,11 @@
             return value.decode("latin-1")
 
     def encode_head(self, host: str, remaining_us: int) -> bytes:
-        """Returns request line and header section for an endpoint.
+        """Returns the request line and header section to send to an endpoint.
 
         Args:
-            host: The endpoint's host and port.
-            remaining_us: How long its response is waited for.
+            host: Host and port of the endpoint.
+            remaining_us: Time in microseconds that the sidecar waits for the endpoint's response.
         """
         dropped = NOT_FORWARDED
         if options := list_items(self.headers, b"connection"):
@@ -107,10 +111,11 @@
 
 
 def parse_request_line(line: bytes) -> tuple[bytes, bytes]:
-    """Returns method and target of a request line.
+    """Returns the method and the target of a request line.
 
     Raises:
-        MalformedMessageError: It is none, or of a version other than 1.0 and 1.1.
+        MalformedMessageError: The line is not a valid request line, or its HTTP version is neither 1.0 nor
+            1.1.
     """
     parts = line.split(b" ")
     if (
@@ -118,26 +123,26 @@
         or not TOKEN_PATTERN.match(parts[0])
         or not TARGET_PATTERN.match(parts[1])
     ):
-        raise MalformedMessageError("first line that is none")
+        raise MalformedMessageError(MALFORMED_REQUEST_LINE)
     if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise MalformedMessageError("neither HTTP/1.1 nor HTTP/1.0")
+        raise MalformedMessageError(UNSUPPORTED_HTTP_VERSION)
     return parts[0], parts[1]
 
 
 class RequestReader:
     """Parses one request from the bytes received on a connection.
 
-    States: before the head is whole (`incomplete_request` is None); in the body (`request` is None);
-    complete.
+    The reader is in one of three states: the head is incomplete (`incomplete_request` is None), the body is
+    incomplete (only `request` is None), or the request is complete.
 
     Attributes:
-        request: The request, once it is whole.
-        incomplete_request: The same as soon as its head is whole.
-        expects_continue: The client waits for an interim response before it sends the body.
+        request: The request once all of it has been received, otherwise None.
+        incomplete_request: The request once its head has been received, otherwise None.
+        expects_continue: Whether the client waits for a 100 (Continue) response before it sends the body.
     """
 
     def __init__(self, body: BufferChain) -> None:
-        """Makes a reader that collects the body in `body`, which stays the caller's to release."""
+        """Creates a reader that stores the body in `body`, which the caller must release."""
         self.chain = body
         self.request: Request | None = None
         self.incomplete_request: Request | None = None
@@ -145,13 +150,13 @@
         self._body: BodyReader | None = None
 
     def feed(self, data: memoryview) -> int:
-        """Takes received bytes.
+        """Parses received bytes.
 
         Returns:
-            How many of them were consumed; the others come again with the next call.
+            The number of bytes consumed; the caller passes the others again with the next call.
 
         Raises:
-            MalformedMessageError: They are no request that may be taken.
+            MalformedMessageError: The bytes are not a request that may be accepted.
         """
         used = 0
         if self.incomplete_request is None:
@@ -175,7 +180,9 @@
         keep_alive = b"close" not in options and (is_http11 or b"keep-alive" in options)
         content_length, codings = parse_content_length(headers), list_items(headers, b"transfer-encoding")
         if codings and (content_length is not None or codings != [b"chunked"]):
-            raise AmbiguousMessageError("framing that may be read in two ways")
+            raise AmbiguousMessageError(
+                "ambiguous request framing: transfer-encoding beside content-length, or other than chunked"
+            )
         self.incomplete_request = Request(
             method, target, headers, self.chain, keep_alive, content_length, is_http11
         )
@@ -189,10 +196,16 @@
 
 
 def _check_unambiguous(headers: Headers, connection_options: list[bytes]) -> None:
-    """Refuses a request that an endpoint could read as another than the one decided on."""
+    """Refuses a request that an endpoint could interpret differently from this sidecar.
+
+    Raises:
+        AmbiguousMessageError: An identifying field is repeated, or the Connection field lists one.
+    """
     is_repeated = False
     if headers.has_repeated_name:
         identifying = [name for name, _ in headers if name.startswith(UNREPEATABLE_FIELDS)]
         is_repeated = len(identifying) > len(set(identifying))
     if is_repeated or any(option.startswith(UNREPEATABLE_FIELDS) for option in connection_options):
-        raise AmbiguousMessageError("fields that may be read in two ways")
+        raise AmbiguousMessageError(
+            "ambiguous request header: an identifying field is repeated or named by the connection field"
+        )
--- a/cressrail/http1/response.py
+++ b/cressrail/http1/response.py
@@ -1,4 +1,4 @@
-"""Responses: as an endpoint or discovery sends them, and as they are sent to a client."""
+"""HTTP responses: parsing of what an endpoint or discovery sends, and encoding for a client."""
 
 from __future__ import annotations
 
@@ -31,11 +31,13 @@
     """A response to a client.
 
     Attributes:
-        status: Three digits.
-        body: Of an endpoint's response, if it succeeded.
-        content_type: Of the body; empty where none is named.
-        retry_after_us: After which the client may try again; zero where nothing is said about it.
-        content_length: In bytes, of a body that is still being received, where its endpoint has stated it.
+        status: Three-digit status code.
+        body: Body of the endpoint's response if the request succeeded, otherwise None.
+        content_type: Content type of the body; empty if the endpoint named none.
+        retry_after_us: Time in microseconds after which the client may retry; zero omits the Retry-After
+            field.
+        content_length: Length in bytes of a body that is still being received; None if the endpoint did not
+            state it.
     """
 
     status: int
@@ -46,19 +48,25 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Whether a part of the body goes through a pipe."""
+        """Whether part of the body is passed through a pipe."""
         return isinstance(self.body, StreamingBody) and self.body.pipe is not None
 
     def is_chunked(self, is_http11: bool) -> bool:
         """Returns whether the body is sent in chunks.
 
         Args:
-            is_http11: The client reads HTTP/1.1; for another, the end of the connection ends such a body.
+            is_http11: Whether the client uses HTTP/1.1. For an HTTP/1.0 client a body of unknown length ends
+                when the connection is closed.
         """
         return self.is_streaming and self.content_length is None and is_http11
 
     def encode_head(self, keep_alive: bool, is_http11: bool = True) -> bytes:
-        """Returns status line and header section; `keep_alive`: the connection is used further."""
+        """Returns the status line and header section.
+
+        Args:
+            keep_alive: Whether the connection stays open after the response.
+            is_http11: Whether the client uses HTTP/1.1, as opposed to HTTP/1.0.
+        """
         size = (self.content_length if self.is_streaming else self.body.size) if self.body else 0
         lines = [b"HTTP/1.1 %d %s" % (self.status, REASON_PHRASES.get(self.status, b"-"))]
         if size is not None:
@@ -77,23 +85,23 @@
 class ResponseReader:
     """Parses one response from the bytes received on a connection.
 
-    States: before the head is whole (`has_head` is False); in the body; complete (`is_complete`). Interim
-    responses are passed over.
+    The reader is in one of three states: the head is incomplete (`has_head` is False), the body is
+    incomplete, or the response is complete (`is_complete`). Interim (1xx) responses are skipped.
 
     Attributes:
-        status: Of the final response; zero before its head is whole.
-        headers: Its fields.
-        keep_alive: The connection may be used again after it.
-        content_length: Stated for the body, in bytes, if any.
+        status: Status code of the final response; zero until its head has been received.
+        headers: Header fields of the final response.
+        keep_alive: Whether the connection may be reused after the response.
+        content_length: Length of the body in bytes as stated by Content-Length, or None.
     """
 
     def __init__(self, sink: Sink, max_body_bytes: int, answers_head: bool = False) -> None:
-        """Makes a reader that passes the body to a sink.
+        """Creates a reader that passes the body to a sink.
 
         Args:
-            sink: Takes the body.
-            max_body_bytes: A longer body is refused.
-            answers_head: The request was a HEAD, whose response has no body.
+            sink: Destination for the content of the body.
+            max_body_bytes: Maximum length of the body in bytes; a longer one is refused.
+            answers_head: Whether the request's method was HEAD, whose response has no body.
         """
         self.sink = sink
         self.max_body_bytes = max_body_bytes
@@ -106,26 +114,26 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the response is whole."""
+        """Whether the whole response has been received."""
         return self._body is not None and self._body.is_complete
 
     @property
     def has_head(self) -> bool:
-        """Whether the head of the final response is whole."""
+        """Whether the head of the final response has been received."""
         return self._body is not None
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first value of a field; empty where there is none."""
+        """Returns the first value of a field, or an empty value if the field is absent."""
         return self.headers.first_values.get(name, b"")
 
     def feed(self, data: memoryview) -> int:
-        """Takes received bytes.
+        """Parses received bytes.
 
         Returns:
-            How many of them were consumed; the others come again with the next call.
+            The number of bytes consumed; the caller passes the others again with the next call.
 
         Raises:
-            MalformedMessageError: They are no response.
+            MalformedMessageError: The bytes are not a valid response, or the body is too large.
         """
         used = 0
         while self._body is None:
@@ -139,29 +147,31 @@
         return used
 
     def on_connection_closed(self) -> None:
-        """Says that no more will come; ends a body that nothing else bounds.
+        """Handles the end of the connection, which completes a body without any other framing.
 
         Raises:
-            IncompleteMessageError: The response is cut.
+            IncompleteMessageError: The response is incomplete.
         """
         if self._body is None:
-            raise IncompleteMessageError("ends before a whole answer")
+            raise IncompleteMessageError("connection closed before the end of the response head")
         if not self._body.is_complete:
             self._body.on_connection_closed()
         self.keep_alive = False
 
     def _start_body(self, status_line: bytes, headers: Headers) -> None:
-        """Reads a head and, unless it is of an interim response, chooses the body's framing."""
+        """Interprets a head; for a final response, selects the reader for the framing of the body."""
         version, status = _parse_status_line(status_line)
         if FIRST_INTERIM_STATUS <= status < FIRST_FINAL_STATUS and status != SWITCHING_PROTOCOLS:
             return
         self.status, self.headers = status, headers
         options = list_items(headers, b"connection")
-        is_kept_by_default = version == b"HTTP/1.1"
-        self.keep_alive = b"close" not in options and (is_kept_by_default or b"keep-alive" in options)
+        is_persistent_by_default = version == b"HTTP/1.1"
+        self.keep_alive = b"close" not in options and (is_persistent_by_default or b"keep-alive" in options)
         content_length, codings = parse_content_length(headers), list_items(headers, b"transfer-encoding")
         if codings and (content_length is not None or codings != [b"chunked"]):
-            raise AmbiguousMessageError("framing that may be read in two ways")
+            raise AmbiguousMessageError(
+                "ambiguous response framing: transfer-encoding beside content-length, or other than chunked"
+            )
         if self.answers_head or status in (NO_CONTENT, NOT_MODIFIED):
             self._body = ContentLengthReader(self.sink, self.max_body_bytes, 0)
         elif codings:
@@ -174,9 +184,15 @@
 
 
 def _parse_status_line(line: bytes) -> tuple[bytes, int]:
-    """Returns version and status."""
+    """Returns the HTTP version and the status code of a status line.
+
+    Raises:
+        MalformedMessageError: The line is not a status line of HTTP/1.1 or HTTP/1.0.
+    """
     version, _, rest = line.partition(b" ")
     status = rest.partition(b" ")[0]
     if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(status) != STATUS_DIGITS or not status.isdigit():
-        raise MalformedMessageError("first line that is none")
+        raise MalformedMessageError(
+            f"status line is not HTTP/1.1 or HTTP/1.0 and a status of {STATUS_DIGITS} digits"
+        )
     return version, int(status)
--- a/cressrail/logs/__init__.py
+++ b/cressrail/logs/__init__.py
@@ -1,6 +1,6 @@
-"""The log of a sidecar: one JSON object a line and event, on standard output.
+"""The log of a sidecar, written to standard output: one event per line, as a JSON object.
 
-Called by `network`. The names of events are declared in `logs/events.py`, those of membership and failover in
-`membership/log_events.py` and `failover/log_events.py`; docs/oncall.md lists them all with their fields.
+Used by `network`. The event names are declared in `logs/events.py`, those of membership and failover in
+`membership/log_events.py` and `failover/log_events.py`; docs/oncall.md lists all events with their fields.
 Imports no other package.
 """
--- a/cressrail/logs/events.py
+++ b/cressrail/logs/events.py
@@ -1,4 +1,4 @@
-"""Names of the events in the log, and those of earlier versions that are still read."""
+"""Names of log events, including names of earlier versions that old logs still contain."""
 
 from __future__ import annotations
 
@@ -28,6 +28,6 @@
 TOOK_OVER = "took_over"
 WATCH_ENDED = "watch_ended"
 
-# Logs that earlier versions wrote are still read, as by `cressrail load record`.
+# Names in logs of earlier versions, which `cressrail load record` still reads.
 OLD_REQUEST_FAILED = "abandoned"
 OLD_REQUEST_REJECTED = "rolled_back"
--- a/cressrail/logs/log_writer.py
+++ b/cressrail/logs/log_writer.py
@@ -1,4 +1,4 @@
-"""Lines of the log that wait until they can be written without blocking."""
+"""Non-blocking writer for log lines, which are queued until the descriptor accepts them."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from cressrail.logs import events
 
 MAX_WAITING_LINES = 2000
-MAX_LINE_BYTES = 4096  # of a write that a pipe with room takes whole (PIPE_BUF)
-MAX_SHOWN_BYTES = MAX_LINE_BYTES // 2  # of an event that can't be written as it is
+MAX_LINE_BYTES = 4096  # PIPE_BUF: a writable pipe accepts a write of up to this size as a whole
+MAX_SHOWN_BYTES = MAX_LINE_BYTES // 2  # part of an event that is kept if it can't be written unchanged
 
 
 class LogWriter:
     """Writes events without ever blocking the process.
 
-    Lines wait until the descriptor can take them. While too many wait, new ones are dropped; how many is
-    logged once all others are written.
+    Lines are queued until the descriptor accepts them. While the queue is full, new lines are dropped; their
+    number is logged once the queue has been written.
 
     Attributes:
-        waiting_lines: Encoded and not yet written, oldest first.
-        dropped_lines: Since that was last logged.
+        waiting_lines: Encoded lines that have not been written yet, oldest first.
+        dropped_lines: Number of lines dropped since that number was last logged.
     """
 
     def __init__(self, fd: int, now: Callable[[], int], name: str) -> None:
-        """Makes a writer.
+        """Creates a writer.
 
         Args:
-            fd: Descriptor to write to.
-            now: Gives the time in microseconds.
-            name: Of this instance, part of each line.
+            fd: File descriptor to write to.
+            now: Function that returns the current time in microseconds.
+            name: Name of this instance, which is part of each line.
         """
         self.fd = fd
         self.now = now
@@ -45,7 +45,7 @@
         self.poller.register(fd, select.POLLOUT)
 
     def write_event(self, event: str, fields: dict[str, Any]) -> None:
-        """Adds one line; an event that is no JSON or too long is cut and written as text."""
+        """Queues one line; an event that JSON can't represent or that is too long is written as cut text."""
         if len(self.waiting_lines) >= MAX_WAITING_LINES:
             self.dropped_lines += 1
             return
@@ -56,7 +56,7 @@
                 default=str,
                 option=orjson.OPT_APPEND_NEWLINE,
             )
-        except TypeError:  # text of a peer that is no UTF-8 must not end the task that logs it
+        except TypeError:  # a peer's text that is not valid UTF-8 must not end the task that logs it
             line = _encode_shortened(at_us, ascii(self.name), event, "raw", ascii(fields)[:MAX_SHOWN_BYTES])
         if len(line) > MAX_LINE_BYTES:
             shown = line[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
@@ -64,14 +64,14 @@
         self.waiting_lines.append(line)
 
     def flush(self) -> None:
-        """Writes as many lines as the descriptor takes without blocking."""
+        """Writes as many queued lines as the descriptor accepts without blocking."""
         while self.waiting_lines and self._is_writable():
             text = self.waiting_lines.popleft()
             while self.waiting_lines and len(text) + len(self.waiting_lines[0]) <= MAX_LINE_BYTES:
                 text += self.waiting_lines.popleft()
             try:
                 os.write(self.fd, text)
-            except OSError:  # nobody reads the log any more
+            except OSError:  # the reader of the log has closed its end
                 self.waiting_lines.clear()
                 return
             if self.dropped_lines and not self.waiting_lines:
@@ -83,7 +83,7 @@
 
 
 def _encode_shortened(at_us: int, name: str, event: str, field: str, text: str) -> bytes:
-    """Returns a line that holds an event as cut text."""
+    """Returns a line in which `field` contains the event's shortened text."""
     return orjson.dumps(
         {"at_us": at_us, "sidecar": name, "event": event, field: text}, option=orjson.OPT_APPEND_NEWLINE
     )
