--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -39,12 +39,12 @@
 
     Attributes:
         path: Its path.
-        part: The part of the configuration without which it is missing.
+        section: The part of the configuration without which it is missing.
         method: The HTTP method to ask for it with.
     """
 
     path: str
-    part: str
+    section: str
     method: str = "GET"
 
 
@@ -94,7 +94,7 @@
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
         raise AdminQueryError(f"{host}:{port}: {error}") from None
     reason = body.decode(errors="replace").strip()[:MAX_REASON_CHARACTERS]
-    raise AdminQueryError(f"{host}:{port} answers {answer.status}: no {resource.part} there ({reason})")
+    raise AdminQueryError(f"{host}:{port} answers {answer.status}: no {resource.section} there ({reason})")
 
 
 def query_or_exit(
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from rich.table import Table  # loaded only where a table is shown, as `serve` imports this module too
 
-PART = "failover"
-ZONES = AdminResource("/zones", PART)
-DRAIN = AdminResource("/zones/drain", PART, "POST")
-UNDRAIN = AdminResource("/zones/undrain", PART, "POST")
-EXPLAIN = AdminResource("/zones/explain", PART)
+SECTION = "failover"
+ZONES = AdminResource("/zones", SECTION)
+DRAIN = AdminResource("/zones/drain", SECTION, "POST")
+UNDRAIN = AdminResource("/zones/undrain", SECTION, "POST")
+EXPLAIN = AdminResource("/zones/explain", SECTION)
 MAX_DRAIN_S = 43_200
 MAX_SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
 
@@ -89,11 +89,11 @@
     columns = rows[0] if rows else ("sidecar",)
     table = Table(*columns, title=f"evidence on {zone}, of the last moments")
     for row in rows:
-        table.add_row(*(_cell(value) for value in row.values()))
+        table.add_row(*(_format_cell(value) for value in row.values()))
     Console().print(table)
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     return f"{value:.1f}" if isinstance(value, float) else str(value)
 
 
--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from cressrail.configuration import setting_names as names
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, truncated
 
 CHAIN, MESH = "chain", "mesh"
 MAX_STREAMS = 1 << 20  # requests at a time on one connection
@@ -63,7 +63,7 @@
     name = settings.values.get(names.DEPLOYMENT_TYPE, CHAIN)
     if name not in DEPLOYMENT_TYPES:
         raise ConfigurationError(
-            names.DEPLOYMENT_TYPE, f"is none of {', '.join(DEPLOYMENT_TYPES)}: {shown(name)}"
+            names.DEPLOYMENT_TYPE, f"is none of {', '.join(DEPLOYMENT_TYPES)}: {truncated(name)}"
         )
     deployment_type = DEPLOYMENT_TYPES[name]
     for path in deployment_type.required_paths:
@@ -73,7 +73,7 @@
         raise ConfigurationError(
             names.TIERS,
             f"does not go with {names.DEPLOYMENT_TYPE} {name}, which has one: "
-            f"{shown(settings.text(names.TIERS))}",
+            f"{truncated(settings.text(names.TIERS))}",
         )
     _check_ranges(settings, deployment_type)
     for path in PERMISSION_PATHS:
@@ -83,11 +83,11 @@
 
 
 def _check_ranges(settings: SettingsReader, deployment_type: DeploymentType) -> None:
-    for path, (least, most) in deployment_type.allowed_ranges.items():
+    for path, (minimum, maximum) in deployment_type.allowed_ranges.items():
         if path not in settings.values:
             continue
         value = settings.whole_number(path, 0)
-        if not least <= value <= most:
+        if not minimum <= value <= maximum:
             raise ConfigurationError(
                 path, f"does not go with {names.DEPLOYMENT_TYPE} {deployment_type.name}: {value}"
             )
--- a/cressrail/configuration/failover.py
+++ b/cressrail/configuration/failover.py
@@ -9,7 +9,7 @@
 from cressrail.configuration.settings_reader import (
     ConfigurationError,
     SettingsReader,
-    shown,
+    truncated,
 )
 from cressrail.failover.messages import MAX_ZONES
 from cressrail.failover.settings import FailoverSettings
@@ -40,7 +40,7 @@
 def _parse(section: dict[str, Any], settings: SettingsReader, suspicion_floor_us: int) -> FailoverSettings:
     for name in section:
         if name not in KNOWN_SETTINGS:
-            raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
+            raise ConfigurationError(truncated(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
     zones = settings.names(names.ZONES)
     if len(zones) > MAX_ZONES:
         raise ConfigurationError(
@@ -64,14 +64,16 @@
         raise ConfigurationError(REGIONS, "is no object of lists of zones")
     region_of: dict[str, str] = {}
     for region, zone_names in regions.items():
-        path = f"{REGIONS}.{shown(region)}"
+        path = f"{REGIONS}.{truncated(region)}"
         for zone in zone_names:
             if zone not in zones:
-                raise ConfigurationError(path, f"no zone is {shown(zone)}", ": ")
+                raise ConfigurationError(path, f"no zone is {truncated(zone)}", ": ")
             if zone in region_of:
-                raise ConfigurationError(path, f"{shown(zone)} is in {shown(region_of[zone])} already", ": ")
+                raise ConfigurationError(
+                    path, f"{truncated(zone)} is in {truncated(region_of[zone])} already", ": "
+                )
             region_of[zone] = region
     for zone in zones:
         if zone not in region_of:
-            raise ConfigurationError(REGIONS, f"{shown(zone)} is in none", ": ")
+            raise ConfigurationError(REGIONS, f"{truncated(zone)} is in none", ": ")
     return region_of
--- a/cressrail/configuration/membership.py
+++ b/cressrail/configuration/membership.py
@@ -13,7 +13,7 @@
 from cressrail.configuration.settings_reader import (
     ConfigurationError,
     SettingsReader,
-    shown,
+    truncated,
 )
 from cressrail.membership.messages import (
     MAX_DATAGRAM_BYTES,
@@ -77,21 +77,21 @@
     reader = SettingsReader.from_nested(section.values)
     for name in section.values:
         if name not in KNOWN_SETTINGS:
-            raise ConfigurationError(shown(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
+            raise ConfigurationError(truncated(name), f"is none of {', '.join(KNOWN_SETTINGS)}")
     listen = read_ip_port(LISTEN, reader.text(LISTEN))
     advertise = _read_advertised_address(reader, listen)
     zone = reader.values.get(ZONE, zone)
     _check_length(ZONE, zone, MAX_ZONE_BYTES)
     _check_length("name", instance_name, MAX_NAME_BYTES)
     max_bytes = _read_bounded(
-        reader, DATAGRAM_BYTES_LIMIT, MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, absent=MAX_DATAGRAM_BYTES
+        reader, DATAGRAM_BYTES_LIMIT, MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, default=MAX_DATAGRAM_BYTES
     )
     tolerated_pause_ms = _read_bounded(
         reader,
         TOLERATED_PAUSE_MS,
         MIN_TOLERATED_PAUSE_MS,
         MAX_TOLERATED_PAUSE_MS,
-        absent=DEFAULT_TOLERATED_PAUSE_MS,
+        default=DEFAULT_TOLERATED_PAUSE_MS,
     )
     seeds = tuple(
         read_ip_port(f"{SEEDS}.{index}", seed) for index, seed in enumerate(_read_list(section.values, SEEDS))
@@ -99,7 +99,7 @@
     uses = _read_list(section.values, USED_FOR)
     for index, use in enumerate(uses):
         if use not in USES:
-            raise ConfigurationError(f"{USED_FOR}.{index}", f"is none of {', '.join(USES)}: {shown(use)}")
+            raise ConfigurationError(f"{USED_FOR}.{index}", f"is none of {', '.join(USES)}: {truncated(use)}")
     keys = _read_keys(os.path.join(section.folder, reader.text(KEYS)))
     return MembershipConfiguration(
         listen,
@@ -132,17 +132,17 @@
         raise ConfigurationError(path, f"is not within 1 and {max_bytes} bytes: {text[:80]}")
 
 
-def _read_bounded(reader: SettingsReader, path: str, least: int, most: int, absent: int) -> int:
-    value = reader.whole_number(path, least, absent=absent)
-    if value > most:
-        raise ConfigurationError(path, f"is above {most}: {value}")
+def _read_bounded(reader: SettingsReader, path: str, minimum: int, maximum: int, default: int) -> int:
+    value = reader.whole_number(path, minimum, default=default)
+    if value > maximum:
+        raise ConfigurationError(path, f"is above {maximum}: {value}")
     return value
 
 
 def _read_list(section: dict[str, Any], path: str) -> list[str]:
     value = section.get(path, [])
     if not isinstance(value, list):
-        raise ConfigurationError(path, f"is no list: {shown(value)}")
+        raise ConfigurationError(path, f"is no list: {truncated(value)}")
     return [str(item) for item in value]
 
 
--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -7,7 +7,7 @@
 from cressrail.configuration import setting_names as names
 from cressrail.configuration.deployment_type import is_per_client
 from cressrail.configuration.setting_names import count_path, entry_path
-from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, shown
+from cressrail.configuration.settings_reader import ConfigurationError, SettingsReader, truncated
 from cressrail.policy.endpoint_table import NO_CONNECTION_LIMIT
 from cressrail.policy.list_polling import EndpointListPoller
 from cressrail.policy.load_balancer import LoadBalancer
@@ -59,7 +59,7 @@
             for index in range(count)
         ],
         is_by_work,
-        settings.number(names.WORST_CLASS_WEIGHT, 0, 1, absent=0.0),
+        settings.number(names.WORST_CLASS_WEIGHT, 0, 1, default=0.0),
     )
     classes = {}
     for index, priority in enumerate(priorities):
@@ -75,7 +75,7 @@
             settings.whole_number(_class_path(index, names.CLASS_LATENCY_OBJECTIVE_US), 1),
             settings.whole_number(_class_path(index, names.CLASS_DEADLINE_US), 1),
             priority,
-            settings.number(_class_path(index, names.CLASS_OVERDUE_PRIORITY), 0, 1, absent=1.0),
+            settings.number(_class_path(index, names.CLASS_OVERDUE_PRIORITY), 0, 1, default=1.0),
         )
     return classes
 
@@ -94,7 +94,7 @@
         settings.text(entry_path(names.TENANTS, index, names.TENANT_NAME)): settings.number(
             entry_path(names.TENANTS, index, names.TENANT_QUOTA_PER_S), 0, MAX_QUANTITY
         )
-        for index in range(settings.whole_number(count_path(names.TENANTS), 0, absent=0))
+        for index in range(settings.whole_number(count_path(names.TENANTS), 0, default=0))
     }
 
 
@@ -173,7 +173,7 @@
         slow_start=_build_slow_start(settings, now_us, quotas.total_per_us),
         quotas=quotas,
         instance_count=instance_count,
-        instance_number=settings.whole_number(names.INSTANCE_INDEX, 0, absent=0),
+        instance_number=settings.whole_number(names.INSTANCE_INDEX, 0, default=0),
         now_us=now_us,
         is_per_client=is_per_client(settings),
         max_connections=max_connections,
@@ -184,7 +184,7 @@
     """Returns the index of this instance's zone."""
     name = settings.text(names.OWN_ZONE)
     if name not in zones:
-        raise ConfigurationError(names.OWN_ZONE, f"is not one of {names.ZONES}: {shown(name)}")
+        raise ConfigurationError(names.OWN_ZONE, f"is not one of {names.ZONES}: {truncated(name)}")
     return zones.index(name)
 
 
@@ -210,6 +210,6 @@
         settings.whole_number(names.WARMUP_US, 1),
         now_us,
         total_quota_per_us,
-        settings.number(names.OVERLOAD_COLLAPSE_FACTOR, 0.1, 1e6, absent=1.0),
-        settings.whole_number(names.OVERLOAD_COLLAPSE_US, 1, absent=SECOND_US),
+        settings.number(names.OVERLOAD_COLLAPSE_FACTOR, 0.1, 1e6, default=1.0),
+        settings.whole_number(names.OVERLOAD_COLLAPSE_US, 1, default=SECOND_US),
     )
--- a/cressrail/configuration/settings_reader.py
+++ b/cressrail/configuration/settings_reader.py
@@ -43,7 +43,7 @@
         raise ConfigurationError(prefix + error.path, error.reason, error.separator) from None
 
 
-def shown(value: object) -> str:
+def truncated(value: object) -> str:
     """Returns a wrong value as messages show it: cut to a bounded length."""
     return str(value)[:MAX_SHOWN_CHARS]
 
@@ -104,40 +104,40 @@
         """
         word = self.text(path)
         if word not in choices:
-            raise ConfigurationError(path, f"is none of {', '.join(choices)}: {shown(word)}")
+            raise ConfigurationError(path, f"is none of {', '.join(choices)}: {truncated(word)}")
         return choices[word]
 
-    def whole_number(self, path: str, least: int, absent: int | None = None) -> int:
-        """Returns a whole number of at least `least`; `absent` for a setting that is missing.
+    def whole_number(self, path: str, minimum: int, default: int | None = None) -> int:
+        """Returns a whole number of at minimum `minimum`; `default` for a setting that is missing.
 
         Raises:
-            ConfigurationError: The setting is no such number, or missing and `absent` is None.
+            ConfigurationError: The setting is no such number, or missing and `default` is None.
         """
-        if absent is not None and path not in self.values:
-            return absent
+        if default is not None and path not in self.values:
+            return default
         value = self._convert(path, int, "a whole number")
-        if value < least:
-            raise ConfigurationError(path, f"is below {least}: {value}")
+        if value < minimum:
+            raise ConfigurationError(path, f"is below {minimum}: {value}")
         return value
 
-    def number(self, path: str, least: float, most: float, absent: float | None = None) -> float:
-        """Returns a number within `least` and `most`; `absent` for a setting that is missing.
+    def number(self, path: str, minimum: float, maximum: float, default: float | None = None) -> float:
+        """Returns a number within `minimum` and `maximum`; `default` for a setting that is missing.
 
         Raises:
-            ConfigurationError: The setting is no such number, or missing and `absent` is None.
+            ConfigurationError: The setting is no such number, or missing and `default` is None.
         """
-        if absent is not None and path not in self.values:
-            return absent
+        if default is not None and path not in self.values:
+            return default
         value = self._convert(path, float, "a number")
-        if not least <= value <= most:
-            raise ConfigurationError(path, f"is not within {least} and {most}: {value}")
+        if not minimum <= value <= maximum:
+            raise ConfigurationError(path, f"is not within {minimum} and {maximum}: {value}")
         return value
 
     def _convert(self, path: str, convert: Callable[[str], Number], kind: str) -> Number:
         try:
             return convert(self.text(path))
         except ValueError:
-            raise ConfigurationError(path, f"is not {kind}: {shown(self.values[path])}") from None
+            raise ConfigurationError(path, f"is not {kind}: {truncated(self.values[path])}") from None
 
     def flag(self, path: str) -> bool:
         """Returns whether the setting is `true` or `1`.
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -15,7 +15,7 @@
     ConfigurationError,
     SettingsReader,
     error_prefix,
-    shown,
+    truncated,
 )
 from cressrail.discovery.endpoint_list import EndpointListUpdate, MalformedEndpointListError, parse_update
 
@@ -28,9 +28,9 @@
 NAME_VARIABLE = "BALANCER_NAME"
 DISCOVERY_VARIABLE = "BALANCER_DISCOVERY"
 
-LEAST_MEMORY_MB, MAX_MEMORY_MB = 32, 1e9
-LEAST_SOCKETS = 32
-FOLLOWED_WITHOUT_RESTART = (names.RANDOM_SEED, names.DISCOVERY_ADDRESS)
+MIN_MEMORY_MB, MAX_MEMORY_MB = 32, 1e9
+MIN_SOCKETS = 32
+RELOADABLE_PATHS = (names.RANDOM_SEED, names.DISCOVERY_ADDRESS)
 
 
 class StartupConfiguration:
@@ -165,7 +165,7 @@
     """Returns the paths of changed settings that a running process can't follow."""
     changed = _changed_paths(before.process_settings, after.process_settings)
     changed += [f"{names.SETTINGS}.{path}" for path in _changed_paths(before.settings, after.settings)]
-    return [path for path in changed if path not in FOLLOWED_WITHOUT_RESTART]
+    return [path for path in changed if path not in RELOADABLE_PATHS]
 
 
 def _changed_paths(before: SettingsReader, after: SettingsReader) -> list[str]:
@@ -203,8 +203,8 @@
             environment.get(DISCOVERY_VARIABLE) or process_settings.text(names.DISCOVERY_ADDRESS),
         ),
         seed=seed,
-        memory_limit_mb=process_settings.number(names.MEMORY_LIMIT_MB, LEAST_MEMORY_MB, MAX_MEMORY_MB),
-        max_sockets=process_settings.whole_number(names.MAX_SOCKETS, LEAST_SOCKETS),
+        memory_limit_mb=process_settings.number(names.MEMORY_LIMIT_MB, MIN_MEMORY_MB, MAX_MEMORY_MB),
+        max_sockets=process_settings.whole_number(names.MAX_SOCKETS, MIN_SOCKETS),
         known_endpoints=known_endpoints,
         settings=settings,
         process_settings=process_settings,
@@ -226,7 +226,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigurationError(names.RANDOM_SEED, f"is no hexadecimal number: {shown(text)}") from None
+        raise ConfigurationError(names.RANDOM_SEED, f"is no hexadecimal number: {truncated(text)}") from None
 
 
 def _read_admin_address(
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -148,7 +148,7 @@
         tenants={tenant: index for index, tenant in enumerate(quotas)},
         max_deadline_us=max(request_class.deadline_us for request_class in request_classes.values()),
         discovery=configuration.discovery,
-        drain_notice_us=settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, absent=0),
+        drain_notice_us=settings.whole_number(setting_names.STOP_SENDING_WITHIN_US, 0, default=0),
     )
     rng = RandomGenerator(configuration.seed ^ 1)  # not the policy's own sequence
     return StateMachine(proxy_settings, load_balancer, registry, limits, rng, now_us)
