--- a/cressrail/configuration/deployment_type.py
+++ b/cressrail/configuration/deployment_type.py
@@ -74,7 +74,8 @@
     if name == MESH and len(settings.names(names.TIERS)) != 1:
         raise ConfigurationError(
             names.TIERS,
-            f"must contain exactly one tier with {names.DEPLOYMENT_TYPE} {name}: {truncated(settings.text(names.TIERS))}",
+            f"must contain exactly one tier with {names.DEPLOYMENT_TYPE} {name}: "
+            f"{truncated(settings.text(names.TIERS))}",
         )
     _check_ranges(settings, deployment_type)
     for path in PERMISSION_PATHS:
