--- a/cressrail/__main__.py
+++ b/cressrail/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cressrail: the command line."""
+"""Entry point of `python -m cressrail`, the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Runs the sub-command; `serve` loads no library that only others need."""
+    """Runs a sub-command; `serve` loads no library that only other sub-commands need."""
     from cressrail.cli import lab
 
     if sys.argv[1:2] and sys.argv[1] in lab.LAB_COMMANDS:
@@ -18,7 +18,8 @@
 
 
 if sys.argv[1:] == ["serve"]:
-    # As the platform starts it: nothing on the command line to read, so typer's start-up is not waited for.
+    # Shortcut for the command with which the platform starts a sidecar: it has no arguments to parse, so the
+    # time to import typer is saved.
     import os
 
     from cressrail.cli.launch import launch
--- a/cressrail/cli/__init__.py
+++ b/cressrail/cli/__init__.py
@@ -1,5 +1,6 @@
-"""The command line: sub-commands, what they print, and the exit status of each end.
+"""The command line: the sub-commands, their output and their exit statuses.
 
-Called by `cressrail/__main__.py`. May import `configuration` and `network`; what only one sub-command
-needs (the test bed, simulations, `rich`) is imported where it is used, since `serve` loads the rest.
+Used by `cressrail/__main__.py`. May import `configuration` and `network`. Modules that only one sub-command
+needs (the test bed, simulations, `rich`) are imported where they are used, because `serve` loads the other
+modules of this package too.
 """
--- a/cressrail/cli/admin_client.py
+++ b/cressrail/cli/admin_client.py
@@ -1,6 +1,6 @@
-"""Queries a running sidecar at its admin address, for all sub-commands that do so.
+"""Queries of a running sidecar's admin API, shared by the sub-commands that need them.
 
-Libraries are imported where they are used, as `serve` loads this module too.
+Libraries are imported where they are used, because `serve` loads this module too.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
     from rich.table import Table
 
 TIMEOUT_S = 2.0
-MAX_REASON_CHARACTERS = 200  # shown of an answer that is no success
+MAX_REASON_CHARACTERS = 200  # part of an error response's body that is quoted in a message
 HTTP_OK = 200
 
 SidecarArgument = Annotated[
-    str, typer.Argument(help="CONFIG of a sidecar with an admin address, or that HOST:PORT.")
+    str, typer.Argument(help="Admin address of a sidecar as HOST:PORT, or its configuration file.")
 ]
-OnceOption = Annotated[bool, typer.Option(help="Print one table and end.")]
+OnceOption = Annotated[bool, typer.Option(help="Print the table once and exit.")]
 
 
 class AdminQueryError(Exception):
-    """A sidecar did not answer, or refused; the message says where and why."""
+    """A sidecar did not answer a query, or answered with an error; the message names the address."""
 
 
 class AdminResource(NamedTuple):
-    """Something that a sidecar answers at its admin address.
+    """A resource of a sidecar's admin API.
 
     Attributes:
-        path: Its path.
-        section: The part of the configuration without which it is missing.
-        method: The HTTP method to ask for it with.
+        path: Path of the resource.
+        section: Section of the configuration that enables the resource.
+        method: HTTP method of the request.
     """
 
     path: str
@@ -52,10 +52,10 @@
 
 
 def admin_address(sidecar: str) -> tuple[str, int]:
-    """Returns the admin address of a sidecar; ends the process with 2 where it has none.
+    """Returns the admin address of a sidecar; exits with status 2 if the sidecar has none.
 
     Args:
-        sidecar: HOST:PORT, or the path of the sidecar's configuration.
+        sidecar: The admin address as HOST:PORT, or the path of the sidecar's configuration file.
     """
     with suppress(ValueError):
         return parse_address(sidecar)
@@ -69,15 +69,15 @@
 
 
 def query(at: tuple[str, int], resource: AdminResource, parameters: QueryParameters | None = None) -> Any:
-    """Returns the JSON value that a sidecar answers.
+    """Requests a resource from a sidecar and returns the decoded JSON response.
 
     Args:
         at: Host and port of the admin address.
-        resource: What to ask for.
-        parameters: Of the query string.
+        resource: The resource to request.
+        parameters: Parameters of the query string.
 
     Raises:
-        AdminQueryError: There is no answer, or it is no success or no JSON.
+        AdminQueryError: There is no response, its status is not 200, or its body is not JSON.
     """
     import http.client
     from urllib.parse import urlencode
@@ -94,13 +94,16 @@
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
         raise AdminQueryError(f"{host}:{port}: {error}") from None
     reason = body.decode(errors="replace").strip()[:MAX_REASON_CHARACTERS]
-    raise AdminQueryError(f"{host}:{port} answers {answer.status}: no {resource.section} there ({reason})")
+    raise AdminQueryError(
+        f"{host}:{port} answered {resource.method} {resource.path} with status {answer.status}; "
+        f"is {resource.section} configured there? ({reason})"
+    )
 
 
 def query_or_exit(
     at: tuple[str, int], resource: AdminResource, parameters: QueryParameters | None = None
 ) -> Any:
-    """Returns what `query` returns; ends the process with 1 and one line where it fails."""
+    """Returns the result of `query`; on failure, prints one line and exits with status 1."""
     try:
         return query(at, resource, parameters)
     except AdminQueryError as error:
@@ -110,13 +113,13 @@
 def add_watch_command(
     group: typer.Typer, resource: AdminResource, summary: str, to_table: Callable[[Any], Table]
 ) -> None:
-    """Adds `watch`, which shows a resource as a table.
+    """Adds a sub-command `watch` that shows a resource as a table.
 
     Args:
-        group: The group of sub-commands to add it to.
-        resource: What to show.
-        summary: Help text.
-        to_table: Makes a table of the sidecar's answer.
+        group: Group to which the sub-command is added.
+        resource: The resource to show.
+        summary: Help text of the sub-command.
+        to_table: Function that converts the sidecar's response into a table.
     """
 
     @group.command("watch", help=summary)
@@ -134,11 +137,12 @@
     """Shows a resource as a table.
 
     Args:
-        sidecar: HOST:PORT, or the path of the sidecar's configuration.
-        resource: What to show.
-        to_table: Makes a table of the sidecar's answer.
-        once: Whether to print one table and end, with 1 where there is no answer; otherwise it is shown live.
-        every_s: Seconds between two queries.
+        sidecar: The admin address as HOST:PORT, or the path of the sidecar's configuration file.
+        resource: The resource to show.
+        to_table: Function that converts the sidecar's response into a table.
+        once: Whether to print the table once and return, exiting with status 1 if the query fails. Otherwise
+            the table is updated until the process is interrupted.
+        every_s: Interval between two queries in seconds.
     """
     from rich.console import Console
     from rich.live import Live
--- a/cressrail/cli/command_group.py
+++ b/cressrail/cli/command_group.py
@@ -1,4 +1,4 @@
-"""The form that all groups of sub-commands have."""
+"""Common settings of all groups of sub-commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def command_group(summary: str) -> typer.Typer:
-    """Returns an empty group that shows its help when called without a sub-command."""
+    """Creates an empty group of sub-commands, which prints its help if called without a sub-command."""
     return typer.Typer(
         help=summary,
         no_args_is_help=True,
--- a/cressrail/cli/commands.py
+++ b/cressrail/cli/commands.py
@@ -1,4 +1,4 @@
-"""All sub-commands but those of `lab.py`, on typer."""
+"""The typer application with all sub-commands except those listed in `lab.py`."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 app = typer.Typer(
     help="A load-balancing sidecar for services that call services.",
     no_args_is_help=True,
-    epilog="Load generator and test bed, with requirements-lab.txt: load, standin, experiment.",
+    epilog="The load generator and test bed need requirements-lab.txt: load, standin, experiment.",
     add_completion=False,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
 )
 ConfigurationPath = Annotated[
-    str, typer.Argument(envvar="BALANCER_CONFIG", help="The configuration, a JSON file.")
+    str, typer.Argument(envvar="BALANCER_CONFIG", help="Path of the configuration, a JSON file.")
 ]
 
 
@@ -37,7 +37,7 @@
 
 @app.command()
 def check(config: ConfigurationPath) -> None:
-    """Read a configuration and print what is wrong with it, or what it comes to."""
+    """Check a configuration; print its summary or first error."""
     sys.exit(check_configuration(config))
 
 
--- a/cressrail/cli/experiment.py
+++ b/cressrail/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`cressrail experiment`: variants side by side, with a report; and what a request costs."""
+"""`cressrail experiment`: comparison of variants with a report, and the cost of a request."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cressrail.testbed.sidecar_configuration import check_settings
 
 app = typer.Typer(
-    help="Experiments on real sidecars amid simulated services.",
+    help="Experiments with real sidecars and simulated services.",
     no_args_is_help=True,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
@@ -29,11 +29,13 @@
 
 @app.command()
 def run(
-    file: Annotated[Path, typer.Argument(help="An experiment's TOML file.")],
-    out: Annotated[Path, typer.Option(help="Where result.json and report.html go.")] = Path("experiment-out"),
-    keep: Annotated[bool, typer.Option(help="Keep records and logs of each run.")] = False,
+    file: Annotated[Path, typer.Argument(help="Description of the experiment, a TOML file.")],
+    out: Annotated[Path, typer.Option(help="Folder for result.json and report.html.")] = Path(
+        "experiment-out"
+    ),
+    keep: Annotated[bool, typer.Option(help="Keep the records and logs of each run.")] = False,
 ) -> None:
-    """Run the variants in turns, compare them in pairs, write the report."""
+    """Run the variants alternately, compare them pairwise and write a report."""
     try:
         experiment = read_scenario(file, Experiment)
         with errors_in_file(file):
@@ -44,7 +46,7 @@
         fail(str(error))
     except RuntimeError as error:
         fail(str(error), STATUS_FAILED)
-    # Loaded only now: plotting takes its time to load.
+    # Imported here because the plotting library is slow to load.
     from cressrail.experiment.html_report import build_figures_table
 
     _print_table(build_figures_table(result))
@@ -53,12 +55,12 @@
 
 @app.command()
 def cost(
-    against: Annotated[str, typer.Option(help="An earlier revision to set beside; none if empty.")] = "HEAD",
+    against: Annotated[str, typer.Option(help="Revision to compare with; empty for none.")] = "HEAD",
     rounds: int = 3,
-    quick: Annotated[bool, typer.Option(help="The first rows only, once.")] = False,
-    json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
+    quick: Annotated[bool, typer.Option(help="Measure only the first rows, in one round.")] = False,
+    json: Annotated[Path | None, typer.Option(help="File for the figures, as JSON.")] = None,
 ) -> None:
-    """CPU and memory of one sidecar, beside a bare relay and an earlier revision."""
+    """Compare CPU time and memory of a sidecar with those of a plain relay and of an earlier revision."""
     try:
         figures = compare_costs(against, 1 if quick else rounds, _print_progress, is_quick=quick)
     except RevisionError as error:
--- a/cressrail/cli/failover.py
+++ b/cressrail/cli/failover.py
@@ -1,4 +1,4 @@
-"""`cressrail failover`: simulations of the zone weights that a tier's elected leader hands out."""
+"""`cressrail failover`: simulations of failover between zones, with zone weights set by an elected leader."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from cressrail.cli.command_group import command_group
 from cressrail.cli.output import fail, print_figures
 
-app = command_group("Which part of each zone's traffic goes where.")
+app = command_group("Simulations of failover between zones.")
 
 
 @app.callback()
 def _group() -> None:
-    """Keeps `simulate` a command of its own while it is the only one."""
+    """Keeps the name `simulate`: typer drops the name of a single sub-command if there is no callback."""
 
 
 @app.command()
 def simulate(
-    scenario: Annotated[Path, typer.Argument(help="TOML; examples stand in example/failover/.")],
+    scenario: Annotated[Path, typer.Argument(help="Scenario, a TOML file; see example/failover/.")],
     seed: int = 1,
-    json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures, as JSON.")] = None,
 ) -> None:
-    """Simulate a scenario on a virtual clock, by the same state machine as in service."""
+    """Simulate a scenario on a virtual clock, with the state machine that sidecars run in production."""
     from cressrail.failover.simulation.scenario import Scenario
     from cressrail.failover.simulation.simulator import simulate as run_simulation
     from cressrail.testbed.scenario_file import ScenarioError, read_scenario
--- a/cressrail/cli/launch.py
+++ b/cressrail/cli/launch.py
@@ -1,4 +1,4 @@
-"""What `serve` and `check` do, apart from reading the command line."""
+"""Implementation of the sub-commands `serve` and `check`."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     """Runs one sidecar until SIGTERM.
 
     Args:
-        config: Path of the configuration.
+        config: Path of the configuration file.
 
     Returns:
-        The exit status: 2 if the configuration cannot be used, 1 if an address cannot be listened on.
+        The exit status: 2 if the configuration is invalid, 1 if listening on an address fails.
     """
     from cressrail.network.configuration_reload import ConfigurationReload
     from cressrail.network.server import assemble, run
@@ -36,13 +36,13 @@
 
 
 def check_configuration(config: str) -> int:
-    """Prints what a configuration comes to, or what is wrong with it.
+    """Checks a configuration and prints a summary of it, or its first error.
 
     Args:
-        config: Path of the configuration.
+        config: Path of the configuration file.
 
     Returns:
-        The exit status: 2 if the configuration cannot be used.
+        The exit status: 0 if the configuration is valid, otherwise 2.
     """
     try:
         start = read_startup_configuration(config)
@@ -51,7 +51,8 @@
     except ConfigurationError as error:
         print_error(error)
         return STATUS_UNUSABLE
-    # Scripts may read this line, so it keeps its words: request classes are profiles here, tenants members.
+    # Scripts may parse this line, so its wording must not change. It calls request classes `profiles` and
+    # tenants `members`.
     print(
         f"{config}: sidecar {start.name} on {start.listen[0]}:{start.listen[1]}, "
         f"{len(request_classes)} profiles, {len(tenants)} members, "
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -1,4 +1,4 @@
-"""`cressrail load`: sends load, finds this machine's ceiling, and records traces."""
+"""`cressrail load`: sends load, measures the maximum rate of this machine, and records traces."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 SHAPES_WITH_MULTIPLE = ("surge", "snowmelt", "bursts")
 
 app = typer.Typer(
-    help="Open-loop load, traces, and what a run came to.",
+    help="Open-loop load generator, with traces and reports.",
     no_args_is_help=True,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
@@ -35,34 +35,38 @@
 
 @app.command()
 def run(
-    target: Annotated[list[str], typer.Option(help="HOST:PORT; several share the load in turn.")],
-    rate: Annotated[float, typer.Option(help="Requests a second.")] = 100.0,
+    target: Annotated[list[str], typer.Option(help="HOST:PORT; several targets are used in rotation.")],
+    rate: Annotated[float, typer.Option(help="Requests per second.")] = 100.0,
     seconds: float = 10.0,
     profile: Annotated[
-        list[str] | None, typer.Option(help="A request class: NAME, NAME:safe|keyed|unsafe, NAME:KIND:PART.")
+        list[str] | None,
+        typer.Option(help="A request class: NAME, NAME:safe|keyed|unsafe or NAME:safe|keyed|unsafe:WEIGHT."),
     ] = None,
-    member: Annotated[list[str] | None, typer.Option(help="A tenant: NAME or NAME:PART.")] = None,
+    member: Annotated[list[str] | None, typer.Option(help="A tenant: NAME or NAME:WEIGHT.")] = None,
     seed: int = 1,
-    shape: Annotated[str, typer.Option(help=", ".join(RATE_SHAPES))] = "steady",
-    times: Annotated[float, typer.Option(help="How high a surge goes.")] = DEFAULT_SURGE_MULTIPLE,
-    size: Annotated[int, typer.Option(help="Mean bytes of a body.")] = 0,
-    limit_ms: Annotated[float, typer.Option(help="The deadline.")] = 3000.0,
-    repeats: Annotated[int, typer.Option(help="Most retries of a client.")] = 0,
-    backoff: Annotated[str, typer.Option(help="none, fixed or exp")] = "exp",
-    honour: Annotated[float, typer.Option(help="Share that waits as Retry-After says.")] = 1.0,
+    shape: Annotated[str, typer.Option(help=f"Shape of the rate: {', '.join(RATE_SHAPES)}.")] = "steady",
+    times: Annotated[
+        float,
+        typer.Option(help="Height of the surge in the shapes surge, snowmelt and bursts, as a multiple."),
+    ] = DEFAULT_SURGE_MULTIPLE,
+    size: Annotated[int, typer.Option(help="Mean size of a request body in bytes.")] = 0,
+    limit_ms: Annotated[float, typer.Option(help="Deadline of a request in milliseconds.")] = 3000.0,
+    repeats: Annotated[int, typer.Option(help="Maximum number of retries by a client.")] = 0,
+    backoff: Annotated[str, typer.Option(help="Backoff between retries: none, fixed or exp.")] = "exp",
+    honour: Annotated[float, typer.Option(help="Fraction of clients that honour Retry-After.")] = 1.0,
     give_up: Annotated[
-        float, typer.Option(help="Share of the deadline that an attempt is waited for.")
+        float, typer.Option(help="Time-out of an attempt, as a fraction of the deadline.")
     ] = 1.0,
-    keep: Annotated[bool, typer.Option(help="Keep connections.")] = True,
+    keep: Annotated[bool, typer.Option(help="Reuse connections.")] = True,
     connections: int = 8000,
-    trace: Annotated[Path | None, typer.Option(help="Play this in place of a shape.")] = None,
+    trace: Annotated[Path | None, typer.Option(help="Trace to replay instead of a shape.")] = None,
     time_scale: float = 1.0,
     rate_scale: float = 1.0,
-    json: Annotated[Path | None, typer.Option(help="Where the figures go.")] = None,
-    ledger: Annotated[Path | None, typer.Option(help="A line for each attempt.")] = None,
-    histograms: Annotated[Path | None, typer.Option(help="An HdrHistogram log.")] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures, as JSON.")] = None,
+    ledger: Annotated[Path | None, typer.Option(help="File with a JSON line for each attempt.")] = None,
+    histograms: Annotated[Path | None, typer.Option(help="File for an HdrHistogram log.")] = None,
 ) -> None:
-    """Send load and report what became of it, timed from when each request was due."""
+    """Send load and report the results; latencies are measured from the time at which a request was due."""
     clients = {"give_up": give_up, "repeats": repeats, "backoff": backoff, "honour": honour, "keep": keep}
     settings: dict[str, Any] = {"rate": rate, "seconds": seconds, "seed": seed, "clients": clients}
     settings |= {"shape": shape, "connections": connections}
@@ -87,7 +91,7 @@
 
 @contextmanager
 def _errors_as_one_line() -> Iterator[None]:
-    """Ends the process with one line for what an option or a trace says that cannot be used."""
+    """Converts an error in an option or a trace into one line and exits with status 2."""
     try:
         yield
     except ValidationError as error:
@@ -100,7 +104,7 @@
 def ceiling(
     least: float = 1000.0, step: Annotated[float, typer.Option(min=1.05)] = 1.5, seconds: float = 3.0
 ) -> None:
-    """Send to a server that answers at once, faster and faster, until this generator is late itself."""
+    """Find the maximum rate: raise it towards an immediately answering server until the generator is late."""
     command = [sys.executable, "-m", "cressrail.experiment.sink", "1", os.devnull]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as server:
         try:
@@ -116,7 +120,7 @@
 
 
 def _find_ceiling(target: Address, first_rate: float, step: float, duration_s: float) -> float:
-    """Returns the highest rate at which the generator was not late, 0 where it always was."""
+    """Returns the highest rate per second at which the generator was not late, or 0 if it always was."""
     rate, sustained_rate = first_rate, 0.0
     while True:
         plan = LoadPlan.model_validate({"rate": rate, "seconds": duration_s})
@@ -135,11 +139,11 @@
 
 @app.command()
 def record(
-    source: Annotated[Path, typer.Argument(help="A run's ledger, or a sidecar's log.")],
-    out: Annotated[Path, typer.Argument(help="The trace, JSON lines.")],
-    size: Annotated[int, typer.Option(help="Bytes, where the source does not tell.")] = 0,
+    source: Annotated[Path, typer.Argument(help="Ledger of a load run, or log of a sidecar.")],
+    out: Annotated[Path, typer.Argument(help="File for the trace, as JSON lines.")],
+    size: Annotated[int, typer.Option(help="Body size in bytes if the source does not state it.")] = 0,
 ) -> None:
-    """Write a trace from a run's ledger or a sidecar's log."""
+    """Write a trace from the ledger of a load run or the log of a sidecar."""
     try:
         with out.open("wb") as file:
             count = write_trace(file, read_recorded_requests(source, size))
@@ -149,7 +153,7 @@
 
 
 def _request_class(text: str, mean_body_bytes: int, deadline_ms: float) -> RequestClassLoad:
-    """Parses NAME:KIND:PART; the last two may be missing."""
+    """Parses NAME:IDEMPOTENCY:WEIGHT, of which the last two parts are optional."""
     name, _, rest = text.partition(":")
     idempotency, _, weight = rest.partition(":")
     return RequestClassLoad.model_validate(
@@ -164,6 +168,6 @@
 
 
 def _tenant(text: str) -> TenantLoad:
-    """Parses NAME:PART; the part may be missing."""
+    """Parses NAME:WEIGHT, of which the weight is optional."""
     name, _, weight = text.partition(":")
     return TenantLoad.model_validate({"name": name, "part": float(weight or 1)})
--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -1,4 +1,4 @@
-"""`cressrail membership`: a running sidecar's view of the others, and a simulation of a fleet."""
+"""`cressrail membership`: the other sidecars as a running one sees them, and a simulation of a fleet."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from cressrail.cli.output import fail, print_figures
 
 if TYPE_CHECKING:
-    from rich.table import Table  # loaded only where a table is shown, as `serve` imports this module too
+    from rich.table import Table  # at run time imported only to show a table, as `serve` loads this module
 
 MEMBERSHIP = AdminResource("/membership", "membership")
 
-MAX_SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
+MAX_SHOWN_CHARACTERS = 40  # part of an invalid argument that is quoted in a message
 
-app = command_group("Who of the sidecars is alive.")
+app = command_group("Liveness of the sidecars as seen by one of them.")
 
 
 def _membership_table(view: dict[str, Any]) -> Table:
@@ -47,26 +47,38 @@
     return table
 
 
-add_watch_command(app, MEMBERSHIP, "Show a sidecar's view of the others, live.", _membership_table)
+add_watch_command(
+    app,
+    MEMBERSHIP,
+    "Show the other sidecars as one sidecar sees them, updated continuously.",
+    _membership_table,
+)
 
 
 @app.command()
 def simulate(
     size: Annotated[int, typer.Option(min=2, max=2000)] = 50,
     seed: int = 1,
-    loss: Annotated[float, typer.Option(min=0.0, max=0.9, help="Share of datagrams, each way.")] = 0.0,
+    loss: Annotated[
+        float, typer.Option(min=0.0, max=0.9, help="Fraction of datagrams lost in each direction.")
+    ] = 0.0,
     tolerated_pause_ms: Annotated[int, typer.Option("--bear-pause-ms", min=300)] = 3000,
     max_datagram_bytes: Annotated[int, typer.Option("--most-bytes", min=256, max=1400)] = 1400,
-    without: Annotated[list[str] | None, typer.Option(help="Take out aware, indirect or shrinks.")] = None,
-    json: Annotated[Path | None, typer.Option(help="File for the figures.")] = None,
+    without: Annotated[
+        list[str] | None,
+        typer.Option(
+            help="Mechanism to disable: aware (local health), indirect (pings) or shrinks (suspicion)."
+        ),
+    ] = None,
+    json: Annotated[Path | None, typer.Option(help="File for the figures, as JSON.")] = None,
 ) -> None:
-    """Simulate a fleet's start, calm, one death and seven deaths in ten, on a virtual clock."""
+    """Simulate a fleet on a virtual clock: start, quiet period, one failure, then failure of seven in ten."""
     from cressrail.membership.scenarios import ABLATIONS
     from cressrail.membership.scenarios import simulate as run_simulation
 
     for ablation in without or ():
         if ablation not in ABLATIONS:
             shown = ablation[:MAX_SHOWN_CHARACTERS]
-            fail(f"membership simulate: --without is none of {', '.join(ABLATIONS)}: {shown}")
+            fail(f"membership simulate: --without is not one of {', '.join(ABLATIONS)}: {shown}")
     figures = run_simulation(size, seed, loss, tolerated_pause_ms, max_datagram_bytes, tuple(without or ()))
     print_figures(figures, json)
--- a/cressrail/cli/output.py
+++ b/cressrail/cli/output.py
@@ -1,4 +1,4 @@
-"""What sub-commands print: figures as JSON, and one line for what they cannot use."""
+"""Output of the sub-commands: figures as JSON, and errors as one line on standard error."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 import orjson
 
-if TYPE_CHECKING:  # `serve` starts without it
+if TYPE_CHECKING:  # not imported at run time, because `serve` does not need it
     from pathlib import Path
 
-STATUS_FAILED = 1  # a call to the system or to another process failed
-STATUS_UNUSABLE = 2  # an argument or a configuration cannot be used
+STATUS_FAILED = 1  # a system call or a query of another process failed
+STATUS_UNUSABLE = 2  # an argument or a configuration is invalid
 MAX_PORT = 65_535
-MAX_SHOWN_CHARACTERS = 60  # of an address that is repeated in a message
+MAX_SHOWN_CHARACTERS = 60  # part of an invalid address that is quoted in a message
 
 
 def print_error(reason: object) -> None:
-    """Prints one line on standard error."""
+    """Prints an error as one line on standard error."""
     print(f"cressrail: {reason}", file=sys.stderr)
 
 
 def fail(reason: str, status: int = STATUS_UNUSABLE) -> NoReturn:
-    """Ends the process with a line that says why.
+    """Prints an error and ends the process.
 
     Args:
-        reason: What is wrong; it names the file, option or address.
+        reason: Description of the error, including the file, option or address concerned.
         status: Exit status, `STATUS_UNUSABLE` or `STATUS_FAILED`.
     """
     print_error(reason)
@@ -33,11 +33,11 @@
 
 
 def print_figures(figures: Any, file: Path | None) -> None:
-    """Prints figures as indented JSON and also writes them to a file if one is named.
+    """Prints figures as indented JSON and, if a file is given, writes them to it as well.
 
     Args:
-        figures: A value that JSON can hold.
-        file: Where to write; ends the process with 2 if that fails.
+        figures: A value that can be encoded as JSON.
+        file: File to write, or None. If writing fails, the process exits with status 2.
     """
     if file is not None:
         try:
@@ -48,12 +48,14 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns host and port of HOST:PORT; an IPv6 address may stand in brackets.
+    """Parses HOST:PORT, where an IPv6 address may be enclosed in brackets.
 
     Raises:
-        ValueError: The text is no such address.
+        ValueError: The text is not a valid HOST:PORT.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no HOST:PORT: {text[:MAX_SHOWN_CHARACTERS]}")
+        raise ValueError(
+            f"address is not HOST:PORT with a port from 1 to {MAX_PORT}: {text[:MAX_SHOWN_CHARACTERS]}"
+        )
     return host.strip("[]"), int(port)
--- a/cressrail/cli/standin.py
+++ b/cressrail/cli/standin.py
@@ -1,4 +1,4 @@
-"""`cressrail standin`: fleets with faults, the rule checker, and a server with known pauses."""
+"""`cressrail standin`: simulated fleets with faults, the rule checker, and a server with known pauses."""
 
 from __future__ import annotations
 
@@ -28,25 +28,28 @@
 MILLISECOND_US = 1000
 THIS_CHECKOUT = Path(__file__).resolve().parents[2]
 
-app = command_group("Simulated services with faults, and the rule checker.")
+app = command_group("Simulated services with injected faults, and the rule checker.")
 
 
 @app.command()
 def run(
-    file: Annotated[Path, typer.Argument(help="Scenario of a fleet, TOML.")],
+    file: Annotated[Path, typer.Argument(help="Scenario of a fleet, a TOML file.")],
     folder: Annotated[
-        Path, typer.Option("--out", help="Where configurations, logs and event records go.")
+        Path, typer.Option("--out", help="Folder for configurations, logs and event records.")
     ] = Path("standin-out"),
     checkout: Annotated[
-        Path, typer.Option("--tree", help="Checkout of the repository whose sidecars run.")
+        Path, typer.Option("--tree", help="Checkout of the repository from which the sidecars are run.")
     ] = THIS_CHECKOUT,
     policy: str = "own",
-    defect: Annotated[str, typer.Option("--break", help="A deliberate defect of the sidecars.")] = "",
+    defect: Annotated[str, typer.Option("--break", help="Deliberate defect of the sidecars.")] = "",
     waits_for_start: Annotated[
-        bool, typer.Option("--wait/--no-wait", help="Faults wait for a line `go MICROSECONDS`.")
+        bool,
+        typer.Option(
+            "--wait/--no-wait", help="Delay the faults until a line `go MICROSECONDS` on standard input."
+        ),
     ] = False,
 ) -> None:
-    """Run a fleet and its faults until Ctrl-C, or the end of the input with --wait; print its addresses."""
+    """Run a fleet with its faults until Ctrl-C or, with --wait, the end of the input; print its addresses."""
     try:
         scenario = read_scenario(file, FleetScenario)
         with errors_in_file(file):
@@ -59,11 +62,11 @@
 
 @app.command()
 def judge(
-    file: Annotated[Path, typer.Argument(help="Scenario of the fleet, TOML.")],
+    file: Annotated[Path, typer.Argument(help="Scenario of the fleet, a TOML file.")],
     fleet: Annotated[Path, typer.Argument(help="Event record of the run, fleet.jsonl.")],
-    load: Annotated[Path, typer.Argument(help="Attempt log of the load.")],
+    load: Annotated[Path, typer.Argument(help="Attempt log of the load generator.")],
 ) -> None:
-    """Check the four rules against the records of a run; exit status 3 if one is broken."""
+    """Check the records of a run against the four rules; the exit status is 3 if a rule is violated."""
     try:
         scenario = read_scenario(file, FleetScenario)
         violations = check_rules(scenario, collect_evidence(read_events(load), read_events(fleet)))
@@ -77,7 +80,7 @@
 
 @app.command()
 def pauses(
-    out: Annotated[Path, typer.Argument(help="Where the drawn pauses go, JSON.")],
+    out: Annotated[Path, typer.Argument(help="File for the pauses drawn at random, as JSON.")],
     port: int = 9555,
     seconds: float = 20.0,
     seed: int = 1,
@@ -86,7 +89,7 @@
     mean_ms: float = 300.0,
     most_ms: float = 2000.0,
 ) -> None:
-    """Serve with known pauses, which the figures of a load generator are compared with."""
+    """Serve with known pauses, to check the latencies that a load generator measures."""
 
     async def serve() -> None:
         started_us = now_us()
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -1,4 +1,4 @@
-"""`cressrail zones`: zone weights as the leader of a tier's sidecars hands them out, and drain requests."""
+"""`cressrail zones`: shows the zone weights that a tier's leader has decided on, and drains zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from cressrail.cli.output import STATUS_FAILED, fail
 
 if TYPE_CHECKING:
-    from rich.table import Table  # loaded only where a table is shown, as `serve` imports this module too
+    from rich.table import Table  # at run time imported only to show a table, as `serve` loads this module
 
 SECTION = "failover"
 ZONES = AdminResource("/zones", SECTION)
@@ -25,10 +25,10 @@
 UNDRAIN = AdminResource("/zones/undrain", SECTION, "POST")
 EXPLAIN = AdminResource("/zones/explain", SECTION)
 MAX_DRAIN_S = 43_200
-MAX_SHOWN_CHARACTERS = 40  # of an argument that is repeated in a message
+MAX_SHOWN_CHARACTERS = 40  # part of an invalid argument that is quoted in a message
 
-app = command_group("Which part of each zone's traffic goes where.")
-ZoneOrRegion = Annotated[str, typer.Argument(help="A zone, or a region: all its zones.")]
+app = command_group("Distribution of each zone's traffic over the zones.")
+ZoneOrRegion = Annotated[str, typer.Argument(help="A zone, or a region for all of its zones.")]
 
 
 def _decision_table(view: dict[str, Any]) -> Table:
@@ -54,7 +54,7 @@
     return table
 
 
-add_watch_command(app, ZONES, "Show the present decision, live.", _decision_table)
+add_watch_command(app, ZONES, "Show the current zone weights, updated continuously.", _decision_table)
 
 
 @app.command()
@@ -63,7 +63,7 @@
     where: ZoneOrRegion,
     for_s: Annotated[int, typer.Option(min=1, max=MAX_DRAIN_S)],
 ) -> None:
-    """Have a zone or region emptied, as far as others have the capacity, for so long at the most."""
+    """Drain a zone or region for at most FOR_S seconds, as far as the other zones have capacity."""
     at = admin_address(sidecar)
     for zone in _matching_zones(at, where):
         answer = query_or_exit(at, DRAIN, {"zone": zone, "for_s": for_s})
@@ -72,22 +72,22 @@
 
 @app.command()
 def undrain(sidecar: SidecarArgument, where: ZoneOrRegion) -> None:
-    """End a drain before its time."""
+    """End the drain of a zone or region early."""
     at = admin_address(sidecar)
     for zone in _matching_zones(at, where):
         query_or_exit(at, UNDRAIN, {"zone": zone})
-        print(f"{zone}: comes back")
+        print(f"{zone}: drain ended")
 
 
 @app.command()
 def explain(sidecar: SidecarArgument, zone: str) -> None:
-    """Show the evidence on a zone by sidecar: of all at the leader, the sidecar's own elsewhere."""
+    """Show the recent evidence on a zone, by sidecar; only the leader has the evidence of all sidecars."""
     from rich.console import Console
     from rich.table import Table
 
     rows = query_or_exit(admin_address(sidecar), EXPLAIN, {"zone": zone})
     columns = rows[0] if rows else ("sidecar",)
-    table = Table(*columns, title=f"evidence on {zone}, of the last moments")
+    table = Table(*columns, title=f"recent evidence on {zone}")
     for row in rows:
         table.add_row(*(_format_cell(value) for value in row.values()))
     Console().print(table)
@@ -101,5 +101,5 @@
     rows = query_or_exit(at, ZONES)["zones"]
     found = [row["zone"] for row in rows if where in (row["zone"], row["region"])]
     if not found:
-        fail(f"no zone or region is {where[:MAX_SHOWN_CHARACTERS]}", STATUS_FAILED)
+        fail(f"there is no zone or region named {where[:MAX_SHOWN_CHARACTERS]}", STATUS_FAILED)
     return found
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -108,7 +108,11 @@
             id="idempotency",
         ),
         pytest.param(["--shape", "square"], "load: shape: Input should be", id="shape"),
-        pytest.param(["--target", "nowhere"], "no HOST:PORT: nowhere", id="target"),
+        pytest.param(
+            ["--target", "nowhere"],
+            "address is not HOST:PORT with a port from 1 to 65535: nowhere",
+            id="target",
+        ),
     ],
 )
 def test_unusable_option_is_one_line(tmp_path: Path, options: list[str], reason: str) -> None:
