--- a/tests/buffers/test_pipe.py
+++ b/tests/buffers/test_pipe.py
@@ -1,4 +1,4 @@
-"""A pipe between two tasks, and the body that goes through one."""
+"""Tests of a pipe between two tasks, and of a body that is streamed through a pipe."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
     assert body.pipe.has_room()
 
 
-def test_exhausted_pool_halts_pipe_without_loss() -> None:
+def test_exhausted_pool_stops_the_writer_without_loss_of_data() -> None:
     pool = BufferPool(1)
     pool.borrow()
     pipe = Pipe(pool)
     assert not pipe.has_room()
     assert not pipe.is_full()
-    pipe.append(memoryview(b"read already"))
-    assert bytes(pipe.views()[0]) == b"read already"
+    pipe.append(memoryview(b"already received"))
+    assert bytes(pipe.views()[0]) == b"already received"
--- a/tests/buffers/test_pool.py
+++ b/tests/buffers/test_pool.py
@@ -1,4 +1,4 @@
-"""Lending and returning of buffers."""
+"""Tests of lending and returning buffers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from cressrail.buffers.pool import BUFFER_BYTES, BufferChain, BufferPool, BufferPoolExhaustedError
 
 
-def test_pool_lends_no_more_than_its_bound_and_reuses_buffers() -> None:
+def test_pool_lends_at_most_its_limit_and_reuses_buffers() -> None:
     pool = BufferPool(2)
     chain = BufferChain(pool)
     chain.append(memoryview(b"a" * (BUFFER_BYTES + 1)))
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as a process of its own."""
+"""Tests of the command line, run as a separate process."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_refused_calls.py
+++ b/tests/cli/test_refused_calls.py
@@ -1,4 +1,4 @@
-"""What the platform refuses to a sidecar: `run` as the deploy file words it, with these calls refused."""
+"""Tests that a sidecar, started with the deploy file's `run` command, makes no forbidden system call."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from cressrail.network import listener
 from tests.support.configuration import SIDECAR_CONFIGURATION
 
-REFUSED_STATUS = 99  # with which the hook ends the process
+REFUSED_STATUS = 99  # exit status with which the hook ends the process
 
-# An audit hook sees each of these calls before it is made. Threads are allowed; other programs, forks, named
-# Unix sockets and files open for writing are not.
+# The platform allows threads, but no other programs, forks, named Unix sockets or files opened for writing.
+# The audit hook is called before each such call and ends the process.
 REFUSING_HOOK = """
 import os, sys
 for name in ("sendfile", "splice", "fork", "forkpty", "posix_spawn", "posix_spawnp"):
@@ -61,7 +61,7 @@
     )
 
 
-def test_run_is_one_process_and_makes_no_call_that_the_platform_refuses(tmp_path: Path) -> None:
+def test_run_command_is_one_process_and_makes_no_forbidden_call(tmp_path: Path) -> None:
     program = start_sidecar(tmp_path)
     try:
         assert program.stdout is not None
@@ -93,7 +93,7 @@
         pytest.param("os.system('true')", id="shell"),
     ],
 )
-def test_refused_call_ends_the_process_with_a_message(tmp_path: Path, statements: str) -> None:
+def test_forbidden_call_ends_the_process_with_a_message(tmp_path: Path, statements: str) -> None:
     program = start_sidecar(tmp_path, statements)
     _, errors = program.communicate(timeout=60)
     assert program.returncode == REFUSED_STATUS
--- a/tests/configuration/test_deployment_type.py
+++ b/tests/configuration/test_deployment_type.py
@@ -1,4 +1,4 @@
-"""Which settings go with a chain and with a mesh."""
+"""Tests of the settings that each deployment type, chain or mesh, allows."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 UNUSABLE = 2  # exit status
 
 
-# Deployment type, setting, value (None: missing) and the message.
+# Deployment type of the valid configuration, path of the changed setting, new value (None removes the
+# setting), and expected message.
 MIXED_SETTINGS: list[tuple[str, str, Any, str]] = [
     ("mesh", "limits.multiplex", 1, "limits.multiplex must be from 2 to 1048576 with domain_type mesh: 1"),
     ("mesh", "limits.multiplex", None, "limits.multiplex is missing but required with domain_type mesh"),
@@ -47,7 +48,7 @@
     MIXED_SETTINGS,
     ids=[f"{base}: {setting} {value}" for base, setting, value, _ in MIXED_SETTINGS],
 )
-def test_settings_of_the_other_deployment_type_are_refused_by_name_at_start_and_on_sighup(
+def test_settings_of_the_other_deployment_type_are_refused_at_start_and_on_reload(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], base: str, setting: str, value: Any, message: str
 ) -> None:
     config = mesh_configuration() if base == "mesh" else copy.deepcopy(SIDECAR_CONFIGURATION)
@@ -70,7 +71,7 @@
 @pytest.mark.parametrize(
     ("values", "name", "per_client"),
     [
-        pytest.param({}, "chain", False, id="nothing set"),
+        pytest.param({}, "chain", False, id="no settings"),
         pytest.param(
             {"domain_type": "chain", "limits.multiplex": "1", "limits.probes": "true"},
             "chain",
@@ -85,7 +86,7 @@
         ),
     ],
 )
-def test_deployment_type_follows_from_the_settings_alone(
+def test_deployment_type_is_determined_by_the_settings_alone(
     values: dict[str, str], name: str, per_client: bool
 ) -> None:
     assert read_deployment_type(SettingsReader(values)).name == name
@@ -95,7 +96,7 @@
 @pytest.mark.parametrize("path", ["probes", "peers", "may_cancel", "parallel_tries", "retry_after"])
 @pytest.mark.parametrize("permitted", [True, False], ids=["permitted", "forbidden"])
 @pytest.mark.parametrize("make_config", [copy.deepcopy, mesh_configuration], ids=["chain", "mesh"])
-def test_permissions_go_with_either_deployment_type(
+def test_permissions_are_allowed_with_both_deployment_types(
     tmp_path: Path, make_config: Any, permitted: bool, path: str
 ) -> None:
     config = make_config(SIDECAR_CONFIGURATION)
@@ -129,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("name", "deployment_type"), [("config", "chain"), ("mesh", "mesh")])
-def test_examples_have_the_deployment_type_of_their_name(name: str, deployment_type: str) -> None:
+def test_examples_are_valid_and_have_the_expected_deployment_type(name: str, deployment_type: str) -> None:
     path = ROOT / "example" / f"{name}.json"
     assert check_configuration(str(path)) == 0
     assert read_startup_configuration(str(path), {}).deployment_type == deployment_type
--- a/tests/configuration/test_settings_reader.py
+++ b/tests/configuration/test_settings_reader.py
@@ -1,11 +1,11 @@
-"""Reading single settings by path."""
+"""Tests of reading single settings by path."""
 
 from __future__ import annotations
 
 from cressrail.configuration.settings_reader import SettingsReader
 
 
-def test_from_nested_gives_the_paths_of_nested_settings() -> None:
+def test_from_nested_makes_nested_settings_available_by_path() -> None:
     settings = SettingsReader.from_nested(
         {"a": {"b": 1, "on": True, "x": None}, "list": ["p, q", "r"], "deep": [{"n": 2.5}, {}]}
     )
--- a/tests/configuration/test_startup.py
+++ b/tests/configuration/test_startup.py
@@ -1,4 +1,4 @@
-"""Reading the configuration file of one sidecar."""
+"""Tests of reading the configuration file of a sidecar."""
 
 from __future__ import annotations
 
@@ -24,17 +24,19 @@
 @pytest.mark.parametrize(
     "text",
     ["", "{", "[]", "\xff", '"x"', '{"name": "a\xff"}'],
-    ids=["empty", "cut short", "list", "no UTF-8", "text", "name that is no UTF-8"],
+    ids=["empty", "cut short", "list", "invalid UTF-8", "text", "name with invalid UTF-8"],
 )
-def test_read_startup_configuration_names_the_file_it_cannot_read(tmp_path: Path, text: str) -> None:
+def test_read_startup_configuration_names_the_file_that_is_not_a_json_object(
+    tmp_path: Path, text: str
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(text, encoding="latin-1")
     with pytest.raises(ConfigurationError, match=f"^{path}: content is not (valid JSON: |a JSON object$)"):
         read_startup_configuration(str(path), {})
 
 
-# Setting, value (None: missing) and the message.
-WRONG_SETTINGS: list[tuple[str, Any, str]] = [
+# Path of the changed setting, new value (None removes the setting), and expected message.
+INVALID_SETTINGS: list[tuple[str, Any, str]] = [
     ("settings", None, "settings is missing or not an object"),
     ("seed", "xyz", "seed is not a hexadecimal number: xyz"),
     ("seed", None, "seed is missing"),
@@ -71,10 +73,10 @@
 
 @pytest.mark.parametrize(
     ("setting", "value", "message"),
-    WRONG_SETTINGS,
-    ids=[f"{setting} {value}" for setting, value, _ in WRONG_SETTINGS],
+    INVALID_SETTINGS,
+    ids=[f"{setting} {value}" for setting, value, _ in INVALID_SETTINGS],
 )
-def test_check_names_the_wrong_setting_in_one_line(
+def test_check_reports_the_invalid_setting_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], setting: str, value: Any, message: str
 ) -> None:
     config = copy.deepcopy(SIDECAR_CONFIGURATION)
@@ -87,7 +89,7 @@
     assert error.count("\n") == 1
 
 
-def test_check_accepts_a_good_configuration_and_environment_overrides_it(
+def test_check_accepts_a_valid_configuration_and_environment_overrides_it(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -109,12 +111,12 @@
 @pytest.mark.parametrize(
     ("address", "message"),
     [
-        pytest.param("here", "ops is not host:port with a port from 1 to 65535: here", id="no-address"),
-        pytest.param("127.0.0.1:9000", "ops is the same as listen: 127.0.0.1:9000", id="as-listen"),
+        pytest.param("here", "ops is not host:port with a port from 1 to 65535: here", id="not-an-address"),
+        pytest.param("127.0.0.1:9000", "ops is the same as listen: 127.0.0.1:9000", id="same-as-listen"),
     ],
 )
 @pytest.mark.parametrize("source", ["file", "environment"])
-def test_parse_configuration_names_an_admin_address_that_cannot_be_used(
+def test_parse_configuration_reports_an_invalid_admin_address(
     address: str, message: str, source: str
 ) -> None:
     configuration, environment = copy.deepcopy(SIDECAR_CONFIGURATION), {}
@@ -126,5 +128,5 @@
         parse_configuration(configuration, environment)
 
 
-def test_parse_configuration_needs_no_admin_address() -> None:
+def test_parse_configuration_accepts_a_missing_admin_address() -> None:
     assert parse_configuration(copy.deepcopy(SIDECAR_CONFIGURATION), {}).admin is None
--- a/tests/configuration/test_unicode_names.py
+++ b/tests/configuration/test_unicode_names.py
@@ -1,4 +1,4 @@
-"""Names beyond ASCII, with blanks and commas, from the settings to a request."""
+"""Tests that names with non-ASCII characters, blanks or commas match between settings and requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def configuration_with_name(name: str) -> Any:
-    """Returns a maker of the usual configuration with this name for a class, a tenant and a zone."""
+    """Returns a function that builds the usual configuration with `name` for a class, a tenant and a zone."""
 
     def make(config: dict[str, Any] = SIDECAR_CONFIGURATION) -> dict[str, Any]:
         config = copy.deepcopy(config)
@@ -39,5 +39,5 @@
 
     assert responses == [b"200 hello"]
     quotas = harness.state_machine.load_balancer.quotas
-    assert quotas.tokens[0] < quotas.burst_sizes[0]  # counted as the tenant's own
+    assert quotas.tokens[0] < quotas.burst_sizes[0]  # the request was charged to the tenant
     assert f'app_answered{{group="{name}"}} 1'.encode() in harness.state_machine.counters.text(0, 0, 0)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reading what discovery sends."""
+"""Tests of parsing the endpoint list that discovery sends."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cressrail.discovery.endpoint_list import MalformedEndpointListError, parse_update_line
 from tests.support.configuration import endpoint_entry
 
-NUMBER_FOR_A_NAME = 5
+NUMERIC_NAME = 5
 
 
 @pytest.mark.parametrize(
@@ -18,15 +18,15 @@
     [
         pytest.param(b"", id="empty"),
         pytest.param(b"{", id="cut short"),
-        pytest.param(b"[]", id="no object"),
-        pytest.param(b'{"members":[]}', id="without revision"),
-        pytest.param(b'{"revision":1,"complete":true}', id="without members"),
-        pytest.param(b"\xff\xfe", id="no UTF-8"),
+        pytest.param(b"[]", id="not an object"),
+        pytest.param(b'{"members":[]}', id="missing revision"),
+        pytest.param(b'{"revision":1,"complete":true}', id="missing members"),
+        pytest.param(b"\xff\xfe", id="invalid UTF-8"),
         pytest.param(b'{"revision":"1","complete":true,"members":[]}', id="revision is text"),
         pytest.param(b'{"revision":1,"complete":1,"members":[]}', id="complete is a number"),
     ],
 )
-def test_parse_update_line_refuses_what_is_no_list(line: bytes) -> None:
+def test_parse_update_line_refuses_a_line_that_is_not_an_endpoint_list(line: bytes) -> None:
     with pytest.raises(MalformedEndpointListError):
         parse_update_line(line)
 
@@ -36,7 +36,7 @@
     [
         pytest.param({}, True, id="unchanged"),
         pytest.param({"size": 0}, True, id="size 0"),
-        pytest.param({"cell": None}, True, id="without cell"),
+        pytest.param({"cell": None}, True, id="missing cell"),
         pytest.param({"phase": "draining"}, True, id="draining"),
         pytest.param({"phase": "asleep"}, False, id="unknown phase"),
         pytest.param({"phase": []}, False, id="phase is a list"),
@@ -44,18 +44,18 @@
         pytest.param({"host_port": "127.0.0.1:0"}, False, id="port 0"),
         pytest.param({"host_port": "name:80"}, False, id="host name"),
         pytest.param({"host_port": "[::1]:80"}, True, id="IPv6"),
-        pytest.param({"host_port": None}, False, id="without address"),
+        pytest.param({"host_port": None}, False, id="missing address"),
         pytest.param({"size": -1}, False, id="negative size"),
         pytest.param({"size": "big"}, False, id="size is text"),
         pytest.param({"id": ""}, False, id="empty id"),
-        pytest.param({"id": NUMBER_FOR_A_NAME}, False, id="id is a number"),
+        pytest.param({"id": NUMERIC_NAME}, False, id="id is a number"),
         pytest.param({"up_since_ms": "x"}, False, id="start is text"),
     ],
 )
-def test_parse_update_line_keeps_the_entries_it_can_read(change: dict[str, Any], is_readable: bool) -> None:
+def test_parse_update_line_skips_only_malformed_entries(change: dict[str, Any], is_readable: bool) -> None:
     entries = [{**endpoint_entry("s1", 9001), **change}, endpoint_entry("s2", 9002)]
     update = parse_update_line(orjson.dumps({"revision": 4, "complete": True, "members": entries}))
     assert [entry.name for entry in update.entries] == (["s1", "s2"] if is_readable else ["s2"])
     assert len(update.errors) == (0 if is_readable else 1)
     name = change.get("id", "s1")
-    assert update.unreadable_names == ([] if is_readable or name == NUMBER_FOR_A_NAME else [name])
+    assert update.unreadable_names == ([] if is_readable or name == NUMERIC_NAME else [name])
--- a/tests/http1/support.py
+++ b/tests/http1/support.py
@@ -1,4 +1,4 @@
-"""Feeding of readers, for the tests of HTTP/1.1 messages."""
+"""Helpers that feed bytes to the HTTP/1.1 readers under test."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def feed_in_steps(reader: RequestReader | ResponseReader, pool: BufferPool, text: bytes, step: int) -> int:
-    """Feeds bytes through a receive buffer, `step` at a time; returns how many were not consumed."""
+    """Feeds bytes to a reader through a receive buffer, `step` bytes at a time.
+
+    Returns:
+        The number of bytes that the reader has not consumed.
+    """
     received = ReceiveBuffer(pool)
     done = False
     for at in range(0, len(text), step):
--- a/tests/http1/test_duration.py
+++ b/tests/http1/test_duration.py
@@ -1,4 +1,4 @@
-"""Durations in header fields."""
+"""Tests of parsing durations in header fields."""
 
 from __future__ import annotations
 
--- a/tests/http1/test_header_text.py
+++ b/tests/http1/test_header_text.py
@@ -1,4 +1,4 @@
-"""Header fields as text."""
+"""Tests of decoding header fields as text."""
 
 from __future__ import annotations
 
@@ -18,6 +18,6 @@
         (b"\xff\xfe", "ÿþ"),
     ],
 )
-def test_header_text_is_utf_8_and_latin_1_where_it_is_no_utf_8(value: bytes, text: str) -> None:
+def test_header_text_is_decoded_as_utf_8_or_else_as_latin_1(value: bytes, text: str) -> None:
     request = Request(b"GET", b"/api", Headers([(b"req-kind", value)]), BufferChain(BufferPool(1)), True)
     assert request.header_text(b"req-kind") == text
--- a/tests/http1/test_request.py
+++ b/tests/http1/test_request.py
@@ -1,4 +1,4 @@
-"""Requests: of any framing, split anywhere, refused, and encoded for an endpoint."""
+"""Tests of parsing requests of any framing, split at any byte, and of encoding them for an endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.http1.support import BIG, feed_in_steps, text_of
 
 GET = b"GET /api?a=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: r1\r\n\r\n"
-POSTS = [
+REQUESTS = [
     (GET, b""),
     (b"\r\n" + GET, b""),
     (b"POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello", b"hello"),
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 4096, 1 << 20])
-@pytest.mark.parametrize(("text", "body"), POSTS)
-def test_request_reader_takes_requests_split_anywhere(text: bytes, body: bytes, step: int) -> None:
+@pytest.mark.parametrize(("text", "body"), REQUESTS)
+def test_request_reader_parses_requests_split_at_any_byte(text: bytes, body: bytes, step: int) -> None:
     pool = BufferPool(100)
     chain = BufferChain(pool)
     reader = RequestReader(chain)
@@ -73,7 +73,7 @@
     assert error.value.status == status
 
 
-def test_encode_head_forwards_what_is_meant_for_the_endpoint() -> None:
+def test_encode_head_forwards_only_end_to_end_fields() -> None:
     chain = BufferChain(BufferPool(4))
     request = Request(
         b"POST",
--- a/tests/http1/test_response.py
+++ b/tests/http1/test_response.py
@@ -1,4 +1,4 @@
-"""Responses: of any framing, split or cut anywhere, refused, and encoded for a client."""
+"""Tests of parsing responses of any framing, split or cut at any byte, and of encoding them for a client."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("step", [1, 3, 4096, 1 << 20])
 @pytest.mark.parametrize(("text", "body", "keep_alive"), RESPONSES)
-def test_response_reader_takes_any_framing_split_anywhere(
+def test_response_reader_parses_any_framing_split_at_any_byte(
     text: bytes, body: bytes, keep_alive: bool, step: int
 ) -> None:
     pool = BufferPool(100)
@@ -87,5 +87,7 @@
         ),
     ],
 )
-def test_encode_head_gives_the_head_for_the_client(response: Response, keep_alive: bool, head: bytes) -> None:
+def test_encode_head_returns_the_head_for_the_client(
+    response: Response, keep_alive: bool, head: bytes
+) -> None:
     assert response.encode_head(keep_alive) == head
--- a/tests/logs/test_event_pages.py
+++ b/tests/logs/test_event_pages.py
@@ -1,4 +1,4 @@
-"""The on-call pages name the log events that the code declares, with their fields."""
+"""Checks that the on-call pages list exactly the log events that the code declares, with their fields."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 ROOT = Path(__file__).resolve().parents[2]
 ON_CALL, ON_CALL_DAY = ROOT / "docs" / "oncall.md", ROOT / "docs" / "oncall-day.md"
 MODULES = [events, membership_events, failover_events]
-NOT_EVENTS = ("EARLIER_", "OLD_", "REASON_")  # prefixes of constants that are no names of today's events
+NOT_EVENTS = ("EARLIER_", "OLD_", "REASON_")  # prefixes of constants that do not name a current event
 LOGGING_CALLS = ("LogEvent", "write_event", "log")
 EVENT_TABLE = "| event | fields | meaning | what to do |"
 HANDOVER_TABLE = "| the log says | means |"
 RENAMED_TABLE = "| log event before | now | fields before -> now |"
 CHANGELOG = ROOT / "CHANGELOG.md"
-# These list the earlier names of events for readers of old logs.
+# Pages that list earlier event names for readers of old logs.
 PAGES_WITH_EARLIER_NAMES = {"failover-operators.md"}
 CODE_SPAN = re.compile(r"`([^`]+)`")
 IDENTIFIER = re.compile(r"[a-z]+(?:_[a-z]+)*")
-# What the pages' prose names beside events, their fields and outcomes.
+# Other identifiers that the prose of the pages mentions, besides events, their fields and outcomes.
 LINE_FIELDS = {"at_us", "sidecar", "event"}
 FIELD_VALUES = {"endpoints", "stranger", "replayed", "away", "reduced"}
 SETTINGS = {"name", "ops"}
@@ -38,7 +38,7 @@
 
 
 def constants(module: ModuleType) -> dict[str, str]:
-    """The events that a module declares: constant to name."""
+    """Returns the events that a module declares, as a mapping from constant to event name."""
     return {
         name: value
         for name, value in vars(module).items()
@@ -50,7 +50,13 @@
 
 
 class TableRow(NamedTuple):
-    """A row of a table of events: the names in its first cell, those in its second, and how many cells."""
+    """A row of a table of events.
+
+    Attributes:
+        events: Names in code spans of the first cell.
+        fields: Names in code spans of the second cell.
+        cells: Text of all cells.
+    """
 
     events: list[str]
     fields: set[str]
@@ -58,7 +64,7 @@
 
 
 def table_rows(page: Path, header: str) -> Iterator[TableRow]:
-    """The rows of all tables with this header."""
+    """Yields the rows of all tables of a page that have the given header."""
     lines = iter(page.read_text(encoding="utf-8").splitlines())
     for line in lines:
         if line != header:
@@ -72,7 +78,7 @@
 
 
 def logging_calls() -> Iterator[tuple[Path, ast.Call]]:
-    """All calls in the program that log an event."""
+    """Yields all calls in the program that log an event, each with the path of its file."""
     for path in sorted((ROOT / "cressrail").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             if isinstance(node, ast.Call) and node.args:
@@ -83,7 +89,7 @@
 
 
 def logged_names(path: Path, argument: ast.expr) -> list[str]:
-    """The events that the first argument of a logging call may be, where it names constants."""
+    """Returns the event names of all constants that occur in the first argument of a logging call."""
     module = {"membership": membership_events, "failover": failover_events}
     names: list[str] = []
     for node in ast.walk(argument):
@@ -97,7 +103,7 @@
 
 
 def literal_fields(call: ast.Call) -> set[str]:
-    """The fields that a logging call states where it stands, not those from a variable."""
+    """Returns the field names written literally in a logging call, without those taken from a variable."""
     fields = {keyword.arg for keyword in call.keywords if keyword.arg is not None}
     for argument in call.args[1:]:
         for node in ast.walk(argument):
@@ -114,12 +120,12 @@
     assert not missing
 
 
-def test_page_lists_each_event_once_and_none_that_is_not_declared() -> None:
+def test_page_lists_each_declared_event_once_and_no_other() -> None:
     listed = [event for row in table_rows(ON_CALL, EVENT_TABLE) for event in row.events]
     assert sorted(listed) == sorted(DECLARED)
 
 
-def test_each_row_has_meaning_and_what_to_do() -> None:
+def test_each_row_has_a_meaning_and_an_action() -> None:
     for row in table_rows(ON_CALL, EVENT_TABLE):
         assert len(row.cells) == 4, row
         assert row.cells[2], row
@@ -144,14 +150,14 @@
 
 
 @pytest.mark.parametrize("page", sorted((ROOT / "docs").glob("*.md")), ids=lambda page: page.name)
-def test_pages_do_not_name_events_as_earlier_versions_did(page: Path) -> None:
+def test_pages_do_not_use_event_names_of_earlier_versions(page: Path) -> None:
     earlier = {event for row in table_rows(CHANGELOG, RENAMED_TABLE) for event in row.events} - DECLARED
     assert earlier
     if page.name not in PAGES_WITH_EARLIER_NAMES:
         assert not earlier & set(CODE_SPAN.findall(page.read_text(encoding="utf-8")))
 
 
-def test_program_logs_declared_events_alone() -> None:
+def test_program_logs_only_declared_events() -> None:
     literals = [
         f"{path.relative_to(ROOT)}:{call.lineno}"
         for path, call in logging_calls()
@@ -160,7 +166,7 @@
     assert not literals
 
 
-def test_fields_that_the_program_logs_stand_on_the_page() -> None:
+def test_page_lists_all_fields_that_the_program_logs() -> None:
     listed = {event: row.fields for row in table_rows(ON_CALL, EVENT_TABLE) for event in row.events}
     checked = set()
     for path, call in logging_calls():
@@ -168,5 +174,5 @@
             checked.add(event)
             missing = literal_fields(call) - listed[event]
             assert not missing, f"{path.relative_to(ROOT)}:{call.lineno}: {event}"
-    # The names of drains stand in a variable where they are logged.
+    # The two events about drains are logged through a variable, so the search above does not find them.
     assert checked | {failover_events.DRAIN_REQUESTED, failover_events.DRAIN_ENDED} == DECLARED
--- a/tests/logs/test_log_writer.py
+++ b/tests/logs/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Writing of log lines."""
+"""Tests of the log writer."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from cressrail.logs.log_writer import MAX_WAITING_LINES, LogWriter
 
 
-def test_write_event_escapes_text_that_is_no_utf_8() -> None:
+def test_write_event_escapes_text_that_is_not_valid_utf_8() -> None:
     log = LogWriter(1, lambda: 5, "n1")
     log.write_event("junk", {"what": "\udcff", "n": 1 << 70})
     assert b'"event":"junk"' in log.waiting_lines[0]
     assert b"udcff" in log.waiting_lines[0]
 
 
-def test_unread_log_blocks_nothing_and_drops_the_newest_lines() -> None:
+def test_full_log_pipe_never_blocks_and_drops_the_newest_lines() -> None:
     reading, writing = os.pipe()
     try:
         log = LogWriter(writing, lambda: 5, "n1")
