--- a/cressrail/configuration/files.py
+++ b/cressrail/configuration/files.py
@@ -17,7 +17,7 @@
     """A section of a configuration.
 
     Attributes:
-        values: Values of the section by name, as read from the file.
+        values: Unconverted values of the section by name.
         folder: Folder to which paths in the section are relative.
     """
 
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -117,7 +117,7 @@
     def __init__(self, sink: Sink, max_bytes: int) -> None:
         """Creates a reader that refuses more than `max_bytes` of content."""
         super().__init__(sink, max_bytes)
-        self.remaining_bytes = 0  # of the current chunk
+        self.remaining_bytes = 0  # bytes of the current chunk that have not been received yet
         self.state = CHUNK_SIZE
         self.trailer_lines = 0
 
