--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""The list of known faults: tests that are expected to fail, each with what was seen and an issue."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures.
+
+Each line of the file names a test, the command that shows the failure, what was seen and an issue, separated
+by "|".
+"""
 
 from __future__ import annotations
 
@@ -15,10 +19,17 @@
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """One line of the list."""
+    """One line of the list.
+
+    Attributes:
+        test: Node id of the test.
+        command: Command, with its seed, that shows the failure.
+        observed: What was seen.
+        issue: The issue that tracks the failure.
+    """
 
     test: str
-    command: str  # with its seed
+    command: str
     observed: str
     issue: str
 
@@ -27,7 +38,12 @@
 
 
 def read_known_failures(path: Path) -> list[KnownFailure]:
-    """Raises `pytest.UsageError` with one line: file, line and reason."""
+    """Reads the list; a missing file is an empty list.
+
+    Raises:
+        pytest.UsageError: A line is malformed, a test is listed more than once or the list is too long. The
+            message is one line with the path and the reason.
+    """
     if not path.is_file():
         return []
     failures = []
@@ -37,13 +53,15 @@
         columns = [column.strip() for column in line.split("|")]
         if len(columns) != 4 or not all(columns):
             raise pytest.UsageError(
-                f"{path}: line {number}: expected a test, a command, what was seen and an issue"
+                f"{path}: line {number}: expected 'test | command | what was seen | issue'"
             )
         failures.append(KnownFailure(*columns))
     if len(failures) > MAX_KNOWN_FAILURES:
-        raise pytest.UsageError(f"{path}: {len(failures)} tests, {MAX_KNOWN_FAILURES} at most")
+        raise pytest.UsageError(
+            f"{path}: {len(failures)} tests are listed, at most {MAX_KNOWN_FAILURES} are allowed"
+        )
     if len({failure.test for failure in failures}) < len(failures):
-        raise pytest.UsageError(f"{path}: a test is listed twice")
+        raise pytest.UsageError(f"{path}: a test is listed more than once")
     return failures
 
 
@@ -57,21 +75,27 @@
     items_by_id = {item.nodeid: item for item in items}
     for failure in read_known_failures(KNOWN_FAILURES_FILE):
         if failure.test in items_by_id:
-            # Strict: a listed test that passes has to leave the list.
+            # Strict: a listed test that passes counts as a failure, so that it is taken off the list.
             marker = pytest.mark.xfail(reason=str(failure), strict=True)
             items_by_id[failure.test].add_marker(marker)
-    if not hasattr(config, "workerinput"):  # with workers the controller checks what they collected
+    if not hasattr(
+        config, "workerinput"
+    ):  # with xdist, the controller process checks the tests that the workers collected
         check_listed_tests_exist(config, items_by_id)
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_node_collection_finished(node: Any, ids: list[str]) -> None:
-    """Checks the list in the controller process, which collects nothing itself."""
+    """Checks the list in the xdist controller, which collects no tests itself."""
     check_listed_tests_exist(node.config, ids)
 
 
 def check_listed_tests_exist(config: pytest.Config, collected_ids: Container[str]) -> None:
-    """Raises `pytest.UsageError` for a listed test that does not exist, where all tests were collected."""
+    """Checks that each listed test exists, unless only a part of the tests was selected.
+
+    Raises:
+        pytest.UsageError: A listed test was not collected.
+    """
     selects_all_tests = (
         not config.option.keyword
         and not config.option.markexpr
@@ -80,10 +104,10 @@
     )
     for failure in read_known_failures(KNOWN_FAILURES_FILE) if selects_all_tests else []:
         if failure.test not in collected_ids:
-            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: no test is {failure.test}")
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: {failure.test} does not exist")
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Lists the expected failures below the results."""
+    """Prints the listed tests below the results."""
     for failure in read_known_failures(KNOWN_FAILURES_FILE):
         terminalreporter.write_line(f"known red: {failure.test}: {failure}")
--- a/tests/tools/test_known_failures.py
+++ b/tests/tools/test_known_failures.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt and tests/conftest.py that reads it: each rule on a small suite of its own."""
+"""Tests of how tests/conftest.py applies KNOWN-RED.txt, each on a small generated test suite."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-MALFORMED = "line 1: expected a test, a command, what was seen and an issue"
+MALFORMED = "line 1: expected 'test | command | what was seen | issue'"
 SUITE = """
 def test_good():
     pass
@@ -24,7 +24,7 @@
 def run_suite(
     folder: Path, known_failures: str | None, *arguments: str, workers: str = "0"
 ) -> subprocess.CompletedProcess[str]:
-    """Runs `SUITE` with the project's conftest.py and this list of known failures."""
+    """Runs `SUITE` with the project's conftest.py and this list of known failures; None: no list file."""
     tests = folder / "tests"
     tests.mkdir()
     (tests / "test_suite.py").write_text(SUITE)
@@ -43,7 +43,7 @@
 
 
 def entry(name: str) -> str:
-    """A line of the list for a test of `SUITE`."""
+    """Returns the line of the list for a test of `SUITE`."""
     return f"tests/test_suite.py::{name} | its command | its cause | issue 7\n"
 
 
@@ -69,12 +69,16 @@
             entry("test_gone"),
             [],
             4,
-            "KNOWN-RED.txt: no test is tests/test_suite.py::test_gone",
+            "KNOWN-RED.txt: tests/test_suite.py::test_gone does not exist",
             id="no such test",
         ),
-        pytest.param(entry("test_bad") * 2, [], 4, "a test is listed twice", id="listed twice"),
+        pytest.param(entry("test_bad") * 2, [], 4, "a test is listed more than once", id="listed twice"),
         pytest.param(
-            entry("a") + entry("b") + entry("c") + entry("d"), [], 4, "4 tests, 3 at most", id="too many"
+            entry("a") + entry("b") + entry("c") + entry("d"),
+            [],
+            4,
+            "4 tests are listed, at most 3 are allowed",
+            id="too many",
         ),
         pytest.param(
             "tests/test_suite.py::test_bad | its command | its cause\n",
@@ -88,7 +92,7 @@
         ),
     ],
 )
-def test_only_listed_failures_are_passed_over(
+def test_only_listed_failures_are_tolerated(
     tmp_path: Path,
     known_failures: str | None,
     arguments: list[str],
@@ -96,7 +100,7 @@
     expected_output: str,
     workers: str,
 ) -> None:
-    ended = run_suite(tmp_path, known_failures, *arguments, workers=workers)
-    output = ended.stdout + ended.stderr
-    assert ended.returncode == expected_status, output
+    completed = run_suite(tmp_path, known_failures, *arguments, workers=workers)
+    output = completed.stdout + completed.stderr
+    assert completed.returncode == expected_status, output
     assert expected_output in output
