--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,9 +1,9 @@
-"""Two toy endpoints and a toy discovery on loopback, to try a sidecar with.
+"""Two example endpoints and an example discovery service on loopback, for trying out a sidecar.
 
-Run as `python example/toy_server.py`.
+Run as `python example/toy_server.py`; stop with Ctrl-C.
 
-Endpoints listen on 127.0.0.1:9101 and :9102, discovery on 127.0.0.1:8500. Each line on standard input changes
-the list: `drain a`, `remove b` or `up a`. End it with Ctrl-C.
+The endpoints a and b listen on 127.0.0.1:9101 and 127.0.0.1:9102, discovery on 127.0.0.1:8500. Each line on
+standard input changes the phase of one endpoint in the endpoint list: `drain a`, `remove b` or `up a`.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 PHASES = {"drain": "draining", "remove": "removed", "up": "up"}
 
 
-class Listing:
-    """The list as discovery has it; every change is a revision."""
+class EndpointList:
+    """The endpoint list of the discovery service; every change has a revision number."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -27,20 +27,20 @@
 
     @property
     def revision(self) -> int:
-        """Of the latest change."""
+        """Revision number of the latest change."""
         return self.changes[-1][0]
 
     def change(self, name: str, phase: str) -> None:
-        """Gives an endpoint another phase, and wakes those that wait for a change."""
+        """Sets the phase of an endpoint and wakes the watches that wait for a change."""
         with self.changed:
             self.changes.append((self.revision + 1, name, phase))
             self.changed.notify_all()
 
     def since(self, revision: int) -> bytes:
-        """The line of what has changed after a revision, or of the complete list."""
-        # What a sidecar knows from an earlier run of this toy is of no use to it: it gets the complete list.
-        full = revision <= 0 or revision > self.revision
-        phases = {name: phase for at, name, phase in self.changes if full or at > revision}
+        """Returns a JSON line with the entries changed after a revision, or with the complete list."""
+        # A revision above the current one comes from an earlier run of this script: send the complete list.
+        is_complete = revision <= 0 or revision > self.revision
+        phases = {name: phase for at, name, phase in self.changes if is_complete or at > revision}
         members = [
             {
                 "id": f"toy-{name}",
@@ -53,21 +53,24 @@
                 "up_since_ms": 0,
             }
             for name, phase in phases.items()
-            if not (full and phase == "removed")
+            if not (is_complete and phase == "removed")
         ]
-        return json.dumps({"revision": self.revision, "complete": full, "members": members}).encode() + b"\n"
+        return (
+            json.dumps({"revision": self.revision, "complete": is_complete, "members": members}).encode()
+            + b"\n"
+        )
 
 
-LISTING = Listing()
+ENDPOINT_LIST = EndpointList()
 
 
 class Endpoint(BaseHTTPRequestHandler):
-    """Answers each request with its method, path and body after 50 ms."""
+    """Answers each request after 50 ms with its method, path and body."""
 
     protocol_version = "HTTP/1.1"
 
-    def do_GET(self) -> None:  # noqa: N802 (called by this name)
-        """Answers a request of any method that is taken."""
+    def do_GET(self) -> None:  # noqa: N802 (the base class calls this name)
+        """Answers a GET or POST request."""
         size = int(self.headers.get("Content-Length", 0))
         body = self.rfile.read(size)
         time.sleep(0.05)
@@ -77,19 +80,19 @@
         self.end_headers()
         self.wfile.write(text)
 
-    do_POST = do_GET  # noqa: N815 (called by this name)
+    do_POST = do_GET  # noqa: N815 (the base class calls this name)
 
 
 class Discovery(BaseHTTPRequestHandler):
-    """Answers with the endpoint list, and goes on with its changes where `watch=1` asks for that."""
+    """Answers with the endpoint list; for a watch (`watch=1`), continues with its changes."""
 
     protocol_version = "HTTP/1.1"
 
-    def do_GET(self) -> None:  # noqa: N802 (called by this name)
+    def do_GET(self) -> None:  # noqa: N802 (the base class calls this name)
         """Answers a poll or a watch."""
-        at = int(self.path.partition("after=")[2] or 0)
+        revision = int(self.path.partition("after=")[2] or 0)
         self.send_response(200)
-        line = LISTING.since(at)
+        line = ENDPOINT_LIST.since(revision)
         if "watch=1" not in self.path:
             self.send_header("Content-Length", str(len(line)))
             self.end_headers()
@@ -99,17 +102,17 @@
         self.end_headers()
         while True:
             self.wfile.write(b"%x\r\n%b\r\n" % (len(line), line))
-            at = LISTING.revision
-            with LISTING.changed:
-                LISTING.changed.wait(2)
-                line = LISTING.since(at) if LISTING.revision > at else b"\n"
+            revision = ENDPOINT_LIST.revision
+            with ENDPOINT_LIST.changed:
+                ENDPOINT_LIST.changed.wait(2)
+                line = ENDPOINT_LIST.since(revision) if ENDPOINT_LIST.revision > revision else b"\n"
 
     def log_message(self, *_: object) -> None:
-        """Logs nothing: the sidecar's own log is what a reader wants to see."""
+        """Logs nothing, so that only the sidecar's own log is shown."""
 
 
 def main() -> None:
-    """Serves until interrupted, and takes changes of the list from standard input."""
+    """Serves until interrupted and reads changes of the endpoint list from standard input."""
     for port, handler in [(8500, Discovery), *((port, Endpoint) for port in PORTS.values())]:
         server = ThreadingHTTPServer(("127.0.0.1", port), handler)
         server.daemon_threads = True
@@ -119,10 +122,14 @@
         for line in sys.stdin:
             verb, _, name = line.strip().partition(" ")
             if verb in PHASES and name in PORTS:
-                LISTING.change(name, PHASES[verb])
+                ENDPOINT_LIST.change(name, PHASES[verb])
             else:
-                print(f"say one of {', '.join(PHASES)} and one of {', '.join(PORTS)}", file=sys.stderr)
-        threading.Event().wait()  # standard input has ended; serve on
+                print(
+                    f"expected one of {', '.join(PHASES)} and one of {', '.join(PORTS)}: "
+                    f"{line.strip()[:80]!r}",
+                    file=sys.stderr,
+                )
+        threading.Event().wait()  # standard input has ended; keep serving
     except KeyboardInterrupt:
         return
 
