--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build, try, test, bench, run. `make run CONFIG=...` starts a sidecar with another configuration.
+# Main targets: build, try, test, bench, run. `make run CONFIG=FILE` starts a sidecar with another configuration.
 CONFIG ?= example/config.json
 AGAINST ?= HEAD
 KIT ?=
