--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded bytes of every wire, which no change may alter unnoticed."""
+"""Golden tests: recorded bytes of every protocol, which no change may alter unnoticed."""
--- a/tests/golden/record_adapter.py
+++ b/tests/golden/record_adapter.py
@@ -1,10 +1,12 @@
-"""Records the simulator adapter: a closed loop of batches and replies with a small fleet of model endpoints.
+"""Records input and output of the simulator adapter with a small simulated fleet of endpoints.
 
     python -m tests.golden.record_adapter
 
-plays each scenario against `python -m cressrail.wirehost`, writes adapter-<scenario>.in.txt and .out.txt
-beside this file, and prints how often each message occurs. It is run by hand, only when a change of
-behaviour is meant; the sums in test_adapter.py are then set to those of the new inputs.
+The recorder takes the place of the simulator: it sends batches of events to `python -m cressrail.wirehost`
+and derives later events from the actions that it receives. For each scenario it writes
+adapter-<scenario>.in.txt and adapter-<scenario>.out.txt beside this file and prints how often each message
+occurs. Run it manually, and only if a change of behaviour is intended; then update the checksums of the
+inputs in test_adapter.py.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
     zone: str
     cell: int
     scale: float
-    capacity: int  # requests at once that run at full speed
+    capacity: int  # number of concurrent requests that run at full speed
     condition: str = "on"
     boot_us: int = 0
     latency_us: int = 60_000
@@ -70,7 +72,7 @@
     name: str
     seed: int
     instances: dict[str, dict[str, str]]
-    rate: float  # transactions a second
+    rate: float  # mean number of arrivals per second
     length_us: int
     endpoints: list[Endpoint]
     timeline: list[tuple[float, str, tuple[str, ...]]]
@@ -84,21 +86,21 @@
         )
         self.sent: list[str] = []
         self.got: list[str] = []
-        self.queue: list[tuple[int, int, tuple[str, ...]]] = []  # due, order, what
+        self.queue: list[tuple[int, int, tuple[str, ...]]] = []  # due time, tie-breaker, event
         self.order = count()
         self.requests: dict[str, Request] = {}
         self.endpoints = {e.address: e for e in scenario.endpoints}
-        self.alive: dict[str, int] = {}  # by name, which life
+        self.alive: dict[str, int] = {}  # number of its latest start, by instance
         self.lives = 0
         self.subscribed: set[str] = set()
         self.epoch, self.slot, self.ids = 40, 0, 0
         self.rate, self.hurry = scenario.rate, 1.0
         self.teams: list[str] = ["t0", "t1", "t2", "stranger", ""]
         self.counts: Counter[str] = Counter()
-        self.fresh: set[str] = set()  # requests of this batch
+        self.fresh: set[str] = set()  # requests that arrive in the current batch
         self.now = 7_000_000
 
-    # What the simulator does
+    # The part of the simulator: timers, batches and attempts
 
     def later(self, at_us: int, *what: str) -> None:
         heapq.heappush(self.queue, (at_us, next(self.order), what))
@@ -289,7 +291,7 @@
             f"endpoint={endpoint.address} cost_time_us={cost} ending={ending}{gauge}"
         ]
 
-    # What happens to the fleet
+    # Changes of the fleet, the endpoint list and the load
 
     def inventory(self, of: list[Endpoint]) -> list[str]:
         self.slot = (self.slot + 1) % 16
--- a/tests/golden/record_failover.py
+++ b/tests/golden/record_failover.py
@@ -1,6 +1,6 @@
-"""Writes failover-datagrams.json, by hand, only when a change of the messages is meant.
+"""Records failover-datagrams.json.
 
-Run as `python -m tests.golden.record_failover`.
+Run manually as `python -m tests.golden.record_failover`, and only if a change of the messages is intended.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 
 def main() -> None:
-    neutral.store("failover-datagrams.json", {"messages": [], "odd": []})
-    from tests.golden.test_failover_datagrams import FILE, decoded, encoded
+    neutral.write_stored("failover-datagrams.json", {"messages": [], "odd": []})
+    from tests.golden.test_failover_datagrams import FILE, decode, encode
 
     random = Random(30)
     now, later = 500 * SECOND, 777 * SECOND
@@ -73,18 +73,18 @@
     cases: list[Any] = []
     odd: list[bytes] = [b"", b"\0", b"\x09" + b"\0" * 40, b"\xff"]
     for kind, value in messages:
-        data = encoded(kind, value, now)
-        read = decoded(data, later)
-        if read is None:  # written, but not read back: more hops that failed than were sent
+        data = encode(kind, value, now)
+        read = decode(data, later)
+        if read is None:  # can be encoded, but not decoded: it reports more failed attempts than were sent
             odd.append(data)
             continue
         cases.append([kind, value, now, data.hex(), later, read[1]])
     for kind in dict.fromkeys(kind for kind, _ in messages):
-        data = encoded(*next((k, v) for k, v in messages[::-1] if k == kind and k), now)
+        data = encode(*next((k, v) for k, v in messages[::-1] if k == kind and k), now)
         odd += [data[:-1], data + b"\0\x01more", data[:1], data[: len(data) // 2]]
         odd += [data[:at] + bytes([data[at] ^ 0xC1]) + data[at + 1 :] for at in range(1, min(len(data), 40))]
-    neutral.store(
-        FILE, {"messages": cases, "odd": [[data.hex(), later, decoded(data, later)] for data in odd]}
+    neutral.write_stored(
+        FILE, {"messages": cases, "odd": [[data.hex(), later, decode(data, later)] for data in odd]}
     )
 
 
--- a/tests/golden/record_membership.py
+++ b/tests/golden/record_membership.py
@@ -1,6 +1,6 @@
-"""Writes membership-datagrams.json, by hand, only when a change of the datagrams is meant.
+"""Records membership-datagrams.json.
 
-Run as `python -m tests.golden.record_membership`.
+Run manually as `python -m tests.golden.record_membership`, and only if a change of the datagrams is intended.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 
 def main() -> None:
-    neutral.store("membership-datagrams.json", {"fields": [], "datagrams": [], "refused": []})
-    from tests.golden.test_membership_datagrams import FILE, decoded, encoded, field
+    neutral.write_stored("membership-datagrams.json", {"fields": [], "datagrams": [], "refused": []})
+    from tests.golden.test_membership_datagrams import FILE, decode, encode, field
 
     random = Random(20)
 
@@ -63,19 +63,19 @@
         given.append((kind, [first, *every, ["digest", [row(n % 4)[:4] for n in range(14)]], ["pad", 3]]))
     given += [(2, [own, told]) for told in fields]
     given += [
-        (1, [own, ["raw", "63036e6577"], ["call", [1, 2]]]),  # of an unknown tag
-        (1, [own, ["raw", "041000000001000000000000000263636363"]]),  # longer than what is known
-        (6, [own, ["call", [1, 2]]]),  # a page that has its sender's whole record
+        (1, [own, ["raw", "63036e6577"], ["call", [1, 2]]]),  # a field with an unknown tag
+        (1, [own, ["raw", "041000000001000000000000000263636363"]]),  # a known field with additional bytes
+        (6, [own, ["call", [1, 2]]]),  # a datagram of kind 6 that has the complete record of its sender
         (5, [["brief", row(0)], own, ["self", row(1)[:4]]]),
-        (1, [own, ["raw", "0b0400000000"]]),  # too short to say anything
+        (1, [own, ["raw", "0b0400000000"]]),  # a field that is too short to decode
     ]
     datagrams = []
     for number, (kind, parts) in enumerate(given):
         nth = (0, U64, u64())[number % 3]
-        data = encoded(kind, nth, parts)
-        datagrams.append([kind, nth, parts, data.hex(), decoded(data)])
+        data = encode(kind, nth, parts)
+        datagrams.append([kind, nth, parts, data.hex(), decode(data)])
 
-    sound = encoded(1, 5, [own])
+    sound = encode(1, 5, [own])
     text = sound[:-32]
     refused = [sound[:-1], sound[:20] + b"\xff" + sound[21:], b"", sound[-32:]]
     odd = [
@@ -91,7 +91,7 @@
     from tests.golden.test_membership_datagrams import KEY
 
     refused += [sign_datagram(KEY, part) for part in odd]
-    neutral.store(
+    neutral.write_stored(
         FILE,
         {
             "fields": [[name, value, field(name, value).hex()] for name, value in fields],
--- a/tests/golden/test_failover_datagrams.py
+++ b/tests/golden/test_failover_datagrams.py
@@ -1,6 +1,7 @@
-"""Every kind of failover message.
+"""Golden tests of every kind of failover message.
 
-Stored values give the stored bytes, and those are read back as the stored values at a later time.
+Encoding the stored values gives the stored bytes; decoding these at a later time gives the values that are
+stored for that time.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 
 from cressrail.failover import codec, messages
 from cressrail.failover.messages import Decision, DrainRequest, Epoch, Evidence, ZoneObservation, ZoneStatus
-from tests.golden.neutral import neutral, stored, tuples
+from tests.golden.neutral import plain_values, read_stored, to_tuples
 
 FILE = "failover-datagrams.json"
-STORED = stored(FILE)
+STORED = read_stored(FILE)
 KINDS: dict[str, type] = {
     "report": messages.Report,
     "ack": messages.Acknowledgement,
@@ -28,8 +29,8 @@
 
 
 def message(kind: str, value: list[Any]) -> Any:
-    """From the stored name and values, in order."""
-    values = list(tuples(value))
+    """Builds a message from the stored name of its kind and its values, in the order of the fields."""
+    values = list(to_tuples(value))
     if kind == "report":
         zone, demand, towards = values[2]
         values[1:] = (
@@ -45,32 +46,32 @@
     return KINDS[kind](*values)
 
 
-def encoded(kind: str, value: list[Any], now: int) -> bytes:
+def encode(kind: str, value: list[Any], now: int) -> bytes:
     return codec.encode(message(kind, value), now)
 
 
-def decoded(data: bytes, now: int) -> Any:
-    """The name and the values, or nothing."""
+def decode(data: bytes, now: int) -> Any:
+    """Returns the name of the kind and the values; None if the bytes are not a valid message."""
     message = codec.decode(data, now)
     if message is None:
         return None
     [kind] = [name for name, message_type in KINDS.items() if type(message) is message_type]
-    return [kind, neutral(message)]
+    return [kind, plain_values(message)]
 
 
 @pytest.mark.parametrize("case", STORED["messages"], ids=lambda case: str(case[0]))
-def test_a_message_has_the_stored_bytes_and_is_read_back(case: list[Any]) -> None:
+def test_message_has_stored_bytes_and_is_decoded(case: list[Any]) -> None:
     kind, value, now, data, later, read = case
-    assert encoded(kind, value, now).hex() == data
-    assert decoded(bytes.fromhex(data), later) == [kind, read]
+    assert encode(kind, value, now).hex() == data
+    assert decode(bytes.fromhex(data), later) == [kind, read]
 
 
 @pytest.mark.parametrize("case", STORED["odd"])
-def test_odd_bytes_are_read_as_they_were(case: list[Any]) -> None:
+def test_malformed_and_unusual_bytes_are_decoded_as_recorded(case: list[Any]) -> None:
     data, later, read = case
-    assert decoded(bytes.fromhex(data), later) == read
+    assert decode(bytes.fromhex(data), later) == read
 
 
-def test_every_kind_is_stored() -> None:
+def test_every_kind_is_recorded() -> None:
     assert {case[0] for case in STORED["messages"]} == set(KINDS)
     assert {bytes.fromhex(case[3])[0] for case in STORED["messages"]} == set(range(1, 9))
--- a/tests/golden/test_membership_datagrams.py
+++ b/tests/golden/test_membership_datagrams.py
@@ -1,6 +1,6 @@
-"""Every kind of membership datagram and of field.
+"""Golden tests of every kind of membership datagram and every kind of field.
 
-Stored values give the stored bytes, and those are read back as the stored values.
+Encoding the stored values gives the stored bytes; decoding these gives the stored decoded values.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from cressrail.membership.authentication import sign_datagram, verified_payload
 from cressrail.membership.load_reports import LoadReport
 from cressrail.membership.messages import IdRange, InstanceRecord, InstanceStatus, ReachabilityReport
-from tests.golden.neutral import neutral, stored, tuples
+from tests.golden.neutral import plain_values, read_stored, to_tuples
 
 FILE = "membership-datagrams.json"
 KEY, OTHER = bytes(range(32)), bytes(range(32, 64))
-STORED = stored(FILE)
+STORED = read_stored(FILE)
 
 
 ENCODERS: dict[str, Callable[[Any], bytes]] = {
@@ -38,42 +38,42 @@
 
 
 def field(name: str, value: Any) -> bytes:
-    """One field from its stored name and values."""
-    return ENCODERS[name](tuples(value))
+    """Encodes a field from its stored name and values."""
+    return ENCODERS[name](to_tuples(value))
 
 
-def encoded(kind: int, number: int, given: list[Any]) -> bytes:
+def encode(kind: int, number: int, given: list[Any]) -> bytes:
     return sign_datagram(
         KEY, codec.encode_datagram(kind, number, b"".join(field(name, value) for name, value in given))
     )
 
 
-def decoded(data: bytes) -> Any:
+def decode(data: bytes) -> Any:
     text = verified_payload((OTHER, KEY), data)
     assert text is not None
-    return neutral(codec.decode_datagram(text))
+    return plain_values(codec.decode_datagram(text))
 
 
 @pytest.mark.parametrize("case", STORED["fields"], ids=lambda case: str(case[0]))
-def test_a_field_has_the_stored_bytes(case: list[Any]) -> None:
+def test_field_has_stored_bytes(case: list[Any]) -> None:
     name, value, data = case
     assert field(name, value).hex() == data
 
 
 @pytest.mark.parametrize("case", STORED["datagrams"], ids=lambda case: f"kind{case[0]}")
-def test_a_datagram_has_the_stored_bytes_and_is_read_back(case: list[Any]) -> None:
+def test_datagram_has_stored_bytes_and_is_decoded(case: list[Any]) -> None:
     kind, number, given, data, read = case
-    assert encoded(kind, number, given).hex() == data
-    assert decoded(bytes.fromhex(data)) == read
+    assert encode(kind, number, given).hex() == data
+    assert decode(bytes.fromhex(data)) == read
 
 
 @pytest.mark.parametrize("data", STORED["refused"])
-def test_what_was_refused_is_refused(data: str) -> None:
+def test_malformed_datagram_is_rejected(data: str) -> None:
     text = verified_payload((OTHER, KEY), bytes.fromhex(data))
     if text is not None:
         with pytest.raises(codec.MalformedDatagramError):
             codec.decode_datagram(text)
 
 
-def test_every_kind_is_stored() -> None:
+def test_every_kind_is_recorded() -> None:
     assert {case[0] for case in STORED["datagrams"]} == set(codec.KINDS)
