--- a/tests/golden_edges/__init__.py
+++ b/tests/golden_edges/__init__.py
@@ -1,1 +1,1 @@
-"""Pins of what the program says at its edges, byte by byte: each is held against a stored file."""
+"""Golden tests of what the program sends, prints and reads, each compared with a stored file."""
--- a/tests/golden_edges/processes.py
+++ b/tests/golden_edges/processes.py
@@ -1,4 +1,4 @@
-"""Whole processes of the program, and calls to them as they come from outside."""
+"""Sidecars that run as separate processes, and requests to them from outside."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
         return int(sock.getsockname()[1])
 
 
-_RESERVED: list[socket.socket] = []  # held until the tests end
+_RESERVED: list[socket.socket] = []  # kept open until the test process exits
 
 
 def refusing_port() -> int:
-    """A port that refuses connections and is given to nobody else: bound, without a listener.
+    """Returns a port that refuses connections and stays reserved: its socket is bound, but does not listen.
 
-    A sidecar goes on to poll a discovery that refuses it; were the port free, the system could give it to a
-    listener of another test, which would then read that poll.
+    A sidecar keeps polling a discovery service that refuses its connections. If the port were free, the
+    kernel could assign it to a listener of another test, which would then receive that poll.
     """
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
@@ -37,17 +37,17 @@
     return int(sock.getsockname()[1])
 
 
-def configured(**more: Any) -> dict[str, Any]:
-    """The tests' configuration on free ports; its one endpoint and discovery refuse connections."""
+def make_configuration(**sections: Any) -> dict[str, Any]:
+    """Returns the shared configuration with free ports; its endpoint and its discovery refuse connections."""
     config = copy.deepcopy(SIDECAR_CONFIGURATION)
     config["known"]["members"] = [endpoint_entry("s0", refusing_port())]
     config |= {name: f"127.0.0.1:{free_port()}" for name in ("listen", "ops")}
     config["discovery"] = f"127.0.0.1:{refusing_port()}"
-    return {**config, **more}
+    return {**config, **sections}
 
 
 class Process:
-    """A sidecar in a process of its own."""
+    """A sidecar that runs as a separate process."""
 
     def __init__(self, folder: Path, config: dict[str, Any]) -> None:
         self.config, name = config, config["name"]
@@ -62,9 +62,9 @@
                 stderr=log,
             )
 
-    def send(self, text: bytes, at: str = "ops") -> bytes:
-        """All that is answered to these bytes; nothing while nobody listens."""
-        host, _, port = self.config[at].rpartition(":")
+    def send(self, text: bytes, address_key: str = "ops") -> bytes:
+        """Sends bytes to a configured address; returns the whole response, or b"" if the connection fails."""
+        host, _, port = self.config[address_key].rpartition(":")
         try:
             with socket.create_connection((host, int(port)), timeout=10) as sock:
                 sock.sendall(text)
@@ -75,23 +75,25 @@
         except OSError:
             return b""
 
-    def call(self, method: str, target: str, at: str = "ops") -> bytes:
-        return self.send(f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode(), at)
+    def call(self, method: str, target: str, address_key: str = "ops") -> bytes:
+        return self.send(
+            f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode(), address_key
+        )
 
     def get_json(self, target: str) -> Any:
         body = self.call("GET", target).partition(b"\r\n\r\n")[2]
         return json.loads(body) if body else None
 
-    def until(self, met: Callable[[], object], over_s: float = 30.0) -> None:
-        until = time.monotonic() + over_s
-        while not met():
-            assert self.process.poll() is None
-            assert time.monotonic() < until
+    def wait_until(self, condition: Callable[[], object], timeout_s: float = 30.0) -> None:
+        deadline_s = time.monotonic() + timeout_s
+        while not condition():
+            assert self.process.poll() is None, f"the sidecar exited with {self.process.returncode}"
+            assert time.monotonic() < deadline_s, f"the condition was not met within {timeout_s} s"
             time.sleep(0.05)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return self.call("GET", "/control/ready").startswith(b"HTTP/1.1 200 ")
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.kill()
         self.process.wait()
--- a/tests/golden_edges/stored.py
+++ b/tests/golden_edges/stored.py
@@ -1,4 +1,4 @@
-"""The stored values that pins are held against: one JSON file each, compared as text."""
+"""Comparison of results with stored JSON files, as text."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 DATA = Path(__file__).parent / "data"
 
 
-def text_of(found: Any) -> str:
-    return json.dumps(found, indent=1) + "\n"
+def json_text(value: Any) -> str:
+    """Formats a value as in the stored files."""
+    return json.dumps(value, indent=1) + "\n"
 
 
-def hold(found: dict[str, Any], name: str) -> None:
-    """Fails if one value, key or the order of keys differs from the stored file."""
+def assert_matches_stored(found: dict[str, Any], name: str) -> None:
+    """Fails if a value, a key or the order of the keys differs from the stored file."""
     text = (DATA / name).read_text()
     for key, value in json.loads(text).items():
-        assert found.get(key) == value, key
-    assert text_of(found) == text
+        assert found.get(key) == value, f"{key!r} differs from {name}"
+    assert json_text(found) == text
--- a/tests/golden_edges/test_check_messages.py
+++ b/tests/golden_edges/test_check_messages.py
@@ -1,6 +1,6 @@
-"""Pins of `python -m cressrail check FILE`: the exit status, and the setting that the message names.
+"""Golden tests of `python -m cressrail check FILE`: its exit status and the setting that its message names.
 
-The words around it may improve; the stored file holds only these two.
+The stored file holds only these two, so that the wording of the messages may change.
 """
 
 from __future__ import annotations
@@ -19,49 +19,50 @@
 from tests.golden_edges.stored import DATA
 from tests.support.configuration import SIDECAR_CONFIGURATION, mesh_configuration
 
-HERE = Path(__file__).resolve().parents[2]
-GONE = object()
-TALK = {"listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7947"], "keys": "keys"}
-ZONES = {"regions": {"n": ["a"], "s": ["b"]}, "way_ms": 30}
+ROOT = Path(__file__).resolve().parents[2]
+REMOVED = object()  # as a value: the setting is removed
+MEMBERSHIP = {"listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7947"], "keys": "keys"}
+FAILOVER = {"regions": {"n": ["a"], "s": ["b"]}, "way_ms": 30}
 
 
-def put(config: dict[str, Any], at: str, value: Any) -> dict[str, Any]:
-    *way, last = at.split(".")
-    inner: Any = config
-    for name in way:
-        inner = inner[int(name)] if isinstance(inner, list) else inner[name]
-    if value is GONE:
-        del inner[last]
+def set_in_place(config: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+    *parents, last = path.split(".")
+    section: Any = config
+    for name in parents:
+        section = section[int(name)] if isinstance(section, list) else section[name]
+    if value is REMOVED:
+        del section[last]
     else:
-        inner[last] = value
+        section[last] = value
     return config
 
 
-def changed(at: str, value: Any, base: dict[str, Any] = SIDECAR_CONFIGURATION) -> dict[str, Any]:
-    return put(copy.deepcopy(base), at, value)
+def changed(path: str, value: Any, base: dict[str, Any] = SIDECAR_CONFIGURATION) -> dict[str, Any]:
+    return set_in_place(copy.deepcopy(base), path, value)
 
 
-def talking(at: str = "", value: Any = None, **parts: Any) -> dict[str, Any]:
-    config = copy.deepcopy(SIDECAR_CONFIGURATION) | {"membership": copy.deepcopy(TALK)} | copy.deepcopy(parts)
-    return put(config, at, value) if at else config
+def with_membership(path: str = "", value: Any = None, **sections: Any) -> dict[str, Any]:
+    config = copy.deepcopy(SIDECAR_CONFIGURATION) | {"membership": copy.deepcopy(MEMBERSHIP)}
+    config |= copy.deepcopy(sections)
+    return set_in_place(config, path, value) if path else config
 
 
 CASES: dict[str, Any] = {
     "good": SIDECAR_CONFIGURATION,
     "good mesh": mesh_configuration(),
-    "good, talks": talking(),
-    "good, zones": talking(failover=ZONES),
+    "good, talks": with_membership(),
+    "good, zones": with_membership(failover=FAILOVER),
     "not JSON": "{",
     "no object": "[]",
     "no file": None,
-    "no settings": changed("settings", GONE),
-    "no name": changed("name", GONE),
-    "no listen": changed("listen", GONE),
+    "no settings": changed("settings", REMOVED),
+    "no name": changed("name", REMOVED),
+    "no listen": changed("listen", REMOVED),
     "listen": changed("listen", "here"),
     "listen out of range": changed("listen", "127.0.0.1:70000"),
-    "no discovery": changed("discovery", GONE),
+    "no discovery": changed("discovery", REMOVED),
     "discovery": changed("discovery", "127.0.0.1"),
-    "no seed": changed("seed", GONE),
+    "no seed": changed("seed", REMOVED),
     "seed": changed("seed", "xyz"),
     "ops": changed("ops", "here"),
     "ops is listen": changed("ops", SIDECAR_CONFIGURATION["listen"]),
@@ -70,10 +71,10 @@
     "memory": changed("limits.memory_mb", 1),
     "known": changed("known", []),
     "no profiles": changed("settings.profiles", []),
-    "profile without name": changed("settings.profiles.0.name", GONE),
+    "profile without name": changed("settings.profiles.0.name", REMOVED),
     "repeat": changed("settings.profiles.0.repeat", "often"),
     "key scope": changed("settings.profiles.1.key_scope", "town"),
-    "no window": changed("settings.profiles.1.window_us", GONE),
+    "no window": changed("settings.profiles.1.window_us", REMOVED),
     "hard limit": changed("settings.profiles.2.hard_limit_us", 0),
     "goal": changed("settings.profiles.0.service_goal_us", "soon"),
     "overdue": changed("settings.profiles.0.overdue_revenue", 2),
@@ -81,7 +82,7 @@
     "mode": changed("settings.membership_mode", "none"),
     "stage": changed("settings.stage", 7),
     "zone": changed("settings.zone", "nowhere"),
-    "no tiers": changed("settings.tiers", GONE),
+    "no tiers": changed("settings.tiers", REMOVED),
     "round": changed("settings.round_us", 0),
     "instances": changed("settings.n_instances", 0),
     "slot": changed("settings.slot_no", -1),
@@ -92,78 +93,78 @@
     "fall multiple": changed("settings.contract.fall_multiple", 0),
     "fall": changed("settings.contract.fall_us", 0),
     "idle": changed("settings.limits.conn_idle_us", 0),
-    "connect": changed("settings.limits.connect_timeout_us", GONE),
+    "connect": changed("settings.limits.connect_timeout_us", REMOVED),
     "hops": changed("settings.limits.most_hops", 0),
     "cancel": changed("settings.limits.may_cancel", "perhaps"),
     "probes": changed("settings.limits.probes", 7),
     "type": changed("settings.domain_type", "ring"),
     "chain with multiplex": changed("settings.limits.multiplex", 100),
-    "mesh without multiplex": changed("settings.limits.multiplex", GONE, mesh_configuration()),
+    "mesh without multiplex": changed("settings.limits.multiplex", REMOVED, mesh_configuration()),
     "mesh of one stream": changed("settings.limits.multiplex", 1, mesh_configuration()),
     "mesh of two tiers": changed("settings.tiers", ["x", "y"], mesh_configuration()),
     "mesh with a stage": changed("settings.stage", 1, mesh_configuration()),
-    "membership": talking(membership=7),
-    "membership, no file": talking(membership="none.toml"),
-    "membership, listen": talking("membership.listen", "here:1"),
-    "membership, no listen": talking("membership.listen", GONE),
-    "membership, advertise": talking("membership.advertise", "0.0.0.0:7946"),
-    "membership, key unknown": talking("membership.seed", []),
-    "membership, seeds": talking("membership.seeds", "127.0.0.1:7947"),
-    "membership, a seed": talking("membership.seeds", ["127.0.0.1:7947", "a:b"]),
-    "membership, no keys": talking("membership.keys", GONE),
-    "membership, keys' file": talking("membership.keys", "none"),
-    "membership, bytes": talking("membership.most_bytes", 9000),
-    "membership, bytes few": talking("membership.most_bytes", 100),
-    "membership, pause": talking("membership.bear_pause_ms", 1),
-    "membership, pause long": talking("membership.bear_pause_ms", 700_000),
-    "membership, zone": talking("membership.zone", ""),
-    "membership, use": talking("membership.use", ["copies", "all"]),
-    "failover alone": changed("failover", ZONES),
-    "failover": talking(failover=7),
-    "failover, no file": talking(failover="none.toml"),
-    "failover, key unknown": talking(failover={"ways": 1}),
-    "failover, regions": talking(failover={"regions": ["a"]}),
-    "failover, zone unknown": talking(failover={"regions": {"n": ["a", "b", "c"]}}),
-    "failover, zone twice": talking(failover={"regions": {"n": ["a", "b"], "s": ["a"]}}),
-    "failover, zone in none": talking(failover={"regions": {"n": ["a"]}}),
-    "failover, way": talking(failover={"way_ms": -1}),
+    "membership": with_membership(membership=7),
+    "membership, no file": with_membership(membership="none.toml"),
+    "membership, listen": with_membership("membership.listen", "here:1"),
+    "membership, no listen": with_membership("membership.listen", REMOVED),
+    "membership, advertise": with_membership("membership.advertise", "0.0.0.0:7946"),
+    "membership, key unknown": with_membership("membership.seed", []),
+    "membership, seeds": with_membership("membership.seeds", "127.0.0.1:7947"),
+    "membership, a seed": with_membership("membership.seeds", ["127.0.0.1:7947", "a:b"]),
+    "membership, no keys": with_membership("membership.keys", REMOVED),
+    "membership, keys' file": with_membership("membership.keys", "none"),
+    "membership, bytes": with_membership("membership.most_bytes", 9000),
+    "membership, bytes few": with_membership("membership.most_bytes", 100),
+    "membership, pause": with_membership("membership.bear_pause_ms", 1),
+    "membership, pause long": with_membership("membership.bear_pause_ms", 700_000),
+    "membership, zone": with_membership("membership.zone", ""),
+    "membership, use": with_membership("membership.use", ["copies", "all"]),
+    "failover alone": changed("failover", FAILOVER),
+    "failover": with_membership(failover=7),
+    "failover, no file": with_membership(failover="none.toml"),
+    "failover, key unknown": with_membership(failover={"ways": 1}),
+    "failover, regions": with_membership(failover={"regions": ["a"]}),
+    "failover, zone unknown": with_membership(failover={"regions": {"n": ["a", "b", "c"]}}),
+    "failover, zone twice": with_membership(failover={"regions": {"n": ["a", "b"], "s": ["a"]}}),
+    "failover, zone in none": with_membership(failover={"regions": {"n": ["a"]}}),
+    "failover, way": with_membership(failover={"way_ms": -1}),
 }
 
 
-def checked(file: Path) -> tuple[int, str, str]:
+def run_check(file: Path) -> tuple[int, str, str]:
     env = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "cressrail", "check", str(file)],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
         env=env,
-        cwd=HERE,
+        cwd=ROOT,
     )
-    return ran.returncode, ran.stdout, ran.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 STORED: dict[str, Any] = json.loads((DATA / "check.json").read_text())
 
 
-def names(line: str, path: str) -> bool:
+def names_setting(line: str, path: str) -> bool:
     return re.search(rf"(?<![\w.]){re.escape(path)}(?![\w]|\.\w)", line) is not None
 
 
-def test_all_stored_cases_are_played() -> None:
+def test_all_stored_cases_are_run() -> None:
     assert list(STORED["faulty"]) == list(CASES)
     assert list(STORED["examples"]) == ["config", "mesh"]
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_configurations(tmp_path: Path, name: str) -> None:
+def test_status_and_named_setting_of_configurations(tmp_path: Path, name: str) -> None:
     status, path = STORED["faulty"][name]
-    file, given = tmp_path / "config.json", CASES[name]
+    file, configuration = tmp_path / "config.json", CASES[name]
     (tmp_path / "keys").write_text("5a" * 32 + "\n")
-    if given is not None:
-        file.write_text(given if isinstance(given, str) else json.dumps(given))
-    code, out, err = checked(file)
+    if configuration is not None:
+        file.write_text(configuration if isinstance(configuration, str) else json.dumps(configuration))
+    code, out, err = run_check(file)
     assert code == status
     if not status:
         assert not err
@@ -174,14 +175,14 @@
     assert err.count("\n") == 1
     assert err.endswith("\n")
     message = err.replace(str(tmp_path), "FOLDER")
-    assert names(message, path), message
+    assert names_setting(message, path), message
 
 
 @pytest.mark.parametrize("name", ["config", "mesh"])
-def test_examples(name: str) -> None:
+def test_status_and_output_of_example_configurations(name: str) -> None:
     status, words = STORED["examples"][name]
-    code, out, err = checked(HERE / "example" / f"{name}.json")
+    code, out, err = run_check(ROOT / "example" / f"{name}.json")
     assert code == status
     assert not err
     for word in words:
-        assert names(out, word), word
+        assert names_setting(out, word), word
--- a/tests/golden_edges/test_stored_files.py
+++ b/tests/golden_edges/test_stored_files.py
@@ -1,6 +1,6 @@
-"""Pins of files of an earlier version: what reads them goes on to read the same values.
+"""Golden tests of files that an earlier version wrote or read: they must be read with the same values.
 
-They are a run's ledgers, a sidecar's log and a trace, and scenarios that people wrote.
+The files are the event records of a run, the log of a sidecar, traces, scenarios and configurations.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from cressrail.testbed.event_record import EventRecord, read_events
 from cressrail.testbed.membership_evidence import collect_membership_evidence
 from cressrail.testbed.scenario import FleetScenario
-from cressrail.testbed.scenario_file import read_scenario as read_words
-from tests.golden_edges.stored import DATA, hold, text_of
+from cressrail.testbed.scenario_file import read_scenario
+from tests.golden_edges.stored import DATA, assert_matches_stored, json_text
 from tests.support.configuration import SIDECAR_CONFIGURATION
 
-HERE = Path(__file__).resolve().parents[2]
-WORDS: dict[str, type[BaseModel]] = {
+ROOT = Path(__file__).resolve().parents[2]
+SCENARIO_MODELS: dict[str, type[BaseModel]] = {
     "example/failover": Scenario,
     "example/fleets": FleetScenario,
     "example/experiments": Experiment,
@@ -38,11 +38,11 @@
 
 
 def digest(value: Any) -> str:
-    """Of values and the words of a file, however its reader names them inside."""
+    """Returns the SHA-256 digest of values as JSON, in hex digits."""
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()
 
 
-def ran(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*words: str) -> subprocess.CompletedProcess[str]:
     env = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     return subprocess.run(
         [sys.executable, "-m", "cressrail", *words],
@@ -51,60 +51,60 @@
         timeout=60,
         check=False,
         env=env,
-        cwd=HERE,
+        cwd=ROOT,
     )
 
 
-def kinds(path: Path) -> dict[str, Any]:
-    """How many rows there are with the same keys, and a digest of all values."""
+def summarize_events(path: Path) -> dict[str, Any]:
+    """Returns the number of rows for each set of keys, and a digest of all rows."""
     events = list(read_events(path))
     return {"rows": dict(Counter(" ".join(row) for row in events)), "digest": digest(events)}
 
 
-def test_ledgers_are_read(tmp_path: Path) -> None:
+def test_event_records_are_read(tmp_path: Path) -> None:
     found: dict[str, Any] = {
-        name: kinds(DATA / name) for name in ("fleet.jsonl", "load.jsonl", "sidecar.log")
+        name: summarize_events(DATA / name) for name in ("fleet.jsonl", "load.jsonl", "sidecar.log")
     }
-    seen = collect_membership_evidence(read_events(DATA / "fleet.jsonl"))
+    evidence = collect_membership_evidence(read_events(DATA / "fleet.jsonl"))
     found["views"] = {
         "lives": {
-            name: [process.tier, len(process.changes)] for name, process in sorted(seen.processes.items())
+            name: [process.tier, len(process.changes)] for name, process in sorted(evidence.processes.items())
         },
-        "rows": len(seen.views),
-        "said": [logged.event for logged in seen.logged_events],
-        "deaths": len(seen.kills),
-        "void": seen.invalid_reason,
+        "rows": len(evidence.views),
+        "said": [logged.event for logged in evidence.logged_events],
+        "deaths": len(evidence.kills),
+        "void": evidence.invalid_reason,
     }
     again = EventRecord(tmp_path / "again")
     for row in read_events(DATA / "load.jsonl"):
         again.append(**row)
     again.close()
     assert (tmp_path / "again").read_bytes() == (DATA / "load.jsonl").read_bytes()
-    hold(found, "ledgers.json")
+    assert_matches_stored(found, "ledgers.json")
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_run_is_judged(tmp_path: Path, broken: bool) -> None:
-    """A ledger in which one request that is not to be retried ran a second time breaks rule 2."""
+def test_recorded_run_is_judged(tmp_path: Path, broken: bool) -> None:
+    """Rule 2 is broken by an event record in which a request that must not be retried ran twice."""
     fleet = list(read_events(DATA / "fleet.jsonl"))
     if broken:
         attempt = next(row for row in fleet if row.get("profile") == "pay" and row["ran"])
         fleet.append({**attempt, "came_us": attempt["came_us"] + 1000})
     (tmp_path / "fleet.jsonl").write_text("".join(json.dumps(row) + "\n" for row in fleet))
-    judged = ran(
+    judged = run_command(
         "standin", "judge", str(DATA / "fleet.toml"), str(tmp_path / "fleet.jsonl"), str(DATA / "load.jsonl")
     )
     rules = re.findall(r"^rule (\d+): ([^:]+):", judged.stdout, re.MULTILINE)
     name = "judged_broken.json" if broken else "judged.json"
-    hold({"status": judged.returncode, "rules": [list(rule) for rule in rules]}, name)
+    assert_matches_stored({"status": judged.returncode, "rules": [list(rule) for rule in rules]}, name)
 
 
 @pytest.mark.parametrize(
     ("source", "trace"), [("load.jsonl", "trace.jsonl"), ("sidecar.log", "log_trace.jsonl")]
 )
-def test_traces_are_recorded_to_the_byte(tmp_path: Path, source: str, trace: str) -> None:
+def test_recorded_traces_have_stored_bytes(tmp_path: Path, source: str, trace: str) -> None:
     out = tmp_path / "t.jsonl"
-    assert ran("load", "record", str(DATA / source), str(out), "--size", "9").returncode == 0
+    assert run_command("load", "record", str(DATA / source), str(out), "--size", "9").returncode == 0
     assert out.read_bytes() == (DATA / trace).read_bytes()
 
 
@@ -122,41 +122,41 @@
                 "first": read[:2],
                 "digest": digest(read),
             }
-    hold(found, "traces.json")
+    assert_matches_stored(found, "traces.json")
 
 
 def test_scenarios_are_read() -> None:
     found: dict[str, Any] = {}
-    for folder, model in WORDS.items():
-        for path in sorted((HERE / folder).glob("*.toml")):
-            values = read_words(path, model).model_dump(mode="json", by_alias=True)
+    for folder, model in SCENARIO_MODELS.items():
+        for path in sorted((ROOT / folder).glob("*.toml")):
+            values = read_scenario(path, model).model_dump(mode="json", by_alias=True)
             found[f"{folder}/{path.name}"] = digest(values)
     found["fleet.toml"] = digest(
-        read_words(DATA / "fleet.toml", FleetScenario).model_dump(mode="json", by_alias=True)
+        read_scenario(DATA / "fleet.toml", FleetScenario).model_dump(mode="json", by_alias=True)
     )
-    hold(found, "scenarios.json")
+    assert_matches_stored(found, "scenarios.json")
 
 
-def test_sites_stay_as_they_are() -> None:
+def test_site_files_are_unchanged() -> None:
     found = {}
-    for path in sorted((HERE / "deploy" / "sites").rglob("*")):
+    for path in sorted((ROOT / "deploy" / "sites").rglob("*")):
         if path.suffix == ".toml":
             found[f"{path.parent.name}/{path.name}"] = digest(tomllib.loads(path.read_text()))
         elif path.suffix == ".json":
             found[f"{path.parent.name}/{path.name}"] = digest(json.loads(path.read_text()))
-    hold(found, "sites.json")
+    assert_matches_stored(found, "sites.json")
 
 
-def test_the_parts_in_deploy_are_taken(tmp_path: Path) -> None:
-    """They name zones and a file of keys that stand beside them in service."""
+def test_sections_in_deploy_are_accepted(tmp_path: Path) -> None:
+    """The sections name zones and a key file, which an operator provides beside them."""
     config = json.loads(json.dumps(SIDECAR_CONFIGURATION)) | {
         "membership": "membership.toml",
         "failover": "failover.toml",
     }
     config["settings"].update(dcs=["hall-a", "hall-b", "hall-c"], zone="hall-a")
     for name in ("membership.toml", "failover.toml"):
-        (tmp_path / name).write_bytes((HERE / "deploy" / name).read_bytes())
+        (tmp_path / name).write_bytes((ROOT / "deploy" / name).read_bytes())
     (tmp_path / "membership.keys").write_text("5a" * 32 + "\n")
-    (tmp_path / "config.json").write_text(text_of(config))
-    checked = ran("check", str(tmp_path / "config.json"))
+    (tmp_path / "config.json").write_text(json_text(config))
+    checked = run_command("check", str(tmp_path / "config.json"))
     assert checked.returncode == 0, checked.stderr
