--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,9 +78,8 @@
             # Strict: a listed test that passes counts as a failure, so that it is taken off the list.
             marker = pytest.mark.xfail(reason=str(failure), strict=True)
             items_by_id[failure.test].add_marker(marker)
-    if not hasattr(
-        config, "workerinput"
-    ):  # with xdist, the controller process checks the tests that the workers collected
+    # With xdist, workers skip this check: the controller process checks the tests that they collected.
+    if not hasattr(config, "workerinput"):
         check_listed_tests_exist(config, items_by_id)
 
 
--- a/tests/golden/record_adapter.py
+++ b/tests/golden/record_adapter.py
@@ -36,6 +36,8 @@
 
 @dataclass
 class Endpoint:
+    """A simulated endpoint: its entry in the endpoint list and how it answers attempts."""
+
     address: str
     zone: str
     cell: int
@@ -58,6 +60,8 @@
 
 @dataclass
 class Request:
+    """A request and its attempts; `out` holds the numbers of the attempts that have not ended."""
+
     instance: str
     kind: str
     end_us: int
@@ -69,6 +73,8 @@
 
 @dataclass
 class Scenario:
+    """A recording: instances with their settings, the load, the endpoints and timed changes of these."""
+
     name: str
     seed: int
     instances: dict[str, dict[str, str]]
@@ -79,6 +85,8 @@
 
 
 class Player:
+    """Plays one scenario against an adapter process and records its input and output."""
+
     def __init__(self, scenario: Scenario) -> None:
         self.plan, self.random = scenario, Random(scenario.seed)
         self.child = subprocess.Popen(
@@ -103,9 +111,11 @@
     # The part of the simulator: timers, batches and attempts
 
     def later(self, at_us: int, *what: str) -> None:
+        """Schedules an event."""
         heapq.heappush(self.queue, (at_us, next(self.order), what))
 
     def play(self) -> None:
+        """Plays the whole scenario, writes the recorded files and prints the counts."""
         start = self.now
         self.exchange([])
         for seconds, name, told in self.plan.timeline:
@@ -135,6 +145,7 @@
             print(f"{self.plan.name}: {name} {n}")
 
     def exchange(self, events: list[str]) -> None:
+        """Sends a batch of events and handles the actions in the reply."""
         text = "".join(f"{line}\n" for line in [f"BEGIN_BATCH clock_us={self.now}", *events, "OVER_TO_YOU"])
         self.sent.append(text)
         for line in events:
@@ -149,7 +160,7 @@
         self.child.stdin.flush()
         while True:
             line = self.child.stdout.readline().decode()
-            assert line, "the adapter ended"
+            assert line, "the adapter exited before it had answered the batch"
             self.got.append(line)
             name, *parts = line.rstrip("\n").split(" ")
             self.counts[name] += 1
@@ -160,6 +171,7 @@
             self.action(name, dict(part.split("=", 1) for part in parts))
 
     def action(self, name: str, told: dict[str, str]) -> None:
+        """Handles one action of the adapter."""
         instance = told["i"]
         if name == "REMIND":
             self.later(int(told["at_us"]), "alarm", instance, str(self.alive[instance]), told["cookie"])
@@ -182,6 +194,7 @@
                 self.counts[f"{name} after waiting"] += 1
 
     def issue(self, xid: str, told: dict[str, str]) -> None:
+        """Starts an attempt, and schedules its end by the state of its endpoint and at random."""
         request, endpoint = self.requests[xid], self.endpoints[told["endpoint"]]
         n = len(request.hops)
         own = self.plan.instances[request.instance]["zone"] == endpoint.zone
@@ -220,6 +233,7 @@
         self.later(self.now + took, "end", xid, str(n), ending, str(self.now))
 
     def event(self, what: tuple[str, ...], end: int) -> list[str]:
+        """Returns the lines of a scheduled event, which may be none; no requests arrive after `end`."""
         name, *told = what
         if name == "arrive":
             if self.now > end:
@@ -239,6 +253,7 @@
         return self.happens(name, told)
 
     def arrive(self) -> list[str]:
+        """Returns the lines of one or two new requests."""
         events = []
         for _ in range(self.random.choice([1, 1, 1, 2])):
             self.ids += 1
@@ -257,6 +272,7 @@
         return events
 
     def vanish(self, xid: str) -> list[str]:
+        """Returns the line of a client that gives up its request, unless this has ended."""
         request = self.requests[xid]
         if request.done or request.instance not in self.alive:
             return []
@@ -264,6 +280,7 @@
         return [f"VANISHED i={request.instance} xid={xid}"]
 
     def began(self, told: list[str]) -> list[str]:
+        """Returns the line of an attempt whose streamed response has begun."""
         xid, n = told
         request = self.requests[xid]
         if request.done or int(n) not in request.out or request.instance not in self.alive:
@@ -273,6 +290,7 @@
         return [f"UNDER_WAY i={request.instance} xid={xid} n={n} endpoint={at} cost_time_us={cost}"]
 
     def ended(self, told: list[str]) -> list[str]:
+        """Returns the line of an attempt that has ended."""
         xid, n, ending, since = told
         request, hop = self.requests[xid], int(n)
         if hop not in request.out or request.instance not in self.alive:
@@ -294,10 +312,12 @@
     # Changes of the fleet, the endpoint list and the load
 
     def inventory(self, of: list[Endpoint]) -> list[str]:
+        """Returns the lines with the entries of these endpoints."""
         self.slot = (self.slot + 1) % 16
         return [f"INVENTORY slot={self.slot} nodes_list={len(of)}", *(e.item() for e in of)]
 
     def told(self, name: str, form: str) -> list[str]:
+        """Returns the lines that send the endpoint list to one instance; form X sends no list."""
         if form == "X":
             return [f"DIRECTORY_UPDATE i={name} epoch={self.epoch} form=X slot=0"]
         listed = [e for e in self.endpoints.values() if e.condition != "off"]
@@ -305,6 +325,7 @@
         return [*self.inventory(listed), update]
 
     def changed(self, of: list[Endpoint]) -> list[str]:
+        """Returns the lines that send changed entries to the instances that receive changes."""
         self.epoch += 1
         hearing = [
             name
@@ -317,6 +338,7 @@
         ]
 
     def happens(self, name: str, told: list[str]) -> list[str]:
+        """Applies one entry of the scenario's timeline; returns its lines."""
         if name == "born":
             [instance] = told
             self.lives += 1
