--- a/tools/handover_check.py
+++ b/tools/handover_check.py
@@ -291,15 +291,15 @@
             stdout=log,
             stderr=log,
         )
-    timeout_s = time.monotonic() + READY_TIMEOUT_S
+    deadline_s = time.monotonic() + READY_TIMEOUT_S
     while not await is_ready(admin_port):
-        if process.returncode is not None or time.monotonic() > timeout_s:
+        if process.returncode is not None or time.monotonic() > deadline_s:
             exit_status = process.returncode
             await kill_running(process)
             tail = log_path.read_text()[-LOG_TAIL_CHARACTERS:]
             raise NotReadyError(
-                f"sidecar {name}: not ready within {READY_TIMEOUT_S} s; "
-                f"exit status {exit_status}; log: {tail}"
+                f"sidecar {name} is not ready; exit status {exit_status} "
+                f"(None: still running after {READY_TIMEOUT_S} s); log: {tail}"
             )
         await asyncio.sleep(READY_POLL_S)
     return process
