--- a/cressrail/http_testing/client.py
+++ b/cressrail/http_testing/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client: a bounded number of kept-alive connections, and one request at a time on each."""
+"""HTTP/1.1 client with a limited number of keep-alive connections and one request at a time on each."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 
 import httptools
 
-FIRST_FINAL_STATUS = 200  # responses below it are interim
+FIRST_FINAL_STATUS = 200  # responses with a lower status are interim responses
 
 
 class CallOutcome(StrEnum):
-    """How a call ended; the values stand in the event record."""
+    """How a call ended; the values appear in the event record."""
 
     ANSWERED = "answered"
     CONNECT_FAILED = "no connection"
-    CONNECTION_RESET = "reset"  # also one that was closed before the response was whole
+    CONNECTION_RESET = "reset"  # the connection was reset or closed before the response was complete
     TIMED_OUT = "gave up"
     MALFORMED_RESPONSE = "not http"
 
 
 def now_us() -> int:
-    """Returns the time of the monotonic clock, which all processes of a host share."""
+    """Returns the microseconds of the monotonic clock, which all processes of a host share."""
     return time.monotonic_ns() // 1000
 
 
 class Response:
-    """What came of a call.
+    """The result of a call; times are in microseconds on the monotonic clock.
 
     Attributes:
         outcome: How the call ended.
-        status: Of the final response; zero where none was whole.
-        headers: Values by name in lower case; of a repeated header the last.
-        body: As far as it came.
-        sent_us: When the request was written, the last time if it was sent again; zero if it never was.
-        first_byte_us: When the first byte of the response came; zero if none did.
+        status: Status of the final response; 0 if no final response was received completely.
+        headers: Header values by name in lower case; for a repeated header the last value.
+        body: The part of the body that was received.
+        sent_us: When the request was last written; 0 if it never was.
+        first_byte_us: When the first byte of the response arrived; 0 if none did.
         finished_us: When the call ended.
-        resent_us: When a kept-alive connection that ended made the client send it again; zero if none did.
+        resent_us: When the request was sent again because a keep-alive connection had been closed; 0 if it
+            was not.
     """
 
     __slots__ = (
@@ -66,7 +67,7 @@
 
 
 class PendingCall:
-    """One request with its timeout, and the callback that takes the response."""
+    """A request with its timeout and the callback for its response."""
 
     __slots__ = ("_on_response", "connection", "request", "response", "timer", "was_resent")
 
@@ -80,11 +81,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the callback was called."""
+        """Whether the call has ended."""
         return self._on_response is None
 
     def finish(self, outcome: CallOutcome) -> None:
-        """Ends the call and calls back, once."""
+        """Ends the call and invokes the callback, unless the call has already ended."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -96,7 +97,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of an `HttpClient`, which calls it as asyncio and the parser do."""
+    """One connection of an `HttpClient`; receives events from asyncio and from the parser."""
 
     def __init__(self, client: HttpClient, call: PendingCall) -> None:
         self.client = client
@@ -107,7 +108,7 @@
         self.has_served_call = False
 
     def connection_made(self, transport: Any) -> None:
-        """Writes the request, unless its call timed out meanwhile."""
+        """Writes the request, unless its call timed out while the connection was being established."""
         self.transport = transport
         if self.call is None:
             transport.abort()
@@ -115,7 +116,7 @@
             self._write(self.call)
 
     def start_call(self, call: PendingCall) -> None:
-        """Sends a further request on an idle connection."""
+        """Sends the next request on an idle connection."""
         self.call = call
         call.connection = self
         if self.transport is not None:
@@ -127,7 +128,7 @@
         self.transport.write(call.request)
 
     def data_received(self, data: bytes) -> None:
-        """Parses a response; bytes that no call waits for are counted, and end the connection."""
+        """Parses a response; bytes received without a pending call are counted and end the connection."""
         if self.call is None:
             self.client.count_excess_bytes(len(data))
             self.abort()
@@ -140,7 +141,7 @@
             self._finish_call(CallOutcome.MALFORMED_RESPONSE, may_keep=False)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Ends the call, or sends it once more if the server may have closed before the request came."""
+        """Ends the call, or resends it once if the server may have closed before the request arrived."""
         self.is_closed = True
         self.client.remove(self)
         call = self.call
@@ -158,22 +159,22 @@
         self.parser = None  # breaks a reference cycle
 
     def abort(self) -> None:
-        """Closes the connection, if it is open."""
+        """Closes the connection at once if it is open."""
         if self.transport is not None and not self.is_closed:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser."""
+        """Stores a header; called by the parser."""
         if self.call is not None:
             self.call.response.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser."""
+        """Appends a part of the body; called by the parser."""
         if self.call is not None:
             self.call.response.body += body
 
     def on_message_complete(self) -> None:
-        """Called by the parser at the end of each response, interim ones too."""
+        """Ends the call at the end of a final response; the parser calls this for interim ones, too."""
         if self.call is None:
             self.client.count_excess_bytes(1)
             return
@@ -198,15 +199,15 @@
     """Sends requests to one address.
 
     Attributes:
-        keeps_alive: Connections are used for further requests.
-        connections_opened: Number of connections so far, failed ones too.
+        keeps_alive: Whether connections are reused for further requests.
+        connections_opened: Number of connections so far, including failed ones.
         queued_calls: Number of calls so far that had to wait for a connection.
-        excess_bytes: Bytes that came after a final response.
-        on_excess_bytes: Called with the number of such bytes each time some come.
+        excess_bytes: Number of bytes received after a final response.
+        on_excess_bytes: Called with the number of excess bytes each time some are received.
     """
 
     def __init__(self, host: str, port: int, max_connections: int, keeps_alive: bool = True) -> None:
-        """Belongs to the running event loop."""
+        """Creates a client without connections, bound to the running event loop."""
         self.host, self.port, self.max_connections = host, port, max_connections
         self.keeps_alive = keeps_alive
         self.connections_opened = 0
@@ -220,11 +221,11 @@
         self._queue: deque[PendingCall] = deque()
 
     def send(self, request: bytes, timeout_us: int, on_response: ResponseCallback) -> None:
-        """Sends a request, now or when a connection is free.
+        """Sends a request, now or when a connection becomes free.
 
         Args:
-            request: Whole, head and body.
-            timeout_us: From now; at its end the connection is closed under the request.
+            request: Head and body of the request.
+            timeout_us: Timeout from now in microseconds, after which the request's connection is closed.
             on_response: Called once, whatever the outcome.
         """
         call = PendingCall(request, on_response)
@@ -232,7 +233,7 @@
         self.assign(call)
 
     def assign(self, call: PendingCall) -> None:
-        """Gives a call an idle connection, a new one or a place in the queue."""
+        """Assigns a call to an idle connection or to a new one, or queues it."""
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_closed:
@@ -253,7 +254,7 @@
     async def _connect(self, connection: ClientConnection) -> None:
         try:
             await self._loop.create_connection(lambda: connection, self.host, self.port)
-        except OSError:  # refused, or no file descriptor left
+        except OSError:  # the connection was refused, or no file descriptor is left
             connection.is_closed = True
             self.remove(connection)
             call, connection.call = connection.call, None
@@ -261,7 +262,7 @@
                 call.finish(CallOutcome.CONNECT_FAILED)
 
     def release(self, connection: ClientConnection) -> None:
-        """Gives a connection that is free to the next call of the queue, or keeps it idle."""
+        """Assigns the next queued call to a connection that became free, or keeps the connection idle."""
         while self._queue:
             call = self._queue.popleft()
             if not call.is_finished:
@@ -270,7 +271,7 @@
         self._idle.append(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forgets a connection that has ended; one for a queued call may take its place."""
+        """Removes a closed connection and assigns queued calls to new connections up to the limit."""
         self._connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -280,7 +281,7 @@
                 self.assign(call)
 
     def count_excess_bytes(self, count: int) -> None:
-        """Counts and reports bytes that came after a final response."""
+        """Counts and reports bytes received after a final response."""
         self.excess_bytes += count
         self.on_excess_bytes(count)
 
@@ -293,7 +294,7 @@
         call.finish(CallOutcome.TIMED_OUT)
 
     def close(self) -> None:
-        """Closes all connections; calls that are out end as reset, queued ones at their timeout."""
+        """Closes all connections; calls in flight end as reset, queued ones at their timeout."""
         for task in list(self._connect_tasks):
             task.cancel()
         for connection in list(self._connections):
