--- a/cressrail/testbed/attempt.py
+++ b/cressrail/testbed/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt as the endpoint sees it that receives it, and what the event record says of it."""
+"""An attempt as seen by the endpoint that receives it, and its row in the event record."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt ended at its endpoint; the values stand in the event record and in responses."""
+    """How an attempt ended at its endpoint; the values appear in the event record and in responses."""
 
     SUCCEEDED = "committed"
-    REPEATED = "repeat"  # succeeded before, within the idempotency window
+    REPEATED = "repeat"  # an attempt with the same key succeeded earlier, within the idempotency window
     REJECTED = "turned away"
     SERVER_ERROR = "error"
     CONNECTION_RESET = "reset"
-    GARBLED = "spoilt"  # the response is no HTTP
+    GARBLED = "spoilt"  # the response was not valid HTTP
     NEXT_TIER_FAILED = "failed below"
     CLIENT_DISCONNECTED = "left"
     ENDPOINT_DIED = "died"
 
 
-# Outcomes of attempts that may have taken effect.
+# Outcomes after which the attempt's work may have taken effect.
 OUTCOMES_AFTER_WORK = frozenset(
     {
         AttemptOutcome.SUCCEEDED,
@@ -38,13 +38,13 @@
 
 
 class Placement(NamedTuple):
-    """Where an endpoint stands in the fleet.
+    """Position of an endpoint in the fleet.
 
     Attributes:
-        name: Unique.
-        tier_index: From 0.
-        zone: Its zone.
-        cell: Unique over all zones.
+        name: Name of the endpoint, unique in the fleet.
+        tier_index: Index of its tier; the first tier has index 0.
+        zone: Name of its zone.
+        cell: Number of its cell, unique across all zones.
     """
 
     name: str
@@ -55,23 +55,25 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt as its endpoint sees it.
+    """One attempt as seen by the endpoint that receives it.
+
+    Times are in microseconds on the monotonic clock.
 
     Attributes:
-        request: As received.
-        request_id: Of this tier; the next one gets another.
-        request_class: Of the scenario.
-        idempotency_key: Empty if there is none.
-        arrived_us: When the request was whole.
-        deadline_us: When the caller stops waiting.
-        available_share: Of the endpoint's capacity, when the request arrived.
-        job: Its work.
-        total_work_us: Of all parts, in microseconds of one core.
-        remaining_work_us: Of the part after the call to the next tier.
-        must_call: Whether the call to the next tier is still to come.
-        has_run: Whether it has held a slot.
-        is_repeat: Whether the key was seen before.
-        disconnected_us: When the caller went; None if it waited for the end.
+        request: The request as received.
+        request_id: ID of the request in this tier; the call to the next tier gets an ID of its own.
+        request_class: The request's class in the scenario.
+        idempotency_key: Idempotency key of the request; empty if it has none.
+        arrived_us: When the request had been received completely.
+        deadline_us: When the caller stops waiting for the response.
+        available_share: Share of the endpoint's full capacity that was available when the request arrived.
+        job: The processor work of the attempt.
+        total_work_us: Work before and after the call to the next tier, in microseconds of one core.
+        remaining_work_us: Work after the call to the next tier, in microseconds of one core.
+        must_call: Whether the next tier has yet to be called.
+        has_run: Whether the attempt has occupied a slot.
+        is_repeat: Whether the idempotency key was seen before, within the idempotency window.
+        disconnected_us: When the caller disconnected; None if it waited for the response.
     """
 
     request: ReceivedRequest
@@ -90,7 +92,7 @@
     disconnected_us: int | None = None
 
     def as_event(self, placement: Placement, outcome: AttemptOutcome, ended_us: int) -> dict[str, Any]:
-        """Returns the event that tells of its end, by the keys of the event record."""
+        """Returns the event record's row for the end of this attempt."""
         late_us = max(0, ended_us - max(self.deadline_us, self.arrived_us))
         return {
             "endpoint": placement.name,
--- a/cressrail/testbed/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -1,7 +1,8 @@
-"""Simulated discovery: the whole endpoint list, and a watch with a line for each change, as specified.
+"""Simulated discovery: serves the full endpoint list, and a watch that streams one line of JSON per change.
 
-Each sidecar has an agent of its own, so each can be told late, not at all, in pieces, or with revisions
-counted anew. What was told to whom, and when, goes into the event record.
+Each sidecar has its own agent, so that faults can be injected for one sidecar alone: late updates, missing
+updates, a watch that breaks off within a line, or revisions that restart. The event record lists which state
+of which endpoint was sent to which sidecar, and when.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.event_record import EventRecord
 
-KEEPALIVE_INTERVAL_S = 2.0  # between empty lines while nothing changes
+KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch alive
 LIST_PATH = "/catalog/members"
 FIRST_REVISION = 1
-WHOLE_LIST = -1  # in place of a revision, the whole list and not the changes since
+WHOLE_LIST = -1  # requests the full list where a revision would request the changes since then
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n"
 KEEPALIVE_CHUNK = b"1\r\n\n\r\n"
 
@@ -30,12 +31,12 @@
     """An endpoint as discovery lists it.
 
     Attributes:
-        name: Unique.
-        addresses: Host and port by the zone of the client that asks.
-        zone: Where it runs.
-        cell: Within the zone.
-        phase: `up`, `draining` or `removed`, in discovery's words.
-        up_since_ms: When it started, Unix time.
+        name: Name of the endpoint, unique in the fleet.
+        addresses: Host and port at which clients reach the endpoint, by the client's zone.
+        zone: Zone in which the endpoint runs.
+        cell: Number of its cell, unique across all zones.
+        phase: `up`, `draining` or `removed`, as in discovery's JSON.
+        up_since_ms: When it started, in milliseconds of Unix time.
     """
 
     name: str
@@ -46,7 +47,7 @@
     up_since_ms: int = 0
 
     def as_entry(self, client_zone: str) -> dict[str, Any]:
-        """By the keys of discovery's JSON, for clients of a zone."""
+        """Returns the endpoint's entry in discovery's JSON, with its address for clients of that zone."""
         host, port = self.addresses[client_zone]
         return {
             "id": self.name,
@@ -61,12 +62,12 @@
 
 
 class DiscoveryAgent:
-    """Discovery as one sidecar sees it.
+    """Serves the endpoint list to one sidecar.
 
     Attributes:
-        zone: Of the sidecar.
-        tier_index: Of the endpoints that are listed.
-        delay_s: By which changes are announced late.
+        zone: Zone of the sidecar.
+        tier_index: Index of the tier whose endpoints are listed.
+        delay_s: Delay before a change is announced, in seconds.
     """
 
     def __init__(
@@ -84,16 +85,17 @@
         self._event_record = event_record
         self._entries = {endpoint.name: endpoint.as_entry(zone) for endpoint in endpoints}
         self._revision = FIRST_REVISION
-        self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)  # the revision, by endpoint
-        self._watches: dict[ServerConnection, int] = {}  # and the revision that each has been told
-        # All connections: one that is not read would otherwise have no owner, and be closed when collected.
+        self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)  # last change's revision, by name
+        self._watches: dict[ServerConnection, int] = {}  # the last revision sent, by connection
+        # Holds all connections: nothing else refers to one that is not being read, so the garbage collector
+        # would close it.
         self._connections: set[ServerConnection] = set()
         self._is_silent = False
         self._server: asyncio.Server | None = None
         self._keepalive_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str) -> tuple[str, int]:
-        """Serves on a free port of this host; returns the address."""
+        """Starts serving on a free port of this host; returns the host and port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self._on_request, self._on_closed, self._connections.add), host, 0
@@ -112,7 +114,7 @@
             connection.reset()
 
     def announce(self, endpoint: ListedEndpoint) -> None:
-        """Announces an endpoint's present state, after the delay."""
+        """Announces an endpoint's current state after `delay_s`."""
         entry = endpoint.as_entry(self.zone)
         if self.delay_s:
             asyncio.get_running_loop().call_later(self.delay_s, self.apply_change, entry)
@@ -120,35 +122,37 @@
             self.apply_change(entry)
 
     def apply_change(self, entry: dict[str, Any]) -> None:
-        """Lists an entry under a new revision and tells all watches."""
+        """Adds or replaces an entry under a new revision and notifies all watches."""
         self._revision += 1
         self._entries[entry["id"]] = entry
         self._changed_in[entry["id"]] = self._revision
         self._update_watches()
 
     def set_silent(self, is_silent: bool) -> None:
-        """Answers nothing from now on; or answers again, and tells what changed meanwhile."""
+        """Stops answering requests and watches, or resumes and sends the changes made in the meantime."""
         self._is_silent = is_silent
         if not is_silent:
             self._update_watches()
 
     def break_watches(self) -> None:
-        """Ends each watch in the middle of a line."""
+        """Closes the connection of each watch in the middle of a line."""
         for connection in list(self._watches):
             connection.write(b'40\r\n{"revision":%d,"complete":fal' % (self._revision + 1))
             connection.close()
 
     def restart_revisions(self) -> None:
-        """Counts revisions from the first one again, as after a restart; all watches end."""
+        """Restarts revisions at `FIRST_REVISION`, as a restart of discovery does, and closes all watches."""
         self._revision = FIRST_REVISION
         self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)
         for connection in list(self._watches):
             connection.close()
 
     def list_line(self, after_revision: int) -> bytes:
-        """What changed after a revision, as JSON; for `WHOLE_LIST` and 0 all endpoints but removed ones.
+        """Returns the entries that changed after a revision, as a line of JSON.
 
-        Notes in the event record what the sidecar learns by it, of absent endpoints too.
+        For `WHOLE_LIST` and 0, the line holds all endpoints except removed ones. Records in the event record
+        the state of each endpoint that the sidecar learns from the line, including the endpoints that are
+        missing from a full list.
         """
         is_whole = after_revision <= 0
         entries = [
@@ -180,7 +184,7 @@
             connection.write(WATCH_HEAD)
             after = parameters.get("after", "0")
             revision = int(after) if after.isdigit() else 0
-            # A revision of another count: the sidecar is told the whole list.
+            # The revision dates from before a restart of the revisions: the sidecar gets the full list.
             self._watches[connection] = WHOLE_LIST if revision > self._revision else revision
             self._update_watch(connection)
 
--- a/cressrail/testbed/endpoint_faults.py
+++ b/cressrail/testbed/endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faults of simulated endpoints, of discovery and of whole zones in a running fleet."""
+"""Injects faults into simulated endpoints, discovery and whole zones of a running fleet."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class EndpointFaults:
-    """Begins and ends faults of a fleet, but for those of its sidecars."""
+    """Begins and ends all faults of a fleet except sidecar faults, which `FaultInjector` handles."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._cut_zones: set[str] = set()
 
     def affected_endpoints(self, fault: Fault) -> list[SimulatedEndpoint]:
-        """Returns the endpoints that a fault names; all of them for a cut zone."""
+        """Returns the endpoints that a fault selects; every endpoint of the fleet for a zone cut."""
         if fault.kind == FaultKind.ZONE_CUT:
             return [endpoint for endpoints in self._fleet.tiers for endpoint in endpoints]
         return [
@@ -28,7 +28,7 @@
         ]
 
     def begin(self, fault: Fault) -> None:
-        """Begins a fault."""
+        """Applies a fault to the endpoints, discovery agents or zone that it selects."""
         if fault.kind in DISCOVERY_FAULTS:
             self._apply_to_discovery(fault, is_begin=True)
         elif fault.kind == FaultKind.ZONE_CUT:
@@ -38,7 +38,7 @@
                 self._begin_at(endpoint, fault)
 
     def end(self, fault: Fault) -> None:
-        """Ends a fault that was begun."""
+        """Ends a fault that `begin` applied."""
         if fault.kind in DISCOVERY_FAULTS:
             self._apply_to_discovery(fault, is_begin=False)
         elif fault.kind == FaultKind.ZONE_CUT:
@@ -58,7 +58,7 @@
             self._fleet.crash_endpoint(endpoint)
             self._fleet.spawn(self._announce_removal(endpoint))
         elif fault.kind == FaultKind.ENDPOINT_DRAIN:
-            # It still serves what arrives, so that the rule checker sees what comes after the announcement.
+            # The endpoint keeps serving, so that the rule checker sees requests sent after the announcement.
             self._fleet.announce_phase(endpoint, "draining")
 
     def _end_at(self, endpoint: SimulatedEndpoint, fault: Fault) -> None:
@@ -80,7 +80,7 @@
             self._fleet.announce_phase(endpoint, "removed")
 
     def _cut_off(self, zones: set[str]) -> None:
-        """Cuts these zones and no others off from the rest of the fleet."""
+        """Cuts these zones off from the rest of the fleet and reconnects all other zones."""
         self._cut_zones = zones
         for endpoints in self._fleet.tiers:
             for endpoint in endpoints:
--- a/cressrail/testbed/event_record.py
+++ b/cressrail/testbed/event_record.py
@@ -1,7 +1,7 @@
-"""The event record of a run: a JSON line for each event, on the monotonic clock.
+"""The event record of a run: one line of JSON per event, with times on the monotonic clock.
 
-It is the evidence that the rule checker and the membership verdicts go by. Its keys are stored data: files of
-earlier versions are read as well.
+The rule checker and the membership verdicts evaluate it. Its keys are a stored format: files written by
+earlier versions must remain readable.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 
 import orjson
 
-# One event by the keys of the file.
+# One event, by the keys of the event record.
 Event = dict[str, Any]
 
 
 class ProcessState(StrEnum):
-    """What became of a sidecar's process; the values stand in the event record."""
+    """State of a sidecar's process after a change; the values appear in the event record."""
 
     UP = "up"
-    RUNNING = "running"  # again, after a pause
+    RUNNING = "running"  # resumed after a pause
     STALLED = "stalled"
     KILLED = "killed"
     STOPPED = "stopped"
-    SILENT = "silent"  # up, without membership
+    SILENT = "silent"  # up, but without membership
 
 
 class EventRecord:
-    """A file of events that is being written; also a context manager that closes it."""
+    """Writes events to a file; as a context manager it closes the file."""
 
     def __init__(self, path: Path) -> None:
-        """Creates the file, or empties it."""
+        """Creates the file, or truncates an existing one."""
         self._file = path.open("wb")
 
     def append(self, **fields: Any) -> None:
-        """Writes one event."""
+        """Writes one event as a line of JSON."""
         self._file.write(orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE))
 
     def close(self) -> None:
-        """Writes what is buffered and closes the file."""
+        """Flushes buffered events and closes the file."""
         self._file.close()
 
     def __enter__(self) -> Self:
@@ -57,11 +57,11 @@
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """Reads a file of events line by line.
+    """Reads an event record line by line.
 
     Raises:
         OSError: The file cannot be read.
-        orjson.JSONDecodeError: A line is no JSON.
+        orjson.JSONDecodeError: A line is not valid JSON.
     """
     with path.open("rb") as file:
         for line in file:
--- a/cressrail/testbed/fault.py
+++ b/cressrail/testbed/fault.py
@@ -1,4 +1,7 @@
-"""Faults of a scenario: what happens, to whom and when. Keys of the files are aliases of the fields."""
+"""Fault models of scenario files: the kind of a fault, its targets and its times.
+
+Where a key of the scenario file differs from the field's name, it is the field's alias.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault does; the values stand in scenario files and in event records."""
+    """What a fault does; the values appear in scenario files and in event records."""
 
     ENDPOINT_CRASH = "die"
     ENDPOINT_STALL = "stall"
@@ -35,11 +38,11 @@
 
 
 class RestartConfiguration(StrEnum):
-    """What a sidecar is configured with that starts again; the values stand in scenario files."""
+    """Configuration of a sidecar that is restarted; the values appear in scenario files."""
 
     SAME = "same"
-    NEW_SEED = "seed"  # of its random values
-    OLDER = "older"  # of an earlier version, without membership and failover
+    NEW_SEED = "seed"  # the same, with a new seed for the sidecar's random values
+    OLDER = "older"  # as of an earlier version, without membership and failover
 
 
 RESPONSE_FAULTS = (
@@ -62,33 +65,38 @@
     FaultKind.SIDECAR_RESTART,
     FaultKind.DATAGRAM_FLOOD,
 )
-# Of a fault of kind `wire`, beside the share that is dropped.
+# Keys of the effects of a `wire` fault, other than `share`, the share of datagrams that is dropped.
 NETWORK_EFFECTS = {"delay_ms", "jitter_ms", "duplicate", "reorder", "corrupt", "rate"}
 
 
 class Fault(StrictModel):
-    """A fault, and when it begins and ends.
+    """A fault with its time, kind and targets.
 
     Attributes:
-        at_s: Begin, from the start of the run.
-        duration_s: From begin to end.
-        kind: What happens.
-        tier: Index of the tier that is met.
-        endpoint_indices: Endpoints of the tier that are met; all where neither these nor a zone are named.
-        zone: Of the endpoints or of discovery's clients that are met; of a `cut`, the zone that is cut off.
-        value: Of `slow`, times slower; of `refuse`, `reset`, `err` and `spoil`, the share of attempts; of
-            `late`, seconds.
-        senders: Of a `wire`, names of sidecars, `zone:NAME` or `tier:N`; all where nothing is named.
-        receivers: Likewise, who does not get what the senders send.
-        sidecars: Likewise, whose processes are met.
-        share: Of datagrams that are dropped; of processes that are met.
-        delay_ms: Of datagrams.
-        jitter_ms: Of datagrams, beyond the delay at most.
-        duplicate: Share of datagrams that come twice.
-        reorder: Share of datagrams that come behind later ones.
+        at_s: When the fault begins, in seconds from the start of the run.
+        duration_s: Seconds from its begin to its end.
+        kind: What the fault does.
+        tier: Index of the tier that is affected.
+        endpoint_indices: Indices of the affected endpoints in the tier; if empty, all endpoints of the tier
+            or, if `zone` is set, of that zone are affected.
+        zone: Zone of the affected endpoints, or of the sidecars whose discovery is affected; for `cut`, the
+            zone that is cut off.
+        value: For `slow`, the factor by which endpoints become slower; for `refuse`, `reset`, `err` and
+            `spoil`, the share of attempts that is affected; for `late`, the delay in seconds.
+        senders: For `wire`, the sidecars whose datagrams are affected, each selected by its name, by
+            `zone:NAME` or by `tier:N`; all sidecars if empty.
+        receivers: For `wire`, the sidecars to which the datagrams are sent, selected as for `senders`.
+        sidecars: Sidecars whose processes are affected, selected as for `senders`.
+        share: For `wire`, the share of datagrams that is dropped; for faults of processes, the share of the
+            selected processes that is affected.
+        delay_ms: Delay added to each datagram, in milliseconds.
+        jitter_ms: Upper limit of a random delay on top of `delay_ms`, in milliseconds.
+        duplicate: Share of datagrams that arrives twice.
+        reorder: Share of datagrams that arrives after later ones.
         corrupt: Share of datagrams with a flipped bit.
-        rate: Datagrams a second that come through between two sidecars; of a flood, that each one gets.
-        restart_configuration: What a sidecar that starts again is configured with.
+        rate: For `wire`, the limit on datagrams per second from one sidecar to another, with 0 for no limit;
+            for `flood`, the datagrams per second that each affected sidecar receives.
+        restart_configuration: Configuration of the affected sidecars when they are restarted.
     """
 
     at_s: float = Field(ge=0)
@@ -113,27 +121,27 @@
     @model_validator(mode="before")
     @classmethod
     def _drop_only_on_request(cls, keys: Any) -> Any:
-        """Sets the dropped share of a `wire` to 0 where other effects are named and the share is not."""
+        """Sets `share` to 0 in a `wire` fault that names other effects and no share."""
         is_network_fault = isinstance(keys, dict) and keys.get("kind") == FaultKind.NETWORK
         if is_network_fault and "share" not in keys and keys.keys() & NETWORK_EFFECTS:
             return {**keys, "share": 0.0}
         return keys
 
     def report_row(self) -> dict[str, Any]:
-        """Returns the fault as reports of experiments hold it: the keys of the file, but `from_`."""
+        """Returns the fault for experiment reports: by its scenario file keys, with `from_` for `from`."""
         row = self.model_dump(by_alias=True)
         row["from_"] = row.pop("from")
         return row
 
 
 class FaultSchedule(StrictModel):
-    """Faults of sidecars that are drawn at random, beside those that are listed.
+    """Random sidecar faults that a scenario adds to the faults it lists.
 
     Attributes:
-        seed: Of the random values.
-        fault_count: How many faults are drawn.
-        max_duration_s: Of one fault.
-        kinds: What may be drawn.
+        seed: Seed of the random values.
+        fault_count: Number of faults to draw.
+        max_duration_s: Longest duration of one fault, in seconds.
+        kinds: Kinds of fault to draw from.
     """
 
     seed: int = 1
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection between sidecars and into their processes, and faults that are drawn at random."""
+"""Injects faults into the network between sidecars and into their processes, and draws random faults."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from cressrail.testbed.sidecar_process import SidecarProcess
 from cressrail.testbed.sidecars import SidecarManager
 
-DRAWN_SHARE = 0.8  # of a run, in which drawn faults fall; the rest shows whether all recover
+DRAWN_SHARE = 0.8  # drawn faults end within this share of a run; the rest shows whether all sidecars recover
 MIN_DRAWN_DURATION_S = 0.2
-CONCURRENT_STARTS = 4  # more would take the processor from the rest of the fleet
+CONCURRENT_STARTS = 4  # more would take processor time from the rest of the fleet
 
-# Starts a sidecar that ended.
+# Starts a sidecar again whose process has ended.
 RestartSidecar = Callable[[SidecarProcess, RestartConfiguration], Awaitable[None]]
 
 
 class FaultInjector:
-    """Begins and ends faults of sidecars; during a run nothing else pauses, kills and restarts them."""
+    """Begins and ends sidecar faults; during a run nothing else pauses, kills or restarts sidecars."""
 
     def __init__(
         self,
@@ -38,12 +38,20 @@
         self._event_record = event_record
         self._restart = restart
         self._random = random.Random(seed)
-        self._affected: dict[int, list[SidecarProcess]] = {}  # by fault, until it ends
-        self._rules: dict[int, NetworkRule] = {}  # likewise
-        self._pause_counts: dict[str, int] = {}  # faults that pause a sidecar, by its name
+        self._affected: dict[int, list[SidecarProcess]] = {}  # by the number of an active fault
+        self._rules: dict[int, NetworkRule] = {}  # by the number of an active network fault
+        self._pause_counts: dict[str, int] = {}  # number of active faults that pause a sidecar, by its name
 
     async def begin(self, number: int, fault: Fault) -> list[str]:
-        """Begins a fault; returns the names of those that it affects."""
+        """Begins a fault and returns the names of the sidecars that it affects.
+
+        A network fault may also name discovery; for a network fault that affects all sidecars the list is
+        empty.
+
+        Args:
+            number: Index of the fault in the run, which identifies it to `end`.
+            fault: The fault.
+        """
         if fault.kind == FaultKind.NETWORK:
             return self._begin_network_fault(number, fault)
         affected = self._select(fault.sidecars)
@@ -61,7 +69,7 @@
         return [sidecar.name for sidecar in affected]
 
     async def end(self, number: int, fault: Fault) -> None:
-        """Ends a fault that was begun under this number."""
+        """Ends the fault that `begin` started under this number."""
         if fault.kind == FaultKind.NETWORK:
             rule = self._rules.pop(number)
             self._network.rules = list(self._rules.values())
@@ -76,15 +84,15 @@
             for sidecar in affected:
                 self._sidecars.stop_flood(sidecar)
         elif fault.kind in (FaultKind.SIDECAR_KILL, FaultKind.SIDECAR_TERMINATION):
-            await self._sidecars.kill_all(affected)  # also one that was terminated and has not ended yet
+            await self._sidecars.kill_all(affected)  # also kills a terminated sidecar that has not exited yet
             await self._restart_all(affected, fault.restart_configuration)
 
     def record_state(self, sidecar: SidecarProcess, state: ProcessState) -> None:
-        """Writes to the event record what became of a sidecar's process."""
+        """Writes the new state of a sidecar's process to the event record."""
         self._event_record.append(process=sidecar.name, how=state, pool=sidecar.tier_index, at_us=now_us())
 
     def _select(self, selectors: Sequence[str]) -> list[SidecarProcess]:
-        """By name, `zone:NAME` or `tier:N`; all where nothing is named."""
+        """Returns the sidecars selected by name, `zone:NAME` or `tier:N`; all sidecars without selectors."""
         return [
             sidecar
             for sidecar in self._sidecars.sidecars
@@ -96,7 +104,7 @@
         ]
 
     def _select_names(self, selectors: Sequence[str]) -> frozenset[str]:
-        """Names for a network rule, where no names stand for all."""
+        """Returns the selected names for a network rule, in which an empty set selects all sidecars."""
         of_sidecars = [selector for selector in selectors if selector != DISCOVERY]
         names = {sidecar.name for sidecar in self._select(of_sidecars)} if of_sidecars else set()
         return frozenset(names | {DISCOVERY} if DISCOVERY in selectors else names)
@@ -152,7 +160,10 @@
 
 
 def draw_faults(schedule: FaultSchedule, duration_s: float, sidecar_names: Sequence[str]) -> list[Fault]:
-    """Draws faults, which may overlap, in the order of their begin; the same for the same seed."""
+    """Draws random faults, which may overlap, sorted by when they begin.
+
+    The same seed gives the same faults.
+    """
     generator = random.Random(schedule.seed)
     faults = [
         _draw_fault(generator, schedule, duration_s, sidecar_names) for _ in range(schedule.fault_count)
--- a/cressrail/testbed/fault_timeline.py
+++ b/cressrail/testbed/fault_timeline.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a scenario on a running fleet, each at its time."""
+"""Begins and ends the faults of a scenario on a running fleet at their scheduled times."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 
 
 class FaultChange(NamedTuple):
-    """Begin or end of a fault; sorted by time, and at the same time begins before ends.
+    """The begin or end of a fault.
+
+    Changes sort by time; those at the same time sort begins before ends.
 
     Attributes:
-        at_s: From the start of the run.
-        is_end: Whether the fault ends.
-        number: Of the fault.
+        at_s: When it takes place, in seconds from the start of the run.
+        is_end: Whether the fault ends rather than begins.
+        number: Index of the fault among all faults of the run.
     """
 
     at_s: float
@@ -32,8 +34,8 @@
     """Begins and ends all listed and drawn faults of the fleet's scenario.
 
     Args:
-        fleet: That was started.
-        start_us: Begin of the run, on the monotonic clock.
+        fleet: A started fleet.
+        start_us: When the run starts, in microseconds on the monotonic clock.
     """
     fleet.event_record.append(start_us=start_us)
     fleet.network.rules = []
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -1,7 +1,7 @@
 """A running fleet: simulated endpoints in tiers, real sidecars that call them, discovery for each sidecar.
 
-A sidecar stands before the first tier for each ingress address of the scenario, and one beside each endpoint
-that calls a next tier.
+Each ingress address of the scenario is served by a sidecar that calls the first tier. Each endpoint that
+calls the next tier does so through a sidecar of its own.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from cressrail.testbed.tcp_relay import TcpRelay
 from cressrail.testbed.udp_relay import UdpRelay
 
-SERVICE_HOST = "127.0.0.1"  # of endpoints and discovery, on free ports
+SERVICE_HOST = "127.0.0.1"  # host of endpoints and discovery, which listen on free ports
 SIDECAR_PORT = 9000
-VIEW_POLLS_PER_S = 100  # at most, over all sidecars
-LAST_DEAD_SEED = 760  # numbers of loopback hosts from here down are nobody's
-USAGE_INTERVAL_S = 20.0  # between two records of processor time and datagrams
+VIEW_POLLS_PER_S = 100  # limit for all sidecars together
+LAST_DEAD_SEED = 760  # loopback host number of the first unreachable seed; further ones count down from it
+USAGE_INTERVAL_S = 20.0  # between two records of processor time and datagram counts
 CELLS_IN_ZONE = 2
 
 
@@ -41,32 +41,32 @@
     """The fleet of a scenario, from its start to its end.
 
     Attributes:
-        scenario: What runs.
-        folder: With configurations, logs and the event record.
-        event_record: Takes what happens.
-        sidecars: Owner of the sidecars' processes.
+        scenario: The scenario that the fleet runs.
+        folder: Folder with configurations, logs and the event record.
+        event_record: The event record of the run.
+        sidecars: Starts and ends the sidecars' processes.
         tiers: The endpoints of each tier.
-        agents: Discovery by the name of the sidecar that asks it.
-        callers: The sidecar through which an endpoint calls the next tier.
-        ingress_sidecars: Those that take the load.
-        network: Decides on datagrams between sidecars.
-        udp_relay: Carries them.
-        tcp_relay: Carries the connections to discovery.
-        fault_injector: Faults of sidecars and their network.
-        watchers: What sidecars take each other for.
+        agents: Discovery agents, by the name of the sidecar that each one serves.
+        callers: The sidecar through which each endpoint calls the next tier.
+        ingress_sidecars: The sidecars that receive the load.
+        network: Decides what happens to datagrams between sidecars.
+        udp_relay: Relays the datagrams between sidecars.
+        tcp_relay: Relays the connections from sidecars to discovery.
+        fault_injector: Injects faults into sidecars and the network between them.
+        watchers: Records each sidecar's view of the membership.
     """
 
     def __init__(
         self, scenario: FleetScenario, folder: Path, checkout: Path, policy: str = "own", defect: str = ""
     ) -> None:
-        """Starts nothing yet, but creates the folder and the event record.
+        """Creates the folder and the event record, but starts no processes.
 
         Args:
-            scenario: What runs.
-            folder: For configurations, logs and the event record.
-            checkout: Of the repository whose sidecars run.
-            policy: Name of their policy.
-            defect: Name of a deliberate defect of theirs; empty for none.
+            scenario: The scenario to run.
+            folder: Folder for configurations, logs and the event record.
+            checkout: Checkout of the repository whose sidecars run.
+            policy: Name of the policy that the sidecars use.
+            defect: Name of a deliberate defect of the sidecars; empty for none.
         """
         self.scenario, self.folder = scenario, folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -94,11 +94,13 @@
         self._restart_count = 0
 
     async def start(self) -> None:
-        """Starts everything and waits until it is ready; `close` ends it, also after an error.
+        """Starts endpoints, discovery and sidecars, and waits until the sidecars are ready.
+
+        The caller must call `close` at the end, also after an error.
 
         Raises:
-            RuntimeError: A sidecar does not get ready.
-            OSError: An address can't be used.
+            RuntimeError: A sidecar does not become ready.
+            OSError: An address cannot be bound.
         """
         for tier_index, tier in enumerate(self.scenario.fleet.tiers):
             self.tiers.append([])
@@ -123,7 +125,7 @@
             endpoint.connect_next_tier(sidecar.address, sidecar.target)
 
     async def close(self) -> None:
-        """Ends everything and closes the event record."""
+        """Stops sidecars, endpoints, discovery and tasks, and closes the event record."""
         for task in list(self._tasks):
             task.cancel()
         self.record_usage()
@@ -137,30 +139,30 @@
                 endpoint.close()
         for agent in self.agents.values():
             agent.close()
-        await asyncio.sleep(0)  # connections that were reset report their end
+        await asyncio.sleep(0)  # lets connections that were reset report that they were closed
         self.event_record.close()
 
     def spawn(self, work: Coroutine[object, object, None]) -> None:
-        """Runs a task until it ends or the fleet is closed; an error goes into the event record."""
+        """Runs a task until it ends or the fleet is closed; an exception is written to the event record."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
     async def restart_sidecar(self, sidecar: SidecarProcess, configuration: RestartConfiguration) -> None:
-        """Starts a sidecar that ended, under the same name and addresses."""
+        """Starts a sidecar whose process has ended, under the same name and addresses."""
         self._restart_count += 1
         seed_offset = self._restart_count if configuration == RestartConfiguration.NEW_SEED else 0
         self._launch(sidecar, seed_offset, is_older=configuration == RestartConfiguration.OLDER)
         await self.sidecars.wait_until_ready(sidecar)
 
     def crash_endpoint(self, endpoint: SimulatedEndpoint) -> None:
-        """Ends an endpoint and the sidecar that carries its calls."""
+        """Crashes an endpoint and kills the sidecar through which it calls the next tier."""
         endpoint.crash()
         if endpoint in self.callers:
             self.sidecars.kill(self.callers[endpoint])
 
     async def restart_endpoint(self, endpoint: SimulatedEndpoint) -> None:
-        """Starts an endpoint and its sidecar again and announces it."""
+        """Restarts an endpoint and its sidecar, and announces the endpoint as `up`."""
         caller = self.callers.get(endpoint)
         if caller is not None:
             self._launch(caller)
@@ -174,7 +176,7 @@
         self.announce_phase(endpoint, "up")
 
     def announce_phase(self, endpoint: SimulatedEndpoint, phase: str) -> None:
-        """Lets discovery announce an endpoint as `up`, `draining` or `removed`."""
+        """Announces an endpoint as `up`, `draining` or `removed` through discovery."""
         listed = self._listed[endpoint.name]
         listed.phase = phase
         for agent in self.agents.values():
@@ -182,13 +184,13 @@
                 agent.announce(listed)
 
     async def record_usage_repeatedly(self) -> None:
-        """Records processor time and datagrams until the task is cancelled."""
+        """Records processor time and datagram counts periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
             self.record_usage()
 
     def record_usage(self) -> None:
-        """Records the processor time of each sidecar, and counts of datagrams."""
+        """Writes each sidecar's processor time and the datagram counts to the event record."""
         self.event_record.append(
             spent_s={sidecar.name: self.sidecars.cpu_seconds(sidecar) for sidecar in self.sidecars.sidecars},
             wires=dict(self.network.counts),
--- a/cressrail/testbed/flood.py
+++ b/cressrail/testbed/flood.py
@@ -1,6 +1,6 @@
-"""Floods one sidecar with datagrams that it must not act on: forged, truncated, replayed, random bytes.
+"""Floods a sidecar with datagrams that it must reject: forged, truncated, replayed and random ones.
 
-A process of its own, so that it does not hold up the relay of the test bed; runs until it is killed.
+The flood runs in a process of its own, so that it does not delay the test bed's relay, until it is killed:
 
 python -m cressrail.testbed.flood HOST PORT DATAGRAMS_PER_S KEY_FILE
 """
@@ -22,15 +22,15 @@
 
 BURST_INTERVAL_S = 0.002
 FORGED_KEY_BYTES = 32
-RANDOM_DATAGRAM_SIZES = (1400, 20, 2000)  # bytes: the longest allowed, a short one, one that is too long
+RANDOM_DATAGRAM_SIZES = (1400, 20, 2000)  # bytes: the longest allowed, a short one and one that is too long
 
 
 def build_datagrams(key: bytes, seed: int = 1) -> list[bytes]:
-    """Returns one datagram of each sort, of which only the first is signed with the key.
+    """Returns one datagram of each type, of which only the first carries a valid signature.
 
     Args:
-        key: Of the fleet.
-        seed: Of the random bytes.
+        key: Membership key of the fleet.
+        seed: Seed of the random bytes.
     """
     record = codec.encode_record(InstanceRecord("ghost", "a", ("127.99.0.1", 9), 1, 7, ALIVE))
     plain = codec.encode_datagram(codec.GOSSIP, 1, record)
@@ -46,21 +46,21 @@
 
 
 def send_flood(address: tuple[str, int], datagrams_per_s: float, datagrams: Sequence[bytes]) -> None:
-    """Sends the datagrams in turn, for ever, at that rate on average."""
+    """Sends the datagrams in turn at that average rate, without end."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as sock:
         started_s, sent_count = time.monotonic(), 0
         while True:
             due_count = int((time.monotonic() - started_s) * datagrams_per_s)
             while sent_count < due_count:
-                with suppress(OSError):  # nobody listens there, or the queue is full
+                with suppress(OSError):  # the port is closed, or the send queue is full
                     sock.sendto(datagrams[sent_count % len(datagrams)], address)
                 sent_count += 1
             time.sleep(BURST_INTERVAL_S)
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Reads the command line and sends until the process is killed."""
+    """Parses the command line and sends datagrams until the process is killed."""
     host, port, datagrams_per_s, key_file = arguments
     key = bytes.fromhex(Path(key_file).read_text().split()[0])
     send_flood((host, int(port)), float(datagrams_per_s), build_datagrams(key))
--- a/cressrail/testbed/idempotency_keys.py
+++ b/cressrail/testbed/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that endpoints have seen, for as long as they know them."""
+"""Idempotency keys that simulated endpoints remember for the idempotency window."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
     """The keys that the endpoints of one key scope share.
 
     Attributes:
-        first_seen_us: When each key was seen, the oldest first.
+        first_seen_us: When each key was first seen, in microseconds; oldest first.
     """
 
     def __init__(self) -> None:
         self.first_seen_us: OrderedDict[str, int] = OrderedDict()
 
     def is_repeat(self, key: str, now_us: int, window_us: int) -> bool:
-        """Returns whether the key was seen within the window; keeps it from now on if not."""
+        """Returns whether the key was seen within the window; if not, remembers it from now on."""
         while self.first_seen_us:
             oldest_key, oldest_us = next(iter(self.first_seen_us.items()))
             if oldest_us + window_us >= now_us:
--- a/cressrail/testbed/loopback.py
+++ b/cressrail/testbed/loopback.py
@@ -1,18 +1,18 @@
-"""Loopback hosts for listeners whose ports must be known before they are started."""
+"""Loopback addresses for listeners whose ports must be known before they start."""
 
 from __future__ import annotations
 
 import os
 
-FIRST_NETWORK = 64  # 127.64.0.0 and up: apart from what else listens on loopback
-NETWORK_BLOCK = 64  # second octets of one block; further hosts of a run go into the next block
+FIRST_NETWORK = 64  # 127.64.0.0 and up, away from other listeners on loopback
+NETWORK_BLOCK = 64  # second octets per block; a run that fills its network continues in the next block
 BLOCKS = 3
 OCTET_VALUES = 256
 HOSTS_IN_NETWORK = 254
 
 
 def loopback_host(number: int) -> str:
-    """Returns the host of that number, which no other run that goes on has."""
+    """Returns the loopback address with that number, which no concurrent run uses."""
     run = os.getpid() % (NETWORK_BLOCK * OCTET_VALUES)
     block = number // HOSTS_IN_NETWORK % BLOCKS
     second_octet = FIRST_NETWORK + run // OCTET_VALUES + NETWORK_BLOCK * block
--- a/cressrail/testbed/membership_evidence.py
+++ b/cressrail/testbed/membership_evidence.py
@@ -1,7 +1,7 @@
-"""Evidence on membership from the event record of a run.
+"""Evidence on membership, extracted from the event record of a run.
 
-It holds the states of processes, views as the admin addresses showed them, events from the sidecars' logs,
-and cuts of the network; `membership_verdicts` judges by it.
+It consists of the states of processes, the membership views served at the admin addresses, the membership
+events in the sidecars' logs, and network cuts. `membership_verdicts` evaluates it.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from cressrail.testbed.event_record import Event, ProcessState
 
 NEVER_US = 1 << 62
-MAX_LAG_S = 0.05  # a run whose relay lagged more is invalid,
-MAX_PAUSE_US = 1_000_000  # and one in which a sidecar that nobody paused did not run for so long
+MAX_LAG_S = 0.05  # a run is invalid if the relay's event loop lagged by more than this
+MAX_PAUSE_US = 1_000_000  # a run is invalid if a sidecar did not run for longer than this without a fault
 
 
 class ProcessChange(NamedTuple):
-    """A moment at which a process began or ceased to run."""
+    """A moment at which a process started or stopped running."""
 
     at_us: int
     is_running: bool
@@ -29,12 +29,12 @@
 
 @dataclass
 class ProcessHistory:
-    """One sidecar's process over time.
+    """History of one sidecar's process.
 
     Attributes:
-        tier: Index of the tier before which it stands.
-        changes: In order.
-        paused_at_us: The changes at which it was paused instead of ended.
+        tier: Index of the tier that the sidecar calls.
+        changes: All changes in order of time.
+        paused_at_us: Times of those changes at which the process was paused instead of ended.
     """
 
     tier: int = 0
@@ -42,21 +42,27 @@
     paused_at_us: set[int] = field(default_factory=set)
 
     def is_running(self, at_us: int) -> bool:
-        """Whether it runs at that time."""
+        """Returns whether the process runs at that time."""
         change = self._last_change(at_us)
         return change is not None and change.is_running
 
     def exists(self, at_us: int) -> bool:
-        """Whether it runs or is paused at that time."""
+        """Returns whether the process runs or is paused at that time."""
         change = self._last_change(at_us)
         return change is not None and (change.is_running or change.at_us in self.paused_at_us)
 
     def has_run_for(self, at_us: int, duration_us: int) -> bool:
-        """Whether it ran throughout that time before `at_us`."""
+        """Returns whether the process ran without interruption for `duration_us` before `at_us`."""
         return self.has_lived_for(at_us, 0, duration_us)
 
     def has_lived_for(self, at_us: int, tolerated_pause_us: int, duration_us: int) -> bool:
-        """Whether it ran throughout that time before `at_us`, but for pauses below the tolerated one."""
+        """Returns whether the process ran for `duration_us` before `at_us`, ignoring tolerated pauses.
+
+        Args:
+            at_us: End of the time span.
+            tolerated_pause_us: Pauses shorter than this are ignored.
+            duration_us: Length of the time span.
+        """
         changes = [*self.changes, ProcessChange(NEVER_US, is_running=False)]
         if changes[0].at_us > at_us - duration_us:
             return False
@@ -76,14 +82,14 @@
 
 
 class View(NamedTuple):
-    """What one sidecar takes the others for.
+    """The membership as one sidecar sees it.
 
     Attributes:
-        at_us: When its admin address showed it.
-        observer: The sidecar's name.
-        alive: Live instances of its tier, itself included.
-        states: State by name, as the admin API names it.
-        counted_instances: The instance count by which it goes; 0 if unknown.
+        at_us: When the sidecar's admin address served the view.
+        observer: Name of the sidecar.
+        alive: Number of live instances of its tier, including the sidecar itself.
+        states: State of each instance by its name, in the terms of the admin API.
+        counted_instances: Instance count that the sidecar's load balancing uses; 0 if unknown.
     """
 
     at_us: int
@@ -94,14 +100,14 @@
 
 
 class LoggedEvent(NamedTuple):
-    """A line on membership in a sidecar's log.
+    """A membership event in a sidecar's log.
 
     Attributes:
         at_us: When it was logged.
-        observer: Name of the sidecar whose log it is.
-        event: Its name, of the present or an earlier version.
-        instance: Of which it tells; empty for none.
-        paused_ms: How long the sidecar itself did not run.
+        observer: Name of the sidecar that logged it.
+        event: Name of the event, as used by the current or an earlier version.
+        instance: Name of the instance that the event is about; empty if there is none.
+        paused_ms: How long the sidecar itself did not run, in milliseconds.
     """
 
     at_us: int
@@ -112,14 +118,14 @@
 
 
 class Kill(NamedTuple):
-    """A process that was killed."""
+    """A sidecar whose process was killed, and when."""
 
     at_us: int
     sidecar: str
 
 
 class Cut(NamedTuple):
-    """A one-way cut of the network; no names stand for all."""
+    """A one-way network cut; an empty set of names selects all sidecars."""
 
     from_us: int
     until_us: int
@@ -127,7 +133,7 @@
     receivers: frozenset[str]
 
     def is_between(self, sender: str, receiver: str, at_us: int) -> bool:
-        """Whether nothing from this sender reaches this receiver at that time."""
+        """Returns whether the cut keeps this sender's data from this receiver at that time."""
         return (
             self.from_us <= at_us < self.until_us
             and (not self.senders or sender in self.senders)
@@ -137,16 +143,16 @@
 
 @dataclass
 class MembershipEvidence:
-    """What the event record tells of membership.
+    """Evidence on membership from one event record; lists are in the order of the record.
 
     Attributes:
-        processes: History by sidecar.
-        views: In the order of the record.
-        logged_events: Likewise.
-        kills: Likewise.
-        cuts: Likewise.
-        relay_lag_s: At most, once the run had started.
-        end_us: Of the last event.
+        processes: History of each process, by the sidecar's name.
+        views: All views.
+        logged_events: Membership events in the sidecars' logs.
+        kills: Sidecars that were killed.
+        cuts: Network cuts.
+        relay_lag_s: Longest lag of the relay after the start of the run, in seconds.
+        end_us: Time of the last event.
     """
 
     processes: dict[str, ProcessHistory] = field(default_factory=dict)
@@ -159,17 +165,20 @@
 
     @property
     def invalid_reason(self) -> str:
-        """Why the run proves nothing, since the machine lagged; empty if it is valid."""
+        """Reason why the run is invalid: the machine was too slow. Empty if the run is valid."""
         if self.relay_lag_s > MAX_LAG_S:
-            return f"the relay lagged by {self.relay_lag_s * 1000:.0f} ms"
+            return f"the relay lagged by {self.relay_lag_s * 1000:.0f} ms, limit {MAX_LAG_S * 1000:.0f} ms"
         for logged in self.logged_events:
             is_long = is_event(logged.event, INSTANCE_PAUSED) and logged.paused_ms * 1000 > MAX_PAUSE_US
             if is_long and not self._was_paused(logged):
-                return f"{logged.observer} did not run for {logged.paused_ms} ms"
+                return (
+                    f"sidecar {logged.observer} did not run for {logged.paused_ms} ms, "
+                    f"limit {MAX_PAUSE_US // 1000} ms"
+                )
         return ""
 
     def could_exchange(self, first: str, second: str, from_us: int, until_us: int) -> bool:
-        """Whether each could reach the other all the time, directly or through others."""
+        """Returns whether both could reach each other throughout that time, directly or through others."""
         cut_changes = [at_us for cut in self.cuts for at_us in (cut.from_us, cut.until_us - 1)]
         moments = [from_us, *(at_us for at_us in cut_changes if from_us <= at_us <= until_us), until_us]
         return all(
@@ -178,13 +187,13 @@
         )
 
     def live_instances(self, tier: int, at_us: int) -> int:
-        """How many processes of a tier run."""
+        """Returns the number of running processes of a tier."""
         return sum(
             1 for process in self.processes.values() if process.tier == tier and process.is_running(at_us)
         )
 
     def _who_reach(self, receiver: str, at_us: int) -> set[str]:
-        """Sidecars whose messages arrive there, directly or through others."""
+        """Returns the sidecars whose messages reach the receiver, directly or through others."""
         reached, pending = {receiver}, [receiver]
         while pending:
             through = pending.pop()
@@ -201,9 +210,9 @@
 
 
 def collect_membership_evidence(events: Iterable[Event]) -> MembershipEvidence:
-    """Reads an event record; events on other matters are left out."""
+    """Extracts the evidence on membership from an event record and ignores all other events."""
     evidence = MembershipEvidence()
-    open_cuts: dict[int, int] = {}  # index among the cuts by number of the fault
+    open_cuts: dict[int, int] = {}  # index of the cut in `evidence.cuts`, by the number of its fault
     for event in events:
         evidence.end_us = max(evidence.end_us, event.get("at_us", 0))
         if "process" in event:
@@ -225,7 +234,7 @@
         elif "cut" in event:
             _add_cut(evidence, event, open_cuts)
         elif "start_us" in event:
-            evidence.relay_lag_s = 0.0  # the lag while all processes started is no part of the run
+            evidence.relay_lag_s = 0.0  # lag while the processes started is not part of the run
         elif "relay_lag_s" in event:
             evidence.relay_lag_s = max(evidence.relay_lag_s, event["relay_lag_s"])
     return evidence
--- a/cressrail/testbed/membership_verdicts.py
+++ b/cressrail/testbed/membership_verdicts.py
@@ -1,7 +1,7 @@
-"""Verdicts on membership: what each sidecar took the others for, against what their processes did.
+"""Verdicts on membership: compares each sidecar's view of the others with the history of their processes.
 
-Who was reported dead while alive, how long a death took to be detected, and how far the counts of live
-instances were off.
+They cover which live sidecars were reported dead, how long the detection of a death took, and how far the
+counts of live instances deviated from the true counts.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from cressrail.membership.log_events import INSTANCE_DEAD, is_event
 from cressrail.testbed.membership_evidence import NEVER_US, Kill, MembershipEvidence
 
-DEAD_STATE = "lost"  # as the admin API names it
-SIMULTANEOUS_US = 1_000_000  # who dies so shortly after another is not expected to detect that death
+DEAD_STATE = "lost"  # the admin API's name of the state
+SIMULTANEOUS_US = 1_000_000  # a sidecar killed within this time after another need not detect that death
 
 
 class FalseDeath(NamedTuple):
-    """A live sidecar that another reported dead."""
+    """A live sidecar, the subject, that another one, the observer, reported dead."""
 
     at_us: int
     observer: str
@@ -25,7 +25,7 @@
 
 
 class _Report(NamedTuple):
-    """A state as a view shows it, or a death as a log reports it."""
+    """A sidecar's state in the view of another, or its death as logged by another."""
 
     at_us: int
     observer: str
@@ -36,10 +36,16 @@
 def find_false_deaths(
     evidence: MembershipEvidence, tolerated_pause_us: int, return_time_us: int
 ) -> list[FalseDeath]:
-    """Finds sidecars that were reported dead, in a view or a log, by one that could reach them.
+    """Finds live sidecars that were reported dead, in a view or a log, by a sidecar that could reach them.
 
-    Those are excepted that were away for longer than the tolerated pause, now or within the time in which a
-    return becomes known. Each pair counts once until the observer sees the other alive again.
+    A report is justified, and does not count, if within `return_time_us` before it the subject was down, or
+    was paused for the tolerated pause or longer. Each pair of observer and subject counts once until the
+    observer sees the subject alive again.
+
+    Args:
+        evidence: Evidence of the run.
+        tolerated_pause_us: Pauses shorter than this must not lead to a report of death.
+        return_time_us: Time that may pass until a sidecar's return is known to the others.
     """
     reports = [
         _Report(view.at_us, view.observer, subject, state)
@@ -69,9 +75,9 @@
 
 
 class DetectionTime(NamedTuple):
-    """How long after a death the first, half and all of the live sidecars of its tier knew of it.
+    """Time from a death until the first, half and all of the live sidecars of the same tier detected it.
 
-    The fields are keys of the report; None where so many never knew.
+    The fields are keys of the report; None where too few sidecars ever detected the death.
     """
 
     sidecar: str
@@ -81,7 +87,7 @@
 
 
 def detection_times(evidence: MembershipEvidence) -> list[DetectionTime]:
-    """Computes the detection time of each kill, until the process is up again."""
+    """Computes the detection times of each kill; detections after the process's return do not count."""
     return [_detection_time(evidence, kill) for kill in evidence.kills]
 
 
@@ -124,7 +130,10 @@
 
 
 def join_time_s(evidence: MembershipEvidence) -> float | None:
-    """Seconds from the start of the last sidecar until each took all of its tier for alive; None if never."""
+    """Returns the seconds from the start of the last sidecar until each one saw its whole tier alive.
+
+    Returns None if some sidecar never saw its whole tier alive.
+    """
     started_us = [process.changes[0].at_us for process in evidence.processes.values() if process.changes]
     tier_sizes = Counter(process.tier for process in evidence.processes.values())
     complete_us: dict[str, int] = {}
@@ -138,7 +147,10 @@
 
 
 def mean_count_error(evidence: MembershipEvidence, from_us: int, until_us: int) -> float:
-    """Mean deviation of the counts of live instances, as a share of the true count."""
+    """Returns the mean absolute error of the views' counts of live instances, relative to the true count.
+
+    Only views of running sidecars from `from_us` until before `until_us` count; without any, returns 0.
+    """
     errors = []
     for view in evidence.views:
         process = evidence.processes.get(view.observer)
@@ -150,7 +162,7 @@
 
 
 def do_views_agree(evidence: MembershipEvidence, at_us: int) -> bool:
-    """Whether the latest view of each running sidecar counts just those that run."""
+    """Returns whether the latest view of each running sidecar counts exactly the running ones of its tier."""
     latest = {view.observer: view for view in evidence.views if view.at_us <= at_us}
     for name, process in evidence.processes.items():
         if process.is_running(at_us):
--- a/cressrail/testbed/membership_watcher.py
+++ b/cressrail/testbed/membership_watcher.py
@@ -1,4 +1,4 @@
-"""Observes what each sidecar takes the others for: polls its admin address and reads its log."""
+"""Records each sidecar's view of the membership: polls its admin address and reads its log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 MEMBERSHIP_REQUEST = b"GET /membership HTTP/1.1\r\nhost: x\r\n\r\n"
 RESPONSE_TIMEOUT_US = 1_000_000
 HTTP_OK = 200
-# In a sidecar's log, of the present and of earlier versions.
+# Text of membership events in the log of a sidecar, as written by the current and by earlier versions.
 MEMBERSHIP_EVENTS = tuple(
     b'"event":"%b"' % name.encode()
     for present, earlier in log_events.EARLIER_NAMES.items()
@@ -32,7 +32,7 @@
     """Writes the views of all sidecars to the event record.
 
     Attributes:
-        views: The latest of each sidecar, by name, with the keys of the event record.
+        views: The latest view of each sidecar by its name, with the keys of the event record.
     """
 
     def __init__(self, event_record: EventRecord, log_folder: Path) -> None:
@@ -42,7 +42,7 @@
         self._last_written: dict[str, bytes] = {}
 
     async def watch(self, sidecar: SidecarProcess, interval_s: float, first_delay_s: float) -> None:
-        """Polls a sidecar's view until the task is cancelled."""
+        """Polls a sidecar's view at the given interval until the task is cancelled."""
         await asyncio.sleep(first_delay_s)
         loop = asyncio.get_running_loop()
         while True:
@@ -52,12 +52,15 @@
             await asyncio.sleep(max(0.0, began_s + interval_s - loop.time()))
 
     def read_logs(self, sidecars: Iterable[str]) -> None:
-        """Writes what the sidecars logged of membership to the event record, on its clock."""
+        """Copies the membership events in the sidecars' logs to the event record.
+
+        Converts their Unix times to the event record's monotonic clock.
+        """
         clock_offset_us = time.time_ns() // 1000 - now_us()
         for sidecar in sidecars:
             for line in (self._log_folder / f"{sidecar}.log").read_bytes().splitlines():
                 if any(event in line for event in MEMBERSHIP_EVENTS):
-                    with suppress(orjson.JSONDecodeError):  # a line that a kill cut off
+                    with suppress(orjson.JSONDecodeError):  # a line that is incomplete because of a kill
                         self._append_logged(sidecar, orjson.loads(line), clock_offset_us)
 
     async def _poll(self, sidecar: SidecarProcess) -> None:
@@ -78,7 +81,7 @@
         )
 
     def _append_view(self, sidecar: str, membership: dict[str, Any]) -> None:
-        """Writes a view if it differs from the last one."""
+        """Writes a view to the event record if it differs from the sidecar's last one."""
         instances = membership["copies"]
         view = {
             "alive": membership["alive"],
--- a/cressrail/testbed/network_emulation.py
+++ b/cressrail/testbed/network_emulation.py
@@ -1,7 +1,7 @@
-"""Network emulation: loss, delay, reordering, duplication, corruption and rate, by sender and receiver.
+"""Network emulation: loss, delay, reordering, duplication, corruption and rate limits by sender and receiver.
 
-This module only decides; `udp_relay` and `tcp_relay` carry the data. Rules apply to ordered pairs, so a cut
-may be one way.
+This module only decides what happens to the data; `udp_relay` and `tcp_relay` transport it. A rule applies to
+one direction between two sidecars, so a cut may be one-way.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-DISCOVERY = "list"  # names discovery in rules
-CUT_LOSS = 1.0  # a loss of this much is a cut
-REORDERING_DELAY_S = 0.05  # by which a datagram out of order arrives later
+DISCOVERY = "list"  # name of discovery in rules and scenario files
+CUT_LOSS = 1.0  # loss from which a rule is a cut
+REORDERING_DELAY_S = 0.05  # extra delay of a reordered datagram
 
-# Keys of the counts; they stand in the event record.
+# Keys of the counts, which appear in the event record.
 DATAGRAMS = "seen"
 BYTES = "bytes"
 DROPPED = "dropped"
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True)
 class NetworkRule:
-    """What happens to data from some to some.
+    """Effects on the datagrams from some senders to some receivers.
 
     Attributes:
-        senders: Names of sidecars, or `DISCOVERY`; empty for all sidecars.
-        receivers: Likewise.
-        loss: Share of datagrams that is dropped; `CUT_LOSS` cuts the connection.
-        delay_s: Added to each.
-        jitter_s: Up to this much more, uniformly distributed.
-        duplication: Share that arrives twice.
-        reordering: Share that arrives `REORDERING_DELAY_S` later.
-        corruption: Share in which one bit is flipped.
-        datagrams_per_s: Limit of each pair; 0 for none.
+        senders: Names of the sending sidecars, or `DISCOVERY`; empty for all sidecars.
+        receivers: Names of the receiving sidecars, or `DISCOVERY`; empty for all sidecars.
+        loss: Share of datagrams that is dropped; with `CUT_LOSS` the rule is a cut.
+        delay_s: Delay added to each datagram, in seconds.
+        jitter_s: Upper limit of a further, uniformly distributed delay, in seconds.
+        duplication: Share of datagrams that arrives twice.
+        reordering: Share of datagrams that is delayed by `REORDERING_DELAY_S`.
+        corruption: Share of datagrams in which one bit is flipped.
+        datagrams_per_s: Rate limit from each sender to each receiver; 0 for no limit.
     """
 
     senders: frozenset[str] = frozenset()
@@ -55,13 +55,13 @@
 
     @property
     def is_cut(self) -> bool:
-        """Whether nothing passes."""
+        """Whether the rule drops everything."""
         return self.loss >= CUT_LOSS
 
     def cuts_off(self, sidecar: str) -> bool:
-        """Whether a connection between a sidecar and other sidecars is cut, in at least one direction.
+        """Returns whether the rule cuts a sidecar off from other sidecars, in at least one direction.
 
-        Over such a connection nobody learns that a datagram was refused.
+        Across such a cut no sender is notified that a datagram was refused.
         """
         return (
             self.is_cut
@@ -72,7 +72,7 @@
         )
 
     def applies_to(self, sender: str, receiver: str) -> bool:
-        """Whether the rule is for this pair; discovery is meant only where it is named."""
+        """Returns whether the rule applies to this pair; it applies to discovery only by name."""
         return _is_named(sender, self.senders) and _is_named(receiver, self.receivers)
 
 
@@ -85,7 +85,7 @@
     """What happens to one datagram.
 
     Attributes:
-        delays_s: Of each of its arrivals; empty if it is lost.
+        delays_s: Delay of each copy that arrives, in seconds; empty if the datagram is lost.
         is_corrupted: Whether one bit is flipped.
     """
 
@@ -95,12 +95,14 @@
 
 @dataclass
 class NetworkEmulator:
-    """Decides on each datagram, the same for the same seed and order of calls.
+    """Decides what happens to each datagram.
+
+    The same seed and the same order of calls give the same decisions.
 
     Attributes:
-        seed: Of the random values.
-        rules: In force now; replaced as faults begin and end.
-        counts: How many datagrams met what, by the keys above.
+        seed: Seed of the random values.
+        rules: The active rules, which are replaced as faults begin and end.
+        counts: Counts of datagrams and bytes, by the keys defined in this module.
     """
 
     seed: int
@@ -112,7 +114,7 @@
         self._next_allowed_s: dict[tuple[NetworkRule, str, str], float] = {}
 
     def decide(self, sender: str, receiver: str, now_s: float) -> DatagramOutcome:
-        """Applies all rules for the pair to a datagram; delays add up."""
+        """Applies all rules for this pair to one datagram; the delays of several rules add up."""
         self.counts[DATAGRAMS] += 1
         outcome = DatagramOutcome([0.0])
         for rule in self.rules:
@@ -152,7 +154,7 @@
             outcome.is_corrupted = True
 
     def flip_bit(self, data: bytes) -> bytes:
-        """A copy in which one random bit is flipped; nothing of an empty one."""
+        """Returns a copy in which one random bit is flipped; empty data stays empty."""
         if not data:
             return data
         index = self._random.randrange(len(data))
--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -1,4 +1,4 @@
-"""A server with known pauses, drawn before it starts: what a load generator reports is compared with them."""
+"""A server that pauses at predetermined times, as a reference for what a load generator reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cressrail.http_testing.client import now_us
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 
-BACKLOG = 4096  # connections that wait to be accepted
+BACKLOG = 4096  # limit on connections that wait to be accepted
 SECOND_US = 1_000_000
 MILLISECOND_US = 1000
 FAR_FUTURE_US = 1 << 62
@@ -19,16 +19,21 @@
 
 @dataclass(frozen=True)
 class PauseSchedule:
-    """When a server stands still.
+    """The times at which a server pauses.
 
     Attributes:
-        spans_us: Begin and end of each pause, in order and apart from each other.
+        spans_us: Begin and end of each pause, in microseconds; sorted and without overlaps.
     """
 
     spans_us: Sequence[tuple[int, int]]
 
     def completion_us(self, arrived_us: int, work_us: int) -> int:
-        """Returns when a request is answered whose work goes on only outside the pauses."""
+        """Returns when a request completes, whose work progresses only outside the pauses.
+
+        Args:
+            arrived_us: When the request arrived.
+            work_us: Time that the request takes without pauses.
+        """
         progressed_us, remaining_us = arrived_us, work_us
         last = bisect_right(self.spans_us, (arrived_us, FAR_FUTURE_US)) - 1
         if last >= 0 and arrived_us < self.spans_us[last][1]:
@@ -48,14 +53,14 @@
     mean_pause_ms: float = 300.0,
     max_pause_ms: float = 2000.0,
 ) -> PauseSchedule:
-    """Returns random pauses from time 0 on, of exponential lengths and intervals.
+    """Returns random pauses from time 0 on, with exponentially distributed lengths and intervals.
 
     Args:
-        seed: The same seed gives the same pauses.
-        duration_s: In which pauses begin.
-        mean_interval_s: From the end of a pause to the next.
-        mean_pause_ms: Length of a pause before it is cut.
-        max_pause_ms: Longer ones are cut to this.
+        seed: Seed of the random values; the same seed gives the same pauses.
+        duration_s: Pauses begin at most this many seconds after time 0.
+        mean_interval_s: Mean time from the end of a pause to the next pause.
+        mean_pause_ms: Mean length of a pause before `max_pause_ms` is applied.
+        max_pause_ms: Upper limit on the length of a pause.
     """
     random_generator = random.Random(seed)
     spans_us: list[tuple[int, int]] = []
@@ -70,7 +75,14 @@
 
 
 async def serve_with_pauses(host: str, port: int, pauses: PauseSchedule, work_us: int) -> asyncio.Server:
-    """Starts a server that answers each request when the pauses, on the monotonic clock, let it."""
+    """Starts a server whose responses are delayed by the pauses.
+
+    Args:
+        host: Host to listen on.
+        port: Port to listen on.
+        pauses: The pauses, on the monotonic clock.
+        work_us: Time that each request takes without pauses.
+    """
     loop = asyncio.get_running_loop()
 
     def answer_later(request: ReceivedRequest) -> None:
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -1,6 +1,6 @@
 """Starts a sidecar with a baseline policy, or with a deliberate defect that the rule checker must find.
 
-Only the test bed has these variants; the program has no option for them.
+These variants exist only in the test bed; the program itself has no option for them:
 
 python -m cressrail.testbed.policy_variants --policy NAME --break NAME CONFIGURATION
 """
@@ -28,21 +28,21 @@
 from cressrail.proxy.commands import SendResponse
 from cressrail.proxy.endpoint_registry import EndpointRegistry, RegistryChanges
 
-SECOND_RESPONSE_INTERVAL = 3  # every so-many-th client connection gets a second response
-SWALLOWED_INTERVAL = 7  # every so-many-th response is swallowed
+SECOND_RESPONSE_INTERVAL = 3  # one in this many client connections gets a second response
+SWALLOWED_INTERVAL = 7  # one in this many responses is not sent
 SECOND_RESPONSE_TIMEOUT_US = 100_000
 
 
 class Baseline(LoadBalancer):
-    """A uniformly random choice, without limits, queue, zone preference or slow start.
+    """Chooses endpoints uniformly at random, without limits, queue, zone preference or slow start.
 
-    What it keeps are the hard bounds on repeats.
+    It keeps only the strict limits on retries of requests that may have taken effect.
     """
 
-    retries_always = False  # retries whatever may be retried, with no budget and whoever owns the error
+    retries_always = False  # retry whenever permitted, without a retry budget and for errors of any owner
 
     def route(self, request: RoutedRequest, now_us: int) -> list[Decision]:
-        """Sends a request to any endpoint."""
+        """Sends a request to a random endpoint, or gives up if there is none or the deadline has passed."""
         endpoint = self.choose(request)
         if request.deadline_us <= now_us or endpoint is None:
             return [self.give_up(request)]
@@ -51,9 +51,9 @@
     def _retry_or_give_up(
         self,
         request: RoutedRequest,
-        endpoint: Endpoint,  # noqa: ARG002 - of the overridden method
+        endpoint: Endpoint,  # noqa: ARG002 - parameter of the overridden method
         now_us: int,
-        outcome: Outcome,  # noqa: ARG002 - of the overridden method
+        outcome: Outcome,  # noqa: ARG002 - parameter of the overridden method
     ) -> Decision:
         may_retry = now_us < request.deadline_us and self.retry_policy.may_retry(request, now_us)
         if self.retries_always and may_retry:
@@ -63,7 +63,7 @@
         return self.give_up(request)
 
     def choose(self, request: RoutedRequest) -> Endpoint | None:
-        """Returns the endpoint for the next attempt, None if there is none."""
+        """Returns the endpoint for the next attempt; None if none is available."""
         candidates = [
             endpoint
             for endpoint in self.endpoints.values()
@@ -73,26 +73,26 @@
         return self.choose_among(candidates) if candidates else None
 
     def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
-        """Returns one of the endpoints, of which there is at least one."""
+        """Returns one of the candidates, of which there must be at least one."""
         return candidates[self.random_generator.below(len(candidates))]
 
 
 class RoundRobin(Baseline):
-    """One endpoint after the other."""
+    """Chooses the endpoints in turn."""
 
     choice_count = 0
 
     def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
-        """Returns the next one."""
+        """Returns the next candidate in turn."""
         self.choice_count += 1
         return candidates[self.choice_count % len(candidates)]
 
 
 class LeastInFlight(Baseline):
-    """The endpoint with the fewest own attempts in flight."""
+    """Chooses the endpoint with the fewest attempts in flight from this sidecar."""
 
     def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
-        """Returns it, one of them at random if there are several."""
+        """Returns the candidate with the fewest attempts in flight; ties are broken at random."""
         return min(
             candidates,
             key=lambda endpoint: (endpoint.in_flight, self.random_generator.below(1 << 16)),
@@ -100,7 +100,7 @@
 
 
 class RetryAlways(Baseline):
-    """Retries whatever may be retried."""
+    """Retries every failed attempt that may be retried, without a retry budget."""
 
     retries_always = True
 
@@ -114,7 +114,7 @@
 
 
 def send_second_response() -> None:
-    """Rule 1: some connections get bytes after the one final response."""
+    """Breaks rule 1: some connections get bytes after the final response."""
     send_response = ClientConnectionTask._send_response
 
     def send_twice(self: ClientConnectionTask, command: SendResponse) -> None:
@@ -127,7 +127,7 @@
 
 
 def swallow_responses() -> None:
-    """Rule 1: some accepted requests get no response."""
+    """Breaks rule 1: some accepted requests get no response."""
     send_response = ClientConnectionTask._send_response
 
     def swallow_some(self: ClientConnectionTask, command: SendResponse) -> None:
@@ -135,13 +135,13 @@
             send_response(self, command)
             return
         command.response.body.release()
-        raise OSError("swallowed on purpose")
+        raise OSError("response dropped by the deliberate defect 'swallows'")
 
     ClientConnectionTask._send_response = swallow_some  # type: ignore[method-assign]
 
 
 def retry_unsafe_requests() -> None:
-    """Rule 2: what may have taken effect is sent again, whatever its request class."""
+    """Breaks rule 2: requests that may have taken effect are retried, whatever their request class."""
 
     def may_retry(self: RetryPolicy, request: RoutedRequest, *_: Any, **__: Any) -> bool:
         return len(request.attempts) < self.max_attempts
@@ -154,7 +154,7 @@
 
 
 def ignore_drains() -> None:
-    """Rule 3: draining and removed endpoints stay in use."""
+    """Breaks rule 3: draining and removed endpoints stay in use."""
     apply_update = EndpointRegistry.apply
 
     def apply_as_accepting(self: EndpointRegistry, update: EndpointListUpdate) -> RegistryChanges:
@@ -165,7 +165,7 @@
 
 
 def rush_to_new_endpoints() -> None:
-    """Rule 4: everything is sent to the endpoint that started last."""
+    """Breaks rule 4: all requests are sent to the endpoint that started last."""
 
     class NewestEndpoint(LeastInFlight):
         def choose_among(self, candidates: list[Endpoint]) -> Endpoint:
--- a/cressrail/testbed/processor_sharing.py
+++ b/cressrail/testbed/processor_sharing.py
@@ -1,8 +1,9 @@
-"""Model of an endpoint's work, without I/O: cores, slots, a queue, and what slows an endpoint down.
+"""Model of an endpoint's processing, without I/O: cores, slots, a queue, and effects that slow it down.
 
-The cores are shared evenly by the jobs that compute (processor sharing). All of them progress at the same
-rate, so one clock serves them all: `service_us`, the work that each of them has got since the start. A job
-that needs w more microseconds of a core ends when that clock stands at its start plus w.
+The computing jobs share the cores evenly (processor sharing). Since all of them progress at the same rate,
+one service clock suffices for all: the work, in microseconds of one core, that a job computing since the
+start would have received. A job that starts when this clock shows s and needs w microseconds of one core is
+complete when the clock shows s + w.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 from cressrail.testbed.scenario import EndpointContract, ServiceTime, Tier
 
-WARMUP_STEP_US = 20_000  # in which the rate of a warming-up endpoint is taken as constant
-RECOVERY_SHARE = 0.1  # of the slots: a collapsed endpoint recovers when it holds no more
-SERVICE_ROUNDING_US = 0.5  # a job that lacks no more than this is complete
+WARMUP_STEP_US = 20_000  # interval in which the rate of a warming-up endpoint is treated as constant
+RECOVERY_SHARE = 0.1  # a collapsed endpoint recovers when at most this share of its slots is in use
+SERVICE_ROUNDING_US = 0.5  # a job with at most this much work left is complete
 
 
 class Job:
-    """Work of one request, of which a part may come before a call to the next tier.
+    """Work of one request, which a call to the next tier may divide into two parts.
 
     Attributes:
-        context: What the owner keeps with the job.
-        work_us: Work of the present part, in microseconds of one core.
-        has_slot: Whether it holds a slot.
-        is_computing: Whether its present part is under way.
+        context: Data that the job's owner attaches to it.
+        work_us: Work of the current part, in microseconds of one core.
+        has_slot: Whether the job occupies a slot.
+        is_computing: Whether the current part is being processed.
     """
 
     __slots__ = ("context", "has_slot", "is_computing", "work_us")
@@ -39,7 +40,13 @@
 
 
 class Completion(NamedTuple):
-    """Entry of the heap of jobs that compute; the number settles ties in the order of their starts."""
+    """Entry of the heap of computing jobs.
+
+    Attributes:
+        service_us: Reading of the service clock at which the job is complete.
+        number: Sequence number, by which jobs that complete together are ordered as they started.
+        job: The computing job.
+    """
 
     service_us: float
     number: int
@@ -47,28 +54,31 @@
 
 
 class ProcessorSharingServer:
-    """Cores, slots and a queue of one endpoint.
+    """The cores, slots and queue of one endpoint.
 
-    Times are microseconds of any clock that does not run backwards; each call takes the present time.
+    Times are in microseconds of any clock that never runs backwards; each call takes the current time.
 
     Attributes:
-        slowdown: Factor by which a fault slows it down.
-        is_stalled: Whether a fault holds all work up.
-        is_collapsed: Whether it is slow from overload until it is nearly idle.
-        held_slots: Slots in use.
+        tier: The endpoint's tier, which sets its capacity.
+        contract: The contract of the endpoint, which sets how it warms up.
+        started_us: When the endpoint started; 0 for an endpoint that has warmed up.
+        slowdown: Factor by which a fault slows the endpoint down.
+        is_stalled: Whether a fault has stopped all work.
+        is_collapsed: Whether the endpoint has collapsed from overload; it stays slow until it is nearly idle.
+        held_slots: Number of slots in use.
         queue: Jobs that wait for a slot.
-        computing_count: Jobs whose work is under way.
-        completions: Heap of those jobs.
+        computing_count: Number of jobs that are being processed.
+        completions: Heap of the jobs that are being processed.
         updated_us: Time up to which work is accounted for.
     """
 
     def __init__(self, tier: Tier, contract: EndpointContract, started_us: int = 0) -> None:
-        """Starts idle.
+        """Creates an idle server.
 
         Args:
-            tier: Its capacity.
-            contract: How it warms up.
-            started_us: Time of its start; 0 for one that has warmed up.
+            tier: The endpoint's tier, which sets its capacity.
+            contract: The contract of the endpoint, which sets how it warms up.
+            started_us: When the endpoint started; 0 for an endpoint that has warmed up.
         """
         self.tier, self.contract = tier, contract
         self.started_us = started_us
@@ -84,7 +94,7 @@
         self.updated_us = started_us
 
     def available_share(self, now_us: int) -> float:
-        """Returns the share of its whole capacity that it has at that time of its warm-up."""
+        """Returns the share of its full capacity that the endpoint has at that time; below 1 in warm-up."""
         warmup_us = self.contract.warmup_ms * 1000
         if not self.started_us or now_us >= self.started_us + warmup_us:
             return 1.0
@@ -92,7 +102,7 @@
         return initial_share + (1 - initial_share) * (now_us - self.started_us) / warmup_us
 
     def service_rate(self, now_us: int) -> float:
-        """Returns how fast each computing job progresses, in core microseconds a microsecond."""
+        """Returns the rate of progress of each computing job, in microseconds of one core per microsecond."""
         if self.is_stalled or not self.computing_count:
             return 0.0
         threshold = self.tier.thrashing_threshold
@@ -103,10 +113,10 @@
         return speed * min(1.0, self.tier.cores / self.computing_count)
 
     def offer(self, now_us: int, job: Job) -> bool:
-        """Starts a job, or queues it while all slots are held.
+        """Starts a job, or queues it if all slots are in use.
 
         Returns:
-            Whether it was accepted; False if the queue is full, too.
+            Whether the job was accepted; False if the queue is also full.
         """
         self.advance(now_us)
         if self.held_slots < self.tier.slots:
@@ -118,13 +128,13 @@
         return True
 
     def resume(self, now_us: int, job: Job, work_us: float) -> None:
-        """Starts the next part of a job that kept its slot while it waited for something else."""
+        """Starts the next part of a job that kept its slot during a call to the next tier."""
         self.advance(now_us)
         job.work_us = work_us
         self._compute(job)
 
     def release(self, now_us: int, job: Job) -> None:
-        """Ends a job, complete or not: frees its slot or its place in the queue."""
+        """Ends a job, complete or not: frees its slot or removes it from the queue."""
         self.advance(now_us)
         if job.is_computing:
             job.is_computing = False
@@ -142,7 +152,7 @@
             self.queue.remove(job)
 
     def advance(self, now_us: int) -> None:
-        """Accounts for the work done up to now, at the present rate."""
+        """Accounts for the work done until now, at the current rate."""
         while self.updated_us < now_us:
             is_warming_up = self.available_share(self.updated_us) < 1
             until_us = min(now_us, self.updated_us + WARMUP_STEP_US) if is_warming_up else now_us
@@ -150,7 +160,7 @@
             self.updated_us = until_us
 
     def pop_completed(self, now_us: int) -> list[Job]:
-        """Returns the jobs whose present part is complete; they keep their slots until released."""
+        """Returns the jobs whose current part is complete; they keep their slots until released."""
         self.advance(now_us)
         completed = []
         while self.completions and self.completions[0].service_us <= self._service_us + SERVICE_ROUNDING_US:
@@ -161,7 +171,7 @@
         return completed
 
     def next_completion_us(self, now_us: int) -> int | None:
-        """Returns when to look for completed jobs again; None while nothing progresses."""
+        """Returns when to check for completed jobs again; None while no job progresses."""
         self.advance(now_us)
         rate = self.service_rate(now_us)
         if not self.completions or not rate:
@@ -191,9 +201,8 @@
     if service_time.distribution == "fixed" or (service_time.distribution == "lognormal" and not variation):
         return mean_us
     if service_time.distribution == "pareto":
-        minimum_us = (
-            mean_us * (variation - 1) / variation
-        )  # of the Pareto distribution with that mean and alpha
+        # Minimum of the Pareto distribution with this mean and alpha.
+        minimum_us = mean_us * (variation - 1) / variation
         return minimum_us * random_generator.paretovariate(variation)
     log_variance = log1p(variation**2)
     return mean_us * random_generator.lognormvariate(-log_variance / 2, log_variance**0.5)
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -1,7 +1,7 @@
 """Rule checker: finds violations of the rules that a sidecar must keep, from the evidence of a run.
 
-It reads and writes nothing. What is not seen is not accused: an attempt that reached no endpoint, for
-example, counts nowhere.
+It does no I/O. Only what the evidence shows can be a violation: an attempt that reached no endpoint, for
+example, is not counted anywhere.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 from cressrail.testbed.run_evidence import CALLER_DIED, DUPLICATE, SUCCEEDED, RunEvidence
 from cressrail.testbed.scenario import FleetScenario, RequestClass, Tier
 
-OVERLAP_TOLERANCE_US = 50_000  # attempts that overlap by less may be a close under way
-TRANSIT_TOLERANCE_US = 20_000  # an attempt seen this long after the grace may have been on its way
+OVERLAP_TOLERANCE_US = 50_000  # attempts may overlap by this much while a connection is being closed
+TRANSIT_TOLERANCE_US = 20_000  # transit time allowed to an attempt sent within the grace period
 RETRY_BUDGET_WINDOW_US = 10_000_000
-RETRY_BUDGET_SHARE = 0.1  # of the requests in the window
-IGNORED_HEAVIEST_ATTEMPTS = 3  # in a window of slow start: a little slack for chance
+RETRY_BUDGET_SHARE = 0.1  # permitted retries, as a share of the requests in the window
+IGNORED_HEAVIEST_ATTEMPTS = 3  # per slow-start window, as slack for random variation of the work
 HTTP_OK = 200
 HTTP_REJECTED = 503
 
 
 class Rule(IntEnum):
-    """The rules; the values stand in reports."""
+    """The rules; the values appear in reports."""
 
-    RETRY_BUDGET = 0  # a bound of the design, not of the platform
-    ONE_ANSWER = 1  # each request gets exactly one final answer, in time
+    RETRY_BUDGET = 0  # a limit of cressrail's own design; the platform does not require it
+    ONE_ANSWER = 1  # each request gets exactly one final response, in time
     NO_REPEATED_EFFECT = 2  # no request takes effect twice
-    DRAIN = 3  # nothing is sent to an endpoint that is announced as draining or removed
-    SLOW_START = 4  # an endpoint that warms up is not overloaded
+    DRAIN = 3  # no attempt is sent to an endpoint that was announced as draining or removed
+    SLOW_START = 4  # an endpoint is not overloaded while it warms up
 
 
 @dataclass(frozen=True)
 class RuleViolation:
-    """One violation.
+    """One violation of a rule.
 
     Attributes:
         rule: The rule that was broken.
-        request_id: Of the request; empty where it is about several.
-        evidence: What shows it, for people.
+        request_id: ID of the request; empty if the violation concerns several requests.
+        evidence: Human-readable description of what shows the violation.
     """
 
     rule: Rule
@@ -53,12 +53,21 @@
     evidence: str
 
     def report_row(self) -> dict[str, Any]:
-        """By the keys of reports."""
+        """Returns the violation by the keys of reports."""
         return {"rule": int(self.rule), "tx": self.request_id, "evidence": self.evidence}
 
 
 def check_rules(scenario: FleetScenario, evidence: RunEvidence) -> list[RuleViolation]:
-    """Checks all rules; the violations stand in the order of the rules, those of single requests first."""
+    """Checks all rules.
+
+    Args:
+        scenario: Scenario of the run.
+        evidence: Evidence of the run.
+
+    Returns:
+        The violations: first those of rules 1 and 2 by single requests, then bytes after a final response,
+        then those of rules 3, 4 and 0.
+    """
     request_classes = {request_class.name: request_class for request_class in scenario.request_classes}
     attempts_by_request = evidence.attempts_by_request()
     has_zone_cut = any(fault["fault"] == "cut" for fault in evidence.faults)
@@ -69,14 +78,14 @@
         if (problem := _answer_problem(scenario, call, attempts)) is not None:
             violations.append(RuleViolation(Rule.ONE_ANSWER, call["id"], problem))
         problems = [*_effect_problems(request_class, call, attempts)]
-        if not has_zone_cut:  # a cut hides when an attempt ends
+        if not has_zone_cut:  # during a zone cut, endpoints do not see when an attempt ends
             problems += _overlap_problems(attempts)
         violations += [RuleViolation(Rule.NO_REPEATED_EFFECT, call["id"], problem) for problem in problems]
     violations += [
         RuleViolation(
             Rule.ONE_ANSWER,
             "",
-            f"{row['surplus']} bytes after a final answer on a connection of {row['target']}",
+            f"{row['surplus']} bytes after a final response on a connection to {row['target']}",
         )
         for row in evidence.excess_bytes
     ]
@@ -91,24 +100,29 @@
 
 
 def _answer_problem(scenario: FleetScenario, call: Event, attempts: Sequence[Event]) -> str | None:
-    """What is wrong with a call's answer, if anything is.
+    """Returns what is wrong with a call's response; None if nothing is.
 
-    A request that was never sent whole was not accepted; a client that gave up early had left.
+    No response is due to a request that was never sent completely, to a caller that died, or to a client that
+    gave up before its deadline.
     """
     outcome = call["how"]
     if not call["sent_us"] or outcome in (CallOutcome.CONNECT_FAILED, CALLER_DIED):
         return None
-    # A close may cross a request that was not read, which its client then sends once more. One that an
-    # endpoint had seen by then had been read, whatever became of the second sending: without this check a
-    # lost request would look like a duplicate only.
+    # A sidecar may close an idle connection while a request is on its way, and the client then sends that
+    # request again. If an endpoint had received the request before that, the sidecar had read it and owed a
+    # response, whatever happened to the resent request. Without this check a lost request would look like a
+    # mere duplicate.
     if resent_us := call.get("again_us"):
         seen = next((attempt for attempt in attempts if attempt["came_us"] <= resent_us), None)
         if seen is not None:
-            return f"closed without an answer after {seen['endpoint']} had it, at {call['target']}"
+            return (
+                f"connection to {call['target']} closed without a response after {seen['endpoint']} had "
+                f"received the request"
+            )
     duration_us = call["ended_us"] - (call["sent_us"] or call["began_us"])
     if outcome in (CallOutcome.CONNECTION_RESET, CallOutcome.MALFORMED_RESPONSE):
         return (
-            f"no answer: {outcome} after {_format_ms(duration_us)}, {len(attempts)} attempts, "
+            f"no response: {outcome} after {_format_ms(duration_us)} and {len(attempts)} attempts, "
             f"at {call['target']}"
         )
     if outcome == CallOutcome.TIMED_OUT:
@@ -116,23 +130,23 @@
         if is_impatient_client:
             return None
         return (
-            f"no answer within {_format_ms(call['limit_us'])} at {call['target']}, {len(attempts)} attempts"
+            f"no response within {_format_ms(call['limit_us'])} at {call['target']}, {len(attempts)} attempts"
         )
     if duration_us > call["limit_us"] + int(scenario.rules.lateness_ms * 1000):
-        return f"answered after {_format_ms(duration_us)}, limit {_format_ms(call['limit_us'])}"
+        return f"response after {_format_ms(duration_us)}, limit {_format_ms(call['limit_us'])}"
     return _success_problem(call, attempts) if call["status"] == HTTP_OK else None
 
 
 def _success_problem(call: Event, attempts: Sequence[Event]) -> str | None:
     if call["echo"] != call["id"]:
-        return f"succeeded with an answer made for {call['echo'] or 'nobody'}"
+        return f"succeeded with the response to another request: {call['echo'] or '(no ID)'}"
     if not any(attempt["how"] in (SUCCEEDED, DUPLICATE) for attempt in attempts):
-        return "succeeded, but at no endpoint"
+        return "succeeded, but no endpoint completed the request"
     return None
 
 
 def _effect_problems(request_class: RequestClass, call: Event, attempts: Sequence[Event]) -> Iterator[str]:
-    """Attempts after one that may have taken effect, and a rejection after one."""
+    """Yields attempts made after one that may have taken effect, and a rejection after such an attempt."""
     executed = [attempt for attempt in attempts if attempt["ran"] or attempt.get("repeat")]
     if request_class.idempotency is Idempotency.IDEMPOTENT or not executed:
         return
@@ -145,7 +159,7 @@
     is_rejected = call["status"] == HTTP_REJECTED and call["how"] == CallOutcome.ANSWERED
     has_narrow_scope = request_class.key_scope != "all"
     if is_rejected and (request_class.idempotency is Idempotency.NON_IDEMPOTENT or has_narrow_scope):
-        yield f"rejected, but it ran on {_where(first)} ({first['how']})"
+        yield f"rejected with status {HTTP_REJECTED}, but ran on {_where(first)} ({first['how']})"
 
 
 def _where(attempt: Event) -> str:
@@ -153,25 +167,25 @@
 
 
 def _retry_problem(request_class: RequestClass, call: Event, first: Event, later: Event) -> str | None:
-    """Why a request that ran once must not have been sent again, if so."""
+    """Returns why a request that had run must not have been sent again; None if that was permitted."""
     apart_us = later["came_us"] - first["came_us"]
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return (
-            f"non-idempotent, ran on {_where(first)} and was sent to {later['endpoint']} "
+            f"non-idempotent request ran on {_where(first)} and was sent to {later['endpoint']} "
             f"{_format_ms(apart_us)} later"
         )
     if not call["key"]:
-        return f"no key, ran on {_where(first)}, sent again to {later['endpoint']}"
+        return f"request without a key ran on {_where(first)} and was sent again to {later['endpoint']}"
     scope = request_class.key_scope
     if scope != "all" and later[scope] != first[scope]:
         return (
-            f"with a key, ran on {_where(first)} in {scope} {first[scope]}, sent to {later['endpoint']} "
-            f"in {scope} {later[scope]}"
+            f"request with a key ran on {_where(first)} in {scope} {first[scope]} and was sent to "
+            f"{later['endpoint']} in {scope} {later[scope]}"
         )
     if apart_us > request_class.idempotency_window_ms * 1000 + OVERLAP_TOLERANCE_US:
         return (
-            f"with a key, sent again {_format_ms(apart_us)} after {_where(first)}, window "
-            f"{request_class.idempotency_window_ms:.0f} ms"
+            f"request with a key was sent again {_format_ms(apart_us)} after it reached {_where(first)}, "
+            f"idempotency window {request_class.idempotency_window_ms:.0f} ms"
         )
     return None
 
@@ -180,13 +194,17 @@
     for earlier, later in pairwise(attempts):
         if later["came_us"] < earlier["left_us"] - OVERLAP_TOLERANCE_US:
             yield (
-                f"two attempts at once: {earlier['endpoint']} until {earlier['left_us']}, "
+                f"two attempts at the same time: {earlier['endpoint']} until {earlier['left_us']}, "
                 f"{later['endpoint']} from {later['came_us']}"
             )
 
 
 def _check_drains(scenario: FleetScenario, evidence: RunEvidence) -> Iterator[RuleViolation]:
-    """The sidecar that sent an attempt follows from its call; what it had been told, from discovery."""
+    """Yields attempts sent to an endpoint after the grace period for its drain or removal.
+
+    The attempt's call identifies the sidecar that sent it; the announcements to that sidecar tell which phase
+    it knew.
+    """
     sidecar_by_request = {
         call["id"]: evidence.sidecars.get(call["target"], {}).get("sidecar", "") for call in evidence.calls
     }
@@ -202,13 +220,16 @@
             yield RuleViolation(
                 Rule.DRAIN,
                 attempt["id"],
-                f"{sidecar} was told that {attempt['endpoint']} is {phase} and sent to it "
-                f"{_format_ms(attempt['came_us'] - since_us)} later",
+                f"{sidecar} sent an attempt to {attempt['endpoint']}, last announced as {phase}, "
+                f"{_format_ms(attempt['came_us'] - since_us)} after it was no longer announced as up",
             )
 
 
 def _announced_phase(announcements: Sequence[Event], at_us: int) -> tuple[str, int]:
-    """The phase announced last, and since when the endpoint has not been up; removal extends a drain."""
+    """Returns the phase announced last, and when the endpoint was first announced as no longer up.
+
+    A removal that follows a drain leaves that time at the begin of the drain.
+    """
     phase, since_us = "up", 0
     for row in announcements:
         if row["at_us"] > at_us:
@@ -221,7 +242,7 @@
 
 
 def _check_slow_start(scenario: FleetScenario, evidence: RunEvidence) -> Iterator[RuleViolation]:
-    """At most one violation for each start of an endpoint."""
+    """Yields overloads of warming-up endpoints, at most one for each start of an endpoint."""
     attempts_by_endpoint: dict[str, list[Event]] = defaultdict(list)
     for attempt in evidence.attempts:
         attempts_by_endpoint[attempt["endpoint"]].append(attempt)
@@ -234,7 +255,10 @@
 def _slow_start_violation(
     scenario: FleetScenario, start: Event, attempts: Sequence[Event]
 ) -> RuleViolation | None:
-    """Compares the work sent by all sidecars in each window with what the endpoint can do in it."""
+    """Compares the work that all sidecars sent in each window with the work permitted in it.
+
+    The permitted work is `overload_multiple` times the endpoint's capacity in the window.
+    """
     endpoint, started_us = start["started"], start["at_us"]
     window_us = int(scenario.rules.overload_window_ms * 1000)
     warmup_us = int(scenario.fleet.contract.warmup_ms * 1000)
@@ -258,14 +282,14 @@
             return RuleViolation(
                 Rule.SLOW_START,
                 last["id"],
-                f"{endpoint}, warming up for {_format_ms(age_us)}, was sent {_format_ms(sent_us)} of work "
-                f"within {_format_ms(window_us)}; it may get {_format_ms(int(allowed_us))}",
+                f"{endpoint} was sent {_format_ms(sent_us)} of work within {_format_ms(window_us)}, limit "
+                f"{_format_ms(int(allowed_us))}, {_format_ms(age_us)} after it started to warm up",
             )
     return None
 
 
 def _tier_of(scenario: FleetScenario, endpoint: str) -> Tier:
-    """An endpoint's name is that of its tier and a number."""
+    """Returns the tier of an endpoint, whose name consists of the tier's name and a number."""
     return next(
         tier
         for tier in scenario.fleet.tiers
@@ -276,9 +300,9 @@
 def _check_retry_budget(
     evidence: RunEvidence, attempts_by_request: dict[str, list[Event]]
 ) -> Iterator[RuleViolation]:
-    """In no window more retries of a sidecar than a share of its requests; at most one violation each.
+    """Yields sidecars whose retries exceeded the retry budget in a window, at most one violation for each.
 
-    Retries that reached no endpoint are not seen, so this may miss a violation but accuses no one wrongly.
+    Retries that reached no endpoint are not recorded, so this may miss violations but reports no false ones.
     """
     calls_by_sidecar: dict[str, list[Event]] = defaultdict(list)
     for call in evidence.calls:
@@ -298,7 +322,7 @@
 
 
 def _first_budget_excess(retries_us: Sequence[int], requests_us: Sequence[int]) -> tuple[int, int] | None:
-    """Retries and requests of the first window in which there are too many retries."""
+    """Returns the numbers of retries and requests in the first window with too many retries; None if none."""
     first_retry = first_request = 0
     for count, at_us in enumerate(retries_us, 1):
         while retries_us[first_retry] <= at_us - RETRY_BUDGET_WINDOW_US:
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -1,4 +1,4 @@
-"""Runs a fleet as a process of its own: reports that it is ready, and begins the faults when told to."""
+"""Runs a fleet as a process of its own: reports when it is ready and starts the faults on command."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from cressrail.testbed.scenario import FleetScenario
 
 START_COMMAND = "go"
-# Collections hold the relay up: rare ones of what the run itself allocates.
+# Garbage collections delay the relay: they run rarely, and only on objects allocated during the run.
 GC_THRESHOLDS = (50_000, 20, 1000)
 
 
@@ -26,20 +26,20 @@
 ) -> int:
     """Runs the fleet of a scenario until SIGINT or SIGTERM.
 
-    Writes one line of JSON to standard output once it is ready, with the addresses of the ingress sidecars
-    under `doors`. Where the faults do not start at once, a line `go MICROSECONDS` on standard input starts
-    them at that time of the monotonic clock, and the end of the input ends the fleet, too.
+    When the fleet is ready, writes one line of JSON to standard output, with the addresses of the ingress
+    sidecars under `doors`. Unless `starts_at_once` is set, a line `go MICROSECONDS` on standard input then
+    starts the faults at that time of the monotonic clock, and the end of the input also ends the fleet.
 
     Args:
-        scenario: What runs.
-        folder: For configurations, logs and the record of events.
-        checkout: Of the repository whose sidecars run.
-        policy: Name of the policy.
-        defect: Name of a deliberate defect of the sidecars, empty for none.
-        starts_at_once: Whether the faults start without the line.
+        scenario: The scenario to run.
+        folder: Folder for configurations, logs and the event record.
+        checkout: Checkout of the repository whose sidecars run.
+        policy: Name of the policy that the sidecars use.
+        defect: Name of a deliberate defect of the sidecars; empty for none.
+        starts_at_once: Whether the faults start as soon as the fleet is ready, without a command.
 
     Returns:
-        Exit status: 0, or 1 if the fleet can't be started.
+        Exit status: 0, or 1 if the fleet cannot be started.
     """
     return uvloop.run(_run(Fleet(scenario, folder, checkout, policy, defect), starts_at_once))
 
@@ -75,6 +75,6 @@
     match sys.stdin.readline().split():
         case [command, start_us] if command == START_COMMAND and start_us.isdigit():
             fleet.spawn(run_faults(fleet, int(start_us)))
-        case _:  # the end of the input, or nothing that can be read
+        case _:  # the end of the input, or an unknown command
             asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
             is_over.set()
--- a/cressrail/testbed/run_evidence.py
+++ b/cressrail/testbed/run_evidence.py
@@ -1,8 +1,8 @@
 """Evidence of a run for the rule checker: what clients, endpoints and discovery recorded.
 
-Rows keep the keys of the files: those of the load's attempt log and of the fleet's event record. A row of
-`calls` is an attempt of a client, or of an endpoint that calls the next tier; a row of `attempts` is what an
-endpoint saw of an attempt that a sidecar sent to it.
+Rows keep the keys of the files they come from: the load's attempt log and the fleet's event record. A row of
+`calls` is a request as recorded by the client that sent it, or by the endpoint that called the next tier with
+it; a row of `attempts` is an attempt of a sidecar as recorded by the endpoint that received it.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 from cressrail.testbed.event_record import Event
 
-# How an attempt ended at its endpoint, in rows of `attempts`, where it succeeded.
+# Values of `how` in rows of `attempts` that succeeded.
 SUCCEEDED = "committed"
-DUPLICATE = "repeat"  # of a request whose idempotency key the endpoint knows: answered, runs nothing
+DUPLICATE = "repeat"  # the endpoint had seen the idempotency key: it responded and did no work
 
-# How a call ended when the endpoint that called died; other ends are those of `CallOutcome`.
+# Value of `how` in rows of `calls` when the calling endpoint died; the others are those of `CallOutcome`.
 CALLER_DIED = "caller died"
 
 
 @dataclass
 class RunEvidence:
-    """The rows of a run, by what they tell.
+    """The rows of a run, grouped by what they record.
 
     Attributes:
-        calls: Attempts of clients and of endpoints that call on.
-        attempts: Attempts of sidecars, as endpoints saw them.
-        announcements: Which phase of which endpoint discovery announced to which sidecar, and when.
-        endpoint_starts: When an endpoint started again.
-        excess_bytes: Bytes that came after a final response.
+        calls: Requests sent by clients, and by endpoints that call the next tier.
+        attempts: Attempts of sidecars, as recorded by endpoints.
+        announcements: Phases of endpoints that discovery announced to a sidecar, with the time.
+        endpoint_starts: Restarts of endpoints.
+        excess_bytes: Counts of bytes received after a final response.
         sidecars: The latest start of each sidecar, by the address that its clients use.
-        faults: Begin and end of faults of endpoints and of discovery.
+        faults: Begins and ends of faults of endpoints and of discovery.
         failed: Errors of the test bed itself.
-        start_us: When the load began; 0 if it never did.
+        start_us: When the load began, in microseconds on the monotonic clock; 0 if it never began.
     """
 
     calls: list[Event] = field(default_factory=list)
@@ -48,7 +48,7 @@
     start_us: int = 0
 
     def attempts_by_request(self) -> dict[str, list[Event]]:
-        """Groups the attempts by request id, in the order in which they arrived."""
+        """Returns the attempts by request ID, each list sorted by time of arrival."""
         groups: dict[str, list[Event]] = defaultdict(list)
         for attempt in self.attempts:
             groups[attempt["id"]].append(attempt)
@@ -58,11 +58,14 @@
 
 
 def collect_evidence(attempt_log: Iterable[Event], event_record: Iterable[Event]) -> RunEvidence:
-    """Sorts the rows of the load's attempt log and of the fleet's event record; others are left out."""
+    """Groups the rows of the load's attempt log and of the fleet's event record.
+
+    Rows of the event record that the rule checker does not need are ignored.
+    """
     evidence = RunEvidence()
     for row in attempt_log:
         (evidence.excess_bytes if "surplus" in row else evidence.calls).append(row)
-    # The key that tells what a row is of; the first one counts.
+    # Keys that identify the type of a row; the first one that the row contains applies.
     destinations = {
         "call": evidence.calls,
         "came_us": evidence.attempts,
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -1,7 +1,7 @@
-"""A fleet's scenario file as typed records: fleet, request classes, tenants, load, faults, bounds.
+"""Models of a fleet's scenario file: fleet, request classes, tenants, load, faults and limits.
 
-Checked when read. Where a key of the file is not the code's term, the field has the term and the key is its
-alias; rows and files that are written keep the keys.
+The file is validated when it is read. Where a key of the file differs from the code's term, the field has the
+code's term and the key is its alias; files and event records are written with the keys.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from cressrail.load.plan import ClientBehaviour, RequestClassLoad, ShapeName, StrictModel, TenantLoad
 from cressrail.testbed.fault import Fault, FaultKind, FaultSchedule
 
-MAX_SHOWN_CHARACTERS = 40  # of a name in a message
+MAX_SHOWN_CHARACTERS = 40  # longest part of a name that an error message quotes
 PolicyName = Literal["own", "random", "round-robin", "least-in-flight", "retry-always"]
 DefectName = Literal["", "answers-twice", "swallows", "repeats", "deaf", "rushes"]
 
 
 class ServiceTime(StrictModel):
-    """Distribution of the work of one request on one core.
+    """Distribution of the work of one request, as processing time on one core.
 
     Attributes:
-        distribution: Kind of the distribution.
-        mean_ms: Mean, whatever the distribution.
-        variation: Coefficient of variation; of a Pareto distribution its alpha, above 1, where larger figures
-            give a smaller tail.
+        distribution: Type of the distribution.
+        mean_ms: Mean of the distribution, in milliseconds.
+        variation: Coefficient of variation; for a Pareto distribution its alpha, which must be above 1 and
+            where larger values give a lighter tail.
     """
 
     distribution: Literal["fixed", "lognormal", "pareto"] = Field("lognormal", alias="kind")
@@ -35,27 +35,30 @@
     @model_validator(mode="after")
     def _has_mean(self) -> ServiceTime:
         if self.distribution == "pareto" and self.variation <= 1:
-            raise ValueError("cv: pareto takes its alpha here, above 1")
+            raise ValueError(
+                f"cv: must be above 1, being the alpha of the pareto distribution, not {self.variation:g}"
+            )
         return self
 
 
 class Tier(StrictModel):
-    """A tier of simulated services, all of the same capacity.
+    """A tier of simulated endpoints, all of the same capacity.
 
     Attributes:
-        name: Prefix of its endpoints' names, a number being the rest.
-        endpoint_count: How many endpoints it has.
-        cores: Of one endpoint; shared evenly by the requests that compute.
-        slots: Requests that an endpoint holds at a time.
-        queue_capacity: Requests that wait for a slot; further ones are rejected.
-        service_time: Work of one request.
-        work_before_call: Share of the work that comes before the call to the next tier.
-        thrashing_threshold: Share of the slots beyond which each held request slows down all of them.
-        thrashing_slowdown: By how much they are slower when all slots are held.
-        collapse_threshold: Share of the slots at which the endpoint collapses until it is nearly idle; 0 for
-            never.
-        collapse_speed: Speed of a collapsed endpoint, as a share of the usual one.
-        work_factors: Factor of the work by request class; 1 where none is named.
+        name: Name of the tier; an endpoint's name is the tier's name followed by a number.
+        endpoint_count: Number of endpoints.
+        cores: Cores of one endpoint, shared evenly by the requests that compute.
+        slots: Number of requests that an endpoint processes at the same time.
+        queue_capacity: Number of requests that may wait for a slot; further ones are rejected.
+        service_time: Distribution of the work of one request.
+        work_before_call: Share of the work that is done before the call to the next tier.
+        thrashing_threshold: Share of the slots beyond which each further request slows down all of them.
+        thrashing_slowdown: Relative slowdown when all slots are in use; with 0.5, work takes 1.5 times as
+            long.
+        collapse_threshold: Share of used slots at which an endpoint collapses, that is, becomes slow until it
+            is nearly idle; 0 for never.
+        collapse_speed: Speed of a collapsed endpoint, relative to its normal speed.
+        work_factors: Factor on the work by request class; 1 for classes that are not listed.
     """
 
     name: str
@@ -73,13 +76,13 @@
 
 
 class EndpointContract(StrictModel):
-    """What a tier's operators promise of their endpoints, and sidecars are told.
+    """Behaviour of endpoints that their operators guarantee and that sidecars are configured with.
 
     Attributes:
-        initial_share: Of the capacity, right after a start.
-        warmup_ms: Time from a start to the whole capacity, which grows evenly.
-        removal_delay_ms: Time from an endpoint's end until discovery announces it.
-        stops_on_cancel: Whether work ends once its client has gone.
+        initial_share: Share of the full capacity that an endpoint has right after its start.
+        warmup_ms: Time from the start of an endpoint to its full capacity, which grows linearly.
+        removal_delay_ms: Time from the crash of an endpoint until discovery announces its removal.
+        stops_on_cancel: Whether work on a request stops when its client disconnects.
     """
 
     initial_share: float = Field(0.2, gt=0, le=1, alias="cold_from")
@@ -89,16 +92,16 @@
 
 
 class MembershipSetup(StrictModel):
-    """The section `membership` of each sidecar's configuration, but for its addresses.
+    """Settings of membership: the section `membership` of each sidecar's configuration, without addresses.
 
     Attributes:
-        tolerated_pause_ms: Pauses shorter than this must not make an instance look dead.
-        max_datagram_bytes: Longest datagram.
-        used_for: What the load balancer takes from membership.
-        seed_count: Sidecars of each tier that the others contact first.
-        dead_seed_count: Further seeds at whose addresses nobody listens.
+        tolerated_pause_ms: Pauses shorter than this must not lead to an instance being declared dead.
+        max_datagram_bytes: Maximum size of a datagram.
+        used_for: The data of membership that the load balancer uses.
+        seed_count: Number of seeds for each tier: sidecars that the others contact first.
+        dead_seed_count: Number of further seeds whose addresses no process listens on.
         first_seed_delay_ms: Delay of all datagrams to the first sidecar until the faults begin.
-        poll_interval_s: Time between two polls of a sidecar's membership view.
+        poll_interval_s: Interval at which each sidecar's membership view is polled.
     """
 
     tolerated_pause_ms: int = Field(3000, ge=300, alias="bear_pause_ms")
@@ -111,11 +114,11 @@
 
 
 class FailoverSetup(StrictModel):
-    """The section `failover` of each sidecar's configuration.
+    """Settings of failover: the section `failover` of each sidecar's configuration.
 
     Attributes:
-        regions: Zones by region; none if all zones are one region.
-        round_trip_ms: Between two regions.
+        regions: Zones by region; empty if all zones are in one region.
+        round_trip_ms: Round-trip time between two regions, in milliseconds.
     """
 
     regions: dict[str, list[str]] = Field(default_factory=dict)
@@ -123,16 +126,17 @@
 
 
 class FleetLayout(StrictModel):
-    """What a fleet is made of.
+    """Layout and settings of a fleet.
 
     Attributes:
-        zones: Names; endpoints and sidecars are spread over them in turn.
-        ingress_count: How many sidecars stand before the first tier.
-        tiers: In the order of calls.
-        contract: Of the endpoints of all tiers.
-        setting_overrides: Values by their path in a sidecar's configuration.
-        failover: Joint decisions on zones; None if it is off. Needs membership.
-        membership: Among the sidecars of a tier; None if it is off.
+        zones: Names of the zones, to which endpoints and sidecars are assigned in turn.
+        ingress_count: Number of ingress sidecars, which call the first tier.
+        tiers: The tiers in the order in which they call each other.
+        contract: Guarantees on the endpoints of all tiers.
+        setting_overrides: Values that replace settings in every sidecar's configuration, by their path.
+        failover: Settings of the sidecars' joint failover between zones, which requires membership; None if
+            it is off.
+        membership: Settings of membership among the sidecars of a tier; None if it is off.
     """
 
     zones: list[str] = Field(["a", "b"], min_length=1, max_length=8)
@@ -145,11 +149,11 @@
 
 
 class RequestClass(RequestClassLoad):
-    """A request class of the load, and what endpoints do with its idempotency keys.
+    """A request class of the load, and how endpoints handle its idempotency keys.
 
     Attributes:
-        key_scope: Where a key is known.
-        idempotency_window_ms: How long a key is known.
+        key_scope: The endpoints that share the keys they have seen: those of the whole tier, zone or cell.
+        idempotency_window_ms: How long endpoints remember a key.
     """
 
     key_scope: Literal["all", "zone", "cell"] = "cell"
@@ -160,20 +164,20 @@
     """A tenant of the load.
 
     Attributes:
-        quota_per_s: Requests a second within the quota; 0 if there is no quota.
+        quota_per_s: Quota in requests per second; 0 for none.
     """
 
     quota_per_s: float = Field(0.0, ge=0, alias="allowance_per_s")
 
 
 class RuleBounds(StrictModel):
-    """Bounds that the rule checker goes by.
+    """Limits that the rule checker applies.
 
     Attributes:
-        drain_grace_ms: How long attempts may still be sent to a draining endpoint after its announcement.
-        lateness_ms: How long after its deadline a request may be answered.
-        overload_multiple: What a warming-up endpoint may get, in multiples of its capacity.
-        overload_window_ms: Window in which that is counted.
+        drain_grace_ms: How long attempts may still be sent to an endpoint after it was announced as draining.
+        lateness_ms: How long after a request's deadline its response may arrive.
+        overload_multiple: Work that a warming-up endpoint may be sent, in multiples of its capacity.
+        overload_window_ms: Time window over which that work is summed.
     """
 
     drain_grace_ms: float = 500.0
@@ -186,11 +190,11 @@
     """The load on the ingress tier.
 
     Attributes:
-        rate_per_s: Requests a second.
-        shape: How the rate changes over time.
+        rate_per_s: Rate in requests per second, which the shape multiplies.
+        shape: Shape by which the rate changes over time.
         shape_parameters: Parameters of the shape by name.
-        client_behaviour: What clients do about slow and failed responses.
-        max_connections: Open at a time, over all ingress sidecars.
+        client_behaviour: How clients react to slow and failed responses.
+        max_connections: Limit on concurrent connections to all ingress sidecars together.
     """
 
     rate_per_s: float = Field(100.0, gt=0, alias="rate")
@@ -201,19 +205,19 @@
 
 
 class FleetScenario(StrictModel):
-    """A scenario file: a fleet, its load and the faults that it meets.
+    """A scenario file: a fleet, its load and the faults injected into it.
 
     Attributes:
-        name: Of the scenario.
-        duration_s: Of the load.
-        seed: Of all random values.
+        name: Name of the scenario.
+        duration_s: Duration of the load in seconds.
+        seed: Seed of all random values.
         fleet: Layout of the fleet.
-        request_classes: Of the load.
-        tenants: Of the load.
-        load: Its rate and shape.
-        faults: Listed faults.
-        schedule: Faults that are drawn; None for none.
-        rules: Bounds of the rule checker.
+        request_classes: Request classes of the load.
+        tenants: Tenants of the load.
+        load: Rate and shape of the load.
+        faults: Faults that the scenario lists.
+        schedule: Parameters of faults that are drawn at random; None for no such faults.
+        rules: Limits that the rule checker applies.
     """
 
     name: str = "world"
@@ -230,7 +234,7 @@
     @model_validator(mode="after")
     def _check_references(self) -> FleetScenario:
         if self.fleet.failover is not None and self.fleet.membership is None:
-            raise ValueError("fleet.failover: sidecars talk by way of fleet.membership, which is missing")
+            raise ValueError("fleet.failover: requires the section fleet.membership, which is missing")
         for number, fault in enumerate(self.faults):
             self._check_fault(f"faults.{number}", fault)
         return self
@@ -238,19 +242,30 @@
     def _check_fault(self, path: str, fault: Fault) -> None:
         fleet = self.fleet
         if fault.tier >= len(fleet.tiers):
-            raise ValueError(f"{path}.tier: there are {len(fleet.tiers)} tiers")
+            raise ValueError(
+                f"{path}.tier: must be below {len(fleet.tiers)}, the number of tiers, not {fault.tier}"
+            )
         if fault.zone and fault.zone not in fleet.zones:
-            raise ValueError(f"{path}.zone: none of {', '.join(fleet.zones)}: {fault.zone}")
+            shown_zone = fault.zone[:MAX_SHOWN_CHARACTERS]
+            raise ValueError(f"{path}.zone: must be one of {', '.join(fleet.zones)}, not {shown_zone}")
         endpoint_count = fleet.tiers[fault.tier].endpoint_count
         if any(not 0 <= index < endpoint_count for index in fault.endpoint_indices):
-            raise ValueError(f"{path}.endpoints: tier {fault.tier} has {endpoint_count}")
+            raise ValueError(
+                f"{path}.endpoints: an index must be from 0 to {endpoint_count - 1} for tier {fault.tier}, "
+                f"which has {endpoint_count} endpoints"
+            )
         if fault.kind in (FaultKind.NETWORK, FaultKind.DATAGRAM_FLOOD) and fleet.membership is None:
-            raise ValueError(f"{path}.kind: it is between sidecars that talk: fleet.membership")
+            raise ValueError(
+                f"{path}.kind: {fault.kind} requires the section fleet.membership, which is missing"
+            )
         for selector in (*fault.senders, *fault.receivers, *fault.sidecars):
             if not self._selects_sidecars(selector):
-                raise ValueError(f"{path}: no sidecar is {selector[:MAX_SHOWN_CHARACTERS]}")
+                raise ValueError(
+                    f"{path}: no sidecar matches {selector[:MAX_SHOWN_CHARACTERS]}; expected the name of a "
+                    f"sidecar, zone:NAME, tier:N or list"
+                )
         if fault.kind == FaultKind.ZONE_CUT and not fault.zone:
-            raise ValueError(f"{path}.zone: a cut names the zone that is cut off")
+            raise ValueError(f"{path}.zone: a fault of kind cut must name the zone that it cuts off")
 
     def _selects_sidecars(self, selector: str) -> bool:
         kind, _, name = selector.partition(":")
@@ -261,7 +276,7 @@
         return selector == "list" or selector in self.sidecar_names()
 
     def sidecar_names(self) -> list[str]:
-        """Returns the names of the ingress sidecars, then of each calling endpoint's sidecar."""
+        """Returns the names of the ingress sidecars, followed by those of the calling endpoints' sidecars."""
         ingress_names = [f"door{number}" for number in range(self.fleet.ingress_count)]
         caller_names = [
             f"{tier.name}{number}-calls"
--- a/cressrail/testbed/scenario_file.py
+++ b/cressrail/testbed/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reads scenario files in TOML; what is wrong with one is said in one line with file, path and reason."""
+"""Reads scenario files in TOML; an error is reported in one line with file, setting and reason."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ScenarioError(Exception):
-    """A scenario file is missing, or says what can't be used."""
+    """A scenario file is missing or invalid."""
 
 
 @contextmanager
 def errors_in_file(path: Path) -> Iterator[None]:
-    """Puts the file's path before the message of a ScenarioError that is raised inside."""
+    """Prefixes the message of a ScenarioError raised in the `with` block with the file's path."""
     try:
         yield
     except ScenarioError as error:
@@ -29,14 +29,17 @@
 
 
 def read_scenario(path: Path, model: type[Model]) -> Model:
-    """Returns the records of a scenario file.
+    """Reads and validates a scenario file.
 
     Args:
-        path: Of the TOML file.
+        path: Path of the TOML file.
         model: Pydantic model of the file's root.
 
+    Returns:
+        An instance of the model.
+
     Raises:
-        ScenarioError: The file can't be read, is no TOML or does not fit the model.
+        ScenarioError: The file cannot be read, is not valid TOML, or does not conform to the model.
     """
     try:
         return model.model_validate(tomllib.loads(path.read_text()))
@@ -45,6 +48,6 @@
     except UnicodeDecodeError as error:
         raise ScenarioError(f"{path}: {error}") from None
     except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{path}: not TOML: {error}") from None
+        raise ScenarioError(f"{path}: not valid TOML: {error}") from None
     except ValidationError as error:
         raise ScenarioError(f"{path}: {first_validation_error(error)}") from None
--- a/cressrail/testbed/sidecar_configuration.py
+++ b/cressrail/testbed/sidecar_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a sidecar of the test bed is started with, in the keys of the platform."""
+"""Builds the configuration with which a sidecar of the test bed is started, by the platform's keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cressrail.testbed.scenario_file import ScenarioError
 from cressrail.testbed.sidecar_process import SidecarProcess
 
-KEY_FILE = "keys"  # of membership; beside the configurations
+KEY_FILE = "keys"  # file with the membership keys, in the folder of the configurations
 MILLISECOND_US = 1000
 
 Configuration = dict[str, Any]
@@ -21,10 +21,10 @@
     """Returns the configuration of one sidecar.
 
     Args:
-        scenario: Of the fleet.
-        sidecar: Whose addresses and place in its tier go into it.
-        instance_count: Sidecars of its tier.
-        seed: Of its random values.
+        scenario: Scenario of the fleet.
+        sidecar: The sidecar to configure.
+        instance_count: Number of sidecars that call the same tier.
+        seed: Seed of the sidecar's random values.
 
     Raises:
         ScenarioError: A setting that the scenario overrides does not exist.
@@ -51,10 +51,10 @@
 
 
 def override_setting(configuration: Configuration, path: str, value: Any) -> None:
-    """Sets the value at a path such as `a.b.c`, where items of lists go by their number.
+    """Sets the value at a path such as `a.b.0.c`, in which list items are selected by their index.
 
     Raises:
-        ScenarioError: A part on the way is missing.
+        ScenarioError: The path does not exist in the configuration.
     """
     *parents, last = path.split(".")
     section: Any = configuration
@@ -63,14 +63,14 @@
             section = section[int(key)] if isinstance(section, list) else section[key]
         section[int(last) if isinstance(section, list) else last] = value
     except (KeyError, IndexError, TypeError, ValueError):
-        raise ScenarioError(f"settings: nothing at {path}") from None
+        raise ScenarioError(f"settings: {path} does not exist in the sidecar's configuration") from None
 
 
 def check_settings(scenario: FleetScenario) -> None:
-    """Checks that the settings which a scenario overrides exist.
+    """Checks that the settings that a scenario overrides exist.
 
     Raises:
-        ScenarioError: One does not.
+        ScenarioError: An overridden setting does not exist.
     """
     any_sidecar = SidecarProcess("any", 0, 0, scenario.fleet.zones[0], ("127.0.0.1", 1), ("127.0.0.1", 2))
     build_configuration(scenario, any_sidecar, instance_count=1, seed=1)
--- a/cressrail/testbed/sidecar_process.py
+++ b/cressrail/testbed/sidecar_process.py
@@ -1,4 +1,4 @@
-"""One sidecar of a fleet: its place, its addresses, and its process while it runs."""
+"""One sidecar of a fleet: its position, its addresses, and its process while it runs."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(eq=False)
 class SidecarProcess:
-    """A sidecar; it keeps name and addresses when its process ends and another one starts.
+    """A sidecar, which keeps its name and addresses when its process is replaced by a new one.
 
     Attributes:
-        name: Unique in the fleet.
-        tier_index: Of the tier that it calls.
-        instance_number: Among the sidecars of that tier.
-        zone: Its zone.
-        address: Where clients reach it, on a host of its own.
-        discovery_address: Where it reaches discovery.
-        seed_addresses: Of membership, as they are advertised.
-        process: None while there is none.
+        name: Name of the sidecar, unique in the fleet.
+        tier_index: Index of the tier that it calls.
+        instance_number: Number of the sidecar among those that call the same tier, from 0.
+        zone: Name of its zone.
+        address: Host and port for its clients; no other sidecar uses the host.
+        discovery_address: Host and port at which it reaches discovery.
+        seed_addresses: Advertised addresses of the membership seeds.
+        process: The running process; None while there is none.
     """
 
     name: str
@@ -36,20 +36,20 @@
 
     @property
     def admin_address(self) -> tuple[str, int]:
-        """Where operators reach it."""
+        """Host and port of its admin API."""
         return self.address[0], ADMIN_PORT
 
     @property
     def membership_address(self) -> tuple[str, int]:
-        """Where it receives datagrams; others send them to `advertised_address`."""
+        """Host and port on which it receives datagrams; other sidecars send to `advertised_address`."""
         return self.address[0], MEMBERSHIP_PORT
 
     @property
     def advertised_address(self) -> tuple[str, int]:
-        """Where the relay receives datagrams for it."""
+        """Host and port on which the relay receives datagrams for it."""
         return self.address[0], RELAY_PORT
 
     @property
     def target(self) -> str:
-        """Its address as HOST:PORT."""
+        """Its address for clients, as HOST:PORT."""
         return f"{self.address[0]}:{self.address[1]}"
--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -1,4 +1,4 @@
-"""Starts, pauses and ends the processes of real sidecars, and of floods against them."""
+"""Starts, pauses and ends the processes of real sidecars and of datagram floods against them."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nhost: x\r\n\r\n"
 HEALTH_TIMEOUT_US = 500_000
 END_POLL_INTERVAL_S = 0.005
-TERMINATION_TIMEOUT_S = 0.1  # before a process is killed
-MEMBERSHIP_KEY = "5a" * 32  # hexadecimal
-# Sections that configurations of earlier versions do not have.
+TERMINATION_TIMEOUT_S = 0.1  # time from SIGTERM until a process is killed
+MEMBERSHIP_KEY = "5a" * 32  # in hexadecimal
+# Removes the sections that configurations of earlier versions do not have.
 OLDER_CONFIGURATION = {"membership": None, "failover": None}
-# proc(5): fields of /proc/PID/stat behind the program's name.
+# Indices of the fields of /proc/PID/stat that follow the program's name, see proc(5).
 USER_TICKS_FIELD, SYSTEM_TICKS_FIELD = 11, 12
 
 
 class SidecarManager:
-    """The one owner of the processes of a fleet's sidecars.
+    """Sole owner of the processes of a fleet's sidecars.
 
     Attributes:
-        sidecars: All that were started so far.
+        sidecars: All sidecars that were started so far.
     """
 
     def __init__(
         self, scenario: FleetScenario, folder: Path, checkout: Path, policy: str, defect: str
     ) -> None:
-        """Starts none yet.
+        """Writes the key file, but starts no processes.
 
         Args:
-            scenario: Of the fleet.
-            folder: For configurations, logs and the key file.
-            checkout: Of the repository whose sidecars run.
-            policy: Name of their policy.
-            defect: Name of a deliberate defect; empty for none.
+            scenario: Scenario of the fleet.
+            folder: Folder for configurations, logs and the key file.
+            checkout: Checkout of the repository whose sidecars run.
+            policy: Name of the policy that the sidecars use.
+            defect: Name of a deliberate defect of the sidecars; empty for none.
         """
         self.sidecars: list[SidecarProcess] = []
         self._scenario, self._folder, self._checkout = scenario, folder, checkout
@@ -59,15 +59,15 @@
         (folder / KEY_FILE).write_text(MEMBERSHIP_KEY + "\n")
 
     def start(self, sidecar: SidecarProcess, instance_count: int, seed: int, is_older: bool = False) -> None:
-        """Starts a sidecar's process, in place of one that still runs.
+        """Starts a sidecar's process; kills an earlier one if it still runs.
 
         Args:
-            sidecar: Which one.
-            instance_count: Sidecars of its tier.
-            seed: Of its random values.
+            sidecar: The sidecar to start.
+            instance_count: Number of sidecars that call the same tier.
+            seed: Seed of the sidecar's random values.
             is_older: Whether it gets the configuration of an earlier version.
         """
-        self.kill(sidecar)  # faults that overlap would leave a process without an owner
+        self.kill(sidecar)  # otherwise overlapping faults would leave a process without an owner
         path = self._write_configuration(sidecar, instance_count, seed, is_older)
         with (self._folder / f"{sidecar.name}.log").open("ab") as log:
             sidecar.process = subprocess.Popen(
@@ -82,10 +82,10 @@
             self.sidecars.append(sidecar)
 
     async def wait_until_ready(self, sidecar: SidecarProcess) -> None:
-        """Waits until its health check succeeds.
+        """Waits until the sidecar's health check succeeds.
 
         Raises:
-            RuntimeError: It ended, or the check does not succeed in time.
+            RuntimeError: The process ended, or no check succeeded within `READY_TIMEOUT_S`.
         """
         loop = asyncio.get_running_loop()
         timeout_at_s = loop.time() + READY_TIMEOUT_S
@@ -98,10 +98,13 @@
             if (await response).status == HTTPStatus.OK:
                 return
             await asyncio.sleep(READY_POLL_INTERVAL_S)
-        raise RuntimeError(f"{sidecar.name} does not get ready: see {self._folder / (sidecar.name + '.log')}")
+        raise RuntimeError(
+            f"sidecar {sidecar.name} ended or was not ready within {READY_TIMEOUT_S:g} s: "
+            f"see {self._folder / (sidecar.name + '.log')}"
+        )
 
     def cpu_seconds(self, sidecar: SidecarProcess) -> float:
-        """Returns the processor time of its process so far; 0 if there is none."""
+        """Returns the processor time that the sidecar's process has used; 0 if it has no process."""
         if sidecar.process is None:
             return 0.0
         with suppress(OSError, IndexError):
@@ -111,17 +114,17 @@
         return 0.0
 
     def pause(self, sidecar: SidecarProcess) -> None:
-        """Stops its process until `resume`."""
+        """Suspends the sidecar's process until `resume`."""
         if sidecar.process is not None:
             sidecar.process.send_signal(signal.SIGSTOP)
 
     def resume(self, sidecar: SidecarProcess) -> None:
-        """Lets a paused process go on."""
+        """Resumes the sidecar's process after `pause`."""
         if sidecar.process is not None:
             sidecar.process.send_signal(signal.SIGCONT)
 
     def start_flood(self, sidecar: SidecarProcess, datagrams_per_s: float) -> None:
-        """Floods its membership address until `stop_flood`."""
+        """Starts to flood the sidecar's membership address with datagrams until `stop_flood`."""
         self.stop_flood(sidecar)
         arguments = [
             *map(str, sidecar.membership_address),
@@ -136,20 +139,20 @@
         )
 
     def stop_flood(self, sidecar: SidecarProcess) -> None:
-        """Ends the flood against it, if there is one."""
+        """Ends the flood against the sidecar, if there is one."""
         if (process := self._floods.pop(sidecar.name, None)) is not None:
             process.kill()
             process.wait()
 
     def kill(self, sidecar: SidecarProcess) -> None:
-        """Kills its process and waits for its end."""
+        """Kills the sidecar's process and waits until it has ended."""
         if sidecar.process is not None:
             sidecar.process.kill()
             sidecar.process.wait()
             sidecar.process = None
 
     async def kill_all(self, sidecars: Sequence[SidecarProcess]) -> None:
-        """Kills processes at the same time; other tasks go on while they end."""
+        """Kills the processes of several sidecars and waits for all without blocking the event loop."""
         processes = [sidecar.process for sidecar in sidecars if sidecar.process is not None]
         for process in processes:
             process.kill()
@@ -159,12 +162,12 @@
             sidecar.process = None
 
     def close(self) -> None:
-        """Ends all processes: terminates them, and kills those that do not end in time."""
+        """Terminates all processes, and kills those that do not end within `TERMINATION_TIMEOUT_S`."""
         for sidecar in self.sidecars:
             self.stop_flood(sidecar)
         for sidecar in self.sidecars:
             if sidecar.process is not None:
-                self.resume(sidecar)  # a paused process gets no other signal
+                self.resume(sidecar)  # a paused process does not handle SIGTERM
                 sidecar.process.terminate()
         for sidecar in self.sidecars:
             if sidecar.process is not None:
@@ -178,7 +181,7 @@
         path = self._folder / f"{sidecar.name}.json"
         configuration = build_configuration(self._scenario, sidecar, instance_count, seed)
         text = orjson.dumps(configuration | (OLDER_CONFIGURATION if is_older else {}))
-        # Truncating a file may take long, and the relay waits meanwhile.
+        # Truncating a file may take long, which would delay the relay.
         if self._written_configurations.get(sidecar.name) != text:
             path.write_bytes(text)
             self._written_configurations[sidecar.name] = text
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -1,7 +1,7 @@
-"""One simulated endpoint: processes requests, calls the next tier through its own sidecar, and responds.
+"""A simulated endpoint: processes requests, calls the next tier through its own sidecar, and responds.
 
-Work on a request begins when its last byte has arrived. A repeat of a request whose idempotency key the
-endpoint's key scope has seen within the window gets a response and does no work.
+Work on a request begins when the request has arrived completely. A request whose idempotency key was seen in
+the endpoint's key scope within the idempotency window gets a success response and does no work.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 SECOND_US = 1_000_000
 MILLISECOND_US = 1000
-MIN_TIMEOUT_US = 1000  # told to the next tier
-EXTRA_PATIENCE_US = 250_000  # a call waits so much longer, so that a response at the last moment is seen
-MAX_CONNECTIONS = 512  # of an endpoint to its own sidecar
-MAX_ECHO_BYTES = 200  # of a response's body, in which the request id is looked for
+MIN_TIMEOUT_US = 1000  # shortest timeout sent to the next tier
+EXTRA_PATIENCE_US = 250_000  # a call waits this much longer than its timeout, to record late responses
+MAX_CONNECTIONS = 512  # from an endpoint to its own sidecar
+MAX_ECHO_BYTES = 200  # prefix of a response's body that is searched for the request ID
 
 
 class NextTier(NamedTuple):
-    """The endpoint's own sidecar.
+    """The sidecar through which an endpoint calls the next tier.
 
     Attributes:
-        client: Connections to it.
-        target: Its address, as the event record names it.
+        client: HTTP client that is connected to the sidecar.
+        target: The sidecar's address in the event record, as HOST:PORT.
     """
 
     client: HttpClient
@@ -44,13 +44,13 @@
 
 
 class SimulatedEndpoint:
-    """An endpoint of a tier.
+    """A simulated endpoint of a tier.
 
     Attributes:
-        placement: Where it stands.
-        listeners: For clients of each zone.
-        fault_shares: Share of attempts that each fault of `RESPONSE_FAULTS` meets.
-        is_up: Whether it runs.
+        placement: Position of the endpoint in the fleet.
+        listeners: Listeners for the clients of each zone.
+        fault_shares: Share of attempts that each fault of `RESPONSE_FAULTS` affects.
+        is_up: Whether the endpoint runs.
     """
 
     def __init__(
@@ -64,17 +64,17 @@
         seed: int,
         addresses: dict[str, tuple[str, int]],
     ) -> None:
-        """Does not listen yet.
+        """Creates an endpoint that does not listen yet.
 
         Args:
-            placement: Where it stands.
-            tier: Its capacity and work.
-            contract: How it starts.
-            request_classes: By name.
-            find_keys: Returns the keys of a request class that the endpoint shares with its key scope.
-            event_record: Takes attempts and calls.
-            seed: Of the random values.
-            addresses: Host and port by the zone of the clients; port 0 for a free one.
+            placement: Position of the endpoint in the fleet.
+            tier: Tier of the endpoint, which sets its capacity and work.
+            contract: Contract of the endpoint, which sets its warm-up and whether work stops on cancellation.
+            request_classes: Request classes by name.
+            find_keys: Returns the idempotency keys of a request class in the key scope of a placement.
+            event_record: Event record to which attempts and calls are written.
+            seed: Seed of the random values.
+            addresses: Host and port by the zone of the clients; with port 0 a free port is chosen.
         """
         self.placement = placement
         self.listeners = ZoneListeners(addresses, self._on_request, self._on_disconnected)
@@ -92,21 +92,21 @@
 
     @property
     def name(self) -> str:
-        """Unique in the fleet."""
+        """Name of the endpoint, unique in the fleet."""
         return self.placement.name
 
     async def listen(self) -> None:
-        """Listens for clients of every zone that is not cut off."""
+        """Starts listening for clients of every zone that is not cut off."""
         await self.listeners.listen()
         self.is_up = True
 
     async def restart(self, started_us: int) -> None:
-        """Starts again, without connections or work, and warms up from that time on."""
+        """Restarts without connections or work; the warm-up begins at `started_us`."""
         self._processors = ProcessorSharingServer(self._tier, self._contract, started_us)
         await self.listen()
 
     def crash(self) -> None:
-        """Ends as a process that is killed: no listeners, connections reset, work lost."""
+        """Ends like a killed process: closes listeners, resets connections and discards all work."""
         self.is_up = False
         self.listeners.close()
         for attempt in list(self._attempts.values()):
@@ -118,7 +118,7 @@
         self.listeners.unblock()
 
     def close(self) -> None:
-        """Ends the endpoint and its timer."""
+        """Stops the endpoint and releases its addresses."""
         if self._completion_timer is not None:
             self._completion_timer.cancel()
         if self.is_up:
@@ -126,7 +126,12 @@
         self.listeners.release()
 
     def connect_next_tier(self, address: tuple[str, int], target: str) -> None:
-        """Calls the next tier from now on, through the sidecar at that address."""
+        """Connects the endpoint to the sidecar through which it calls the next tier from now on.
+
+        Args:
+            address: Host and port of the sidecar.
+            target: The same address in the form HOST:PORT, for the event record.
+        """
         client = HttpClient(*address, max_connections=MAX_CONNECTIONS)
         client.on_excess_bytes = lambda count: self._event_record.append(
             surplus=count, target=target, at_us=now_us()
@@ -134,13 +139,13 @@
         self._next_tier = NextTier(client, target)
 
     def set_stalled(self, is_stalled: bool) -> None:
-        """Holds up all work, or lets it go on."""
+        """Stops or resumes all work."""
         self._processors.advance(now_us())
         self._processors.is_stalled = is_stalled
         self._process_completions()
 
     def set_slowdown(self, factor: float) -> None:
-        """Makes all work so many times slower."""
+        """Slows all work down by this factor."""
         self._processors.advance(now_us())
         self._processors.slowdown = factor
         self._process_completions()
@@ -214,7 +219,7 @@
         self._end(attempt, AttemptOutcome.REJECTED)
 
     def _process_completions(self) -> None:
-        """Goes on with attempts whose present part is complete, and waits for the next."""
+        """Continues attempts whose current part is complete and sets a timer for the next completion."""
         present_us = now_us()
         for job in self._processors.pop_completed(present_us):
             attempt = self._attempts[job]
@@ -276,7 +281,7 @@
             self._respond(attempt, HTTPStatus.INTERNAL_SERVER_ERROR, AttemptOutcome.NEXT_TIER_FAILED)
 
     def _finish(self, attempt: Attempt) -> None:
-        """Responds to an attempt whose work is complete, or lets a fault strike it."""
+        """Responds to an attempt whose work is complete, unless a response fault affects it."""
         connection = attempt.request.connection
         if self._is_struck_by(FaultKind.RESPONSE_RESET):
             connection.reset()
@@ -292,17 +297,17 @@
             self._respond(attempt, HTTPStatus.OK, AttemptOutcome.SUCCEEDED)
 
     def _respond(self, attempt: Attempt, status: HTTPStatus, outcome: AttemptOutcome) -> None:
-        """Responds; the body begins with the request id, so that a client can tell whose it is."""
+        """Sends a response; its body begins with the request ID, so that clients can detect a mix-up."""
         body = f"{attempt.request_id} {self.name} {outcome}\n".encode() if status == HTTPStatus.OK else b""
         attempt.request.connection.respond(status, body)
         self._end(attempt, outcome)
 
     def _end(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Gives back slot and queue place and records the attempt; each attempt ends here, once."""
+        """Releases an attempt's slot or place in the queue, and records it; called once for each attempt."""
         ended_us = now_us()
         self._processors.release(ended_us, attempt.job)
         if self._attempts.pop(attempt.job, None) is not None and self.is_up:
-            asyncio.get_running_loop().call_soon(self._process_completions)  # a queued job may have begun
+            asyncio.get_running_loop().call_soon(self._process_completions)  # a queued job may have started
         if attempt.request.connection.context is attempt:
             attempt.request.connection.context = None
         attempt.has_run = attempt.has_run or outcome in OUTCOMES_AFTER_WORK
@@ -310,7 +315,7 @@
 
 
 def _read_timeout_us(request: ReceivedRequest, request_class: RequestClass) -> int:
-    """Returns how long the caller waits: as it says, or else the deadline of the request class."""
+    """Returns how long the caller waits: the request's timeout, or else the deadline of its class."""
     text = request.header(b"req-deadline").rstrip("u")
     return int(text) if text.isdigit() else int(request_class.deadline_ms * MILLISECOND_US)
 
--- a/cressrail/testbed/tcp_relay.py
+++ b/cressrail/testbed/tcp_relay.py
@@ -1,7 +1,7 @@
-"""TCP relay between sidecars and discovery: each connection passes it and meets the emulated network.
+"""TCP relay between sidecars and discovery, which applies the emulated network to each connection.
 
-Rules apply where they name `DISCOVERY`. A connection loses nothing: what the rules drop arrives late, as
-after a retransmission, and a cut holds back what is sent until it ends.
+Only rules that name `DISCOVERY` apply. A connection loses no data: data that a rule drops arrives late, as
+after a retransmission, and data sent during a cut arrives when the cut ends.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from cressrail.testbed.network_emulation import DISCOVERY, NetworkEmulator
 
 READ_BYTES = 65536
-RETRANSMISSION_S = 0.2  # the least that TCP waits before it sends again
+RETRANSMISSION_S = 0.2  # minimum retransmission timeout of TCP
 CUT_CHECK_INTERVAL_S = 0.05
 
 
 class TcpRelay:
-    """Owns the listeners and connections of the relay; runs on the current event loop."""
+    """Relays connections between sidecars and discovery; owns its listeners and connections."""
 
     def __init__(self, network: NetworkEmulator) -> None:
         self._network = network
@@ -26,7 +26,12 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def add_sidecar(self, sidecar: str, discovery: tuple[str, int]) -> tuple[str, int]:
-        """Listens for a sidecar; returns the address by which it reaches discovery."""
+        """Starts listening for a sidecar and returns the host and port at which it reaches discovery.
+
+        Args:
+            sidecar: Name of the sidecar.
+            discovery: Host and port of discovery.
+        """
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._relay(sidecar, discovery, reader, writer)
@@ -37,7 +42,7 @@
         return host, port
 
     def close(self) -> None:
-        """Closes listeners and connections."""
+        """Closes all listeners and connections."""
         for server in self._servers:
             server.close()
         for task in list(self._tasks):
@@ -66,7 +71,7 @@
                 self._forward(DISCOVERY, sidecar, discovery_reader, sidecar_writer),
             )
         except (OSError, asyncio.CancelledError):
-            pass  # the other side has gone, or the relay closes
+            pass  # the peer has closed the connection, or the relay is being closed
         finally:
             self._tasks.discard(task)
             for writer in (sidecar_writer, discovery_writer):
@@ -81,7 +86,7 @@
         try:
             while data := await reader.read(READ_BYTES):
                 outcome = self._network.decide(sender, receiver, loop.time())
-                while not outcome.delays_s:  # lost: sent again until it arrives
+                while not outcome.delays_s:  # lost: retransmitted until it arrives
                     await asyncio.sleep(RETRANSMISSION_S)
                     outcome = self._network.decide(sender, receiver, loop.time())
                 if outcome.delays_s[0] > 0:
@@ -93,7 +98,7 @@
                 writer.close()
 
     async def _wait_while_cut(self, sidecar: str) -> None:
-        """A connection opens only while neither direction is cut."""
+        """Waits until neither direction between the sidecar and discovery is cut."""
         while any(
             rule.is_cut and (rule.applies_to(sidecar, DISCOVERY) or rule.applies_to(DISCOVERY, sidecar))
             for rule in self._network.rules
--- a/cressrail/testbed/udp_relay.py
+++ b/cressrail/testbed/udp_relay.py
@@ -1,7 +1,7 @@
-"""UDP relay between sidecars: each datagram of one to another passes it and meets the emulated network.
+"""UDP relay between sidecars, which applies the emulated network to each datagram.
 
-A sidecar advertises the relay's address and sends from the one on which it listens, so the relay knows sender
-and receiver of each datagram.
+Each sidecar advertises an address of the relay and sends from the address on which it listens, so the relay
+knows the sender and the receiver of each datagram.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 
 Address = tuple[str, int]
 
-# ip(7) and ipv6(7): an unconnected socket is told of a refused datagram as well.
+# Level and number of the options IP_RECVERR and IPV6_RECVERR, see ip(7) and ipv6(7): they report a refused
+# datagram on an unconnected socket, too.
 RECEIVE_ERRORS = {
     socket.AF_INET: (socket.IPPROTO_IP, 11),
     socket.AF_INET6: (socket.IPPROTO_IPV6, 25),
@@ -31,8 +32,8 @@
 MAX_DATAGRAM_BYTES = 65536
 MAX_ANCILLARY_BYTES = 256
 MAX_READS_IN_TURN = 64  # datagrams read for one sidecar before the next gets its turn
-REFUSAL_S = 0.25  # for which the socket of a sidecar that refuses is closed, so that it refuses as well
-HEADER_BYTES = 28  # of IP and UDP, counted to each datagram
+REFUSAL_S = 0.25  # how long the relay's socket is closed, and refuses datagrams, when the sidecar refuses one
+HEADER_BYTES = 28  # size of the IP and UDP headers, added to the size of each datagram
 LAG_CHECK_INTERVAL_S = 0.02
 
 
@@ -41,10 +42,10 @@
     """One sidecar behind the relay.
 
     Attributes:
-        name: In rules.
-        listen: Where it receives, and from where it sends.
-        advertised: Where the relay receives for it.
-        relay_socket: The relay's socket at that address; None while it refuses.
+        name: Name of the sidecar in network rules.
+        listen: Address on which the sidecar receives and from which it sends.
+        advertised: Address on which the relay receives datagrams for the sidecar.
+        relay_socket: The relay's socket at the advertised address; None while datagrams are refused.
     """
 
     name: str
@@ -54,15 +55,20 @@
 
 
 class UdpRelay:
-    """Owns the sockets and timers of the relay; runs on the current event loop.
+    """Relays datagrams between sidecars; owns its sockets and timers, and runs on the current event loop.
 
     Attributes:
-        max_lag_s: By how much the event loop was late at most: what the relay may have kept a datagram beyond
-            what the rules say. May be set back.
+        max_lag_s: Longest lag of the event loop in seconds, by which the relay may have delayed a datagram
+            beyond the delay that the rules set. May be reset to 0.
     """
 
     def __init__(self, network: NetworkEmulator, on_lag: Callable[[float], None]) -> None:
-        """Calls `on_lag` with each new maximum of the lag, in seconds."""
+        """Creates a relay without sidecars.
+
+        Args:
+            network: Decides what happens to each datagram.
+            on_lag: Called with each new maximum of the event loop's lag, in seconds.
+        """
         self.max_lag_s = 0.0
         self._network = network
         self._on_lag = on_lag
@@ -73,7 +79,12 @@
         self._lag_checked_s = 0.0
 
     def add_sidecar(self, name: str, listen: Address, advertised: Address) -> None:
-        """Relays from now on what comes for the advertised address to the one listened on.
+        """Starts relaying datagrams that arrive at the advertised address to the sidecar.
+
+        Args:
+            name: Name of the sidecar in network rules.
+            listen: Address on which the sidecar receives and from which it sends.
+            advertised: Address on which the relay receives datagrams for the sidecar.
 
         Raises:
             OSError: The advertised address cannot be bound.
@@ -114,13 +125,13 @@
 
     @staticmethod
     def _discard_errors(sock: socket.socket) -> None:
-        """Empties the error queue, which would fill the buffer of what is to be relayed."""
+        """Empties the socket's error queue, which would otherwise fill its receive buffer."""
         with suppress(OSError):
             while True:
                 sock.recvmsg(0, MAX_ANCILLARY_BYTES, socket.MSG_ERRQUEUE)
 
     def _refuse(self, sidecar: RelayedSidecar) -> None:
-        """Nobody listens behind: closes the relay's socket for a moment, so that senders learn the same."""
+        """Closes the relay's socket for `REFUSAL_S`: senders are refused while the sidecar is down."""
         self._network.counts[REFUSED] += 1
         is_cut_off = any(rule.cuts_off(sidecar.name) for rule in self._network.rules)
         if sidecar.relay_socket is None or is_cut_off:
@@ -137,7 +148,7 @@
                 data, source = sidecar.relay_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram did not arrive: the sidecar is down
+            except OSError:  # an earlier datagram was refused: the sidecar is down
                 self._discard_errors(sidecar.relay_socket)
                 self._refuse(sidecar)
                 continue
@@ -147,7 +158,7 @@
         self._network.counts[BYTES] += len(data) + HEADER_BYTES
         sender = self._names.get(source)
         if sender is None:
-            self._network.counts[UNKNOWN_SENDER] += 1  # a flood from outside the fleet meets no rules
+            self._network.counts[UNKNOWN_SENDER] += 1  # no rules apply to a flood from outside the fleet
             self._send(sidecar, data)
             return
         outcome = self._network.decide(sender, sidecar.name, now_s)
@@ -167,7 +178,7 @@
             if sidecar.relay_socket is not None:
                 self._discard_errors(sidecar.relay_socket)
             self._refuse(sidecar)
-        except OSError:  # its buffer is full, or nobody is there: lost, as on any network
+        except OSError:  # the buffer is full or the host unreachable: lost, as on any network
             self._network.counts[NOT_SENT] += 1
 
     def _call_later(self, delay_s: float, action: Callable[[], None]) -> None:
--- a/cressrail/testbed/zone_listeners.py
+++ b/cressrail/testbed/zone_listeners.py
@@ -1,4 +1,4 @@
-"""Listeners of an endpoint, one for the clients of each zone, so that zones can be cut off from it."""
+"""The listeners of an endpoint: one for the clients of each zone, so that a zone can be cut off from it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 
-BACKLOG = 1024  # connections that wait to be accepted
-BACKLOG_FILLERS = 3  # connections that fill the queue of a listener with a backlog of 0
+BACKLOG = 1024  # limit on connections that wait to be accepted
+BACKLOG_FILLERS = 3  # number of connections that fill the accept queue of a listener with a backlog of 0
 
 
 class ZoneListeners:
     """The open listeners and connections of one endpoint.
 
     Attributes:
-        addresses: Host and port by the zone of the clients; port 0 becomes the port of the first listener.
+        addresses: Host and port by the zone of the clients; a port 0 is replaced by the port that the system
+            assigns when the endpoint first listens.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self._blockers: list[socket.socket] = []
 
     async def listen(self) -> None:
-        """Listens for clients of each zone that is not cut off, where it does not yet."""
+        """Opens the missing listeners of all zones that are not cut off."""
         loop = asyncio.get_running_loop()
         for zone in self.addresses:
             if zone in self._servers or zone in self._cut_zones:
@@ -46,10 +47,10 @@
             )
 
     def _reserve(self, zone: str) -> tuple[str, int]:
-        """Returns the address of a zone, which stays bound also while nobody listens at it.
+        """Returns the address for the clients of a zone and keeps it bound, even while no listener is open.
 
-        Connections to a bound socket that does not listen are refused, and no other process is given the port
-        until this endpoint listens again.
+        Connections to a bound socket that does not listen are refused, and the system assigns the port to no
+        other process until this endpoint listens again.
         """
         if zone not in self._reservations:
             reservation = self._reservations[zone] = socket.socket()
@@ -59,13 +60,13 @@
         return self.addresses[zone]
 
     def release(self) -> None:
-        """Gives up the addresses; nobody listens at them again."""
+        """Releases the reserved addresses; no listener may be opened after this."""
         for reservation in self._reservations.values():
             reservation.close()
         self._reservations.clear()
 
     def close(self) -> None:
-        """Closes the listeners, as the end of a process does; the addresses stay reserved."""
+        """Closes the listeners, as when a process ends; the addresses stay reserved."""
         for server in self._servers.values():
             server.close()
         self._servers.clear()
@@ -76,10 +77,10 @@
             connection.reset()
 
     def cut_off(self, zones: Iterable[str]) -> None:
-        """Cuts off these zones and no others.
+        """Cuts off the clients of these zones and reconnects those of all other zones.
 
-        What is open stays open and silent, and nothing new connects. Connections of a zone that is no longer
-        cut off are reset; `listen` then listens for it again.
+        Open connections from a cut zone stay open and silent, and no new ones can be opened. Connections from
+        a zone that is no longer cut off are reset; its listener is opened again by `listen`.
         """
         cut_zones = set(zones)
         for zone in cut_zones - self._cut_zones:
@@ -99,20 +100,20 @@
                     connection.reset()
 
     def unblock(self) -> None:
-        """Closes the sockets that keep clients of cut zones from connecting."""
+        """Closes the sockets that prevent clients of cut zones from connecting."""
         for blocker in self._blockers:
             blocker.close()
         self._blockers.clear()
 
     def _block(self, zone: str) -> None:
-        """Fills the queue of a listener of its own, so that the system drops what would connect."""
+        """Opens a listener with a full accept queue, so that the system drops new connections."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._blockers.append(listener)
         try:
             listener.bind(self.addresses[zone])
         except OSError:
-            return  # connections are refused then, which comes nearest
+            return  # new connections are then refused instead of dropped, the closest alternative
         listener.listen(0)
         for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
--- a/tests/experiment/test_plan.py
+++ b/tests/experiment/test_plan.py
@@ -50,7 +50,7 @@
         {**EXPERIMENT_FILE, "arms": [{"name": "own", "settings": {"limit.sockets": 3}}]}
     )
 
-    with pytest.raises(ScenarioError, match=r"settings: nothing at limit\.sockets"):
+    with pytest.raises(ScenarioError, match=r"settings: limit\.sockets does not exist"):
         check_settings(changed.build_scenario(changed.variants[0], 0))
 
 
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -42,12 +42,12 @@
     [
         pytest.param(
             {"faults": [{"at_s": 1, "kind": "kill", "who": ["door9"]}]},
-            "no sidecar is door9",
+            "no sidecar matches door9;",
             id="no such sidecar",
         ),
         pytest.param(
             {"faults": [{"at_s": 1, "kind": "wire", "to": ["zone:z"]}]},
-            "no sidecar is zone:z",
+            "no sidecar matches zone:z;",
             id="no such zone",
         ),
         pytest.param(
--- a/tests/testbed/test_membership_evidence.py
+++ b/tests/testbed/test_membership_evidence.py
@@ -12,16 +12,16 @@
 @pytest.mark.parametrize(
     ("rows", "expected_reason"),
     [
-        pytest.param([{"relay_lag_s": 0.06}], "the relay lagged by 60 ms", id="relay lagged"),
+        pytest.param([{"relay_lag_s": 0.06}], "the relay lagged by 60 ms, limit 50 ms", id="relay lagged"),
         pytest.param([{"relay_lag_s": 0.04}], "", id="relay lagged within the bound"),
         pytest.param(
             [log_row(9, "a", "instance_paused", paused_ms=2000)],
-            "a did not run for 2000 ms",
+            "sidecar a did not run for 2000 ms, limit 1000 ms",
             id="sidecar did not run",
         ),
         pytest.param(
             [log_row(9, "a", "copy_paused", paused_ms=2000)],
-            "a did not run for 2000 ms",
+            "sidecar a did not run for 2000 ms, limit 1000 ms",
             id="sidecar of an earlier version did not run",
         ),
         pytest.param(
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -26,23 +26,27 @@
         pytest.param("colour = 1", "colour: Extra inputs", id="unknown-key"),
         pytest.param("duration_s = 1", "duration_s: Extra inputs", id="term-in-place-of-key"),
         pytest.param(
-            'faults = [{at_s=1, kind="die", tier=4}]', "faults.0.tier: there are 1 tiers", id="unknown-tier"
+            'faults = [{at_s=1, kind="die", tier=4}]',
+            "faults.0.tier: must be below 1, the number of tiers, not 4",
+            id="unknown-tier",
         ),
         pytest.param(
-            'faults = [{at_s=1, kind="cut"}]', "faults.0.zone: a cut names the zone", id="cut-without-zone"
+            'faults = [{at_s=1, kind="cut"}]',
+            "faults.0.zone: a fault of kind cut must name the zone",
+            id="cut-without-zone",
         ),
         pytest.param(
             'faults = [{at_s=1, kind="die", zone="q"}]',
-            "faults.0.zone: none of a, b: q",
+            "faults.0.zone: must be one of a, b, not q",
             id="unknown-zone",
         ),
         pytest.param(
             'faults = [{at_s=1, kind="die", endpoints=[9]}]',
-            "faults.0.endpoints: tier 0 has 4",
+            "faults.0.endpoints: an index must be from 0 to 3 for tier 0, which has 4 endpoints",
             id="unknown-endpoint",
         ),
         pytest.param('faults = [{at_s=1, kind="burn"}]', "faults.0.kind: Input should be", id="unknown-kind"),
-        pytest.param("seed = ", "not TOML: ", id="no-toml"),
+        pytest.param("seed = ", "not valid TOML: ", id="no-toml"),
     ],
 )
 def test_unusable_file_is_refused_in_one_line(tmp_path: Path, line: str, reason: str) -> None:
--- a/tests/testbed/test_sidecar_configuration.py
+++ b/tests/testbed/test_sidecar_configuration.py
@@ -73,5 +73,7 @@
     ],
 )
 def test_override_of_what_is_not_there_is_refused(path: str) -> None:
-    with pytest.raises(ScenarioError, match=f"^settings: nothing at {path}$"):
+    with pytest.raises(
+        ScenarioError, match=f"^settings: {path} does not exist in the sidecar's configuration$"
+    ):
         check_settings(scenario_with(settings={path: 1}))
