--- a/tests/http_testing/test_exchanges.py
+++ b/tests/http_testing/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Client and server of the test bed against each other, and each against raw bytes."""
+"""The HTTP client and server of `cressrail.http_testing` with each other, and each with raw bytes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 
 GET = b"GET /api?size=1 HTTP/1.1\r\nHost: test\r\nReq-Id: r1\r\n\r\n"
-TIMEOUT_US = 20_000_000  # far beyond what a test takes
+TIMEOUT_US = 20_000_000  # far longer than any test takes
 Handler = Callable[[ReceivedRequest], None]
 
 
@@ -23,7 +23,7 @@
     on_closed: Callable[[ServerConnection], None] = lambda _connection: None,
     on_opened: Callable[[ServerConnection], None] | None = None,
 ) -> AsyncIterator[tuple[str, int]]:
-    """A server on loopback."""
+    """Provides the address of a server on loopback."""
     server = await asyncio.get_running_loop().create_server(
         lambda: ServerConnection(handler, on_closed, on_opened), "127.0.0.1", 0
     )
@@ -33,7 +33,7 @@
 
 
 def send(client: HttpClient, request: bytes = GET, timeout_us: int = TIMEOUT_US) -> Awaitable[Response]:
-    """Sends a request; the response comes as a future, which fails if it is called back twice."""
+    """Sends a request and returns a future for the response; a second callback raises an error."""
     future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
     client.send(request, timeout_us, future.set_result)
     return future
@@ -43,7 +43,7 @@
     request.connection.respond(200, request.headers[b"req-id"], b"X-Tag: t\r\n")
 
 
-def test_request_and_response_arrive_whole() -> None:
+def test_request_and_response_arrive_completely() -> None:
     received: list[ReceivedRequest] = []
 
     def handle(request: ReceivedRequest) -> None:
@@ -140,7 +140,7 @@
 def test_refused_connection_has_outcome() -> None:
     async def run() -> Response:
         with socket.socket() as unused:
-            unused.bind(("127.0.0.1", 0))  # nobody listens
+            unused.bind(("127.0.0.1", 0))  # bound, but not listening
             return await send(HttpClient("127.0.0.1", unused.getsockname()[1], max_connections=1))
 
     response = asyncio.run(run())
@@ -160,7 +160,7 @@
     assert asyncio.run(run()).outcome is CallOutcome.TIMED_OUT
 
 
-def test_call_on_kept_connection_is_sent_again_if_that_ends_unanswered() -> None:
+def test_call_on_keep_alive_connection_is_resent_if_it_closes_without_a_response() -> None:
     received: list[ReceivedRequest] = []
 
     def handle(request: ReceivedRequest) -> None:
@@ -221,7 +221,7 @@
     asyncio.run(run())
 
 
-def test_server_that_stops_reading_takes_no_request() -> None:
+def test_server_that_stops_reading_receives_no_request() -> None:
     received: list[ReceivedRequest] = []
 
     async def run() -> Response:
--- a/tests/testbed/__init__.py
+++ b/tests/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cressrail.testbed, one file a module."""
+"""Tests of `cressrail.testbed`: one file for each module."""
--- a/tests/testbed/event_rows.py
+++ b/tests/testbed/event_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a run's event record and of the load's attempt log, as sound ones look, and a scenario for them."""
+"""Builds rows of event records and attempt logs of a correct run, and defines a scenario for them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def call_row(request_id: str, request_class: str = "read", **fields: Any) -> Row:
-    """A client's attempt that succeeded within 9 ms of its deadline of 500 ms, but for the fields named."""
+    """Returns the row of a client's request that succeeded after 9 ms; `fields` replace or add fields."""
     return {
         "id": request_id,
         "profile": request_class,
@@ -48,7 +48,7 @@
 
 
 def attempt_row(request_id: str, endpoint: str = "x0", arrived_us: int = 100, **fields: Any) -> Row:
-    """An attempt that its endpoint completed in 10 microseconds, but for the fields named."""
+    """Returns the row of an attempt that succeeded after 10 microseconds; `fields` replace or add fields."""
     return {
         "endpoint": endpoint,
         "tier": 0,
@@ -70,27 +70,27 @@
 
 
 def phase_row(phase: str, at_us: int) -> Row:
-    """Discovery announces a phase of endpoint x0 to the ingress sidecar."""
+    """Returns the row of an announcement of endpoint x0's phase to the ingress sidecar."""
     return {"told": "door0", "endpoint": "x0", "phase": phase, "at_us": at_us}
 
 
 def three_sidecars(*rows: Row) -> list[Row]:
-    """An event record in which sidecars a, b and c are up from the start."""
+    """Returns an event record in which sidecars a, b and c are up from the start, followed by `rows`."""
     return [*(process_row(0, name, ProcessState.UP) for name in "abc"), *rows]
 
 
 def process_row(at_s: float, name: str, state: ProcessState) -> Row:
-    """A change of a sidecar's process."""
+    """Returns the row of a new state of a sidecar's process."""
     return {"process": name, "how": state.value, "pool": 0, "at_us": int(at_s * SECOND_US)}
 
 
 def view_row(at_s: float, observer: str, alive: int, **states: str) -> Row:
-    """What an observer's admin address showed."""
+    """Returns the row of the membership view served by an observer's admin address."""
     return {"view": observer, "at_us": int(at_s * SECOND_US), "alive": alive, "states": states}
 
 
 def cut_row(at_s: float, is_begin: bool, senders: str = "", receivers: str = "") -> Row:
-    """Begin or end of a one-way cut between sidecars with names of one letter."""
+    """Returns the row of the begin or end of a one-way cut; each letter names a sidecar."""
     return {
         "cut": 0,
         "on": is_begin,
@@ -100,7 +100,7 @@
 
 
 def log_row(at_s: float, observer: str, event: str, instance: str = "", paused_ms: int = 0) -> Row:
-    """A line of a sidecar's log."""
+    """Returns the row of a membership event in an observer's log."""
     return {
         "said": observer,
         "event": event,
--- a/tests/testbed/fleet_scripts.py
+++ b/tests/testbed/fleet_scripts.py
@@ -1,4 +1,4 @@
-"""Fleets of a few sidecar processes, and what test scripts do to them and wait for."""
+"""Runs test scripts on fleets of a few sidecar processes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,20 @@
 CHECKOUT = Path(__file__).resolve().parents[2]
 TOLERATED_PAUSE_MS = 1500
 QUICK_MEMBERSHIP = {"bear_pause_ms": TOLERATED_PAUSE_MS, "look_s": 0.1}
-MAX_ATTEMPTS = 3  # of a script on a machine that lags
+MAX_ATTEMPTS = 3  # runs of a script, of which those on a lagging machine are invalid
 POLL_INTERVAL_S = 0.05
 
 
 def make_scenario(
     ingress_sidecars: int, membership: dict[str, Any] = QUICK_MEMBERSHIP, **keys: Any
 ) -> FleetScenario:
-    """Two zones and one tier of two endpoints; further keys are those of the file's root."""
+    """Returns a scenario with two zones and one tier of two endpoints.
+
+    Args:
+        ingress_sidecars: Number of ingress sidecars.
+        membership: Keys of the section `fleet.membership`.
+        keys: Further keys of the root of the scenario file.
+    """
     return FleetScenario.model_validate(
         {
             "fleet": {
@@ -45,24 +51,24 @@
 
 
 class RunningFleet:
-    """A fleet whose ingress sidecars `door0`, `door1` and so on go by their numbers here.
+    """A running fleet whose ingress sidecars `door0`, `door1` and so on are identified by their number.
 
     Attributes:
         fleet: The fleet itself.
         sidecars: Its ingress sidecars.
-        network: Between them.
+        network: The emulated network between the sidecars.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.sidecars, self.network = fleet, fleet.ingress_sidecars, fleet.network
 
     def view(self, number: int) -> dict[str, Any]:
-        """The latest view that a sidecar has of the others."""
+        """Returns a sidecar's latest view of the others."""
         unknown = {"alive": 0, "states": {}, "cannot_reach": {}}
         return self.fleet.watchers.views.get(f"door{number}", unknown)
 
     def logged(self, number: int, event: str) -> list[dict[str, Any]]:
-        """All lines of a sidecar's log that tell of this event."""
+        """Returns all lines of a sidecar's log with this event."""
         lines = (self.fleet.folder / f"door{number}.log").read_bytes().splitlines()
         return [
             orjson.loads(line)
@@ -71,7 +77,7 @@
         ]
 
     def declared_dead(self) -> set[str]:
-        """Names of all instances that a sidecar declared dead."""
+        """Returns the names of all instances that any ingress sidecar declared dead."""
         return {
             line["instance"]
             for number in range(len(self.sidecars))
@@ -79,11 +85,11 @@
         }
 
     def record_state(self, number: int, state: ProcessState) -> None:
-        """Records what the script did to a sidecar's process."""
+        """Records the new state of a sidecar's process that the script changed."""
         self.fleet.fault_injector.record_state(self.sidecars[number], state)
 
     def cut(self, *directions: tuple[list[int], list[int]]) -> None:
-        """Cuts what goes from the first sidecars to the second ones, and nothing else."""
+        """Replaces all network rules with one-way cuts, each from the first sidecars to the second ones."""
         self.network.rules = [
             NetworkRule(
                 frozenset(f"door{number}" for number in senders),
@@ -94,7 +100,7 @@
         ]
 
     async def wait_until(self, is_met: Callable[[], bool], timeout_s: float = 40.0) -> None:
-        """Fails if the condition is not met in time."""
+        """Waits until the condition holds; fails the test after `timeout_s`."""
         loop = asyncio.get_running_loop()
         timeout_at_s = loop.time() + timeout_s
         while not is_met():
@@ -103,7 +109,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_all_count(self, alive: int, except_for: tuple[int, ...] = ()) -> None:
-        """Waits until each sidecar but the excepted ones counts so many live instances."""
+        """Waits until each ingress sidecar, except those listed, counts `alive` live instances."""
         others = [number for number in range(len(self.sidecars)) if number not in except_for]
         await self.wait_until(lambda: all(self.view(number)["alive"] == alive for number in others))
 
@@ -114,7 +120,7 @@
 def run_script(
     tmp_path: Path, ingress_sidecars: int, script: Script, scenario: FleetScenario | None = None
 ) -> None:
-    """Runs a script on a fleet, again where the machine lagged; skips the test if it always does."""
+    """Runs a script on a fleet; repeats it if the machine lagged, and skips the test if it always did."""
     for attempt in range(MAX_ATTEMPTS):
         folder = tmp_path / str(attempt)
         failure = asyncio.run(
--- a/tests/testbed/test_discovery.py
+++ b/tests/testbed/test_discovery.py
@@ -1,4 +1,4 @@
-"""The simulated discovery agent: what it announces to its sidecar and records of it."""
+"""The simulated discovery agent: the updates that it sends to its sidecar, and their event records."""
 
 from __future__ import annotations
 
@@ -29,5 +29,5 @@
     assert b'"y"' not in changes
     assert b'"members":[]' in nothing
     announced = [(row["endpoint"], row["phase"]) for row in read_events(path)]
-    # An endpoint that is not in a complete list is announced as removed, too.
+    # An endpoint that is missing from a complete list is also recorded as announced to be removed.
     assert announced == [("x", "up"), ("y", "draining"), ("z", "removed"), ("z", "removed")]
--- a/tests/testbed/test_event_record.py
+++ b/tests/testbed/test_event_record.py
@@ -1,4 +1,4 @@
-"""The event record as a file."""
+"""Writing and reading the file of an event record."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert list(read_events(path)) == [{"process": "a", "how": "stalled", "at_us": 5}, {"start_us": 7}]
 
 
-def test_line_that_was_cut_off_is_an_error(tmp_path: Path) -> None:
+def test_truncated_line_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "fleet.jsonl"
     path.write_bytes(b'{"start_us":7}\n{"process":')
     events = read_events(path)
--- a/tests/testbed/test_example_fleets.py
+++ b/tests/testbed/test_example_fleets.py
@@ -1,4 +1,4 @@
-"""The scenarios in example/fleets, and what the command that plays them refuses."""
+"""The scenarios in example/fleets, and invalid arguments of the command that runs them."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         pytest.param([str(CHECKOUT / "example" / "experiments" / "zone-cut.toml")], id="without membership"),
         pytest.param([], id="no file"),
     ],
 )
-def test_command_refuses_what_it_cannot_play(words: list[str]) -> None:
-    assert main(words) == 2
+def test_command_rejects_unusable_arguments(arguments: list[str]) -> None:
+    assert main(arguments) == 2
 
 
 def test_missing_scenario_is_an_error(tmp_path: Path) -> None:
--- a/tests/testbed/test_fault_injection.py
+++ b/tests/testbed/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults of sidecars: what is drawn, and what a scenario may name."""
+"""Sidecar faults: random drawing, and validation of the sidecars that a scenario names."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert draw(1) != draw(2)
 
 
-def test_drawn_faults_are_of_all_kinds_and_end_before_the_run() -> None:
+def test_drawn_faults_include_all_kinds_and_leave_time_to_recover() -> None:
     faults = draw(1)
 
     assert {fault.kind for fault in faults} == {"wire", "stall-process", "kill", "restart"}
@@ -32,7 +32,7 @@
     assert all(fault.at_s + fault.duration_s <= LAST_DRAWN_S + 1e-6 for fault in faults)
 
 
-def test_drawn_faults_read_as_any_fault_of_a_file() -> None:
+def test_drawn_faults_are_valid_in_scenario_files() -> None:
     for fault in draw(1):
         assert Fault.model_validate(fault.model_dump(by_alias=True)) == fault
 
@@ -57,11 +57,11 @@
         ),
     ],
 )
-def test_fault_that_affects_nobody_is_refused(change: dict[str, Any], expected_error: str) -> None:
+def test_fault_without_valid_targets_is_rejected(change: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(ValueError, match=expected_error):
         make_scenario(2, **change)
 
 
-def test_network_fault_cuts_unless_another_effect_is_named() -> None:
+def test_network_fault_is_a_cut_unless_another_effect_is_named() -> None:
     assert Fault(at_s=1, kind="wire").share == 1.0
     assert Fault.model_validate({"at_s": 1, "kind": "wire", "delay_ms": 5}).share == 0.0
--- a/tests/testbed/test_flood.py
+++ b/tests/testbed/test_flood.py
@@ -1,4 +1,4 @@
-"""The datagrams of a flood: only a replayed one is signed with the key of the fleet."""
+"""The datagrams of a flood: only the replayed one is signed with the key of the fleet."""
 
 from __future__ import annotations
 
@@ -16,6 +16,6 @@
     assert all(verified_payload((KEY,), datagram) is None for datagram in others)
 
 
-def test_random_datagrams_repeat_with_their_seed() -> None:
+def test_same_seed_gives_same_random_datagrams() -> None:
     assert build_datagrams(KEY, seed=3)[-3:] == build_datagrams(KEY, seed=3)[-3:]
     assert build_datagrams(KEY, seed=3)[-3:] != build_datagrams(KEY, seed=4)[-3:]
--- a/tests/testbed/test_idempotency_keys.py
+++ b/tests/testbed/test_idempotency_keys.py
@@ -1,11 +1,11 @@
-"""IdempotencyKeys: how long a key is known."""
+"""IdempotencyKeys: how long a key is remembered."""
 
 from __future__ import annotations
 
 from cressrail.testbed.idempotency_keys import IdempotencyKeys
 
 
-def test_key_is_known_within_its_window_only() -> None:
+def test_key_is_remembered_only_within_its_window() -> None:
     keys = IdempotencyKeys()
     arrivals = (("k", 0), ("k", 90), ("j", 95), ("k", 120), ("k", 130))
 
--- a/tests/testbed/test_loopback.py
+++ b/tests/testbed/test_loopback.py
@@ -1,4 +1,4 @@
-"""Loopback hosts of a run."""
+"""Loopback addresses of a run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from cressrail.testbed.loopback import loopback_host
 
 
-def test_hosts_differ_and_can_be_used() -> None:
+def test_hosts_are_distinct_and_can_be_bound() -> None:
     hosts = [loopback_host(number) for number in range(762)]
 
     assert len(set(hosts)) == len(hosts)
--- a/tests/testbed/test_membership_evidence.py
+++ b/tests/testbed/test_membership_evidence.py
@@ -1,4 +1,4 @@
-"""Whether a run is evidence at all."""
+"""Conditions under which a run is invalid as evidence."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     ("rows", "expected_reason"),
     [
         pytest.param([{"relay_lag_s": 0.06}], "the relay lagged by 60 ms, limit 50 ms", id="relay lagged"),
-        pytest.param([{"relay_lag_s": 0.04}], "", id="relay lagged within the bound"),
+        pytest.param([{"relay_lag_s": 0.04}], "", id="relay lagged within the limit"),
         pytest.param(
             [log_row(9, "a", "instance_paused", paused_ms=2000)],
             "sidecar a did not run for 2000 ms, limit 1000 ms",
@@ -31,11 +31,11 @@
                 log_row(9, "a", "copy_paused", paused_ms=2000),
             ],
             "",
-            id="sidecar was paused on purpose",
+            id="sidecar was paused by a fault",
         ),
     ],
 )
-def test_run_is_invalid_where_the_machine_lagged(rows: list[Row], expected_reason: str) -> None:
+def test_run_is_invalid_if_the_machine_lagged(rows: list[Row], expected_reason: str) -> None:
     evidence = collect_membership_evidence(three_sidecars(*rows))
 
     assert evidence.invalid_reason == expected_reason
--- a/tests/testbed/test_membership_under_faults.py
+++ b/tests/testbed/test_membership_under_faults.py
@@ -1,7 +1,7 @@
 """Membership of a few sidecar processes under faults.
 
-The tests wait for what is to happen. A run in which the machine lagged proves nothing: it is tried again, and
-then skipped.
+The tests wait for the expected state instead of a fixed time. A run in which the machine lagged is invalid:
+it is repeated, and the test is skipped if no run is valid.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from tests.testbed.fleet_scripts import TOLERATED_PAUSE_MS, RunningFleet, make_scenario, run_script
 
 FLOOD_DATAGRAMS = 20_000
-FLOOD_BURST = 400  # datagrams between two pauses of the sender
+FLOOD_BURST = 400  # datagrams that the sender sends between two pauses
 
 
-def test_death_return_takeover_and_leave_are_told_apart(
+def test_death_return_takeover_and_leave_are_distinguished(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The rendezvous path of two processes is there, and the path of a Unix socket must be short.
+    # TMPDIR holds the rendezvous path of the two processes, and the path of a Unix socket must be short.
     with TemporaryDirectory(prefix="cr") as short_path:
         monkeypatch.setenv("TMPDIR", short_path)
-        run_script(tmp_path, 5, _play_death_return_takeover_and_leave)
+        run_script(tmp_path, 5, _run_death_return_takeover_and_leave)
 
 
-async def _play_death_return_takeover_and_leave(running: RunningFleet) -> None:
+async def _run_death_return_takeover_and_leave(running: RunningFleet) -> None:
     fleet, last = running.fleet, running.sidecars[4]
     fleet.sidecars.kill(last)
     running.record_state(4, ProcessState.KILLED)
@@ -52,8 +52,11 @@
     (fleet.folder / "successor.json").write_bytes(
         orjson.dumps({**config, "ops": f"{last.admin_address[0]}:9003"})
     )
-    words = [sys.executable, "-m", "cressrail", "serve", str(fleet.folder / "successor.json")]
-    with open(fleet.folder / "successor.log", "wb") as log, subprocess.Popen(words, stdout=log) as successor:
+    command = [sys.executable, "-m", "cressrail", "serve", str(fleet.folder / "successor.json")]
+    with (
+        open(fleet.folder / "successor.log", "wb") as log,
+        subprocess.Popen(command, stdout=log) as successor,
+    ):
         try:
             await running.wait_until(lambda: bool(running.logged(4, "handed_over")))
             assert last.process is not None
@@ -74,7 +77,7 @@
     assert all(len(running.logged(number, "instance_dead")) == 1 for number in range(4))
 
 
-def test_one_way_cut_is_reported_by_all_and_makes_nobody_dead(tmp_path: Path) -> None:
+def test_one_way_cut_is_reported_by_all_and_no_instance_is_declared_dead(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
         def is_reported(sender: int, receiver: int) -> bool:
             return all(
@@ -96,7 +99,9 @@
     run_script(tmp_path, 5, script)
 
 
-def test_tolerated_pauses_of_a_third_and_of_all_but_one_make_nobody_dead(tmp_path: Path) -> None:
+def test_no_instance_is_declared_dead_after_tolerated_pauses_of_a_third_and_of_all_but_one(
+    tmp_path: Path,
+) -> None:
     async def script(running: RunningFleet) -> None:
         def have_noticed(paused: tuple[int, ...]) -> bool:
             return all(running.logged(number, "instance_paused") for number in paused)
@@ -117,7 +122,7 @@
     run_script(tmp_path, 6, script)
 
 
-def test_halves_that_took_each_other_for_dead_rejoin_after_the_partition(tmp_path: Path) -> None:
+def test_halves_that_declared_each_other_dead_rejoin_after_the_partition(tmp_path: Path) -> None:
     async def script(running: RunningFleet) -> None:
         halves = ([0, 1, 2], [3, 4, 5])
         running.cut(halves, halves[::-1])
@@ -146,14 +151,14 @@
         await running.wait_until(lambda: list_updates(1) > before[1])
         await asyncio.sleep(0.5)
         assert list_updates(0) == before[0]
-        assert running.view(0)["alive"] == 2  # to other sidecars it is still connected
+        assert running.view(0)["alive"] == 2  # it is still connected to the other sidecar
         running.network.rules = []
         await running.wait_until(lambda: list_updates(0) > before[0])
 
     run_script(tmp_path, 2, script)
 
 
-def test_flood_of_malformed_datagrams_and_a_change_of_keys_make_nobody_dead(
+def test_no_instance_is_declared_dead_after_malformed_datagrams_and_key_changes(
     tmp_path: Path,
 ) -> None:
     async def script(running: RunningFleet) -> None:
@@ -186,7 +191,9 @@
     run_script(tmp_path, 4, script)
 
 
-def test_all_faults_at_once_under_load_break_no_rule_and_make_no_live_instance_dead(tmp_path: Path) -> None:
+def test_overlapping_faults_under_load_break_no_rule_and_no_live_instance_is_declared_dead(
+    tmp_path: Path,
+) -> None:
     scenario = make_scenario(
         6,
         seconds=16,
@@ -208,14 +215,14 @@
     )
     for attempt in range(3):
         folder = tmp_path / str(attempt)
-        made = run_scenario(scenario, folder)
-        found = compute_fleet_figures(scenario, made, folder)
-        if not found["void"]:
-            assert found["broken"] == []
-            assert found["false_losses"] == []
-            assert not made.evidence.failed
-            assert found["answered"] > 300
-            assert found["deaths"] == 2
-            assert found["wires"]["dropped"] > 100
+        result = run_scenario(scenario, folder)
+        figures = compute_fleet_figures(scenario, result, folder)
+        if not figures["void"]:
+            assert figures["broken"] == []
+            assert figures["false_losses"] == []
+            assert not result.evidence.failed
+            assert figures["answered"] > 300
+            assert figures["deaths"] == 2
+            assert figures["wires"]["dropped"] > 100
             return
-    pytest.skip(found["void"])
+    pytest.skip(figures["void"])
--- a/tests/testbed/test_membership_verdicts.py
+++ b/tests/testbed/test_membership_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on membership from a record of three sidecars."""
+"""Verdicts on membership from event records of three sidecars."""
 
 from __future__ import annotations
 
@@ -32,15 +32,19 @@
     ("rows", "expected_subjects"),
     [
         pytest.param([DEAD_AT_20_S], ["b"], id="dead in a view"),
-        pytest.param([DEAD_AT_20_S, view_row(21, "a", 2, b="lost")], ["b"], id="twice without a return"),
+        pytest.param(
+            [DEAD_AT_20_S, view_row(21, "a", 2, b="lost")],
+            ["b"],
+            id="dead twice without being alive in between",
+        ),
         pytest.param(
             [DEAD_AT_20_S, view_row(21, "a", 3, b="alive"), view_row(22, "a", 2, b="lost")],
             ["b", "b"],
-            id="twice with a return",
+            id="dead twice and alive in between",
         ),
         pytest.param([log_row(20, "a", "instance_dead", "b")], ["b"], id="dead in a log"),
         pytest.param([log_row(20, "a", "copy_lost", "b")], ["b"], id="dead in a log of an earlier version"),
-        pytest.param([view_row(20, "a", 2, b="suspected")], [], id="suspected only"),
+        pytest.param([view_row(20, "a", 2, b="suspected")], [], id="only suspected"),
         pytest.param([process_row(10, "b", ProcessState.KILLED), DEAD_AT_20_S], [], id="killed"),
         pytest.param(
             [
@@ -49,7 +53,7 @@
                 DEAD_AT_20_S,
             ],
             ["b"],
-            id="paused for less than is tolerated",
+            id="paused for less than the tolerated pause",
         ),
         pytest.param(
             [
@@ -58,7 +62,7 @@
                 DEAD_AT_20_S,
             ],
             [],
-            id="paused for longer than is tolerated",
+            id="paused for longer than the tolerated pause",
         ),
         pytest.param(
             [
@@ -67,7 +71,7 @@
                 DEAD_AT_20_S,
             ],
             [],
-            id="returned too recently to be known",
+            id="returned too recently for others to know",
         ),
         pytest.param([cut_row(5, True, "b"), DEAD_AT_20_S], [], id="cut off from all"),
         pytest.param([cut_row(5, True, "b", "a"), DEAD_AT_20_S], ["b"], id="reachable through another"),
@@ -93,7 +97,7 @@
 )
 
 
-def test_detection_time_counts_from_the_kill_to_each_view_that_shows_it() -> None:
+def test_detection_time_is_measured_from_the_kill_to_the_views_that_show_it() -> None:
     [detection] = detection_times(collect_membership_evidence(KILL_DETECTED_BY_TWO))
 
     assert (detection.first_s, detection.half_s, detection.all_s) == (4.0, 4.0, 6.0)
@@ -111,21 +115,21 @@
     assert detection.first_s is None
 
 
-def test_count_error_is_a_share_of_the_true_count() -> None:
+def test_count_error_is_relative_to_the_true_count() -> None:
     evidence = collect_membership_evidence(KILL_DETECTED_BY_TWO)
 
     assert mean_count_error(evidence, 0, 13 * SECOND_US) == 0.5
     assert mean_count_error(evidence, 13 * SECOND_US, 99 * SECOND_US) == 0.0
 
 
-def test_views_agree_once_each_running_sidecar_counts_those_that_run() -> None:
+def test_views_agree_once_each_running_sidecar_counts_exactly_the_running_ones() -> None:
     evidence = collect_membership_evidence(KILL_DETECTED_BY_TWO)
 
     assert do_views_agree(evidence, 17 * SECOND_US)
     assert not do_views_agree(evidence, 15 * SECOND_US)
 
 
-def test_join_time_counts_from_the_last_start() -> None:
+def test_join_time_is_measured_from_the_last_start() -> None:
     rows = [
         process_row(1, "a", ProcessState.UP),
         process_row(3, "b", ProcessState.UP),
--- a/tests/testbed/test_membership_watcher.py
+++ b/tests/testbed/test_membership_watcher.py
@@ -1,4 +1,4 @@
-"""What the membership watcher takes from sidecars' logs."""
+"""Membership events that the membership watcher reads from sidecars' logs."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
             [("door0", "copy_paused", "", 300)],
             id="pause in a log of an earlier version",
         ),
-        pytest.param(b'{"at_us":9,"event":"instance_dead","inst', [], id="cut off by a kill"),
-        pytest.param(b'{"at_us":9,"event":"start"}', [], id="not on membership"),
+        pytest.param(b'{"at_us":9,"event":"instance_dead","inst', [], id="truncated by a kill"),
+        pytest.param(b'{"at_us":9,"event":"start"}', [], id="unrelated to membership"),
     ],
 )
-def test_membership_events_of_logs_are_recorded(
+def test_membership_events_in_logs_are_recorded(
     tmp_path: Path, line: bytes, expected: list[tuple[str, str, str, int]]
 ) -> None:
     (tmp_path / "door0.log").write_bytes(line)
--- a/tests/testbed/test_network_emulation.py
+++ b/tests/testbed/test_network_emulation.py
@@ -1,4 +1,4 @@
-"""Rules of the network emulation, decided without sockets."""
+"""Decisions of the network emulation, without sockets."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     ("rule", "to_discovery", "from_discovery", "between_sidecars"),
     [
-        pytest.param(NetworkRule(), False, False, True, id="nobody named"),
+        pytest.param(NetworkRule(), False, False, True, id="no names"),
         pytest.param(
             NetworkRule(frozenset("a"), frozenset([DISCOVERY])), True, False, False, id="to discovery"
         ),
@@ -78,7 +78,7 @@
     assert network.flip_bit(b"") == b""
 
 
-def test_first_datagram_of_a_limited_pair_comes_through() -> None:
+def test_first_datagram_of_a_rate_limited_pair_passes() -> None:
     arrivals = [
         NetworkEmulator(1, [NetworkRule(datagrams_per_s=10.0)]).decide("a", "b", 0.0).delays_s
         for _ in range(3)
@@ -87,7 +87,7 @@
     assert sum(len(delays_s) for delays_s in arrivals) == 3
 
 
-def test_rate_lets_so_many_datagrams_a_second_through() -> None:
+def test_rate_limit_is_in_datagrams_per_second() -> None:
     network = NetworkEmulator(1, [NetworkRule(datagrams_per_s=10.0)])
 
     arrivals = [network.decide("a", "b", index / 100).delays_s for index in range(1000)]
--- a/tests/testbed/test_pauses.py
+++ b/tests/testbed/test_pauses.py
@@ -1,4 +1,4 @@
-"""A server's known pauses: when a request is answered that meets them."""
+"""Predetermined pauses of a server: completion times of requests, and random drawing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arrived_us", "answered_us"),
+    ("arrived_us", "expected_us"),
     [
         pytest.param(0, 10, id="before-the-pauses"),
         pytest.param(95, 205, id="paused-halfway"),
@@ -18,13 +18,13 @@
         pytest.param(295, 405, id="paused-halfway-by-the-second"),
     ],
 )
-def test_pause_holds_up_the_requests_that_meet_it(arrived_us: int, answered_us: int) -> None:
+def test_pause_delays_the_requests_that_overlap_it(arrived_us: int, expected_us: int) -> None:
     pauses = PauseSchedule([(100, 200), (300, 400)])
 
-    assert pauses.completion_us(arrived_us, 10) == answered_us
+    assert pauses.completion_us(arrived_us, 10) == expected_us
 
 
-def test_drawn_pauses_repeat_with_their_seed() -> None:
+def test_same_seed_draws_same_pauses() -> None:
     drawn = draw_pauses(3, 20.0)
 
     assert drawn == draw_pauses(3, 20.0)
--- a/tests/testbed/test_policy_variants.py
+++ b/tests/testbed/test_policy_variants.py
@@ -1,6 +1,6 @@
-"""Real sidecars with deliberate defects break the rule that each defect is made for; sound ones break none.
+"""Real sidecars: those with a deliberate defect break the corresponding rule, those without break none.
 
-Responses may come 200 ms after their deadline: a machine that stands still is no fault of the sidecar's.
+Responses may arrive up to 200 ms after their deadline, since a machine that stalls is not a sidecar's fault.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 LENIENT: Row = {**ONE_TIER, "rules": {"late_ms": 200}}
 
 
-def test_sound_sidecars_break_no_rule_under_faults(tmp_path: Path) -> None:
-    """Two tiers in two zones: sidecars come and go with the endpoints whose calls they carry."""
+def test_sidecars_without_defects_break_no_rule_under_faults(tmp_path: Path) -> None:
+    """Two tiers in two zones, in which sidecars crash and restart together with the endpoints they serve."""
     faults = [
         {"at_s": 1, "for_s": 1.5, "kind": "die", "endpoints": [0]},
         {"at_s": 2, "for_s": 1, "kind": "cut", "zone": "b", "tier": 0},
@@ -73,7 +73,7 @@
             4,
             {
                 "faults": [{"at_s": 0, "for_s": 1, "kind": "die", "endpoints": [0]}],
-                "load": {"rate": 400},  # enough work to exceed what a warming-up endpoint may get
+                "load": {"rate": 400},  # enough work to exceed the limit for a warming-up endpoint
                 "fleet": {
                     **ONE_TIER["fleet"],
                     "contract": {"warm_ms": 9000, "cold_from": 0.05, "notice_ms": 200},
--- a/tests/testbed/test_processor_sharing.py
+++ b/tests/testbed/test_processor_sharing.py
@@ -1,4 +1,4 @@
-"""ProcessorSharingServer: when work ends, how an endpoint slows down, and what it gives back."""
+"""ProcessorSharingServer: completion times, slowdowns, and the release of slots and queue places."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def make_server(started_us: int = 0, **tier: Any) -> ProcessorSharingServer:
-    """Of a tier in the keys of a scenario file; it warms up from a fifth within one second."""
+    """Returns a server of a tier with these scenario file keys, which warms up from 0.2 within one second."""
     contract = EndpointContract.model_validate({"cold_from": 0.2, "warm_ms": 1000})
     return ProcessorSharingServer(Tier.model_validate({"name": "x", **tier}), contract, started_us)
 
 
 def run_to_completion(server: ProcessorSharingServer, until_us: int) -> dict[object, int]:
-    """Releases each job as it completes; returns when that was, by the job's context."""
+    """Releases each job when it completes; returns the completion times in microseconds by job context."""
     completed_us: dict[object, int] = {}
     while (due_us := server.next_completion_us(server.updated_us)) is not None and due_us <= until_us:
         for job in server.pop_completed(due_us):
@@ -35,7 +35,7 @@
     [
         pytest.param({"cores": 2}, [10, 10], [10, 10], id="a-core-for-each"),
         pytest.param({"cores": 1}, [10, 10], [20, 20], id="one-core-shared-evenly"),
-        pytest.param({"cores": 1}, [10, 20], [20, 30], id="core-of-its-own-for-the-last-ten"),
+        pytest.param({"cores": 1}, [10, 20], [20, 30], id="whole-core-once-the-other-job-is-complete"),
         pytest.param(
             {"cores": 1, "slots": 1, "thrash": 0.0}, [10, 10], [10, 20], id="second-waits-for-the-slot"
         ),
@@ -50,7 +50,7 @@
         ),
     ],
 )
-def test_job_completes_by_its_share_of_the_cores(
+def test_job_completes_according_to_its_share_of_the_cores(
     tier: dict[str, Any], work_ms: list[int], completed_ms: list[int]
 ) -> None:
     server = make_server(**tier)
@@ -84,7 +84,7 @@
     assert run_to_completion(server, SECOND) == {}
 
 
-def test_capacity_grows_evenly_during_warmup() -> None:
+def test_capacity_grows_linearly_during_warmup() -> None:
     started_us = 5 * SECOND
     server = make_server(started_us, cores=1)
 
@@ -110,7 +110,7 @@
     assert not server.is_collapsed
 
 
-def test_slots_and_queue_places_come_back_in_any_order_of_events() -> None:
+def test_slots_and_queue_places_are_released_in_any_order_of_events() -> None:
     random_generator = random.Random(4)
     server = make_server(slots=5, room=3, cores=2, choke_at=0.9)
     accepted: list[Job] = []
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker: sound runs break no rule; each violation is named with its evidence."""
+"""The rule checker: correct runs break no rule, and each violation is reported with its evidence."""
 
 from __future__ import annotations
 
@@ -23,9 +23,7 @@
         pytest.param([call_row("a")], [attempt_row("a")], id="succeeded"),
         pytest.param([call_row("a", sent_us=0, how="reset", status=0)], [], id="never-sent"),
         pytest.param([call_row("a", how="no connection", sent_us=0, status=0)], [], id="no-connection"),
-        pytest.param(
-            [call_row("a", again_us=90)], [attempt_row("a")], id="sent-again-after-crossing-a-close"
-        ),
+        pytest.param([call_row("a", again_us=90)], [attempt_row("a")], id="resent-after-a-concurrent-close"),
         pytest.param(
             [call_row("a", status=503)],
             [attempt_row("a", ran=False, how="turned away")],
@@ -59,11 +57,11 @@
                 phase_row("draining", 500_000),
                 phase_row("up", 600_000),
             ],
-            id="back-after-the-drain",
+            id="up-again-after-the-drain",
         ),
     ],
 )
-def test_sound_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
+def test_correct_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
     assert check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet])) == []
 
 
@@ -96,14 +94,14 @@
             "with the response to another request: b",
             [call_row("a", echo="b")],
             [attempt_row("a")],
-            id="of-another-request",
+            id="response-to-another-request",
         ),
         pytest.param(
             Rule.ONE_ANSWER,
             "succeeded, but no endpoint completed the request",
             [call_row("a")],
             [attempt_row("a", how="error")],
-            id="made-up-success",
+            id="success-without-a-successful-attempt",
         ),
         pytest.param(
             Rule.ONE_ANSWER,
@@ -190,7 +188,7 @@
         ),
     ],
 )
-def test_violation_is_named_with_its_evidence(
+def test_violation_is_reported_with_its_evidence(
     rule: Rule, message: str, load: list[Row], fleet: list[Row]
 ) -> None:
     violations = check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet]))
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what can't be used is one line with file, path and reason."""
+"""Scenario files: an error is one line with the file, the setting and the reason."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
             id="unknown-endpoint",
         ),
         pytest.param('faults = [{at_s=1, kind="burn"}]', "faults.0.kind: Input should be", id="unknown-kind"),
-        pytest.param("seed = ", "not valid TOML: ", id="no-toml"),
+        pytest.param("seed = ", "not valid TOML: ", id="invalid-toml"),
     ],
 )
-def test_unusable_file_is_refused_in_one_line(tmp_path: Path, line: str, reason: str) -> None:
+def test_invalid_file_is_rejected_with_a_one_line_message(tmp_path: Path, line: str, reason: str) -> None:
     path = tmp_path / "scenario.toml"
     path.write_text(line + "\n" + SMALLEST_SCENARIO)
 
@@ -62,7 +62,7 @@
     assert "\n" not in message
 
 
-def test_sidecars_are_named_by_ingress_number_and_by_the_endpoint_that_calls() -> None:
+def test_sidecars_are_named_by_ingress_number_and_by_calling_endpoint() -> None:
     scenario = FleetScenario.model_validate(
         {
             "fleet": {"doors": 2, "tiers": [{"name": "x", "endpoints": 2}, {"name": "y", "endpoints": 3}]},
--- a/tests/testbed/test_sidecar_configuration.py
+++ b/tests/testbed/test_sidecar_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a scenario comes to for one sidecar."""
+"""The configuration that is built from a scenario for one sidecar."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 def scenario_with(**fleet: Any) -> FleetScenario:
-    """The scenario of one tier with further keys of `fleet`."""
+    """Returns the scenario of one tier with further keys in its section `fleet`."""
     return FleetScenario.model_validate({**ONE_TIER, "fleet": {**ONE_TIER["fleet"], **fleet}})
 
 
-def test_configuration_names_addresses_and_place_in_the_tier() -> None:
+def test_configuration_contains_addresses_and_position_in_the_tier() -> None:
     configuration = build_configuration(scenario_with(), make_sidecar(), instance_count=3, seed=255)
 
     assert configuration["name"] == "door1"
@@ -37,7 +37,7 @@
     assert "failover" not in configuration
 
 
-def test_membership_and_failover_have_their_sections() -> None:
+def test_configuration_contains_sections_for_membership_and_failover() -> None:
     scenario = scenario_with(membership={"bear_pause_ms": 900, "use": ["copies"]}, failover={"way_ms": 7})
 
     configuration = build_configuration(scenario, make_sidecar(), instance_count=3, seed=1)
@@ -55,7 +55,7 @@
     assert configuration["failover"] == {"way_ms": 7}
 
 
-def test_override_reaches_items_of_lists() -> None:
+def test_override_sets_list_items() -> None:
     configuration: dict[str, Any] = {"settings": {"profiles": [{"revenue": 1.0}]}}
 
     override_setting(configuration, "settings.profiles.0.revenue", 2.0)
@@ -67,12 +67,12 @@
     "path",
     [
         pytest.param("limit.sockets", id="unknown-section"),
-        pytest.param("settings.profiles.9.revenue", id="no-such-item"),
-        pytest.param("settings.profiles.first.revenue", id="item-without-a-number"),
+        pytest.param("settings.profiles.9.revenue", id="index-out-of-range"),
+        pytest.param("settings.profiles.first.revenue", id="list-index-not-a-number"),
         pytest.param("name.first", id="inside-a-text"),
     ],
 )
-def test_override_of_what_is_not_there_is_refused(path: str) -> None:
+def test_override_of_missing_setting_is_rejected(path: str) -> None:
     with pytest.raises(
         ScenarioError, match=f"^settings: {path} does not exist in the sidecar's configuration$"
     ):
--- a/tests/testbed/test_sidecar_processes.py
+++ b/tests/testbed/test_sidecar_processes.py
@@ -1,4 +1,4 @@
-"""Processes and addresses of sidecars."""
+"""Processes and addresses of the test bed's sidecars."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return SidecarProcess("door0", 0, 0, "a", ("127.0.0.9", 9000), ("127.0.0.1", 1))
 
 
-def test_sidecar_has_one_process_however_often_it_is_started(tmp_path: Path) -> None:
+def test_repeated_start_leaves_one_process_per_sidecar(tmp_path: Path) -> None:
     manager = SidecarManager(make_scenario(1), tmp_path, CHECKOUT, "own", "")
     sidecar = make_sidecar()
     try:
@@ -25,7 +25,7 @@
         assert first is not None
         assert first.poll() is not None
         assert sidecar.process is not first
-        # Written once: to write it again would hold up the relay.
+        # The configuration is written only once, since writing it again would delay the relay.
         assert (tmp_path / "door0.json").stat().st_mtime_ns == written_ns
     finally:
         manager.close()
--- a/tests/testbed/test_simulated_service.py
+++ b/tests/testbed/test_simulated_service.py
@@ -1,4 +1,4 @@
-"""SimulatedEndpoint on loopback: what clients get, and what the event record says of it."""
+"""SimulatedEndpoint on loopback: the responses that clients get, and the rows of the event record."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from cressrail.testbed.scenario import EndpointContract, RequestClass, Tier
 from cressrail.testbed.simulated_service import SimulatedEndpoint
 
-TIMEOUT_US = 10_000_000  # far beyond what a test takes
+TIMEOUT_US = 10_000_000  # far longer than any test takes
 FAST = {"service": {"kind": "fixed", "mean_ms": 1}}
 SLOW = {"service": {"kind": "fixed", "mean_ms": 200}}
 REQUEST_CLASSES = {
@@ -29,7 +29,7 @@
 
 
 class ObservedRecord(EventRecord):
-    """An event record that can be waited for."""
+    """An event record that signals when an event has been written."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path)
@@ -41,14 +41,15 @@
 
 
 @dataclass
-class Bed:
+class Harness:
     """Endpoints of one run that share an event record and idempotency keys.
 
     Attributes:
-        record: Takes their events.
-        keys: Of requests of class `order`.
-        has_looked_up_key: Set once such a request has arrived.
-        clients: Closed with the run, as are the endpoints.
+        record: Event record of the endpoints.
+        keys: Idempotency keys of requests of class `order`.
+        has_looked_up_key: Set once a request of class `order` has arrived.
+        clients: All clients; they are closed at the end of the run.
+        endpoints: All endpoints; they are closed at the end of the run.
     """
 
     record: ObservedRecord
@@ -58,7 +59,13 @@
     endpoints: list[SimulatedEndpoint] = field(default_factory=list)
 
     async def start(self, name: str, tier: dict[str, Any], **contract: Any) -> SimulatedEndpoint:
-        """Starts an endpoint for clients of zones `a` and `b`; the keys are those of scenario files."""
+        """Starts an endpoint for clients of zones `a` and `b`.
+
+        Args:
+            name: Name of the endpoint.
+            tier: Keys of its tier, as in scenario files.
+            contract: Keys of its contract, as in scenario files.
+        """
         endpoint = SimulatedEndpoint(
             Placement(name, 0, "a", 1),
             Tier.model_validate({"name": name, **tier}),
@@ -74,30 +81,30 @@
         return endpoint
 
     def find_keys(self, _placement: Placement, _request_class: RequestClass) -> IdempotencyKeys:
-        """Returns the one set of keys."""
+        """Returns the idempotency keys that all endpoints share."""
         self.has_looked_up_key.set()
         return self.keys
 
     def connect(self, endpoint: SimulatedEndpoint, zone: str = "a") -> HttpClient:
-        """Returns a client of that zone."""
+        """Returns a client that connects to the endpoint from that zone."""
         client = HttpClient(*endpoint.listeners.addresses[zone], max_connections=8)
         self.clients.append(client)
         return client
 
 
 @asynccontextmanager
-async def running(path: Path) -> AsyncIterator[Bed]:
-    """Endpoints whose events go into a file; all of them end with the block."""
+async def running(path: Path) -> AsyncIterator[Harness]:
+    """Provides endpoints whose events are written to a file; closes all of them at the end of the block."""
     with ObservedRecord(path) as record:
-        bed = Bed(record)
+        harness = Harness(record)
         try:
-            yield bed
+            yield harness
         finally:
-            for client in bed.clients:
+            for client in harness.clients:
                 client.close()
-            for endpoint in bed.endpoints:
+            for endpoint in harness.endpoints:
                 endpoint.close()
-            await asyncio.sleep(0)  # connections report their end
+            await asyncio.sleep(0)  # lets the connections report that they were closed
 
 
 def send(
@@ -107,7 +114,7 @@
     key: str = "",
     timeout_us: int = TIMEOUT_US,
 ) -> Awaitable[Response]:
-    """Sends a request; the response comes as a future."""
+    """Sends a request and returns a future for the response."""
     future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
     head = f"GET / HTTP/1.1\r\nHost: x\r\nReq-Id: {request_id}\r\nReq-Kind: {request_class}\r\n"
     if key:
@@ -124,8 +131,8 @@
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> Response:
-        async with running(path) as bed:
-            return await send(bed.connect(await bed.start("x0", FAST)))
+        async with running(path) as harness:
+            return await send(harness.connect(await harness.start("x0", FAST)))
 
     response = asyncio.run(run())
 
@@ -144,8 +151,8 @@
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> list[Response]:
-        async with running(path) as bed:
-            client = bed.connect(await bed.start("x0", FAST))
+        async with running(path) as harness:
+            client = harness.connect(await harness.start("x0", FAST))
             return [await send(client, request_id, "order", "k1") for request_id in ("r1", "r2")]
 
     first, second = asyncio.run(run())
@@ -162,8 +169,8 @@
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> list[Response]:
-        async with running(path) as bed:
-            client = bed.connect(await bed.start("x0", {**SLOW, "slots": 1, "room": 0}))
+        async with running(path) as harness:
+            client = harness.connect(await harness.start("x0", {**SLOW, "slots": 1, "room": 0}))
             return list(await asyncio.gather(send(client, "r1"), send(client, "r2")))
 
     responses = asyncio.run(run())
@@ -190,16 +197,16 @@
         ),
     ],
 )
-def test_response_fault_strikes(
+def test_response_fault_determines_the_outcome(
     tmp_path: Path, fault: FaultKind, outcome: CallOutcome, status: int, how: str, has_run: bool
 ) -> None:
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> Response:
-        async with running(path) as bed:
-            endpoint = await bed.start("x0", FAST)
+        async with running(path) as harness:
+            endpoint = await harness.start("x0", FAST)
             endpoint.fault_shares[fault] = 1.0
-            return await send(bed.connect(endpoint))
+            return await send(harness.connect(endpoint))
 
     response = asyncio.run(run())
 
@@ -214,27 +221,27 @@
         pytest.param("", "read", 404, id="no-request-id"),
     ],
 )
-def test_invalid_request_is_refused_and_not_recorded(
+def test_invalid_request_is_rejected_and_not_recorded(
     tmp_path: Path, request_id: str, request_class: str, status: int
 ) -> None:
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> Response:
-        async with running(path) as bed:
-            return await send(bed.connect(await bed.start("x0", FAST)), request_id, request_class)
+        async with running(path) as harness:
+            return await send(harness.connect(await harness.start("x0", FAST)), request_id, request_class)
 
     assert asyncio.run(run()).status == status
     assert attempts(path) == []
 
 
-def test_work_goes_on_after_its_client_has_gone(tmp_path: Path) -> None:
+def test_work_continues_after_its_client_disconnects(tmp_path: Path) -> None:
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> Response:
-        async with running(path) as bed:
-            client = bed.connect(await bed.start("x0", SLOW))
+        async with running(path) as harness:
+            client = harness.connect(await harness.start("x0", SLOW))
             response = await send(client, timeout_us=50_000)
-            await bed.record.has_events.wait()
+            await harness.record.has_events.wait()
             return response
 
     assert asyncio.run(run()).outcome == CallOutcome.TIMED_OUT
@@ -243,14 +250,14 @@
     assert event["left_us"] < event["ended_us"]
 
 
-def test_work_stops_with_its_client_where_the_contract_says_so(tmp_path: Path) -> None:
+def test_work_stops_when_its_client_disconnects_if_the_contract_says_so(tmp_path: Path) -> None:
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> None:
-        async with running(path) as bed:
-            client = bed.connect(await bed.start("x0", SLOW, stops_on_cancel=True))
+        async with running(path) as harness:
+            client = harness.connect(await harness.start("x0", SLOW, stops_on_cancel=True))
             await send(client, timeout_us=50_000)
-            await bed.record.has_events.wait()
+            await harness.record.has_events.wait()
 
     asyncio.run(run())
 
@@ -263,15 +270,15 @@
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> list[Response]:
-        async with running(path) as bed:
-            endpoint = await bed.start("x0", SLOW, warm_ms=60_000)
-            lost = send(bed.connect(endpoint), "r1", "order", "k1")
-            await bed.has_looked_up_key.wait()
+        async with running(path) as harness:
+            endpoint = await harness.start("x0", SLOW, warm_ms=60_000)
+            lost = send(harness.connect(endpoint), "r1", "order", "k1")
+            await harness.has_looked_up_key.wait()
             endpoint.crash()
-            refused = await send(bed.connect(endpoint), "r2")
+            refused = await send(harness.connect(endpoint), "r2")
             await endpoint.restart(now_us())
             endpoint.set_slowdown(0.01)
-            return [await lost, refused, await send(bed.connect(endpoint), "r3")]
+            return [await lost, refused, await send(harness.connect(endpoint), "r3")]
 
     lost, refused, restarted = asyncio.run(run())
 
@@ -291,17 +298,17 @@
         pytest.param(1.0, 500, "failed below", id="next-tier-fails"),
     ],
 )
-def test_calls_the_next_tier_between_two_parts_of_its_work(
+def test_endpoint_calls_the_next_tier_between_two_parts_of_its_work(
     tmp_path: Path, error_share: float, status: int, how: str
 ) -> None:
     path = tmp_path / "fleet.jsonl"
 
     async def run() -> Response:
-        async with running(path) as bed:
-            caller, called = await bed.start("x0", FAST), await bed.start("y0", FAST)
+        async with running(path) as harness:
+            caller, called = await harness.start("x0", FAST), await harness.start("y0", FAST)
             called.fault_shares[FaultKind.RESPONSE_ERROR] = error_share
             caller.connect_next_tier(called.listeners.addresses["a"], "sidecar")
-            return await send(bed.connect(caller))
+            return await send(harness.connect(caller))
 
     response = asyncio.run(run())
 
@@ -312,5 +319,5 @@
     assert (inner["endpoint"], inner["id"]) == ("y0", "r1.x0-1")
     assert (outer["endpoint"], outer["id"], outer["how"]) == ("x0", "r1", how)
     assert outer["came_us"] <= inner["came_us"]
-    assert inner["limit_us"] - inner["came_us"] == call["limit_us"]  # the time that is left is passed on
+    assert inner["limit_us"] - inner["came_us"] == call["limit_us"]  # the remaining time is passed on
     assert call["limit_us"] < outer["limit_us"] - outer["came_us"]
--- a/tests/testbed/test_tcp_relay.py
+++ b/tests/testbed/test_tcp_relay.py
@@ -1,4 +1,4 @@
-"""The TCP relay between a client and a server that stand for a sidecar and discovery."""
+"""The TCP relay between a client and a server in place of a sidecar and discovery."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     writer: asyncio.StreamWriter
 
     async def echo(self) -> bytes:
-        """Sends a line and waits for it to come back."""
+        """Sends a line and returns the line that the server echoes."""
         self.writer.write(LINE)
         return await asyncio.wait_for(self.reader.readline(), TIMEOUT_S)
 
--- a/tests/testbed/test_udp_relay.py
+++ b/tests/testbed/test_udp_relay.py
@@ -1,4 +1,4 @@
-"""The UDP relay between two sockets that stand for sidecars."""
+"""The UDP relay between two sockets in place of sidecars."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def udp_socket() -> socket.socket:
-    """A socket on a free port that does not block."""
+    """Returns a non-blocking UDP socket on a free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
     sock.bind(("127.0.0.1", 0))
@@ -43,8 +43,8 @@
     return await asyncio.wait_for(loop.sock_recvfrom(sock, 2000), TIMEOUT_S)
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Lets the event loop run until the condition holds."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Waits until the condition holds; fails after `TIMEOUT_S`."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
@@ -112,7 +112,7 @@
 def test_cut_drops_in_one_direction_only() -> None:
     async def script(sidecars: Relayed) -> None:
         sidecars.first.sendto(b"lost", sidecars.second_advertised)
-        await until(lambda: sidecars.network.counts[DROPPED] == 1)
+        await wait_until(lambda: sidecars.network.counts[DROPPED] == 1)
 
         sidecars.network.rules = []
         sidecars.first.sendto(b"arrives", sidecars.second_advertised)
@@ -123,7 +123,7 @@
     run(script, NetworkRule(frozenset(["first"]), frozenset(["second"]), loss=1.0))
 
 
-def test_datagram_from_outside_the_fleet_meets_no_rules() -> None:
+def test_no_rules_apply_to_datagrams_from_outside_the_fleet() -> None:
     async def script(sidecars: Relayed) -> None:
         with closing(udp_socket()) as stranger:
             stranger.sendto(b"flood", sidecars.second_advertised)
@@ -143,7 +143,7 @@
         sidecars.second.close()
         sidecars.first.connect(sidecars.second_advertised)
         sidecars.first.send(b"to nobody")
-        await until(lambda: sidecars.network.counts[REFUSED] >= 1)
+        await wait_until(lambda: sidecars.network.counts[REFUSED] >= 1)
 
         if is_cut:
             await send_for_a_while(sidecars.first)
@@ -151,13 +151,13 @@
             with pytest.raises(ConnectionRefusedError):
                 await send_for_a_while(sidecars.first)
 
-    # A cut of the other direction lets the datagram through, but not the refusal.
+    # A cut in the opposite direction lets the datagram pass, but not the refusal.
     rules = [NetworkRule(frozenset(["second"]), frozenset(["first"]), loss=1.0)] if is_cut else []
     run(script, *rules)
 
 
 async def send_for_a_while(sock: socket.socket) -> None:
-    """Sends for as long as the relay keeps a socket closed."""
+    """Sends datagrams for `REFUSAL_S`, the time for which the relay keeps a socket closed."""
     for _ in range(10):
         sock.send(b"to nobody")
         await asyncio.sleep(REFUSAL_S / 10)
--- a/tests/testbed/test_zone_listeners.py
+++ b/tests/testbed/test_zone_listeners.py
@@ -1,4 +1,4 @@
-"""ZoneListeners: a zone that is cut off, and what happens once it is not."""
+"""ZoneListeners: behaviour while a zone is cut off and after the cut."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cressrail.http_testing.server import ReceivedRequest, ServerConnection
 from cressrail.testbed.zone_listeners import ZoneListeners
 
-TIMEOUT_US = 10_000_000  # far beyond what a response takes
-SILENCE_US = 200_000  # for which a client waits in vain
+TIMEOUT_US = 10_000_000  # far longer than any response takes
+SILENCE_US = 200_000  # how long a client in a cut zone waits without a response
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 UNREACHABLE = {CallOutcome.TIMED_OUT, CallOutcome.CONNECT_FAILED}
 
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def listening(closed: list[ServerConnection]) -> AsyncIterator[ZoneListeners]:
-    """Listeners for zones `a` and `b`; connections that have ended are appended to the list."""
+    """Provides listeners for zones `a` and `b`; closed connections are appended to the list."""
     listeners = ZoneListeners({"a": ("127.0.0.1", 0), "b": ("127.0.0.1", 0)}, respond, closed.append)
     await listeners.listen()
     try:
@@ -71,7 +71,7 @@
     asyncio.run(run())
 
 
-def test_cut_zone_is_silent_and_the_other_is_not() -> None:
+def test_cut_zone_gets_no_response_and_the_other_zone_does() -> None:
     async def run() -> list[CallOutcome]:
         async with listening([]) as listeners:
             open_client = HttpClient(*listeners.addresses["b"], max_connections=1)
@@ -95,7 +95,7 @@
     assert other_outcome == CallOutcome.ANSWERED
 
 
-def test_restored_zone_resets_what_was_open_and_accepts_new_connections() -> None:
+def test_restored_zone_resets_open_connections_and_accepts_new_ones() -> None:
     closed: list[ServerConnection] = []
 
     async def run() -> Response:
