--- a/cressrail/experiment/scenario_run.py
+++ b/cressrail/experiment/scenario_run.py
@@ -63,7 +63,7 @@
         violations = [
             violation
             for violation in violations
-            if violation.rule is not Rule.ONE_ANSWER or violation.request_id not in excused_ids
+            if violation.rule is not Rule.ONE_RESPONSE or violation.request_id not in excused_ids
         ]
     return ScenarioRun(load_report, collected, violations)
 
--- a/cressrail/testbed/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -85,7 +85,8 @@
         self._event_record = event_record
         self._entries = {endpoint.name: endpoint.as_entry(zone) for endpoint in endpoints}
         self._revision = FIRST_REVISION
-        self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)  # last change's revision, by name
+        # Revision of the last change, by the endpoint's name.
+        self._changed_revisions = dict.fromkeys(self._entries, FIRST_REVISION)
         self._watches: dict[ServerConnection, int] = {}  # the last revision sent, by connection
         # Holds all connections: nothing else refers to one that is not being read, so the garbage collector
         # would close it.
@@ -125,7 +126,7 @@
         """Adds or replaces an entry under a new revision and notifies all watches."""
         self._revision += 1
         self._entries[entry["id"]] = entry
-        self._changed_in[entry["id"]] = self._revision
+        self._changed_revisions[entry["id"]] = self._revision
         self._update_watches()
 
     def set_silent(self, is_silent: bool) -> None:
@@ -143,7 +144,7 @@
     def restart_revisions(self) -> None:
         """Restarts revisions at `FIRST_REVISION`, as a restart of discovery does, and closes all watches."""
         self._revision = FIRST_REVISION
-        self._changed_in = dict.fromkeys(self._entries, FIRST_REVISION)
+        self._changed_revisions = dict.fromkeys(self._entries, FIRST_REVISION)
         for connection in list(self._watches):
             connection.close()
 
@@ -158,14 +159,14 @@
         entries = [
             entry
             for name, entry in self._entries.items()
-            if (entry["phase"] != "removed" if is_whole else self._changed_in[name] > after_revision)
+            if (entry["phase"] != "removed" if is_whole else self._changed_revisions[name] > after_revision)
         ]
-        told_us = now_us()
+        announced_us = now_us()
         listed_names = {entry["id"] for entry in entries}
         absent = [entry for name, entry in self._entries.items() if is_whole and name not in listed_names]
         for entry in [*entries, *absent]:
             self._event_record.append(
-                told=self._sidecar, endpoint=entry["id"], phase=entry["phase"], at_us=told_us
+                told=self._sidecar, endpoint=entry["id"], phase=entry["phase"], at_us=announced_us
             )
         update = {"revision": self._revision, "complete": is_whole, "members": entries}
         return orjson.dumps(update, option=orjson.OPT_APPEND_NEWLINE)
@@ -197,10 +198,10 @@
             self._update_watch(connection)
 
     def _update_watch(self, connection: ServerConnection) -> None:
-        told_revision = self._watches[connection]
-        if self._is_silent or told_revision == self._revision:
+        sent_revision = self._watches[connection]
+        if self._is_silent or sent_revision == self._revision:
             return
-        line = self.list_line(told_revision)
+        line = self.list_line(sent_revision)
         self._watches[connection] = self._revision
         connection.write(b"%x\r\n%b\r\n" % (len(line), line))
 
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -105,8 +105,8 @@
 
     def _select_names(self, selectors: Sequence[str]) -> frozenset[str]:
         """Returns the selected names for a network rule, in which an empty set selects all sidecars."""
-        of_sidecars = [selector for selector in selectors if selector != DISCOVERY]
-        names = {sidecar.name for sidecar in self._select(of_sidecars)} if of_sidecars else set()
+        sidecar_selectors = [selector for selector in selectors if selector != DISCOVERY]
+        names = {sidecar.name for sidecar in self._select(sidecar_selectors)} if sidecar_selectors else set()
         return frozenset(names | {DISCOVERY} if DISCOVERY in selectors else names)
 
     def _begin_network_fault(self, number: int, fault: Fault) -> list[str]:
--- a/cressrail/testbed/membership_evidence.py
+++ b/cressrail/testbed/membership_evidence.py
@@ -17,7 +17,7 @@
 
 NEVER_US = 1 << 62
 MAX_LAG_S = 0.05  # a run is invalid if the relay's event loop lagged by more than this
-MAX_PAUSE_US = 1_000_000  # a run is invalid if a sidecar did not run for longer than this without a fault
+MAX_PAUSE_US = 1_000_000  # a run is invalid if a sidecar that no fault paused stalled for longer than this
 
 
 class ProcessChange(NamedTuple):
@@ -53,9 +53,9 @@
 
     def has_run_for(self, at_us: int, duration_us: int) -> bool:
         """Returns whether the process ran without interruption for `duration_us` before `at_us`."""
-        return self.has_lived_for(at_us, 0, duration_us)
+        return self.has_run_except_for_pauses(at_us, 0, duration_us)
 
-    def has_lived_for(self, at_us: int, tolerated_pause_us: int, duration_us: int) -> bool:
+    def has_run_except_for_pauses(self, at_us: int, tolerated_pause_us: int, duration_us: int) -> bool:
         """Returns whether the process ran for `duration_us` before `at_us`, ignoring tolerated pauses.
 
         Args:
@@ -177,12 +177,12 @@
                 )
         return ""
 
-    def could_exchange(self, first: str, second: str, from_us: int, until_us: int) -> bool:
+    def could_reach_each_other(self, first: str, second: str, from_us: int, until_us: int) -> bool:
         """Returns whether both could reach each other throughout that time, directly or through others."""
         cut_changes = [at_us for cut in self.cuts for at_us in (cut.from_us, cut.until_us - 1)]
         moments = [from_us, *(at_us for at_us in cut_changes if from_us <= at_us <= until_us), until_us]
         return all(
-            second in self._who_reach(first, at_us) and first in self._who_reach(second, at_us)
+            second in self._senders_reaching(first, at_us) and first in self._senders_reaching(second, at_us)
             for at_us in moments
         )
 
@@ -192,13 +192,13 @@
             1 for process in self.processes.values() if process.tier == tier and process.is_running(at_us)
         )
 
-    def _who_reach(self, receiver: str, at_us: int) -> set[str]:
+    def _senders_reaching(self, receiver: str, at_us: int) -> set[str]:
         """Returns the sidecars whose messages reach the receiver, directly or through others."""
         reached, pending = {receiver}, [receiver]
         while pending:
-            through = pending.pop()
+            intermediate = pending.pop()
             for sender, process in self.processes.items():
-                is_cut = any(cut.is_between(sender, through, at_us) for cut in self.cuts)
+                is_cut = any(cut.is_between(sender, intermediate, at_us) for cut in self.cuts)
                 if sender not in reached and not is_cut and process.exists(at_us):
                     reached.add(sender)
                     pending.append(sender)
--- a/cressrail/testbed/membership_verdicts.py
+++ b/cressrail/testbed/membership_verdicts.py
@@ -66,8 +66,8 @@
             counted_pairs.discard(pair)
         elif (
             pair not in counted_pairs
-            and process.has_lived_for(report.at_us, tolerated_pause_us, return_time_us)
-            and evidence.could_exchange(*pair, report.at_us - return_time_us, report.at_us)
+            and process.has_run_except_for_pauses(report.at_us, tolerated_pause_us, return_time_us)
+            and evidence.could_reach_each_other(*pair, report.at_us - return_time_us, report.at_us)
         ):
             counted_pairs.add(pair)
             false_deaths.append(FalseDeath(report.at_us, *pair))
@@ -118,14 +118,14 @@
             detected_us.setdefault(view.observer, view.at_us)
     durations_us = sorted(at_us - kill.at_us for at_us in detected_us.values())
 
-    def until_known_to(count: int) -> float | None:
+    def time_until_detected_by(count: int) -> float | None:
         return round(durations_us[count - 1] / 1e6, 2) if 0 < count <= len(durations_us) else None
 
     return DetectionTime(
         kill.sidecar,
-        until_known_to(1),
-        until_known_to((len(observers) + 1) // 2),
-        until_known_to(len(observers)),
+        time_until_detected_by(1),
+        time_until_detected_by((len(observers) + 1) // 2),
+        time_until_detected_by(len(observers)),
     )
 
 
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -32,7 +32,7 @@
     """The rules; the values appear in reports."""
 
     RETRY_BUDGET = 0  # a limit of cressrail's own design; the platform does not require it
-    ONE_ANSWER = 1  # each request gets exactly one final response, in time
+    ONE_RESPONSE = 1  # each request gets exactly one final response, in time
     NO_REPEATED_EFFECT = 2  # no request takes effect twice
     DRAIN = 3  # no attempt is sent to an endpoint that was announced as draining or removed
     SLOW_START = 4  # an endpoint is not overloaded while it warms up
@@ -75,15 +75,15 @@
     for call in evidence.calls:
         attempts = attempts_by_request.get(call["id"], [])
         request_class = request_classes[call["profile"]]
-        if (problem := _answer_problem(scenario, call, attempts)) is not None:
-            violations.append(RuleViolation(Rule.ONE_ANSWER, call["id"], problem))
-        problems = [*_effect_problems(request_class, call, attempts)]
+        if (problem := _response_problem(scenario, call, attempts)) is not None:
+            violations.append(RuleViolation(Rule.ONE_RESPONSE, call["id"], problem))
+        problems = [*_repeated_effect_problems(request_class, call, attempts)]
         if not has_zone_cut:  # during a zone cut, endpoints do not see when an attempt ends
             problems += _overlap_problems(attempts)
         violations += [RuleViolation(Rule.NO_REPEATED_EFFECT, call["id"], problem) for problem in problems]
     violations += [
         RuleViolation(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "",
             f"{row['surplus']} bytes after a final response on a connection to {row['target']}",
         )
@@ -99,7 +99,7 @@
     return f"{duration_us / 1000:.1f} ms"
 
 
-def _answer_problem(scenario: FleetScenario, call: Event, attempts: Sequence[Event]) -> str | None:
+def _response_problem(scenario: FleetScenario, call: Event, attempts: Sequence[Event]) -> str | None:
     """Returns what is wrong with a call's response; None if nothing is.
 
     No response is due to a request that was never sent completely, to a caller that died, or to a client that
@@ -145,7 +145,9 @@
     return None
 
 
-def _effect_problems(request_class: RequestClass, call: Event, attempts: Sequence[Event]) -> Iterator[str]:
+def _repeated_effect_problems(
+    request_class: RequestClass, call: Event, attempts: Sequence[Event]
+) -> Iterator[str]:
     """Yields attempts made after one that may have taken effect, and a rejection after such an attempt."""
     executed = [attempt for attempt in attempts if attempt["ran"] or attempt.get("repeat")]
     if request_class.idempotency is Idempotency.IDEMPOTENT or not executed:
@@ -159,10 +161,10 @@
     is_rejected = call["status"] == HTTP_REJECTED and call["how"] == CallOutcome.ANSWERED
     has_narrow_scope = request_class.key_scope != "all"
     if is_rejected and (request_class.idempotency is Idempotency.NON_IDEMPOTENT or has_narrow_scope):
-        yield f"rejected with status {HTTP_REJECTED}, but ran on {_where(first)} ({first['how']})"
+        yield f"rejected with status {HTTP_REJECTED}, but ran on {_describe_attempt(first)} ({first['how']})"
 
 
-def _where(attempt: Event) -> str:
+def _describe_attempt(attempt: Event) -> str:
     return f"{attempt['endpoint']} at {attempt['came_us']}"
 
 
@@ -171,21 +173,24 @@
     apart_us = later["came_us"] - first["came_us"]
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return (
-            f"non-idempotent request ran on {_where(first)} and was sent to {later['endpoint']} "
+            f"non-idempotent request ran on {_describe_attempt(first)} and was sent to {later['endpoint']} "
             f"{_format_ms(apart_us)} later"
         )
     if not call["key"]:
-        return f"request without a key ran on {_where(first)} and was sent again to {later['endpoint']}"
+        return (
+            f"request without a key ran on {_describe_attempt(first)} and was sent again to "
+            f"{later['endpoint']}"
+        )
     scope = request_class.key_scope
     if scope != "all" and later[scope] != first[scope]:
         return (
-            f"request with a key ran on {_where(first)} in {scope} {first[scope]} and was sent to "
-            f"{later['endpoint']} in {scope} {later[scope]}"
+            f"request with a key ran on {_describe_attempt(first)} in {scope} {first[scope]} "
+            f"and was sent to {later['endpoint']} in {scope} {later[scope]}"
         )
     if apart_us > request_class.idempotency_window_ms * 1000 + OVERLAP_TOLERANCE_US:
         return (
-            f"request with a key was sent again {_format_ms(apart_us)} after it reached {_where(first)}, "
-            f"idempotency window {request_class.idempotency_window_ms:.0f} ms"
+            f"request with a key was sent again {_format_ms(apart_us)} after it reached "
+            f"{_describe_attempt(first)}, idempotency window {request_class.idempotency_window_ms:.0f} ms"
         )
     return None
 
@@ -214,8 +219,8 @@
     grace_us = int(scenario.rules.drain_grace_ms * 1000) + TRANSIT_TOLERANCE_US
     for attempt in evidence.attempts:
         sidecar = sidecar_by_request.get(attempt["id"], "")
-        told = announcements.get((sidecar, attempt["endpoint"]), [])
-        phase, since_us = _announced_phase(told, attempt["came_us"])
+        received = announcements.get((sidecar, attempt["endpoint"]), [])
+        phase, since_us = _announced_phase(received, attempt["came_us"])
         if phase != "up" and attempt["came_us"] > since_us + grace_us:
             yield RuleViolation(
                 Rule.DRAIN,
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -46,9 +46,9 @@
 
 async def _run(fleet: Fleet, starts_at_once: bool) -> int:
     loop = asyncio.get_running_loop()
-    is_over = asyncio.Event()
+    stop_requested = asyncio.Event()
     for stop_signal in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(stop_signal, is_over.set)
+        loop.add_signal_handler(stop_signal, stop_requested.set)
     try:
         await fleet.start()
         print(
@@ -61,8 +61,8 @@
         if starts_at_once:
             fleet.spawn(run_faults(fleet, now_us()))
         else:
-            loop.add_reader(sys.stdin.fileno(), _read_command, fleet, is_over)
-        await is_over.wait()
+            loop.add_reader(sys.stdin.fileno(), _read_command, fleet, stop_requested)
+        await stop_requested.wait()
     except (RuntimeError, OSError) as error:
         print(f"cressrail: {error}", file=sys.stderr)
         return 1
@@ -71,10 +71,10 @@
     return 0
 
 
-def _read_command(fleet: Fleet, is_over: asyncio.Event) -> None:
+def _read_command(fleet: Fleet, stop_requested: asyncio.Event) -> None:
     match sys.stdin.readline().split():
         case [command, start_us] if command == START_COMMAND and start_us.isdigit():
             fleet.spawn(run_faults(fleet, int(start_us)))
         case _:  # the end of the input, or an unknown command
             asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
-            is_over.set()
+            stop_requested.set()
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -26,7 +26,7 @@
 SECOND_US = 1_000_000
 MILLISECOND_US = 1000
 MIN_TIMEOUT_US = 1000  # shortest timeout sent to the next tier
-EXTRA_PATIENCE_US = 250_000  # a call waits this much longer than its timeout, to record late responses
+EXTRA_PATIENCE_US = 250_000  # a call waits this much past its timeout, to record a last-moment response
 MAX_CONNECTIONS = 512  # from an endpoint to its own sidecar
 MAX_ECHO_BYTES = 200  # prefix of a response's body that is searched for the request ID
 
@@ -174,7 +174,7 @@
             self._processors.available_share(arrived_us),
             Job(None, 0.0),
         )
-        if self._is_struck_by(FaultKind.RESPONSE_REJECTED):
+        if self._is_affected_by(FaultKind.RESPONSE_REJECTED):
             self._reject(attempt)
             return
         work_factor = self._tier.work_factors.get(request_class.name, 1.0)
@@ -208,7 +208,7 @@
         attempt.has_run = attempt.job.has_slot
         self._process_completions()
 
-    def _is_struck_by(self, fault: FaultKind) -> bool:
+    def _is_affected_by(self, fault: FaultKind) -> bool:
         share = self.fault_shares[fault]
         return share > 0 and self._random.random() < share
 
@@ -283,12 +283,12 @@
     def _finish(self, attempt: Attempt) -> None:
         """Responds to an attempt whose work is complete, unless a response fault affects it."""
         connection = attempt.request.connection
-        if self._is_struck_by(FaultKind.RESPONSE_RESET):
+        if self._is_affected_by(FaultKind.RESPONSE_RESET):
             connection.reset()
             self._end(attempt, AttemptOutcome.CONNECTION_RESET)
-        elif self._is_struck_by(FaultKind.RESPONSE_ERROR):
+        elif self._is_affected_by(FaultKind.RESPONSE_ERROR):
             self._respond(attempt, HTTPStatus.INTERNAL_SERVER_ERROR, AttemptOutcome.SERVER_ERROR)
-        elif self._is_struck_by(FaultKind.RESPONSE_GARBLED):
+        elif self._is_affected_by(FaultKind.RESPONSE_GARBLED):
             connection.write(
                 b"HTTP/1.1 2x0 %d\r\n\x00\x01 nothing that can be read\r\n\r\n" % len(attempt.request_id)
             )
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -73,45 +73,45 @@
     ("rule", "message", "load", "fleet"),
     [
         pytest.param(
-            Rule.ONE_ANSWER, "no response: reset", [call_row("a", how="reset", status=0)], [], id="reset"
+            Rule.ONE_RESPONSE, "no response: reset", [call_row("a", how="reset", status=0)], [], id="reset"
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "no response within",
             [call_row("a", how="gave up", status=0)],
             [],
             id="no-response",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "response after 551.0 ms",
             [call_row("a", ended_us=551_001)],
             [attempt_row("a")],
             id="late",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "with the response to another request: b",
             [call_row("a", echo="b")],
             [attempt_row("a")],
             id="response-to-another-request",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "succeeded, but no endpoint completed the request",
             [call_row("a")],
             [attempt_row("a", how="error")],
             id="success-without-a-successful-attempt",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "closed without a response after x0",
             [call_row("a", again_us=150)],
             [attempt_row("a"), attempt_row("a", "x1", 200)],
             id="closed-after-an-attempt",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "7 bytes after",
             [call_row("a"), {"surplus": 7, "target": "door"}],
             [attempt_row("a")],
