--- a/cressrail/testbed/attempt.py
+++ b/cressrail/testbed/attempt.py
@@ -15,7 +15,7 @@
     """How an attempt ended at its endpoint; the values appear in the event record and in responses."""
 
     SUCCEEDED = "committed"
-    REPEATED = "repeat"  # an attempt with the same key succeeded earlier, within the idempotency window
+    REPEATED = "repeat"  # succeeded without work: the key was seen before, within the idempotency window
     REJECTED = "turned away"
     SERVER_ERROR = "error"
     CONNECTION_RESET = "reset"
--- a/cressrail/testbed/event_record.py
+++ b/cressrail/testbed/event_record.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-# One event, by the keys of the event record.
+# One event: its values by key, as stored in the event record.
 Event = dict[str, Any]
 
 
--- a/cressrail/testbed/fault.py
+++ b/cressrail/testbed/fault.py
@@ -74,7 +74,7 @@
 
     Attributes:
         at_s: When the fault begins, in seconds from the start of the run.
-        duration_s: Seconds from its begin to its end.
+        duration_s: How long the fault lasts, in seconds.
         kind: What the fault does.
         tier: Index of the tier that is affected.
         endpoint_indices: Indices of the affected endpoints in the tier; if empty, all endpoints of the tier
@@ -84,7 +84,7 @@
         value: For `slow`, the factor by which endpoints become slower; for `refuse`, `reset`, `err` and
             `spoil`, the share of attempts that is affected; for `late`, the delay in seconds.
         senders: For `wire`, the sidecars whose datagrams are affected, each selected by its name, by
-            `zone:NAME` or by `tier:N`; all sidecars if empty.
+            `zone:NAME` or by `tier:N`; `list` selects discovery. All sidecars if empty.
         receivers: For `wire`, the sidecars to which the datagrams are sent, selected as for `senders`.
         sidecars: Sidecars whose processes are affected, selected as for `senders`.
         share: For `wire`, the share of datagrams that is dropped; for faults of processes, the share of the
@@ -128,7 +128,7 @@
         return keys
 
     def report_row(self) -> dict[str, Any]:
-        """Returns the fault for experiment reports: by its scenario file keys, with `from_` for `from`."""
+        """Returns the row of an experiment report: the scenario file's keys, with `from_` for `from`."""
         row = self.model_dump(by_alias=True)
         row["from_"] = row.pop("from")
         return row
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -45,8 +45,8 @@
     async def begin(self, number: int, fault: Fault) -> list[str]:
         """Begins a fault and returns the names of the sidecars that it affects.
 
-        A network fault may also name discovery; for a network fault that affects all sidecars the list is
-        empty.
+        For a network fault, these are the senders and receivers that it names, which may include discovery;
+        an empty list stands for all sidecars.
 
         Args:
             number: Index of the fault in the run, which identifies it to `end`.
@@ -160,7 +160,7 @@
 
 
 def draw_faults(schedule: FaultSchedule, duration_s: float, sidecar_names: Sequence[str]) -> list[Fault]:
-    """Draws random faults, which may overlap, sorted by when they begin.
+    """Draws random faults, which may overlap, sorted by start time.
 
     The same seed gives the same faults.
     """
--- a/cressrail/testbed/fault_timeline.py
+++ b/cressrail/testbed/fault_timeline.py
@@ -15,13 +15,13 @@
 
 
 class FaultChange(NamedTuple):
-    """The begin or end of a fault.
+    """The start or end of a fault.
 
-    Changes sort by time; those at the same time sort begins before ends.
+    Changes are sorted by time; at the same time, starts come before ends.
 
     Attributes:
         at_s: When it takes place, in seconds from the start of the run.
-        is_end: Whether the fault ends rather than begins.
+        is_end: Whether the fault ends; otherwise it starts.
         number: Index of the fault among all faults of the run.
     """
 
--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -22,7 +22,7 @@
     """The times at which a server pauses.
 
     Attributes:
-        spans_us: Begin and end of each pause, in microseconds; sorted and without overlaps.
+        spans_us: Start and end of each pause, in microseconds; sorted and without overlaps.
     """
 
     spans_us: Sequence[tuple[int, int]]
--- a/cressrail/testbed/rule_checker.py
+++ b/cressrail/testbed/rule_checker.py
@@ -53,7 +53,7 @@
     evidence: str
 
     def report_row(self) -> dict[str, Any]:
-        """Returns the violation by the keys of reports."""
+        """Returns the violation as a row of a report."""
         return {"rule": int(self.rule), "tx": self.request_id, "evidence": self.evidence}
 
 
@@ -233,7 +233,7 @@
 def _announced_phase(announcements: Sequence[Event], at_us: int) -> tuple[str, int]:
     """Returns the phase announced last, and when the endpoint was first announced as no longer up.
 
-    A removal that follows a drain leaves that time at the begin of the drain.
+    If a removal follows a drain, that is the time at which the drain was announced.
     """
     phase, since_us = "up", 0
     for row in announcements:
--- a/cressrail/testbed/run_evidence.py
+++ b/cressrail/testbed/run_evidence.py
@@ -32,7 +32,7 @@
         endpoint_starts: Restarts of endpoints.
         excess_bytes: Counts of bytes received after a final response.
         sidecars: The latest start of each sidecar, by the address that its clients use.
-        faults: Begins and ends of faults of endpoints and of discovery.
+        faults: Starts and ends of endpoint and discovery faults.
         failed: Errors of the test bed itself.
         start_us: When the load began, in microseconds on the monotonic clock; 0 if it never began.
     """
--- a/tests/testbed/event_rows.py
+++ b/tests/testbed/event_rows.py
@@ -90,7 +90,7 @@
 
 
 def cut_row(at_s: float, is_begin: bool, senders: str = "", receivers: str = "") -> Row:
-    """Returns the row of the begin or end of a one-way cut; each letter names a sidecar."""
+    """Returns the row of the start or end of a one-way cut; each letter names a sidecar."""
     return {
         "cut": 0,
         "on": is_begin,
