--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker: sound runs break no rule; each violation is named with its evidence."""
+"""The rule checker: correct runs break no rule, and each violation is reported with its evidence."""
 
 from __future__ import annotations
 
@@ -23,9 +23,7 @@
         pytest.param([call_row("a")], [attempt_row("a")], id="succeeded"),
         pytest.param([call_row("a", sent_us=0, how="reset", status=0)], [], id="never-sent"),
         pytest.param([call_row("a", how="no connection", sent_us=0, status=0)], [], id="no-connection"),
-        pytest.param(
-            [call_row("a", again_us=90)], [attempt_row("a")], id="sent-again-after-crossing-a-close"
-        ),
+        pytest.param([call_row("a", again_us=90)], [attempt_row("a")], id="resent-after-a-concurrent-close"),
         pytest.param(
             [call_row("a", status=503)],
             [attempt_row("a", ran=False, how="turned away")],
@@ -59,11 +57,11 @@
                 phase_row("draining", 500_000),
                 phase_row("up", 600_000),
             ],
-            id="back-after-the-drain",
+            id="up-again-after-the-drain",
         ),
     ],
 )
-def test_sound_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
+def test_correct_run_breaks_no_rule(load: list[Row], fleet: list[Row]) -> None:
     assert check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet])) == []
 
 
@@ -75,45 +73,45 @@
     ("rule", "message", "load", "fleet"),
     [
         pytest.param(
-            Rule.ONE_ANSWER, "no answer: reset", [call_row("a", how="reset", status=0)], [], id="reset"
+            Rule.ONE_RESPONSE, "no response: reset", [call_row("a", how="reset", status=0)], [], id="reset"
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
-            "no answer within",
+            Rule.ONE_RESPONSE,
+            "no response within",
             [call_row("a", how="gave up", status=0)],
             [],
             id="no-response",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
-            "answered after 551.0 ms",
+            Rule.ONE_RESPONSE,
+            "response after 551.0 ms",
             [call_row("a", ended_us=551_001)],
             [attempt_row("a")],
             id="late",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
-            "made for b",
+            Rule.ONE_RESPONSE,
+            "with the response to another request: b",
             [call_row("a", echo="b")],
             [attempt_row("a")],
-            id="of-another-request",
+            id="response-to-another-request",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
-            "succeeded, but at no endpoint",
+            Rule.ONE_RESPONSE,
+            "succeeded, but no endpoint completed the request",
             [call_row("a")],
             [attempt_row("a", how="error")],
-            id="made-up-success",
+            id="success-without-a-successful-attempt",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
-            "closed without an answer after x0",
+            Rule.ONE_RESPONSE,
+            "closed without a response after x0",
             [call_row("a", again_us=150)],
             [attempt_row("a"), attempt_row("a", "x1", 200)],
             id="closed-after-an-attempt",
         ),
         pytest.param(
-            Rule.ONE_ANSWER,
+            Rule.ONE_RESPONSE,
             "7 bytes after",
             [call_row("a"), {"surplus": 7, "target": "door"}],
             [attempt_row("a")],
@@ -121,56 +119,56 @@
         ),
         pytest.param(
             Rule.NO_REPEATED_EFFECT,
-            "non-idempotent, ran on x0",
+            "non-idempotent request ran on x0",
             [call_row("a", "note")],
             [attempt_row("a", how="error"), attempt_row("a", "x1", 200)],
             id="non-idempotent-retried",
         ),
         pytest.param(
             Rule.NO_REPEATED_EFFECT,
-            "rejected, but it ran",
+            "rejected with status 503, but ran",
             [call_row("a", "note", status=503)],
             [attempt_row("a", how="error")],
             id="rejected-though-it-ran",
         ),
         pytest.param(
             Rule.NO_REPEATED_EFFECT,
-            "in cell 1, sent to x1 in cell 2",
+            "in cell 1 and was sent to x1 in cell 2",
             [call_row("a", "keyed")],
             [attempt_row("a", how="reset"), attempt_row("a", "x1", 200, cell=2)],
             id="outside-the-key-scope",
         ),
         pytest.param(
             Rule.NO_REPEATED_EFFECT,
-            "sent again 1100.0 ms after",
+            "was sent again 1100.0 ms after",
             [call_row("a", "keyed")],
             [attempt_row("a", how="reset"), attempt_row("a", "x1", 1_100_100)],
             id="outside-the-idempotency-window",
         ),
         pytest.param(
             Rule.NO_REPEATED_EFFECT,
-            "two attempts at once",
+            "two attempts at the same time",
             [call_row("a")],
             [attempt_row("a", left_us=400_000), attempt_row("a", "x1", 200_000)],
             id="two-attempts-at-once",
         ),
         pytest.param(
             Rule.DRAIN,
-            "draining and sent to it 700.0 ms",
+            "sent an attempt to x0, last announced as draining, 700.0 ms",
             [call_row("a")],
             [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 500_000)],
             id="sent-to-a-draining-endpoint",
         ),
         pytest.param(
             Rule.DRAIN,
-            "removed and sent",
+            "last announced as removed,",
             [call_row("a")],
             [attempt_row("a", arrived_us=1_200_000), phase_row("draining", 1), phase_row("removed", 900_000)],
             id="sent-to-a-removed-endpoint",
         ),
         pytest.param(
             Rule.SLOW_START,
-            "x0, warming up for",
+            "x0 was sent",
             [call_row(f"a{n}") for n in range(90)],
             [
                 {"started": "x0", "at_us": 0},
@@ -190,7 +188,7 @@
         ),
     ],
 )
-def test_violation_is_named_with_its_evidence(
+def test_violation_is_reported_with_its_evidence(
     rule: Rule, message: str, load: list[Row], fleet: list[Row]
 ) -> None:
     violations = check_rules(SCENARIO, collect_evidence(load, [INGRESS_ROW, *fleet]))
