--- a/cressrail/policy/admission.py
+++ b/cressrail/policy/admission.py
@@ -14,8 +14,8 @@
     from cressrail.policy.routed_request import RoutedRequest
 
 MAX_ADMITTED = 2.0
-"""Upper bound of the admitted fraction. Only half of it applies to requests of the lowest weight, so at 2.0
-all of them can be admitted."""
+"""Upper bound of the admitted fraction. The admitted fraction is multiplied by the request's `open_fraction`,
+which is at least one half, so at 2.0 all requests are admitted unless there is a surge."""
 
 MIN_ADMITTED = 0.05
 """Lower bound of the admitted fraction: some requests are always sent, so that the recovery of a zone is
@@ -25,8 +25,8 @@
 """Target for the geometric mean of a zone's latencies, as a fraction of the latency objective."""
 
 ADJUSTMENT = 0.8
-"""Gain of the adjustment: at one attempt per second, the relative change of the admitted fraction is this
-factor times the logarithm of target over latency."""
+"""Gain of the adjustment: at one attempt per second, the relative change of the admitted fraction for each
+latency is this factor times the logarithm of target over latency."""
 
 MIN_ADJUSTMENT_FACTOR = 0.5
 """Smallest factor that a single latency can multiply the admitted fraction by."""
@@ -49,7 +49,7 @@
     """Admission state of one zone.
 
     A request is admitted with a probability of `admitted_fraction` times the request's `open_fraction`, which
-    depends on its weight, divided by the current surge of requests.
+    depends on its weight, divided by the surge (`EndpointSelector.surge`).
 
     Attributes:
         admitted_fraction: Between `MIN_ADMITTED` and `MAX_ADMITTED`, or 0 while it is unknown.
@@ -68,8 +68,8 @@
         """Sets the initial admitted fraction to `even_load`, unless the fraction is already known.
 
         Args:
-            even_load: Capacity of the zone relative to the mean of all zones, that is, the part of its share
-                of an evenly spread load that the zone can serve.
+            even_load: Capacity of the zone divided by the mean capacity of all zones. If the load is spread
+                evenly over the zones, the zone can serve this fraction of its part.
         """
         self.admitted_fraction = self.admitted_fraction or min(MAX_ADMITTED, even_load)
 
--- a/cressrail/policy/attempt_feedback.py
+++ b/cressrail/policy/attempt_feedback.py
@@ -29,6 +29,11 @@
 
     In the mesh, the admitted fraction of the zone is adjusted; elsewhere, the concurrency limit of the
     endpoint.
+
+    Attributes:
+        is_last_tier: Whether the endpoints call no further tier.
+        is_per_client: Whether each client process has an instance of its own (the mesh).
+        success_memory: Number of outcomes over which the moving average of the success rate extends.
     """
 
     def __init__(
@@ -47,7 +52,7 @@
         self.success_memory = PER_CLIENT_AVERAGE_MEMORY if is_per_client else AVERAGE_MEMORY
 
     def record_overdue(self, subset: ZoneSubset, endpoint: Endpoint, now_us: int) -> None:
-        """Records that an attempt in flight has become overdue.
+        """Records that an attempt in flight has become overdue; called in the mesh only.
 
         This detects an unresponsive or overloaded endpoint before its attempts end.
         """
@@ -93,7 +98,7 @@
             if not is_overloaded:
                 endpoint.last_prompt_sent_us = max(endpoint.last_prompt_sent_us, now_us - latency_us)
         if not endpoint.accepts_requests:
-            return  # the endpoint or its whole zone has been removed from the list since
+            return  # the endpoint drains or has been removed since, possibly with its whole zone
         if was_available is not endpoint.is_available(now_us):
             subset.choose(now_us)
         if self.is_per_client:
@@ -163,7 +168,7 @@
         if outcome is not Outcome.TIMED_OUT and now_us - latency_us < endpoint.limit_cut_us:
             return
         endpoint.limit_cut_us = now_us
-        # The cut is smaller while most attempts succeed; otherwise a few invalid answers would reduce the
-        # limit.
+        # For a downstream error, the cut is smaller while most attempts succeed; otherwise a few erroneous
+        # answers would reduce the limit.
         exponent = min(1.0, 2 - 2 * endpoint.success_rate) if self._is_downstream_error(outcome) else 1.0
         self.limiter.cut(subset, endpoint, exponent)
--- a/cressrail/policy/concurrency_limit.py
+++ b/cressrail/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limits on own attempts in flight at each endpoint, and the latency above which limits are cut."""
+"""Limits on this instance's attempts in flight at each endpoint, and the latency that causes cuts."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 """Factor by which a full cut multiplies a limit."""
 
 INGRESS_GROWTH_INSTANCES = 1.5
-"""Growth in the ingress tier, in attempts over all instances, before it is divided by the number of instances
-that share an endpoint. Growth slows down as instances are added because each one sees only a few of the slow
-attempts."""
+"""Growth in the ingress tier, in attempts over all instances for each round of prompt answers, multiplied by
+the number of instances that share an endpoint. Growth slows down as instances are added because each one sees
+only a few of the slow attempts."""
 
 INNER_GROWTH = 0.25
 """Growth in the tiers behind the ingress tier, in attempts over all instances for each round of prompt
--- a/cressrail/policy/endpoint.py
+++ b/cressrail/policy/endpoint.py
@@ -36,9 +36,9 @@
         self.accepts_requests = False
         self.started_us = 0
         self.ring_position = 0
-        self.in_flight = 0
-        # limit on own attempts in flight; below 1, one attempt may fit, but the limit of the whole subset
-        # still applies
+        self.in_flight = 0  # this instance's attempts, except those whose request is still being uploaded
+        # limit on this instance's attempts in flight; below 1, it still allows one attempt, subject to the
+        # sum of the limits in the zone subset
         self.limit = 0.0
         self.limit_cut_us = 0
         # when the latest attempt that was answered in time was sent; -1: none yet
@@ -59,7 +59,9 @@
         self.peer_work_per_us = -1.0
         # attempts per microsecond that all instances would send it if it were warmed up
         self.warmed_up_work_per_us = 0.0
-        self.peer_ejected_us = -2  # when it was last ejected because of reports from peers
+        # when it was last ejected because of reports from peers; the initial value is below that of
+        # `last_outcome_us`, so that an endpoint without outcomes can be ejected
+        self.peer_ejected_us = -2
 
     def is_available(self, now_us: int) -> bool:
         """Returns whether the endpoint is neither gone nor failing by its recent outcomes."""
--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -16,8 +16,8 @@
 """Number of random draws for each choice before the endpoints that follow on the ring are tried in order."""
 
 MAX_STEPS = RANDOM_PICKS**2
-"""Maximum number of endpoints tried in ring order for a first attempt. A repeat has no such limit, because it
-may be restricted to a few endpoints among many."""
+"""Maximum number of endpoints tried in ring order. An attempt that follows one which may have run has no such
+limit, because it may be restricted to a few endpoints among many."""
 
 
 class EndpointSelector:
@@ -37,7 +37,7 @@
             zone_subsets: Zone subsets by zone. The list is shared with the endpoint table, which appends new
                 zones to it.
             spillover: Determines the order of the zones.
-            retry_policy: Restricts the endpoints of repeats.
+            retry_policy: Restricts the endpoints of a request that may already have run at another one.
             slow_start: Restricts the attempts at endpoints that are warming up.
             is_per_client: Whether each client process has an instance of its own (the mesh).
         """
@@ -47,7 +47,7 @@
         self.retry_policy = retry_policy
         self.slow_start = slow_start
         self.is_per_client = is_per_client
-        self.surge = 1.0  # recent request rate over the usual one; stays 1 outside the mesh
+        self.surge = 1.0  # recent request rate over the mean rate (`RetryBudget.surge`); 1 outside the mesh
 
     def select(self, request: RoutedRequest, now_us: int) -> Endpoint | None:
         """Returns an endpoint for the request's next attempt, or None if no zone has room.
--- a/cressrail/policy/endpoint_table.py
+++ b/cressrail/policy/endpoint_table.py
@@ -162,10 +162,12 @@
     def _estimate_sharing(self) -> None:
         """Sets the subset sizes and the estimate of how many instances use an endpoint of each zone.
 
-        The size is chosen so that this instance's share of an initial limit is one attempt, if all instances
-        use only their own zone. Endpoints of the own zone are assumed to be used only by instances of that
-        zone. Traffic that arrives mostly in one zone is therefore not restricted to the limits of an even
-        spread.
+        Unless `max_connections` or `MIN_SUBSET_SIZE` prescribes another size, it is chosen so that this
+        instance's share of an initial limit is one attempt if all instances use only their own zone. In the
+        mesh, the sizes are left to `set_sizes_by_rate`.
+
+        Endpoints of the own zone are assumed to be used only by instances of that zone. Traffic that arrives
+        mostly in one zone is therefore not restricted to the limits of an even spread.
         """
         total = sum(len(subset.endpoints) for subset in self.zone_subsets)
         by_connections = self.max_connections // CONNECTIONS_PER_ENDPOINT
@@ -183,13 +185,13 @@
             subset.sharing_instances = users * subset.target_size / max(1, candidates)
 
     def apply_peer_warmup_load(self, work_by_index: Mapping[int, tuple[float, float]]) -> None:
-        """Implements `LoadBalancer.apply_peer_warmup_load`."""
+        """Sets the work that endpoints get while they warm up; see `LoadBalancer.apply_peer_warmup_load`."""
         for endpoint in self.endpoints.values():
             work = work_by_index.get(endpoint.index) if endpoint.accepts_requests else None
             endpoint.peer_work_per_us, endpoint.warmed_up_work_per_us = work or (-1.0, 0.0)
 
     def apply_peer_ejections(self, now_us: int, endpoint_indices: Iterable[int]) -> None:
-        """Implements `LoadBalancer.apply_peer_ejections`."""
+        """Ejects endpoints that peers report as failing; see `LoadBalancer.apply_peer_ejections`."""
         for index in endpoint_indices:
             endpoint = self.endpoints[index]
             has_recent_outcome = now_us - endpoint.last_outcome_us <= EJECTION_US
@@ -212,7 +214,7 @@
             self.zone_subsets[endpoint.zone].choose(now_us)
 
     def unavailable_indices(self, now_us: int) -> list[int]:
-        """Implements `LoadBalancer.unavailable_endpoints`."""
+        """Returns the indices of all endpoints that don't accept requests or are unavailable."""
         return [
             endpoint.index
             for endpoint in self.endpoints.values()
--- a/cressrail/policy/list_polling.py
+++ b/cressrail/policy/list_polling.py
@@ -19,6 +19,13 @@
     """Keeps the time of the next poll, with a randomized exponential backoff after failures."""
 
     def __init__(self, is_polling: bool, interval_us: int, random_generator: RandomGenerator) -> None:
+        """Draws the delay of the first poll.
+
+        Args:
+            is_polling: Whether the list is polled; otherwise it is pushed, and no poll is ever due.
+            interval_us: Interval that all delays are derived from, in microseconds.
+            random_generator: Source of the random delays.
+        """
         self.interval_us = interval_us
         self.random_generator = random_generator
         self.consecutive_failures = 0
--- a/cressrail/policy/load_balancer.py
+++ b/cressrail/policy/load_balancer.py
@@ -1,7 +1,8 @@
 """Combines the mechanisms of the policy into one load balancer; docs/interface.md describes how to call it.
 
-Only owned errors are retried, within a budget. The own zone is tried first, and of two endpoints chosen at
-random, the one with fewer own attempts in flight is used. In the chain of tiers, these mechanisms are added:
+Only errors that the endpoint itself has caused (owned errors) are retried, within a budget. The own zone is
+tried first, and of two endpoints chosen at random, the one with fewer attempts of this instance in flight,
+relative to its capacity, is used. Where the sidecars form a chain of tiers, these mechanisms are added:
 
 1. A limit on the attempts in flight at each endpoint (`concurrency_limit`).
 2. A queue with early rejection (`request_queue`).
@@ -144,8 +145,8 @@
             entries: The entries of the list, or those that have changed.
             is_complete: Whether `entries` is the whole list. Endpoints that it does not contain are then
                 removed.
-            is_poll_answer: False for a list that has been held since the start. It may be old, so polling
-                goes on.
+            is_poll_answer: False for a list that was held since the start or sent without a poll. It may be
+                old, so it does not postpone the next poll.
         """
         if is_poll_answer:
             self.list_poller.on_answer(now_us, False)
@@ -194,7 +195,8 @@
     def unavailable_endpoints(self, now_us: int) -> list[int]:
         """Returns the indices of the endpoints that are currently unavailable.
 
-        Such endpoints get no attempts, or only if nothing else is left.
+        Endpoints that don't accept requests or are gone get no attempts. Failing ones still get some, for
+        instance if most of their zone is unavailable.
         """
         return self.table.unavailable_indices(now_us)
 
@@ -277,7 +279,7 @@
             now_us: Current time in microseconds.
             outcome: How the attempt ended.
             latency_us: Time since the attempt was sent, in microseconds.
-            is_complete: Whether the client has received its answer.
+            is_complete: Whether this attempt's response is the client's answer.
         """
         endpoint = request.attempts[attempt_number]
         if request.in_flight.pop(attempt_number, None) is None:
--- a/cressrail/policy/request_class.py
+++ b/cressrail/policy/request_class.py
@@ -28,7 +28,7 @@
 
     idempotency: Idempotency
     key_scope: KeyScope
-    idempotency_window_us: int
+    idempotency_window_us: int  # how long endpoints recognize an idempotency key
     latency_objective_us: int
     deadline_us: int
     priority_weight: float  # value per unit of endpoint time, relative to the class with the highest value
--- a/cressrail/policy/retry_budget.py
+++ b/cressrail/policy/retry_budget.py
@@ -9,8 +9,8 @@
 """Length of the window. It is long enough for instances with little traffic to be allowed a retry at all."""
 
 REQUESTS_PER_RETRY = 10
-"""Number of requests in the window for each allowed retry. The result is rounded down, and there is no
-minimum."""
+"""Number of requests in the window for each allowed retry. The number of allowed retries is rounded down and
+may be 0."""
 
 SURGE_SPAN_US = RETRY_WINDOW_US // 5
 """Length of the recent part of the window, whose request rate is compared with that of the whole window."""
--- a/cressrail/policy/retry_policy.py
+++ b/cressrail/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Safety rules for repeats: the only code that decides whether a request may run or be sent again."""
+"""Safety rules for retries: the only code that decides whether a request may run or be sent again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RetryPolicy:
-    """Decides whether a repeat is safe. Whether the budget allows it is decided by `RetryBudget`."""
+    """Decides whether a retry is safe. Whether the budget allows it is decided by `RetryBudget`."""
 
     def __init__(self, max_attempts: int, may_hedge: bool) -> None:
         """Sets the limits of the deployment.
@@ -49,7 +49,11 @@
         )
 
     def may_use_endpoint(self, request: RoutedRequest, endpoint: Endpoint) -> bool:
-        """Returns whether a repeat at this endpoint is within the scope of the request's idempotency key."""
+        """Returns whether the request may run at this endpoint, given where it may already have run.
+
+        If it is not idempotent and may have run, the endpoint must be within the scope of its idempotency
+        key.
+        """
         fixed = request.fixed_endpoint
         request_class = request.request_class
         if fixed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -65,7 +69,8 @@
 
         Args:
             request: The request.
-            may_have_run: Whether to assume that an attempt may have run, even if none has yet.
+            may_have_run: Whether to assume that an attempt may have run even though none that has ended did,
+                for instance because one is in flight.
         """
         request_class = request.request_class
         return (
--- a/cressrail/policy/routed_request.py
+++ b/cressrail/policy/routed_request.py
@@ -1,4 +1,4 @@
-"""Handle of one request."""
+"""Handle of one request, through which the caller reports the request's events."""
 
 from __future__ import annotations
 
@@ -30,7 +30,17 @@
 
 
 class RoutedRequest:
-    """State of a request from its arrival until it is answered and its last attempt has ended."""
+    """State of a request from its arrival until it is answered and its last attempt has ended.
+
+    Attributes:
+        deadline_us: Time at which attempts time out, and after which none is started.
+        queue_until_us: Time until which the request may wait in the queue.
+        open_fraction: Fraction of a limit that the request may use, from `MIN_OPEN_FRACTION` to 1; greater
+            for requests of greater weight.
+        random_value: Number from 0 to 1, drawn once; decides whether the fractional part of a limit, or a
+            zone's admitted fraction, lets the request through.
+        attempts: Endpoint of each attempt, by attempt number.
+    """
 
     __slots__ = (
         "attempts",
@@ -58,7 +68,7 @@
         now_us: int,
         remaining_us: int,
     ) -> None:
-        """The arguments are described at `LoadBalancer.start_request`."""
+        """Initializes the request; `LoadBalancer.start_request` describes the arguments."""
         self.load_balancer = load_balancer
         self.tenant = tenant
         self.request_class = request_class
--- a/cressrail/policy/slow_start.py
+++ b/cressrail/policy/slow_start.py
@@ -66,7 +66,7 @@
         self.credit_lifetime_us = CREDIT_LIFETIME_SPANS * overload_span_us
         self.has_yielded = False  # another process of this instance spends the credit
         self.recent_successes = 0.0  # successful attempts, decaying over the warm-up time
-        self.recent_successes_us = 0
+        self.recent_successes_us = 0  # when a success was last counted
         self.largest_scale = 0.0  # largest total scale of the recent endpoint lists
         self.largest_scale_us = 0
 
--- a/cressrail/policy/tenant_quota.py
+++ b/cressrail/policy/tenant_quota.py
@@ -35,7 +35,7 @@
         self.clock_us = 0  # the buckets' clock, which slows down while capacity is short
         self.last_request_us = 0
         self.short_until_us = 0  # time until which capacity is assumed to be short
-        self.sent_since_request = 0
+        self.sent_since_request = 0  # first attempts sent since the last request arrived
 
     def set_instance_count(self, instance_count: float) -> None:
         """Divides the quotas among this number of instances from now on."""
@@ -62,9 +62,9 @@
         return tokens < 1
 
     def on_sent(self, tenant: int, is_over_quota: bool) -> None:
-        """Takes a token for the first attempt of a request.
+        """Takes a token for a request within quota when its first attempt is sent.
 
-        Rejected requests take no token, because clients repeat them.
+        Requests over quota take no token. Rejected requests take none either, because clients repeat them.
         """
         self.sent_since_request += 1
         if 0 <= tenant < len(self.rates_per_us):
--- a/cressrail/policy/zone_subset.py
+++ b/cressrail/policy/zone_subset.py
@@ -1,4 +1,8 @@
-"""The endpoints of one zone, and the subset of them that this instance uses."""
+"""The endpoints of one zone, and the subset of them that this instance uses.
+
+Endpoints are ordered by their positions on a ring. The position of an instance on the same ring determines
+where its subset starts in that order, which spreads the subsets of all instances evenly over the endpoints.
+"""
 
 from __future__ import annotations
 
