--- a/cressrail/handover/frame.py
+++ b/cressrail/handover/frame.py
@@ -79,6 +79,7 @@
 
         Raises:
             HandoverError: The received bytes are not a valid frame of this version.
+            orjson.JSONDecodeError: The body of the frame is not valid JSON.
         """
         if len(self._received) < HEADER.size:
             return None
--- a/cressrail/handover/state.py
+++ b/cressrail/handover/state.py
@@ -35,7 +35,7 @@
         limit: Concurrency limit for this instance's attempts at the endpoint.
         latency: Moving average of the latency of succeeded attempts, in latency objectives.
         success_rate: Moving average of the success rate, from 0 to 1.
-        slow_start_credit: Number of attempts that may be sent to the endpoint while it warms up.
+        slow_start_credit: Credit for attempts while the endpoint warms up; a credit of 1 allows an attempt.
         limit_cut_us: Time at which the limit was last reduced.
         last_prompt_sent_us: Time at which the latest attempt was sent that was answered in time.
         last_outcome_us: Time at which the last outcome was observed.
@@ -57,7 +57,10 @@
 
 
 class LatencyBaselineState(NamedTuple):
-    """The latency baseline over all endpoints; its fields are written in this order."""
+    """The latency baseline over all endpoints; its fields are written in this order.
+
+    `LatencyBaseline` describes the fields.
+    """
 
     mean: float
     mean_deviation: float
@@ -68,7 +71,7 @@
 
 
 class SlowStartState(NamedTuple):
-    """The counts of slow start; its fields are written in this order."""
+    """The successes counted for slow start; its fields are written in this order."""
 
     created_us: int
     recent_successes: float
@@ -76,7 +79,7 @@
 
 
 class TenantQuotasState(NamedTuple):
-    """The tenants' use of their quotas; its fields are written in this order."""
+    """The token buckets of the tenants (`TenantQuotas`); its fields are written in this order."""
 
     tokens: list[float]
     filled_us: list[int]
@@ -172,7 +175,7 @@
         balancer: The policy of this process, which already has the endpoint list.
         names: Names of the endpoints, by index. An endpoint that the state does not contain, or that has
             restarted since, keeps its initial values.
-        now_us: The current time, at which the zone subsets are chosen again.
+        now_us: The current time in microseconds, used to choose the zone subsets again.
 
     Raises:
         MalformedStateError: The state is invalid; nothing has changed.
--- a/cressrail/proxy/attempts.py
+++ b/cressrail/proxy/attempts.py
@@ -122,7 +122,10 @@
         return number, commands
 
     def set_sent(self, attempt: int, now_us: int) -> None:
-        """Records when the last byte of an attempt was sent whose request was incomplete at its start."""
+        """Records when the last byte of an attempt was sent.
+
+        Called only if the request is forwarded while it arrives: the attempt may have started long before.
+        """
         self.in_flight[attempt].sent_us = now_us
 
     def remove(self, attempt: int) -> Attempt:
--- a/cressrail/proxy/clients.py
+++ b/cressrail/proxy/clients.py
@@ -13,7 +13,10 @@
 
 
 def silence_limit_us(keeps_idle_clients: bool) -> int:
-    """Returns how long a client may send no byte of a due request before it is closed."""
+    """Returns how long a client that is new, or in the middle of a request, may send no byte, in us.
+
+    It is `CLIENT_SILENCE_LIMIT_US` while idle clients may stay connected, and `CLIENT_STALL_US` otherwise.
+    """
     return CLIENT_SILENCE_LIMIT_US if keeps_idle_clients else CLIENT_STALL_US
 
 
@@ -130,12 +133,15 @@
         return [self.close_if_idle(client) for client in list(self.idle)]
 
     def close_silent(self, now_us: int, limit_us: int) -> list[CloseClient]:
-        """Returns the commands to close clients that have sent no byte of a due request for `limit_us`."""
+        """Returns the commands to close clients in `receiving` that have sent no byte for `limit_us`."""
         silent = [client for client, since_us in self.receiving.items() if since_us + limit_us <= now_us]
         return [self.close_if_idle(client) for client in silent]
 
     def silent_since_us(self) -> int:
-        """Returns since when the client in `receiving` that has been silent longest has sent no byte."""
+        """Returns the time since which the longest silent client in `receiving` has sent no byte.
+
+        Must not be called while `receiving` is empty.
+        """
         return next(iter(self.receiving.values()))
 
     def is_full(self) -> bool:
--- a/cressrail/proxy/endpoint_list.py
+++ b/cressrail/proxy/endpoint_list.py
@@ -9,8 +9,10 @@
 
 READY_WITHOUT_LIST_US = 500_000  # wait for discovery's list at a start before the configured list is used
 WATCH_RETRY_US = 50_000  # first delay before the watch is reopened; doubles with each failure
-WATCH_RETRY_DOUBLINGS = 4  # the delay doubles at most this often
-WATCH_RETRY_DRAIN_PARTS = 4  # no delay exceeds 1/4 of the drain notice, otherwise a drain would be missed
+WATCH_RETRY_DOUBLINGS = 4  # maximum number of times that the delay doubles
+# Before randomization, a delay above `WATCH_RETRY_US` is at most the drain notice divided by this number:
+# otherwise a drain could be missed.
+WATCH_RETRY_DRAIN_PARTS = 4
 WATCH_STABLE_US = 2_000_000  # a watch that lasted this long is reopened without delay
 COMPLETE_LIST = -1  # in place of a revision: asks discovery to send the complete list first
 
@@ -75,7 +77,11 @@
         return self.open(now_us + WATCH_RETRY_US)
 
     def retry_delay_us(self, now_us: int) -> int:
-        """Counts a watch that has ended; returns the randomized exponential backoff before the next one."""
+        """Counts a watch that has ended; returns the randomized exponential backoff before the next one.
+
+        The backoff is 0 for the first watch that ends after an update or the start, if that watch lasted for
+        at least `WATCH_STABLE_US`.
+        """
         longest_us = max(WATCH_RETRY_US, self.drain_notice_us // WATCH_RETRY_DRAIN_PARTS)
         pause_us = min(
             WATCH_RETRY_US << min(self.consecutive_failures, WATCH_RETRY_DOUBLINGS),
@@ -97,7 +103,7 @@
         return [self.open(now_us)]
 
     def is_list_wait_over(self, now_us: int) -> bool:
-        """Returns whether the wait for discovery's first list is over: it has arrived, or timed out."""
+        """Returns whether the wait for discovery's first list has ended, with or without a list."""
         return self.has_list or now_us - self.started_us >= READY_WITHOUT_LIST_US
 
     def can_serve(self, now_us: int) -> bool:
--- a/cressrail/proxy/endpoint_registry.py
+++ b/cressrail/proxy/endpoint_registry.py
@@ -18,7 +18,7 @@
         name: The endpoint's id at discovery.
         host: Host that connections are opened to.
         port: Port that connections are opened to.
-        entry: The endpoint's entry in the latest list that contained it.
+        entry: The endpoint's latest list entry; marked as removed once a complete list no longer contains it.
         idle: Ids of connections with no attempt in flight, the most recently used last; only
             `EndpointConnections` changes this list.
     """
@@ -36,7 +36,7 @@
 
     Attributes:
         updates: The changed endpoints, for the load balancer.
-        stale_connections: Idle connections to addresses or processes that are no longer listed.
+        stale_connections: Ids of the idle connections to addresses or processes that are no longer listed.
         removed: Indices of the endpoints that were removed from the list.
     """
 
--- a/cressrail/proxy/forwarding.py
+++ b/cressrail/proxy/forwarding.py
@@ -156,7 +156,14 @@
     def reply(
         self, client: int, status: int, body: BufferChain | None, request_class: str | None = None
     ) -> list[Command]:
-        """Responds to a request that is not forwarded, and counts it if a request class is given."""
+        """Sends a response without a body to a request that is not forwarded or was aborted.
+
+        Args:
+            client: The client's id.
+            status: HTTP status of the response.
+            body: Body of the request, which is released; None if there is none.
+            request_class: Class under which the request is counted; None if it is not counted.
+        """
         if request_class is not None:
             self.counters.on_final_answer(request_class, status)
         commands: list[Command] = [ReleaseBody(body)] if body else []
@@ -169,7 +176,11 @@
         return [SendResponse(client, response, self.closes_after_response(self.clients.open[client]))]
 
     def _finish(self, routed_request: RoutedRequest, status: int) -> None:
-        """Completes a request whose response is final. Forwarded requests are counted only here."""
+        """Completes a request whose response is final, and counts it.
+
+        Every forwarded request that gets a response is counted here, except aborted ones, which `reply`
+        counts.
+        """
         pending = self.requests.pending[routed_request]
         self.clients.clear_request(pending.client)
         self.counters.on_final_answer(pending.class_name, status)
@@ -184,7 +195,9 @@
         return self._apply_decisions(now_us, routed_request.route(now_us))
 
     def complete(self, now_us: int, client: int, arrived_us: int) -> bool:
-        """Handles the last byte of a request that is forwarded while it arrives: its time limit starts now.
+        """Handles the last byte of a request that is forwarded while it arrives.
+
+        The request's time limit runs from `arrived_us`, when that byte arrived.
 
         Returns:
             Whether the request still waits for its response.
--- a/cressrail/proxy/lifecycle.py
+++ b/cressrail/proxy/lifecycle.py
@@ -12,13 +12,16 @@
 from typing import NamedTuple
 
 STOP_GRACE_MIN_US = 600_000  # after a stop request, clients are accepted for at least this long
-STOP_GRACE_QUIET_US = 300_000  # the grace period ends once no client has connected for this long,
-STOP_GRACE_MAX_US = 700_000  # but this long after the stop request at the latest
-# After `STOP_GRACE_MAX_US` the platform waits this long, or for the longest deadline if shorter, and kills.
+STOP_GRACE_QUIET_US = 300_000  # the grace period ends once no client has connected for this long
+STOP_GRACE_MAX_US = 700_000  # the grace period ends this long after the stop request at the latest
+# Once `STOP_GRACE_MAX_US` has passed, the platform waits for the longest deadline, but at most this long, and
+# then kills the process.
 STOP_KILL_US = 3_000_000
 STOP_KILL_MARGIN_US = 200_000  # all requests are answered this long before the platform kills the process
 HANDED_OVER_IDLE_US = 8_000_000  # after a hand-over, idle clients may send one more request for this long
-OUT_OF_SERVICE_IDLE_US = 500_000  # by then the ingress tier has seen the health check fail
+# Idle clients are closed this long after the process leaves service: by then, the ingress tier has seen the
+# health check fail.
+OUT_OF_SERVICE_IDLE_US = 500_000
 NEVER_US = 1 << 62  # a time that is never reached
 
 
--- a/cressrail/proxy/process_handover.py
+++ b/cressrail/proxy/process_handover.py
@@ -48,7 +48,16 @@
         }
 
     def restore(self, now_us: int, state: dict[str, Any], clients_held: int) -> Command:
-        """Restores the predecessor's state unless it is malformed. Returns the command to log the result."""
+        """Restores the predecessor's state unless it is malformed.
+
+        Args:
+            now_us: The current time.
+            state: The body of the predecessor's state frame.
+            clients_held: Number of client descriptors that the predecessor keeps, for the log.
+
+        Returns:
+            The command to log the result.
+        """
         try:
             handover_state.restore(state, self.load_balancer, self.registry.names(), now_us)
         except HandoverError as fault:
--- a/cressrail/wirehost/codec.py
+++ b/cressrail/wirehost/codec.py
@@ -210,7 +210,7 @@
         decision: The decision.
         instance_name: Name of the instance that made it.
         request_id: Id of the request on the wire.
-        address: Address of the endpoint, for the start of an attempt only.
+        address: Address of the endpoint; used only for `StartAttempt`.
     """
     target = f"i={instance_name} xid={request_id}"
     if isinstance(decision, StartAttempt):
--- a/cressrail/wirehost/host.py
+++ b/cressrail/wirehost/host.py
@@ -35,8 +35,8 @@
     def handle(self, batch: Batch) -> list[str]:
         """Handles a batch and returns the lines of the reply, except its last line.
 
-        Any exception other than `MalformedLineError` marks its instance as failed and is reported to the
-        simulator.
+        If an event raises any exception other than `MalformedLineError`, its instance is marked as failed and
+        the exception is reported to the simulator.
 
         Raises:
             MalformedLineError: A message of the batch is invalid.
--- a/cressrail/wirehost/instance.py
+++ b/cressrail/wirehost/instance.py
@@ -17,7 +17,11 @@
 
 
 class ListEntry(NamedTuple):
-    """One entry of an endpoint list."""
+    """One entry of an endpoint list, with names where `EndpointUpdate` has indices.
+
+    Attributes:
+        is_gone: Whether the endpoint has left; an entry for an unknown endpoint that is gone is ignored.
+    """
 
     address: str
     zone: str
