--- a/tests/proxy/support.py
+++ b/tests/proxy/support.py
@@ -135,10 +135,12 @@
 
 
 def list_update(revision: int, is_complete: bool, *entries: dict[str, Any]) -> EndpointListUpdate:
+    """Returns an update of the endpoint list as parsed from discovery's JSON."""
     return parse_update({"revision": revision, "complete": is_complete, "members": list(entries)})
 
 
 def counters_of(driver: ProxyDriver, now: int = 0) -> dict[str, int]:
+    """Returns the values that the counters call of the admin API reports, by name and labels."""
     response, _ = driver.state_machine.on_admin_call(now, b"GET", admin.COUNTERS_PATH)
     return {
         name: int(value)
@@ -147,6 +149,7 @@
 
 
 def admin_status(driver: ProxyDriver, path: bytes, now: int = 0) -> int:
+    """Calls the admin API, collects the commands that the call returns, and returns the HTTP status."""
     response, returned = driver.state_machine.on_admin_call(now, admin.METHODS[path], path)
     driver.commands += returned
     return response.status
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -115,7 +115,7 @@
     driver.finish_attempt(command, Outcome.SUCCEEDED)
     driver.state_machine.on_endpoint_list(1, list_update(5, False, {**endpoint_entry("s0", 9000), **change}))
     driver.commands = driver.state_machine.on_idle_connection_reset(2, command.connection)
-    assert [note.event for note in driver.take_commands(commands.LogEvent)] == (
+    assert [log_event.event for log_event in driver.take_commands(commands.LogEvent)] == (
         ["endpoint_unavailable"] if is_reported else []
     )
     assert driver.state_machine.load_balancer.endpoints[0].is_available(2) is not is_reported
--- a/tests/proxy/test_endpoint_registry.py
+++ b/tests/proxy/test_endpoint_registry.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("update", "entries"),
+    ("update", "accepting"),
     [
         pytest.param(list_update(5, False, endpoint_entry("s0", 9000, phase="draining")), [1], id="draining"),
         pytest.param(list_update(5, True, endpoint_entry("s1", 9001)), [1], id="list-without-one"),
@@ -33,7 +33,7 @@
         pytest.param(list_update(3, True), [], id="empty-list-of-old-revision"),
     ],
 )
-def test_endpoint_list_update_changes_endpoints(update: EndpointListUpdate, entries: list[int]) -> None:
+def test_endpoint_list_update_changes_endpoints(update: EndpointListUpdate, accepting: list[int]) -> None:
     driver = ProxyDriver(2)
     driver.state_machine.on_endpoint_list(
         0, list_update(4, True, endpoint_entry("s0", 9000), endpoint_entry("s1", 9001))
@@ -43,4 +43,4 @@
         endpoint.index
         for endpoint in driver.state_machine.load_balancer.endpoints.values()
         if endpoint.accepts_requests
-    ] == entries
+    ] == accepting
--- a/tests/proxy/test_large_lists.py
+++ b/tests/proxy/test_large_lists.py
@@ -146,7 +146,9 @@
             driver.finish_attempt(command, Outcome.SUCCEEDED, now + 1000)
         driver.commands += driver.state_machine.on_client_closed(now + 2000, client)
     assert not [
-        note for note in driver.take_commands(commands.LogEvent) if note.event == "connection_limit_reached"
+        log_event
+        for log_event in driver.take_commands(commands.LogEvent)
+        if log_event.event == "connection_limit_reached"
     ]
     assert not driver.take_commands(commands.CloseEndpointConnection)
     assert opened <= max_opened
