--- a/cressrail/policy/endpoint_selection.py
+++ b/cressrail/policy/endpoint_selection.py
@@ -121,11 +121,11 @@
         The endpoint is drawn at random; if no draw succeeds, the endpoints that follow on the ring are tried
         in order.
         """
-        is_repeat = request.fixed_endpoint is not None
-        candidates = subset.endpoints if is_repeat else subset.in_use
+        may_have_run = request.fixed_endpoint is not None
+        candidates = subset.endpoints if may_have_run else subset.in_use
         count = len(candidates)
         position = 0
-        for step in range(RANDOM_PICKS + (count if is_repeat else min(count, MAX_STEPS))):
+        for step in range(RANDOM_PICKS + (count if may_have_run else min(count, MAX_STEPS))):
             position = self.random_generator.below(count) if step < RANDOM_PICKS else (position + 1) % count
             endpoint = candidates[position]
             if endpoint is not excluded and self._is_open(endpoint, subset, request, now_us):
