--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -87,7 +87,7 @@
 
 FAILURES = [outcome for outcome in Outcome if outcome is not Outcome.SUCCEEDED]
 
-REPEATABILITIES = [
+IDEMPOTENCY_CASES = [
     (Idempotency.IDEMPOTENT, KeyScope.ALL),
     (Idempotency.WITH_KEY, KeyScope.ALL),
     (Idempotency.WITH_KEY, KeyScope.ZONE),
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -10,7 +10,7 @@
 from cressrail.policy.request_class import Idempotency, KeyScope
 from tests.policy.support import (
     FAILURES,
-    REPEATABILITIES,
+    IDEMPOTENCY_CASES,
     SECOND,
     make_entry,
     make_load_balancer,
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), IDEMPOTENCY_CASES)
 def test_request_gets_exactly_one_final_answer(
     idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome
 ) -> None:
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -10,7 +10,7 @@
 from cressrail.policy.routed_request import RoutedRequest
 from tests.policy.support import (
     FAILURES,
-    REPEATABILITIES,
+    IDEMPOTENCY_CASES,
     SECOND,
     make_entry,
     make_load_balancer,
@@ -28,7 +28,7 @@
     return request
 
 
-@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), IDEMPOTENCY_CASES)
 @pytest.mark.parametrize("outcome", FAILURES)
 @pytest.mark.parametrize(("zone", "cell"), [(0, 0), (0, 1), (1, 1)])
 @pytest.mark.parametrize("now_us", [0, 5 * SECOND])
@@ -47,7 +47,7 @@
     assert (policy.may_retry(request, now_us) and policy.may_use_endpoint(request, other)) is is_allowed
 
 
-@pytest.mark.parametrize(("idempotency", "key_scope"), REPEATABILITIES)
+@pytest.mark.parametrize(("idempotency", "key_scope"), IDEMPOTENCY_CASES)
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_reject_is_allowed_only_where_another_run_is_harmless(
     idempotency: Idempotency, key_scope: KeyScope, outcome: Outcome
