--- a/cressrail/proxy/state_machine.py
+++ b/cressrail/proxy/state_machine.py
@@ -317,7 +317,7 @@
         response, out = self.admin_calls.answer(now_us, method, path)
         return response, self._complete(now_us, out) if out else []
 
-    def is_ready(self, now_us: int) -> bool:
+    def is_healthy(self, now_us: int) -> bool:
         """Returns whether the health check succeeds, so that the ingress tier sends clients here."""
         return self.intake.is_healthy(now_us)
 
--- a/tests/handover/test_takeover.py
+++ b/tests/handover/test_takeover.py
@@ -153,12 +153,12 @@
     predecessor, successor = ProxyDriver(), successor_driver()
     admin_status(predecessor, admin.OUT_OF_SERVICE_PATH)
     successor.commands = successor.state_machine.take_over(SECOND, hand_over(predecessor), 0, 0)
-    assert not successor.state_machine.is_ready(SECOND)
+    assert not successor.state_machine.is_healthy(SECOND)
     assert admin_status(successor, admin.READY_PATH, SECOND) == 200
     # The predecessor refuses the call, since its effect would be lost when the process exits.
     assert admin_status(predecessor, admin.IN_SERVICE_PATH, SECOND) == 503
     admin_status(successor, admin.IN_SERVICE_PATH, SECOND)
-    assert successor.state_machine.is_ready(SECOND)
+    assert successor.state_machine.is_healthy(SECOND)
 
 
 def test_successor_takes_over_when_it_can_serve_and_is_ready_afterwards() -> None:
@@ -193,7 +193,7 @@
     assert [write.closes_connection for write in driver.take_commands(commands.SendResponse)] == [True, True]
     driver.commands += driver.state_machine.on_stop_requested(2 * SECOND)
     # A health check that still reaches this process must succeed, since the successor serves.
-    assert driver.state_machine.is_ready(2 * SECOND)
+    assert driver.state_machine.is_healthy(2 * SECOND)
     for client in (1, 2):
         driver.commands += driver.state_machine.on_response_written(2 * SECOND, client)
         driver.commands += driver.state_machine.on_client_closed(2 * SECOND, client)
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -34,10 +34,10 @@
     driver.connect_idle_client(1)
     driver.connect_client(2)
     driver.send_request(2)
-    assert driver.state_machine.is_ready(SECOND)
+    assert driver.state_machine.is_healthy(SECOND)
     for _ in range(2):  # the call is idempotent
         assert admin_status(driver, admin.OUT_OF_SERVICE_PATH, SECOND) == 200
-    assert not driver.state_machine.is_ready(SECOND)
+    assert not driver.state_machine.is_healthy(SECOND)
     assert admin_status(driver, admin.READY_PATH, SECOND) == 200
     # Idle clients stay until the ingress tier has seen the health check fail: otherwise they would reconnect.
     assert not driver.take_commands(commands.CloseClient)
@@ -57,7 +57,7 @@
     driver.commands += driver.state_machine.on_timer(2 * SECOND + CLIENT_STALL_US)
     assert [close.client for close in driver.take_commands(commands.CloseClient)] == [4]
     assert admin_status(driver, admin.IN_SERVICE_PATH, 2 * SECOND) == 200
-    assert driver.state_machine.is_ready(2 * SECOND)
+    assert driver.state_machine.is_healthy(2 * SECOND)
     driver.connect_client(5, 3 * SECOND)
     driver.send_request(5, now=3 * SECOND)
     driver.finish_attempt(driver.take_attempt(), Outcome.SUCCEEDED, 3 * SECOND)
--- a/tests/proxy/test_intake.py
+++ b/tests/proxy/test_intake.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("endpoints", "has_list", "after_us", "is_stopping", "is_ready"),
+    ("endpoints", "has_list", "after_us", "is_stopping", "is_healthy"),
     [
         (2, False, 0, False, False),
         (2, False, SECOND, False, True),
@@ -74,14 +74,14 @@
     ],
 )
 def test_health_check_succeeds_once_requests_can_be_served(
-    endpoints: int, has_list: bool, after_us: int, is_stopping: bool, is_ready: bool
+    endpoints: int, has_list: bool, after_us: int, is_stopping: bool, is_healthy: bool
 ) -> None:
     driver = ProxyDriver(endpoints)
     if has_list:
         driver.state_machine.on_endpoint_list(0, list_update(5, False))
     if is_stopping:
         driver.state_machine.on_stop_requested(0)
-    assert driver.state_machine.is_ready(after_us) is is_ready
+    assert driver.state_machine.is_healthy(after_us) is is_healthy
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -179,7 +179,7 @@
 ) -> None:
     driver, now_us = driver_in_state(ownership, phase, service)
     if name == "healthy":
-        assert driver.state_machine.is_ready(now_us) is expected
+        assert driver.state_machine.is_healthy(now_us) is expected
     elif name == "ready":
         response, _ = driver.state_machine.on_admin_call(now_us, b"GET", admin.READY_PATH)
         assert response.status == (200 if expected else 503)
