--- a/cressrail/membership/gossip.py
+++ b/cressrail/membership/gossip.py
@@ -13,7 +13,7 @@
 
 GOSSIP_FANOUT = 3  # instances that are sent a datagram in one round
 ROUNDS_PER_PERIOD = 5  # gossip rounds in a ping period
-FIRST_ROUND_SHARE = 20  # the first round starts within 1/20 of a ping period
+FIRST_ROUND_DIVISOR = 20  # the first round starts within 1/20 of a ping period
 
 
 class Gossip:
@@ -66,7 +66,7 @@
         if self._is_scheduled or not len(self._shared.broadcasts):
             return
         self._is_scheduled = True
-        latest_us = max(1, self._shared.settings.ping_period_us // FIRST_ROUND_SHARE)
+        latest_us = max(1, self._shared.settings.ping_period_us // FIRST_ROUND_DIVISOR)
         self._shared.timers.set(now_us + self._shared.random.below(latest_us), TimerKind.GOSSIP)
 
     def cancel(self) -> None:
--- a/cressrail/membership/instance_counter.py
+++ b/cressrail/membership/instance_counter.py
@@ -9,7 +9,7 @@
 from cressrail.membership.push_pull import PushPull
 from cressrail.membership.shared_state import SharedState
 
-COUNT_CHANGE_SHARE = 32  # a change of at most 1/32 of the announced count is not announced
+COUNT_CHANGE_DIVISOR = 32  # a change of at most 1/32 of the announced count is not announced
 
 
 class InstanceCounter:
@@ -59,7 +59,7 @@
             return
         count, announced = self._live_count.update(now_us, self.observed()), self.announced
         if announced is None or any(
-            abs(new - old) * COUNT_CHANGE_SHARE > old for new, old in zip(count, announced, strict=True)
+            abs(new - old) * COUNT_CHANGE_DIVISOR > old for new, old in zip(count, announced, strict=True)
         ):
             self.announced = count
             self._shared.commands.append(count)
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -28,7 +28,7 @@
 # Peers' reports eject an endpoint only if at least two instances report it as failing, and these are at
 # least 1/3 of the instances in the zone that send any reports.
 MIN_FAILING_REPORTERS = 2
-FAILING_REPORTER_SHARE = 3
+FAILING_REPORTER_DIVISOR = 3
 PER_SECOND_THOUSANDTHS = 1e9  # thousandths of a request per second in one request per microsecond
 ReportPrecedence = tuple[int, int, int, int]
 ReportKey = tuple[int, int]  # kind, subject
@@ -259,7 +259,7 @@
             sorted(
                 subject
                 for subject, count in votes.items()
-                if count >= MIN_FAILING_REPORTERS and FAILING_REPORTER_SHARE * count >= len(reporters)
+                if count >= MIN_FAILING_REPORTERS and FAILING_REPORTER_DIVISOR * count >= len(reporters)
             )
         )
 
--- a/cressrail/membership/push_pull.py
+++ b/cressrail/membership/push_pull.py
@@ -25,7 +25,7 @@
 ALL_IDS = IdRange(0, HIGHEST_ID, False)
 # Until all ranges were received once, the next range is requested after 1/50 of a ping period, plus a random
 # time of less than 1/25 of a ping period.
-CONTINUE_SHARE, CONTINUE_JITTER_SHARE = 50, 25
+CONTINUE_DIVISOR, CONTINUE_JITTER_DIVISOR = 50, 25
 
 
 class PushPull:
@@ -156,8 +156,8 @@
         self.has_full_view = self.has_full_view or not self._cursor
         if not self.has_full_view:
             period_us = self._shared.settings.ping_period_us
-            jitter_us = self._shared.random.below(period_us // CONTINUE_JITTER_SHARE)
-            due_us = now_us + period_us // CONTINUE_SHARE + jitter_us
+            jitter_us = self._shared.random.below(period_us // CONTINUE_JITTER_DIVISOR)
+            due_us = now_us + period_us // CONTINUE_DIVISOR + jitter_us
             self._shared.timers.set(due_us, TimerKind.CONTINUE_PUSH_PULL)
 
 
