--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -124,9 +124,10 @@
 
 
 def observed(
-    alive: int, silent: int = 0, zone_alive: int = 1, zone_silent: int = 0, sure: bool = True
+    alive: int, silent: int = 0, zone_alive: int = 1, zone_silent: int = 0, has_quorum_view: bool = True
 ) -> ObservedInstances:
-    return ObservedInstances(alive, silent, zone_alive, zone_silent, sure)
+    """Returns observed instance numbers, by default from a view of the fleet that permits a decrease."""
+    return ObservedInstances(alive, silent, zone_alive, zone_silent, has_quorum_view)
 
 
 def counting_fleet(size: int, **options: Any) -> MembershipSimulation:
--- a/tests/membership/test_live_count.py
+++ b/tests/membership/test_live_count.py
@@ -4,7 +4,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.membership.live_count import (
     DECREASE_HALF_LIFE_PAUSES,
@@ -21,12 +21,12 @@
     observed,
 )
 
-OBSERVED = some.builds(
-    observed, some.integers(1, 300), some.integers(0, 300), some.just(1), some.just(0), some.booleans()
+OBSERVED = st.builds(
+    observed, st.integers(1, 300), st.integers(0, 300), st.just(1), st.just(0), st.booleans()
 )
 
 
-@given(some.integers(1, 200), some.lists(some.tuples(some.integers(0, 30 * SECOND), OBSERVED), max_size=30))
+@given(st.integers(1, 200), st.lists(st.tuples(st.integers(0, 30 * SECOND), OBSERVED), max_size=30))
 def test_estimate_stays_within_bounds_and_not_below_those_alive(
     configured_count: int, observations: list[tuple[int, ObservedInstances]]
 ) -> None:
@@ -58,7 +58,7 @@
         (observed(6, 4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 6),
         # Without a majority, the count does not decrease.
         (observed(4, 4), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
-        (observed(3, sure=False), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
+        (observed(3, has_quorum_view=False), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 10),
         # The lower bound is a quarter of the configured count, the upper bound four times that count.
         (observed(1), 100 * DECREASE_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, 2.5),
         (observed(200), 0, 40),
@@ -75,10 +75,13 @@
 def test_estimate_without_quorum_view_drifts_to_the_configured_count() -> None:
     live = LiveInstanceCount(10, TOLERATED_PAUSE_US, 0)
     live.update(LONG_AFTER_START_US, observed(30))
-    live.update(LONG_AFTER_START_US + FALLBACK_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US, observed(1, sure=False))
+    live.update(
+        LONG_AFTER_START_US + FALLBACK_HALF_LIFE_PAUSES * TOLERATED_PAUSE_US,
+        observed(1, has_quorum_view=False),
+    )
     assert live.estimate == pytest.approx(20)
-    live.update(LONG_AFTER_START_US + 1000 * TOLERATED_PAUSE_US, observed(1, sure=False))
+    live.update(LONG_AFTER_START_US + 1000 * TOLERATED_PAUSE_US, observed(1, has_quorum_view=False))
     assert live.estimate == pytest.approx(10)
     live.update(LONG_AFTER_START_US + 2000 * TOLERATED_PAUSE_US, observed(4))
-    live.update(LONG_AFTER_START_US + 3000 * TOLERATED_PAUSE_US, observed(1, sure=False))
+    live.update(LONG_AFTER_START_US + 3000 * TOLERATED_PAUSE_US, observed(1, has_quorum_view=False))
     assert live.estimate == pytest.approx(10)
