--- a/tests/failover/test_codec.py
+++ b/tests/failover/test_codec.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.failover import codec, messages
 from cressrail.failover.messages import (
@@ -23,23 +23,23 @@
 )
 from tests.failover.support import SECOND
 
-EPOCHS = some.builds(Epoch, some.integers(0, codec.MAX_TERM), some.integers(0, 1 << 31))
+EPOCHS = st.builds(Epoch, st.integers(0, codec.MAX_TERM), st.integers(0, 1 << 31))
 
 
-@given(EPOCHS, some.integers(1, MAX_ZONES), some.data())
+@given(EPOCHS, st.integers(1, MAX_ZONES), st.data())
 def test_messages_round_trip_and_fit_into_the_size_limit(epoch: Epoch, count: int, data: Any) -> None:
-    units = some.integers(0, WEIGHT_UNITS // count)
+    units = st.integers(0, WEIGHT_UNITS // count)
     now = 10_000 * SECOND
     zones = tuple(
         ZoneStatus(
-            data.draw(some.sampled_from(ZoneState)),
-            data.draw(some.sampled_from(ZoneReason)),
-            now - data.draw(some.integers(0, 9000)) * SECOND,
+            data.draw(st.sampled_from(ZoneState)),
+            data.draw(st.sampled_from(ZoneReason)),
+            now - data.draw(st.integers(0, 9000)) * SECOND,
         )
         for _ in range(count)
     )
     weights = tuple(tuple(data.draw(units) / WEIGHT_UNITS for _ in range(count)) for _ in range(count))
-    drained = data.draw(some.integers(0, count))
+    drained = data.draw(st.integers(0, count))
     drains = tuple(ZoneDrain(zone, now + 60 * SECOND) for zone in range(drained))
     observations = tuple(ZoneObservation(100 + zone, 1, 2, 3, 4.5) for zone in range(count))
     for message in (
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from hypothesis import given
-from hypothesis import settings as effort
-from hypothesis import strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from cressrail.failover.evidence import aggregate
 from cressrail.failover.messages import (
@@ -56,23 +55,23 @@
     assert plan.weights[1] == (0, 1, 0)
 
 
-RATES = some.floats(0, 200, allow_nan=False)
-OBSERVATIONS = some.builds(
+RATES = st.floats(0, 200, allow_nan=False)
+OBSERVATIONS = st.builds(
     lambda attempts, connect_failures, failed, slow, capacity: ZoneObservation(
         attempts, attempts * connect_failures // 9, attempts * failed // 9, attempts * slow // 9, capacity
     ),
-    some.integers(0, 300),
-    some.integers(0, 3),
-    some.integers(0, 3),
-    some.integers(0, 3),
+    st.integers(0, 300),
+    st.integers(0, 3),
+    st.integers(0, 3),
+    st.integers(0, 3),
     RATES,
 )
-REPORTS = some.lists(
-    some.builds(Evidence, some.integers(0, 2), RATES, some.tuples(OBSERVATIONS, OBSERVATIONS, OBSERVATIONS)),
+REPORTS = st.lists(
+    st.builds(Evidence, st.integers(0, 2), RATES, st.tuples(OBSERVATIONS, OBSERVATIONS, OBSERVATIONS)),
     min_size=1,
     max_size=6,
 )
-ROUNDS = some.lists(some.tuples(REPORTS, some.frozensets(some.integers(0, 2))), min_size=1, max_size=8)
+ROUNDS = st.lists(st.tuples(REPORTS, st.frozensets(st.integers(0, 2))), min_size=1, max_size=8)
 
 
 def check_weights(planner: Planner, plan: Plan, unreachable_from: tuple[tuple[bool, ...], ...]) -> None:
@@ -102,7 +101,7 @@
             assert load <= max(own, condition.capacity * condition.ramp) + 2 * slack
 
 
-@effort(max_examples=300)
+@settings(max_examples=300)
 @given(ROUNDS)
 def test_plan_respects_zone_capacities_and_weights_add_up_to_at_most_one(
     rounds: list[tuple[list[Evidence], frozenset[int]]],
--- a/tests/failover/test_state_machine.py
+++ b/tests/failover/test_state_machine.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from hypothesis import given
-from hypothesis import settings as effort
-from hypothesis import strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from cressrail.failover.admin_view import zones_view
 from cressrail.failover.local_view import Fleet
@@ -81,8 +80,8 @@
     assert drained() == {()}
 
 
-@effort(max_examples=500)
-@given(some.binary(max_size=120), some.integers(0, 9), some.integers(0, 3))
+@settings(max_examples=500)
+@given(st.binary(max_size=120), st.integers(0, 9), st.integers(0, 3))
 def test_malformed_messages_elect_no_leader_and_set_no_decision_for_other_zones(
     data: bytes, kind: int, sender: int
 ) -> None:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -4,9 +4,8 @@
 
 from contextlib import suppress
 
-from hypothesis import given
-from hypothesis import settings as effort
-from hypothesis import strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from cressrail.membership import codec
 from cressrail.membership.authentication import (
@@ -33,12 +32,12 @@
 
 @given(
     RECORDS,
-    some.lists(RECORDS, max_size=3),
-    some.lists(STATUSES, max_size=30),
-    some.lists(REACHABILITY_REPORTS, max_size=3),
-    some.lists(LOAD_REPORTS, max_size=3),
-    some.lists(some.binary(max_size=240), max_size=3),
-    some.integers(0, 600),
+    st.lists(RECORDS, max_size=3),
+    st.lists(STATUSES, max_size=30),
+    st.lists(REACHABILITY_REPORTS, max_size=3),
+    st.lists(LOAD_REPORTS, max_size=3),
+    st.lists(st.binary(max_size=240), max_size=3),
+    st.integers(0, 600),
 )
 def test_decode_datagram_returns_what_was_encoded(
     own_record: InstanceRecord,
@@ -85,8 +84,8 @@
     assert len(codec.encode_padding(padding)) in ((padding, padding - 1) if padding else (0,))
 
 
-@effort(max_examples=400)
-@given(some.binary(max_size=200), some.integers(0, 60), RECORDS)
+@settings(max_examples=400)
+@given(st.binary(max_size=200), st.integers(0, 60), RECORDS)
 def test_signed_but_malformed_datagram_is_only_counted(
     data: bytes, cut_at: int, own_record: InstanceRecord
 ) -> None:
--- a/tests/membership/test_load_reports.py
+++ b/tests/membership/test_load_reports.py
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.membership.load_reports import (
     FAILING,
@@ -22,21 +22,21 @@
     PERIOD,
 )
 
-RECEIVED_REPORTS = some.tuples(
-    some.integers(1, 3),  # reporter
-    some.integers(0, 2),  # incarnation
-    some.builds(
+RECEIVED_REPORTS = st.tuples(
+    st.integers(1, 3),  # reporter
+    st.integers(0, 2),  # incarnation
+    st.builds(
         LoadReport,
-        some.sampled_from(REPORT_KINDS),
-        some.integers(0, 2),
-        some.integers(0, 9),
-        some.integers(0, 3),
-        some.integers(0, 3000),
+        st.sampled_from(REPORT_KINDS),
+        st.integers(0, 2),
+        st.integers(0, 9),
+        st.integers(0, 3),
+        st.integers(0, 3000),
     ),
 )
 
 
-@given(some.lists(RECEIVED_REPORTS, max_size=8), some.randoms())
+@given(st.lists(RECEIVED_REPORTS, max_size=8), st.randoms())
 def test_merge_of_reports_is_the_same_in_any_order_and_twice(
     received: list[tuple[int, int, LoadReport]], random: Any
 ) -> None:
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from cressrail.membership.messages import (
     ReachabilityReport,
@@ -41,7 +41,7 @@
 
 
 @given(
-    some.lists(
+    st.lists(
         REACHABILITY_REPORTS.map(
             lambda report: report._replace(
                 reporter=1 + report.reporter % 3,
@@ -52,7 +52,7 @@
         ),
         max_size=6,
     ),
-    some.randoms(),
+    st.randoms(),
 )
 def test_merge_of_reports_is_the_same_in_any_order(received: list[ReachabilityReport], random: Any) -> None:
     def merged(reports: list[ReachabilityReport]) -> list[int]:
