--- a/cressrail/membership/broadcast_queue.py
+++ b/cressrail/membership/broadcast_queue.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 RETRANSMIT_FACTOR = 4  # transmissions of a broadcast per bit of the fleet's size (binary logarithm)
-MIN_BROADCAST_BYTES = 20  # the search for broadcasts ends when less room is left in a datagram
+MIN_BROADCAST_BYTES = 20  # no more broadcasts are added to a datagram with fewer free bytes
 
 
 class TopicKind(IntEnum):
@@ -29,10 +29,10 @@
 
     Attributes:
         kind: Kind of information.
-        subject: Id of the instance concerned, of the reporter of a reachability report, or the subject of a
-            user message.
-        other: Id of the instance that raised a suspicion, or of the target of a reachability report;
-            0 for other kinds.
+        subject: For a reachability report, the id of its reporter; for a user message, its subject; for
+            the other kinds, the id of the instance that the broadcast is about.
+        other: For a suspicion, the id of the instance that raised it; for a reachability report, the id of
+            its target; 0 for the other kinds.
     """
 
     kind: TopicKind
@@ -73,13 +73,17 @@
         self._entries.clear()
 
     def drop_larger_than(self, max_bytes: int) -> None:
-        """Drops broadcasts that fit into no datagram and would otherwise stay in the queue for ever."""
+        """Drops broadcasts of more than `max_bytes` bytes, which would otherwise stay queued for ever."""
         self._entries = {
             topic: entry for topic, entry in self._entries.items() if len(entry.payload) <= max_bytes
         }
 
     def next_broadcasts(self, room: int, fleet_size: int) -> bytes:
-        """Returns the broadcasts that fit into `room` bytes, concatenated, and counts them as sent."""
+        """Returns the broadcasts that fit into `room` bytes, concatenated, and counts them as sent.
+
+        A broadcast is dropped after its last transmission. The number of transmissions grows with the
+        logarithm of `fleet_size`, the number of instances in the fleet.
+        """
         if not self._entries or room <= 0:
             return b""
         max_transmissions = RETRANSMIT_FACTOR * max(1, fleet_size.bit_length())
--- a/cressrail/membership/datagram_receiver.py
+++ b/cressrail/membership/datagram_receiver.py
@@ -32,7 +32,7 @@
 
 
 class DatagramReceiver:
-    """Processes one datagram at a time."""
+    """Verifies received datagrams, merges their contents into the local state and answers them."""
 
     def __init__(
         self,
@@ -56,8 +56,9 @@
         """Processes a datagram as received from the network.
 
         Raises:
-            MalformedDatagramError: The datagram is not a valid datagram of the fleet, or it was sent by this
-                process itself. No state was changed.
+            MalformedDatagramError: The size, the authentication code or the format of the datagram is
+                invalid, its number was used before or is too old, or this process sent it itself. No state
+                was changed.
         """
         if not codec.MIN_DATAGRAM_BYTES <= len(payload) <= self._shared.settings.max_datagram_bytes:
             raise MalformedDatagramError(codec.REASON_SIZE)
@@ -107,7 +108,10 @@
         return (sender.process_id, sender.state) < known
 
     def _send_known_status(self, sender: InstanceRecord | InstanceStatus, size: int) -> None:
-        """Sends an outdated process the known status of its name, so that it raises its incarnation."""
+        """Sends an outdated process the known status of its name, so that it raises its incarnation.
+
+        Nothing is sent if the datagram carried only the sender's status, without its address.
+        """
         if isinstance(sender, InstanceRecord):
             table = self._shared.table
             fields = codec.encode_status(table.status_of(table.row_of(sender.id)))
--- a/cressrail/membership/datagram_sender.py
+++ b/cressrail/membership/datagram_sender.py
@@ -9,7 +9,7 @@
 from cressrail.membership.self_record import SelfRecord
 from cressrail.membership.shared_state import SharedState
 
-SEQUENCE_MASK = 0xFFFFFFFF
+SEQUENCE_MASK = 0xFFFFFFFF  # sequence numbers of requests have 32 bits
 
 
 class DatagramSender:
@@ -27,7 +27,7 @@
         self._sequence = 0
 
     def set_time(self, now_us: int) -> None:
-        """Sets the time for which the ages of load reports are computed."""
+        """Sets the current time in microseconds, from which the ages of sent load reports are computed."""
         self._now_us = now_us
 
     def set_keys(self, keys: tuple[bytes, ...]) -> None:
@@ -42,7 +42,8 @@
     def send_request(self, row: int, kind: int, fields: bytes) -> None:
         """Sends a request to the instance in a row of the member table.
 
-        The request is padded so that its answer need not be larger than the request.
+        An answer must not be larger than its request. The request is therefore padded to the size of an
+        answer that holds the target's record, a ping reference and one status.
         """
         table = self._shared.table
         answer = codec.encode_datagram(
@@ -71,9 +72,10 @@
             destination: Address of the receiver.
             kind: Kind of the datagram.
             fields: Encoded fields that follow the sender's own record or status.
-            max_bytes: Size limit of an answer, which must not be larger than its request; 0 applies only the
-                limit of the settings.
-            min_bytes: Size up to which the datagram is padded.
+            max_bytes: Size limit in bytes of an answer, which must not be larger than its request; 0 applies
+                only the limit of the settings.
+            min_bytes: Size in bytes up to which the datagram is padded, within these limits; 0 adds no
+                padding.
             has_left: Whether the datagram announces that this instance leaves.
         """
         shared, self_record = self._shared, self._self_record
--- a/cressrail/membership/dead_retries.py
+++ b/cressrail/membership/dead_retries.py
@@ -6,12 +6,13 @@
 
 from cressrail.membership.shared_state import SharedState
 
-RETRY_PERIODS = 4  # ping periods until the first retry
+RETRY_PERIODS = 4  # mean number of ping periods from a death to the first retry
 RETRY_GROWTH = 1.5  # factor by which the interval grows with each retry
-MAX_RETRY_PERIODS = 120  # ping periods; longest interval
+MAX_RETRY_PERIODS = 120  # ping periods; upper bound of the mean interval
 MAX_GROWTH_EXPONENT = 20  # prevents a float overflow of the growth
 MAX_RETRIES_PER_RUN = 2  # instances that are retried in one maintenance run
-# Additional retries of instances that were just declared dead show early whether the cause is a partition.
+# Further instances of which the first retry is due are pinged in the same run, because their answers show
+# early whether the cause of many deaths is a partition.
 MAX_EXTRA_FIRST_RETRIES_PER_RUN = 8
 
 
@@ -23,7 +24,7 @@
 
 
 class DeadRetries:
-    """Schedule of the retries of each dead instance."""
+    """Schedule of the retries, which are pings to dead instances."""
 
     def __init__(self, shared: SharedState) -> None:
         self._shared = shared
@@ -44,7 +45,10 @@
         self._retries.pop(member_id, None)
 
     def retry_all_sooner(self, now_us: int) -> None:
-        """Reschedules all retries to an early time: after one return, a partition may have healed."""
+        """Reschedules all retries to an early time and resets their intervals.
+
+        This follows the return of a dead instance, which may mean that a network partition has healed.
+        """
         span_us = self._first_span_us()
         self._retries = {
             member_id: _Retry(min(retry.due_us, now_us + self._shared.random.below(span_us)), 0)
--- a/cressrail/membership/failure_detector.py
+++ b/cressrail/membership/failure_detector.py
@@ -23,10 +23,14 @@
 MAX_SCORE_FOR_EARLY_PING = 3  # local health score up to which an unanswered ping advances the next one
 EARLY_PING_DIVISOR = 5  # the next ping starts after ping period / 5 once indirect pings are requested
 REFUSED_PING_DIVISOR = 20  # the next ping starts after ping period / 20 once a ping was refused
-REFUSAL_SPEEDUP_PERIODS = 4  # ping periods after a refusal during which all pings start early ...
-MIN_SUSPICIONS_FOR_SPEEDUP = 3  # ... as long as at least this many instances are suspected
+# For this number of ping periods after a refused ping, the interval between pings is divided by
+# `EARLY_PING_DIVISOR` as long as at least `MIN_SUSPICIONS_FOR_SPEEDUP` instances are suspected.
+REFUSAL_SPEEDUP_PERIODS = 4
+MIN_SUSPICIONS_FOR_SPEEDUP = 3
 MAX_REFUSALS = 2  # refusals after which a ping has failed; one alone may hit a process that is being replaced
-ALIVE_EVIDENCE_PERIODS = 6  # ping periods for which evidence of life counts if some can't reach the instance
+# Ping periods for which evidence of life counts if the target was recently suspected wrongly or if other
+# instances report that they can't reach it.
+ALIVE_EVIDENCE_PERIODS = 6
 JITTER_DIVISOR = 16  # the start of a ping varies by up to ping period / 16 in either direction
 
 
@@ -143,7 +147,7 @@
         timers.set(now_us + self._shared.settings.ping_period_us // divisor, TimerKind.START_PING)
 
     def finish_ping(self, now_us: int, sequence: int) -> None:
-        """Evaluates a ping that received no direct ack within its ping period."""
+        """Evaluates a ping that was refused or received no direct ack within its ping period."""
         ping = self._pings.pop(sequence, None)
         if ping is None:
             return
@@ -188,6 +192,7 @@
         return now_us - last_alive_us < evidence_us
 
     def _on_unreachable_but_alive(self, now_us: int, row: int) -> None:
+        """Counts the failed ping and, after several in a row, reports that the target can't be reached."""
         shared = self._shared
         target = shared.table.ids[row]
         report = shared.reachability.on_ping_unanswered(target, now_us)
@@ -202,9 +207,10 @@
             self._schedule.prioritize(target)
 
     def _declare_dead_if_isolated_long(self, now_us: int, row: int) -> None:
-        """Declares the target dead in this instance's own view once the isolation has lasted long enough.
+        """Declares the target dead in this instance's own view after a long isolation of this instance.
 
-        The minimum is the longest suspicion time-out. Other instances are not notified.
+        The isolation must have lasted for more than the longest suspicion time-out. Other instances are not
+        notified.
         """
         table = self._shared.table
         isolated_us = now_us - self._isolation.begin(now_us)
@@ -271,6 +277,7 @@
         return False
 
     def _on_direct_ack(self, now_us: int, target: int) -> None:
+        """Ends an isolation, improves local health and counts the answered ping for reachability reports."""
         shared = self._shared
         self._isolation.end(now_us)
         shared.local_health.improve()
--- a/cressrail/membership/gossip.py
+++ b/cressrail/membership/gossip.py
@@ -70,7 +70,7 @@
         self._shared.timers.set(now_us + self._shared.random.below(latest_us), TimerKind.GOSSIP)
 
     def cancel(self) -> None:
-        """Records that the timer of the next round was cancelled."""
+        """Records that the timer of the next round was cancelled, so that `schedule` sets a new one."""
         self._is_scheduled = False
 
     def run_round(self, now_us: int, _argument: int) -> None:
--- a/cressrail/membership/join.py
+++ b/cressrail/membership/join.py
@@ -7,8 +7,9 @@
 from cressrail.membership.shared_state import SharedState
 from cressrail.membership.timers import TimerKind
 
-SEED_PERIODS = 40  # ping periods between two requests to seeds that are not known to be live
-MAX_BACKOFF_DOUBLINGS = 4  # of the interval between requests while no other instance is live
+# Mean number of ping periods between two requests to seeds that are not live, while other instances are live.
+SEED_PERIODS = 40
+MAX_BACKOFF_DOUBLINGS = 4  # limit on doublings of the request interval while no other instance is live
 
 
 class Join:
--- a/cressrail/membership/live_count.py
+++ b/cressrail/membership/live_count.py
@@ -18,8 +18,9 @@
 MAX_DEVIATION_FACTOR = 4.0
 # The following times are multiples of the tolerated pause.
 STARTUP_PAUSES = 4  # time after the start of this instance in which the estimate does not decrease
-DECREASE_HALF_LIFE_PAUSES = 2  # half-life of the difference from a lower number of observed instances
-FALLBACK_HALF_LIFE_PAUSES = 20  # half-life of the difference from the configured count without a majority
+DECREASE_HALF_LIFE_PAUSES = 2  # half-life of the excess of the estimate over the observed live instances
+# Half-life of the difference between the estimate and the configured count while there is no majority.
+FALLBACK_HALF_LIFE_PAUSES = 20
 
 
 class ObservedInstances(NamedTuple):
@@ -42,7 +43,9 @@
 
 
 class LiveInstanceCount:
-    """Maintains the estimate; times are in microseconds.
+    """Estimates the number of live instances in the fleet and in this instance's zone.
+
+    All times are in microseconds.
 
     Attributes:
         estimate: Estimated number of live instances in the fleet.
@@ -56,7 +59,7 @@
         self.estimate, self.zone_estimate = self._configured_count, 0.0
 
     def update(self, now_us: int, observed: ObservedInstances) -> InstanceCount:
-        """Advances the estimate to `now_us` and returns it."""
+        """Updates both estimates for the time since the last update and returns them."""
         span_us, self._updated_us = max(0, now_us - self._updated_us), max(now_us, self._updated_us)
         has_majority = observed.has_quorum_view and observed.alive > observed.silent
         self._update_estimate(now_us, span_us, observed, has_majority)
--- a/cressrail/membership/load_reports.py
+++ b/cressrail/membership/load_reports.py
@@ -24,7 +24,9 @@
 MAX_PER_DATAGRAM = 6  # reports sent in one datagram
 MAX_PER_INSTANCE = 128  # stored reports of one instance
 MAX_STORED = 16_384  # stored reports of all instances
-MIN_REPORTERS = 3  # reports (or those of all peers, if fewer) needed to assume their mean for other peers
+# Reports of one kind on one subject that are needed to assume their mean for all peers. If there are fewer
+# peers, reports of all of them suffice.
+MIN_REPORTERS = 3
 # Peers' reports eject an endpoint only if at least two instances report it as failing, and these are at
 # least 1/3 of the instances in the zone that send any reports.
 MIN_FAILING_REPORTERS = 2
@@ -59,7 +61,7 @@
     Attributes:
         value: As in `LoadReport`.
         sequence: As in `LoadReport`.
-        made_us: Time at which the report was made.
+        made_us: Time at which the report was made, in microseconds.
     """
 
     value: int
@@ -74,7 +76,7 @@
         precedence: Incarnation, process id, sequence number and the negated `made_us`; of two reports the
             one with the greater precedence is kept.
         value: As in `LoadReport`.
-        made_us: Time at which the report was made, on this instance's clock.
+        made_us: Time at which the report was made, in microseconds on this instance's clock.
     """
 
     precedence: ReportPrecedence
@@ -142,7 +144,7 @@
         A previous report that is not among the new ones is sent with the value 0 until it would expire.
 
         Args:
-            now_us: The current time.
+            now_us: Current time in microseconds.
             reports: Kind, subject and value of each report.
         """
         values = {(kind, subject): value for kind, subject, value in reports}
@@ -212,7 +214,7 @@
         """Returns a summary of the reports that have not expired.
 
         Args:
-            now_us: The current time.
+            now_us: Current time in microseconds.
             instances: Number of live instances, this one included.
             zone_ids: Ids of the instances in this instance's zone; only their reports of failing endpoints
                 count, because they reach endpoints from the same zone as this instance.
--- a/cressrail/membership/member_table.py
+++ b/cressrail/membership/member_table.py
@@ -46,8 +46,9 @@
         last_datagram_us: Time of the last datagram from the instance itself, `NEVER_HEARD_US` if there was
             none.
         last_alive_us: Time of the last evidence that the instance is alive.
-        highest_numbers: Highest sequence number among the instance's datagrams.
-        replay_windows: Bitmap of the sequence numbers below the highest that were already used.
+        highest_numbers: Highest number among the datagrams received from the instance's current process.
+        replay_windows: Bit mask of the datagram numbers that were already used; bit `n` stands for the
+            highest number minus `n`.
         refused: 1 if the instance's machine reported that no process listens at its address, else 0.
         names: Instance names.
     """
@@ -121,7 +122,8 @@
     def set_status(self, row: int, incarnation: int, process_id: int, state: int, now_us: int) -> None:
         """Replaces the status.
 
-        A new process id resets the replay window, as each process numbers its datagrams from the start.
+        A new incarnation or process id clears `refused`. A new process id also resets the replay window,
+        because each process numbers its datagrams from the start.
         """
         if (incarnation, process_id) != (self.incarnations[row], self.process_ids[row]):
             self.refused[row] = 0
@@ -138,7 +140,7 @@
         self._set_location(row, record)
 
     def set_replay_window(self, row: int, highest_number: int, window: int) -> None:
-        """Replaces the highest sequence number and the replay window."""
+        """Replaces the highest datagram number and the replay window."""
         self.highest_numbers[row], self.replay_windows[row] = highest_number, window
 
     def note_datagram(self, row: int, now_us: int) -> None:
@@ -157,7 +159,7 @@
     def _set_location(self, row: int, record: InstanceRecord) -> None:
         if record.zone not in self._zone_names:
             if len(self._zone_names) >= MAX_ZONES:
-                return  # no real fleet has this many zones, so a sender is inventing them
+                return  # no real fleet has this many zones, so the location of a faulty or hostile sender is ignored
             self._zone_names.append(record.zone)
         self._zones[row] = self._zone_names.index(record.zone)
         self._ports[row] = record.address[1]
--- a/cressrail/membership/member_updates.py
+++ b/cressrail/membership/member_updates.py
@@ -26,7 +26,7 @@
 
 
 class MemberUpdates:
-    """Applies statuses in order of precedence.
+    """Applies received statuses and own findings; the status with the greater precedence is kept.
 
     Attributes:
         needs_recount: Whether an instance has joined or returned since the live instances were last counted.
--- a/cressrail/membership/peer_reports.py
+++ b/cressrail/membership/peer_reports.py
@@ -18,7 +18,8 @@
 from cressrail.policy.load_balancer import LoadBalancer
 from cressrail.proxy.endpoint_registry import EndpointRegistry
 
-MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32  # endpoints reported of each kind
+# Limits on the number of reported endpoints that warm up and that fail.
+MAX_WARMING_REPORTED, MAX_FAILING_REPORTED = 64, 32
 RATE_WINDOW_US = 2_000_000  # time over which the load on an endpoint is averaged
 # The cache of endpoint numbers is emptied when it holds more than twice as many entries as there are
 # endpoints, plus this number.
--- a/cressrail/membership/push_pull.py
+++ b/cressrail/membership/push_pull.py
@@ -104,7 +104,8 @@
     def on_request(self, datagram: Datagram, sender: InstanceRecord, max_bytes: int) -> None:
         """Answers with the records that take precedence over the sender's digest.
 
-        If the digest contains unknown instances, their range is requested from the sender in turn.
+        If the digest contains instances that are unknown here, the same range is requested from the sender,
+        unless its request already was such an answer.
         """
         wanted = datagram.id_ranges[0]
         digest = {status.id: status for status in datagram.digest}
--- a/cressrail/membership/scenarios.py
+++ b/cressrail/membership/scenarios.py
@@ -11,6 +11,7 @@
 from cressrail.membership.simulation import MembershipSimulation
 from cressrail.simulation.virtual_clock import SECOND_US
 
+# Time limits and durations of the phases of the scenario, in seconds.
 JOIN_LIMIT_S, SETTLING_S, STEADY_STATE_S, ONE_DEATH_LIMIT_S, MANY_DEATHS_LIMIT_S = 120, 10, 30, 30, 40
 MANY_DEATHS_STEP_US = SECOND_US // 10
 SURVIVORS_PER_TEN = 3
--- a/cressrail/membership/self_record.py
+++ b/cressrail/membership/self_record.py
@@ -8,7 +8,8 @@
 MAX_SAME_NAME_PROCESSES = 8  # other processes of the same name whose incarnations are remembered
 RENAMED_PREFIX_BYTES = 48  # part of the configured name that a renamed instance keeps
 WRONGLY_SUSPECTED_PERIODS = 20  # ping periods for which a refuted suspicion is remembered
-_UNKNOWN_INCARNATION = 1 << 63  # above every valid one, so that a first sighting is no raise
+# Greater than any valid incarnation, so that the first status of a process does not count as a raise.
+_UNKNOWN_INCARNATION = 1 << 63
 
 
 class SelfRecord:
@@ -19,8 +20,8 @@
         id: Id that is derived from the name.
         process_id: Random number that distinguishes this process from an earlier or a second one of the same
             name.
-        incarnation: Current incarnation. Its initial value may be lower than the one that others know: they
-            report theirs, and this instance continues above it.
+        incarnation: Current incarnation. Its initial value may be lower than the one that other instances
+            know for the name; once they report theirs, this instance raises its own above it.
         incarnation_raised_us: Time at which the incarnation was last raised, in microseconds.
         suspected_until_us: Time until which this instance keeps proving that it is alive, because others
             suspected it or declared it dead.
@@ -61,8 +62,9 @@
     def must_yield_name(self, process_id: int, incarnation: int) -> bool:
         """Whether this process must leave its name to another running process of the same name.
 
-        Only a running process raises its incarnation. Of two running processes, the one with the lower
-        process id takes another name.
+        Only a running process raises its incarnation, so the other process is running if its incarnation is
+        higher than when it was last seen. Of two running processes, the one with the lower process id takes
+        another name.
         """
         is_running = incarnation > self._same_name_incarnations.get(process_id, _UNKNOWN_INCARNATION)
         if (
--- a/cressrail/membership/shared_state.py
+++ b/cressrail/membership/shared_state.py
@@ -24,7 +24,20 @@
 
 
 class SharedState:
-    """State that each component receives when it is created and changes through the methods of its fields."""
+    """State that all components of one instance share and change through the methods of its fields.
+
+    Attributes:
+        settings: Membership settings of this instance.
+        random: Generator of all random values.
+        table: Table of all other known instances.
+        timers: Timers that are set.
+        local_health: Local health score of this instance.
+        broadcasts: Broadcasts that are still to be sent.
+        reachability: Reachability reports of this instance and of others.
+        load_reports: Load reports of this instance and of others.
+        exchanges_load_reports: Whether the policy uses load reports, so that they are exchanged.
+        commands: Commands that the caller of the state machine is to execute.
+    """
 
     __slots__ = (
         "broadcasts",
--- a/cressrail/membership/simulation.py
+++ b/cressrail/membership/simulation.py
@@ -25,7 +25,7 @@
 
 SECOND = SECOND_US
 SOCKET_QUEUE_DATAGRAMS = 250  # datagrams that a socket buffers for a process that does not read them
-NEVER_US = 1 << 62
+NEVER_US = 1 << 62  # timer of a process for which no timer event is scheduled
 PORT = 7946
 ZONE_NAMES = "abcdefgh"
 
@@ -164,7 +164,7 @@
         return number
 
     def pause(self, names: list[str], for_us: int) -> None:
-        """Pauses processes for a time; datagrams to them wait in their sockets."""
+        """Pauses processes for `for_us` microseconds; datagrams to them wait in their sockets."""
         for name in names:
             self.names[name].is_stalled = True
         self.clock.schedule(self.clock.now_us + for_us, lambda: self.resume(names))
--- a/cressrail/membership/suspicion.py
+++ b/cressrail/membership/suspicion.py
@@ -19,7 +19,7 @@
     Attributes:
         since_us: Time at which the time-out started, in microseconds.
         min_us: Shortest time-out in microseconds.
-        max_us: Longest time-out in microseconds.
+        max_us: Longest time-out in microseconds; equal to `min_us` if the time-out does not shrink.
         suspected_by: Ids of the instances whose own pings to the suspected one failed.
         is_locally_observed: Whether a ping of this instance to the suspected one failed too.
         is_refused: Whether the suspected instance's machine reported that no process listens at its address.
@@ -29,6 +29,7 @@
 
     def __init__(self, now_us: int, min_us: int, max_us: int, shrinks: bool) -> None:
         self.since_us = now_us
+        # A fixed time-out is one and a half times the shortest one.
         self.min_us, self.max_us = (min_us, max_us) if shrinks else (min_us * 3 // 2,) * 2
         self.suspected_by: set[int] = set()
         self.is_locally_observed = False
--- a/cressrail/simulation/lossy_network.py
+++ b/cressrail/simulation/lossy_network.py
@@ -19,13 +19,18 @@
     """Carries datagrams between named nodes.
 
     Attributes:
+        clock: Clock on which deliveries are scheduled.
+        random: Generator of losses and delays.
+        loss: Probability from 0 to 1 with which a datagram is lost.
+        min_delay_us: Lower bound of a random delay in microseconds.
+        max_delay_us: Upper bound of a random delay in microseconds, exclusive.
         is_cut: Function that returns whether all datagrams from the first node to the second are dropped;
             tests and scenarios replace it.
-        delay_us: Function that returns the delay of a datagram from the first node to the second, or `None`
-            if the datagram is lost; random unless a test or scenario replaces it.
+        delay_us: Function that returns the delay in microseconds of a datagram from the first node to the
+            second, or `None` if the datagram is lost; random unless a test or scenario replaces it.
         sent_datagrams: Number of datagrams sent, lost ones included.
         sent_bytes: Total size of these datagrams, IP and UDP headers included.
-        largest_datagram_bytes: Size of the largest datagram, without headers.
+        largest_datagram_bytes: Size of the largest datagram in bytes, without headers.
     """
 
     def __init__(
--- a/cressrail/simulation/virtual_clock.py
+++ b/cressrail/simulation/virtual_clock.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 
 SECOND_US = 1_000_000
-POLL_US = 50_000  # interval at which `run_until_met` evaluates its condition
+POLL_US = 50_000  # default interval at which `run_until_met` evaluates its condition
 
 
 class VirtualClock:
@@ -34,8 +34,8 @@
 
         Args:
             is_met: The condition, evaluated before the first step and after each step.
-            limit_us: Longest time to advance the clock by.
-            step_us: Size of a step.
+            limit_us: Time in microseconds after which no further step begins.
+            step_us: Size of a step in microseconds.
 
         Returns:
             Whether the condition was met within the limit.
