--- a/cressrail/failover/decision_store.py
+++ b/cressrail/failover/decision_store.py
@@ -9,7 +9,7 @@
 from cressrail.failover.outbox import DECISION_TOPIC, Outbox
 from cressrail.failover.settings import FailoverSettings
 
-DISTANT_PAST_US = -(1 << 62)
+DISTANT_PAST_US = -(1 << 62)  # confirmation time before the first decision
 
 
 class DecisionStore:
--- a/cressrail/failover/evidence.py
+++ b/cressrail/failover/evidence.py
@@ -15,7 +15,8 @@
 FAILURE_RATIO = 0.5  # share of failed attempts at which a zone counts as failing or unreachable
 MIN_ATTEMPTS = 5  # attempts from all instances of a zone in the window that are required for an assessment
 MIN_INSTANCES = 2  # instances with attempts required for an assessment, or all if the zone has fewer
-MAX_WEIGHT_OVER_MEDIAN = 1.5  # bounds each value by the median, so that one of four instances decides nothing
+# Each value is limited to this multiple of the median, so that one instance of four can't determine a result.
+MAX_WEIGHT_OVER_MEDIAN = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,8 +29,8 @@
         attempts: Number of attempts to each zone in the window.
         successes: Number of successful attempts to each zone in the window.
         unreachable_from: For each caller's zone, whether each target zone is unreachable from it.
-        is_failing: Whether each zone fails for a majority of the caller's zones that reach it.
-        is_unreachable: Whether each zone is unreachable from all caller's zones with enough attempts to it.
+        is_failing: Whether each zone fails for a majority of the callers' zones that reach it.
+        is_unreachable: Whether each zone is unreachable from all callers' zones with enough attempts to it.
         overload_ratio: Share of slow and failed attempts to each zone among the attempts that reached it.
         is_silent: Whether each zone has live instances of which none has reported.
     """
@@ -160,7 +161,7 @@
 
 
 def _assess_zone(sources: Sequence[_ZoneSource], zone: int) -> _ZoneAssessment:
-    """Assesses one target zone from the evidence of the caller's zones, each of which counts equally."""
+    """Assesses one target zone from the evidence of the callers' zones, each of which counts equally."""
     attempting = [source for source in sources if source.has_enough_attempts[zone]]
     reaching = [source for source in attempting if not source.is_unreachable[zone]]
     failing = sum(1 for source in reaching if source.failure_ratio[zone] >= FAILURE_RATIO)
--- a/cressrail/failover/local_view.py
+++ b/cressrail/failover/local_view.py
@@ -15,7 +15,7 @@
     Attributes:
         live_instances: Zone index of each live instance other than this one, by instance id.
         known_size: Size of the last known fleet, including silent instances.
-        has_quorum_view: Whether membership has received the full table and hears other instances.
+        has_quorum_view: Whether membership has received the full table and this instance is not isolated.
     """
 
     live_instances: Mapping[int, int]
--- a/cressrail/failover/simulation/figures.py
+++ b/cressrail/failover/simulation/figures.py
@@ -11,7 +11,7 @@
 from cressrail.simulation.virtual_clock import SECOND_US
 
 RECOVERED_RATIO = 0.9  # fraction of the servable rate at which traffic counts as recovered
-RECOVERED_TICKS = 10  # consecutive ticks at that fraction that are required for a recovery
+RECOVERED_TICKS = 10  # consecutive ticks at or above `RECOVERED_RATIO` that are required for a recovery
 BASELINE_START_DIVISOR = 10  # the baseline begins after 1 / 10 of the scenario and ends at the first fault
 NEGLIGIBLE_RATE = 1e-9
 
--- a/cressrail/failover/simulation/instance.py
+++ b/cressrail/failover/simulation/instance.py
@@ -12,7 +12,7 @@
 
 
 class ZoneTraffic(NamedTuple):
-    """Rates of attempts per second from one instance to one zone: all of them and the unsuccessful ones."""
+    """Attempts per second from one instance to one zone, in total and by kind of unsuccessful outcome."""
 
     sent: float
     connect_failures: float
--- a/cressrail/failover/simulation/scenario.py
+++ b/cressrail/failover/simulation/scenario.py
@@ -43,6 +43,7 @@
     DEMAND_SURGE = "surge"  # the demand of `zone` is multiplied by `value`
 
 
+# Values of the key `who` that select instances other than by their id.
 LEADER = "decides"
 EVERY_SECOND_INSTANCE = "half"
 
--- a/cressrail/failover/simulation/zones.py
+++ b/cressrail/failover/simulation/zones.py
@@ -8,7 +8,7 @@
 from cressrail.failover.topology import ZoneTopology
 from cressrail.simulation.virtual_clock import SECOND_US, VirtualClock
 
-ALWAYS_WARM_US = -(1 << 50)
+ALWAYS_WARM_US = -(1 << 50)  # start of a warm-up that ended before the simulation began
 SLOW_FROM_UTILIZATION = 0.85  # utilization above which some attempts are slow
 SLOW_AT_CAPACITY = 0.1  # share of slow attempts at a utilization of 1
 COLLAPSE_UTILIZATION = 1.3  # utilization above which the on-time share is multiplied by COLLAPSE_FACTOR
--- a/cressrail/failover/traffic_distribution.py
+++ b/cressrail/failover/traffic_distribution.py
@@ -17,7 +17,7 @@
 SPARE_UTILIZATION = 0.9  # utilization of a zone up to which other zones may send it traffic
 MAX_INBOUND_GROWTH_PER_SECOND = 0.3  # growth of traffic from other zones, as a fraction of the capacity
 PROBING_SHARE = 0.01  # share of all traffic sent to a zone that is away, to detect its recovery
-MIN_PROBES_PER_SECOND = 2.0  # lower bound of that rate, over all instances
+MIN_PROBES_PER_SECOND = 2.0  # lower bound of the rate of probes to a zone that is away, over all instances
 SPILLOVER_ROUNDS = 4  # rounds of offering excess traffic to the zones of one proximity
 CHANGE_TOLERANCE = 0.05  # smaller differences between shares are ignored
 NEGLIGIBLE_RATE = 1e-9  # attempts per second that are treated as 0
--- a/cressrail/failover/zone_condition.py
+++ b/cressrail/failover/zone_condition.py
@@ -11,12 +11,14 @@
 OVERLOAD_RATIO = 0.06  # share of slow and failed attempts above which a zone is overloaded
 OVERLOAD_REDUCTION = 0.97  # fraction of its successful rate taken as the capacity of an overloaded zone
 GROWTH_UTILIZATION = 0.8  # utilization from which the capacity may exceed the estimate, which then grows
-GROWTH_PER_SECOND = 0.12  # relative growth of the estimate from that utilization on
+GROWTH_PER_SECOND = 0.12  # relative growth of the estimate per second at or above `GROWTH_UTILIZATION`
 MEMORY_HALF_LIFE_US = 120 * SECOND_US  # half-life of recorded failures and of an unused capacity estimate
 RECOVERY_SUCCESS_RATIO = 0.9  # share of recent attempts to a zone that must succeed for it to recover
-RECOVERY_ATTEMPTS = 5  # attempts at that success ratio before a zone that is away may return
+RECOVERY_ATTEMPTS = 5  # attempts at a sufficient success ratio before a zone that is away may return
 RELAPSE_FAILURES = 0.5  # added to the recent failures if a zone fails again during its recovery
-MAX_RECENT_FAILURES = 5.0  # each failure after the first doubles the recovery attempts and the return time
+# Upper bound of the recent failures, each of which after the first doubles the recovery attempts and the
+# return time.
+MAX_RECENT_FAILURES = 5.0
 
 
 @dataclass(slots=True)
