--- a/tests/failover/support.py
+++ b/tests/failover/support.py
@@ -111,6 +111,7 @@
                 ]
 
     def are_connected(self, instance: int, other: int) -> bool:
+        """Returns whether two instances are in the same part of the network."""
         return self.partition.get(instance) == self.partition.get(other)
 
     def step(self, loss: float) -> None:
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -75,7 +75,11 @@
 
 
 def check_weights(planner: Planner, plan: Plan, unreachable_from: tuple[tuple[bool, ...], ...]) -> None:
-    """Asserts that weights add up to at most 1, and that zones away or unreachable receive only probes."""
+    """Asserts that the weights of a caller's zone add up to at most 1.
+
+    Also asserts that zones that are away or unreachable receive only probes from other zones, and that
+    drained zones receive nothing from them.
+    """
     for source, row in enumerate(plan.weights):
         demand = planner.demand[source]
         assert all(0 <= weight <= 1 for weight in row)
--- a/tests/failover/test_processes.py
+++ b/tests/failover/test_processes.py
@@ -21,6 +21,7 @@
 
 
 def scenario(**more: Any) -> FleetScenario:
+    """Returns a scenario of six sidecars in three zones; `more` holds further keys of a scenario file."""
     return FleetScenario.model_validate(
         {
             "fleet": {
--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -103,7 +103,7 @@
 
 
 def signed_ping(number: int, name: str = "two", key: bytes = KEY, **record_changes: Any) -> bytes:
-    """Returns a signed ping from another instance with the given sequence number."""
+    """Returns a signed ping from another instance; `number` is its datagram and its sequence number."""
     sender = InstanceRecord(name, "b", ("127.0.0.2", 2), 5, 9, ALIVE)._replace(**record_changes)
     return sign_datagram(
         key,
@@ -166,6 +166,7 @@
 
 
 def registry_of(names: str) -> EndpointRegistry:
+    """Returns a registry with one endpoint for each character of `names`, in this order."""
     registry = EndpointRegistry(["a", "b"])
     registry.apply(
         EndpointListUpdate(
--- a/tests/membership/test_policy_use.py
+++ b/tests/membership/test_policy_use.py
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     ("peer_rate", "warm_rate", "low", "high"),
     [
-        (-1.0, 0.0, 17, 21),  # unknown: the even share of the settings applies
+        (-1.0, 0.0, 17, 21),  # no peer reports a load, so the even share from the settings applies
         (0.0, 1.0, 9, 10),
         (0.1, 1.0, 6, 7),  # peers already send a part of the allowed load
         (50.0, 1.0, 0, 1),
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -96,10 +96,12 @@
 
 
 def between_odd_and_even(a: str, b: str) -> bool:
+    """Cuts the instances with odd numbers off from those with even numbers."""
     return number_of(a) % 2 != number_of(b) % 2
 
 
 def between_all_but_neighbours(a: str, b: str) -> bool:
+    """Cuts all pairs of instances whose numbers differ by more than one."""
     return abs(number_of(a) - number_of(b)) > 1
 
 
