--- a/cressrail/membership/member_table.py
+++ b/cressrail/membership/member_table.py
@@ -159,7 +159,8 @@
     def _set_location(self, row: int, record: InstanceRecord) -> None:
         if record.zone not in self._zone_names:
             if len(self._zone_names) >= MAX_ZONES:
-                return  # no real fleet has this many zones, so the location of a faulty or hostile sender is ignored
+                # No real fleet has this many zones: the sender is faulty or hostile. Ignore its location.
+                return
             self._zone_names.append(record.zone)
         self._zones[row] = self._zone_names.index(record.zone)
         self._ports[row] = record.address[1]
