--- a/tests/network/test_close_crossings.py
+++ b/tests/network/test_close_crossings.py
@@ -13,7 +13,7 @@
 
 from cressrail.event_loop.scheduler import READABLE
 from cressrail.network.socket_stream import SocketStream
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from cressrail.proxy.state_machine import StateMachine
 from tests.network.support import BODY_64_KIB, FailingListener, RecordingEndpoint, read_status
 from tests.support.http_messages import OK_STATUS_LINE, request_bytes, response_bytes
@@ -88,7 +88,7 @@
         harness.state_machine.limits.clients = 2
     on_response_written = StateMachine.on_response_written
 
-    def send_then_report(machine: StateMachine, now: int, client: int) -> list[do.Command]:
+    def send_then_report(machine: StateMachine, now: int, client: int) -> list[commands.Command]:
         sock.send(b"GET /more HTTP/1.1\r\n")  # unread when the response is written
         return on_response_written(machine, now, client)
 
@@ -141,7 +141,7 @@
             return wait(*arguments, **options)
 
         harness.scheduler.wait = count_and_wait  # type: ignore[method-assign]
-        harness.scheduler.post(harness.dispatcher.clients[1], do.CloseClient(1, True))
+        harness.scheduler.post(harness.dispatcher.clients[1], commands.CloseClient(1, True))
         bodies.append(start + peer.receive(len(body) - first_part))
 
     harness.add_client(client)
@@ -162,7 +162,8 @@
         for sock in waiting:
             sock.sendall(request_bytes())
         harness.scheduler.post(
-            harness.dispatcher.command_tasks[do.AcceptClients], do.AcceptClients(False, is_final=True)
+            harness.dispatcher.command_tasks[commands.AcceptClients],
+            commands.AcceptClients(False, is_final=True),
         )
         statuses.extend(read_status(ScriptedPeer(harness.scheduler, sock)) for sock in waiting)
         for sock in waiting:
--- a/tests/network/test_crossings.py
+++ b/tests/network/test_crossings.py
@@ -13,8 +13,7 @@
 
 import pytest
 
-from cressrail.proxy import commands as do
-from cressrail.proxy import endpoint_connections, forwarding
+from cressrail.proxy import commands, endpoint_connections, forwarding
 from tests.network.support import (
     BODY_64_KIB,
     FIRST_UPDATE_REVISION,
@@ -49,7 +48,7 @@
 def test_request_received_with_client_close_is_not_sent(
     has_idle_connection: bool, may_cancel: bool, requests: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With an age limit of 0, the sidecar checks before sending whether the client has disconnected."""
+    """With `CLIENT_CHECK_AGE_US` at 0, each send is preceded by a check whether the client is connected."""
     monkeypatch.setattr(forwarding, "CLIENT_CHECK_AGE_US", 0)
     endpoint = RecordingEndpoint()
     harness = SidecarHarness([endpoint], may_cancel=may_cancel)
@@ -108,10 +107,10 @@
         machine = harness.state_machine
         on_request, last_id = machine.on_request, machine.ids.last
 
-        def request_then_disconnect(now: int, client: int, *details: Any) -> list[do.Command]:
-            commands = on_request(now, client, *details)
+        def request_then_disconnect(now: int, client: int, *details: Any) -> list[commands.Command]:
+            issued = on_request(now, client, *details)
             # The attempt is sent and cancelled in one step.
-            return [*commands, *machine.on_client_disconnected(now, client)]
+            return [*issued, *machine.on_client_disconnected(now, client)]
 
         machine.on_request = request_then_disconnect  # type: ignore[method-assign, assignment]
         peer.send(request_bytes())
@@ -169,14 +168,14 @@
 ) -> None:
     def resetting_endpoint(peer: ScriptedPeer) -> None:
         peer.receive_until()
-        # Until then there is no other endpoint for the retry.
+        # This update makes the other endpoint available for the retry.
         peer.wait_until(lambda: harness.state_machine.endpoint_watch.revision == FIRST_UPDATE_REVISION)
         peer.reset()
 
     endpoint, discovery = RecordingEndpoint(), ScriptedDiscovery()
     harness = SidecarHarness([resetting_endpoint, endpoint], discovery)
     discovery.endpoint_list = json.loads(harness.endpoint_list_json)
-    # So that the first attempt goes to the other endpoint.
+    # The first attempt must go to `resetting_endpoint`.
     discovery.endpoint_list["members"][1]["phase"] = "draining"
     gate = ConnectGate(monkeypatch, lambda: harness.ports[1])
     statuses: list[bytes] = []
@@ -234,7 +233,7 @@
 def test_late_second_response_is_not_sent_to_next_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Longer than the usual few milliseconds, because the machine may be slow.
+    # Raised from a few milliseconds, which a slow machine could exceed.
     monkeypatch.setattr(endpoint_connections, "CONNECTION_SETTLE_US", SECOND)
 
     def answer_twice(peer: ScriptedPeer) -> None:
@@ -242,7 +241,7 @@
         while peer.receive_until():
             peer.send(response_bytes(b"answer %d" % number))
             if not number:
-                # The next attempt has started.
+                # Waits until the next attempt has started.
                 peer.wait_until(lambda: len(bodies) == 1 and harness.state_machine.attempts.in_flight)
             peer.send(response_bytes(b"answer %d" % number))
             number += 1
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cressrail.proxy import commands as do
+from cressrail.proxy import commands
 from cressrail.proxy.state_machine import StateMachine
 from tests.network.support import RecordingEndpoint, read_status
 from tests.support.http_messages import (
@@ -22,14 +22,14 @@
 
 
 def test_each_task_receives_only_commands_that_it_handles() -> None:
-    """The watch, listener and timer tasks rely on it: they do not check the types of their messages."""
+    """The watch, listener and timer tasks do not check the types of the commands in their mailboxes."""
     harness = SidecarHarness([RecordingEndpoint()])
     types_by_task: dict[str, set[type]] = {}
     post = harness.scheduler.post
     task_names = {
-        id(harness.dispatcher.command_tasks[do.WatchEndpoints]): "watch",
-        id(harness.dispatcher.command_tasks[do.AcceptClients]): "listener",
-        id(harness.dispatcher.command_tasks[do.SetTimer]): "timer",
+        id(harness.dispatcher.command_tasks[commands.WatchEndpoints]): "watch",
+        id(harness.dispatcher.command_tasks[commands.AcceptClients]): "listener",
+        id(harness.dispatcher.command_tasks[commands.SetTimer]): "timer",
     }
 
     def record_and_post(task: Any, message: Any) -> None:
@@ -46,17 +46,15 @@
         # Bound but not listening: connections are refused, and no other process can listen on the port.
         with socket.socket() as closed:
             closed.bind((harness.host, 0))
-            commands = harness.state_machine.on_discovery_address(
-                harness.scheduler.now(), closed.getsockname()
-            )
-            harness.dispatcher.dispatch(commands)
+            issued = harness.state_machine.on_discovery_address(harness.scheduler.now(), closed.getsockname())
+            harness.dispatcher.dispatch(issued)
             peer.sleep(20_000)
 
     harness.add_client(client)
     harness.run()
-    assert types_by_task["watch"] == {do.WatchEndpoints}
-    assert types_by_task["timer"] == {do.SetTimer}
-    assert types_by_task.get("listener", {do.AcceptClients}) == {do.AcceptClients}
+    assert types_by_task["watch"] == {commands.WatchEndpoints}
+    assert types_by_task["timer"] == {commands.SetTimer}
+    assert types_by_task.get("listener", {commands.AcceptClients}) == {commands.AcceptClients}
 
 
 @pytest.mark.parametrize("event", ["on_timer", "on_endpoint_list", "on_client_connected", "on_watch_ended"])
