--- a/cressrail/buffers/pipe.py
+++ b/cressrail/buffers/pipe.py
@@ -44,7 +44,8 @@
     def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
         self.buffers: deque[bytearray] = deque()
-        self.start = self.end = 0  # first unread byte of the first buffer, end of the data in the last one
+        # Offsets of the first unconsumed byte in the first buffer and of the end of the data in the last one.
+        self.start = self.end = 0
         self.is_closed = self.has_failed = self.is_discarded = False
         self.has_been_consumed = False
         self.on_data: Callable[[], None] | None = None
--- a/cressrail/cli/load.py
+++ b/cressrail/cli/load.py
@@ -47,7 +47,7 @@
     shape: Annotated[str, typer.Option(help=f"Shape of the rate: {', '.join(RATE_SHAPES)}.")] = "steady",
     times: Annotated[
         float,
-        typer.Option(help="Height of the surge in the shapes surge, snowmelt and bursts, as a multiple."),
+        typer.Option(help="Peak rate of the shapes surge, snowmelt and bursts, as a multiple of --rate."),
     ] = DEFAULT_SURGE_MULTIPLE,
     size: Annotated[int, typer.Option(help="Mean size of a request body in bytes.")] = 0,
     limit_ms: Annotated[float, typer.Option(help="Deadline of a request in milliseconds.")] = 3000.0,
@@ -104,7 +104,7 @@
 def ceiling(
     least: float = 1000.0, step: Annotated[float, typer.Option(min=1.05)] = 1.5, seconds: float = 3.0
 ) -> None:
-    """Find the maximum rate: raise it towards an immediately answering server until the generator is late."""
+    """Find the maximum rate: raise it, with a server that answers at once, until the generator is late."""
     command = [sys.executable, "-m", "cressrail.experiment.sink", "1", os.devnull]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as server:
         try:
--- a/cressrail/cli/membership.py
+++ b/cressrail/cli/membership.py
@@ -72,7 +72,7 @@
     ] = None,
     json: Annotated[Path | None, typer.Option(help="File for the figures, as JSON.")] = None,
 ) -> None:
-    """Simulate a fleet on a virtual clock: start, quiet period, one failure, then failure of seven in ten."""
+    """Simulate a fleet on a virtual clock: start, quiet period, one failure, then failure of 70%."""
     from cressrail.membership.scenarios import ABLATIONS
     from cressrail.membership.scenarios import simulate as run_simulation
 
--- a/cressrail/cli/zones.py
+++ b/cressrail/cli/zones.py
@@ -35,6 +35,7 @@
     from rich.table import Table
 
     near = view["near"]
+    # "Stood by" means that a leader has recently confirmed the decision.
     freshness = "stood by" if view["fresh"] else "not stood by any more"
     served = f"served near: zone {near['zone']:.0%}, region {near['region']:.0%}, beyond {near['beyond']:.0%}"
     names = [row["zone"] for row in view["zones"]]
--- a/cressrail/configuration/policy_factory.py
+++ b/cressrail/configuration/policy_factory.py
@@ -25,7 +25,9 @@
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 KEY_SCOPE_BY_SETTING = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
+# Whether the priority of a class is given per unit of work rather than per request.
 IS_PRIORITY_BY_WORK = {"work": True, "request": False}
+# Whether this instance requests the endpoint list periodically, because the list is not pushed to it.
 IS_LIST_POLLED = {"automatic": False, "subscribe": True}
 
 
@@ -193,7 +195,9 @@
     tier_count = len(settings.names(names.TIERS))
     tier_index = settings.whole_number(names.TIER_INDEX, 0)
     if tier_index >= tier_count:
-        raise ConfigurationError(names.TIER_INDEX, f"is not below the number of tiers: {tier_index}")
+        raise ConfigurationError(
+            names.TIER_INDEX, f"is not below the number of tiers, {tier_count}: {tier_index}"
+        )
     return tier_index, tier_count
 
 
--- a/cressrail/configuration/startup.py
+++ b/cressrail/configuration/startup.py
@@ -30,6 +30,7 @@
 
 MIN_MEMORY_MB, MAX_MEMORY_MB = 32, 1e9
 MIN_SOCKETS = 32
+# Settings whose changes `paths_needing_restart` does not report.
 RELOADABLE_PATHS = (names.RANDOM_SEED, names.DISCOVERY_ADDRESS)
 
 
@@ -166,7 +167,7 @@
 
 
 def paths_needing_restart(before: StartupConfiguration, after: StartupConfiguration) -> list[str]:
-    """Returns the paths of changed settings that take effect only after a restart of the process."""
+    """Returns the paths of changed settings, except `RELOADABLE_PATHS`; a restart puts them into effect."""
     changed = _changed_paths(before.process_settings, after.process_settings)
     changed += [f"{names.SETTINGS}.{path}" for path in _changed_paths(before.settings, after.settings)]
     return [path for path in changed if path not in RELOADABLE_PATHS]
--- a/cressrail/event_loop/scheduler.py
+++ b/cressrail/event_loop/scheduler.py
@@ -123,8 +123,8 @@
             work: The body of the task. An unhandled exception in it does not affect other tasks.
             has_priority: Whether the task runs before other ready tasks of a round.
             is_vital: Whether the process cannot do its work without the task. After an exception such a
-                task is restarted; if it fails too often, the loop ends, so that no process stays up
-                without serving.
+                task is restarted; if it fails too often, the loop ends, so that the
+                process does not keep running without serving.
         """
 
         def body(_: int) -> None:
@@ -177,7 +177,7 @@
         wakes_on_message: bool = True,
         is_idle: bool = False,
     ) -> int:
-        """Blocks the running task until a descriptor is ready, a message is posted or a time has come.
+        """Blocks the running task until a descriptor is ready, a message is posted or `until_us` is reached.
 
         Returns at once if `wakes_on_message` is true and the mailbox of the task is not empty.
 
--- a/cressrail/http1/body.py
+++ b/cressrail/http1/body.py
@@ -49,7 +49,7 @@
         """Parses received bytes.
 
         Returns:
-            The number of bytes consumed; the caller passes the others again with the next call.
+            The number of bytes consumed; the caller must pass the remaining ones again in the next call.
 
         Raises:
             MalformedMessageError: The framing of the body is malformed, or the body is too large.
@@ -60,7 +60,7 @@
         """Handles the end of the connection while the body is incomplete.
 
         Raises:
-            IncompleteMessageError: The framing of this body does not allow the connection's end to end it.
+            IncompleteMessageError: The framing of this body marks its end, which has not been received.
         """
         raise IncompleteMessageError("connection closed before the end of the body")
 
--- a/cressrail/http1/errors.py
+++ b/cressrail/http1/errors.py
@@ -4,13 +4,13 @@
 
 
 class MalformedMessageError(Exception):
-    """The received bytes are not a message that may be accepted."""
+    """The message is malformed; also the base class of all other reasons to refuse a message."""
 
     status = 400
 
 
 class AmbiguousMessageError(MalformedMessageError):
-    """Two recipients could interpret the message differently, for instance where it ends."""
+    """Two recipients could interpret the message differently, for instance disagree on where it ends."""
 
 
 class IncompleteMessageError(MalformedMessageError):
--- a/cressrail/http1/headers.py
+++ b/cressrail/http1/headers.py
@@ -19,7 +19,7 @@
 FIELD_LINE_PATTERN = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]++):[ \t]*+([^\x00-\x08\x0a-\x1f]*+)\Z")
 HEADER_SECTION_END = b"\r\n\r\n"
 # Fields that apply to a single connection (RFC 9110, section 7.6.1), and fields that this proxy sets itself
-# because it frames messages anew.
+# because it chooses the framing of the messages that it sends.
 HOP_BY_HOP_FIELDS = {
     b"connection",
     b"keep-alive",
--- a/cressrail/http1/request.py
+++ b/cressrail/http1/request.py
@@ -153,10 +153,10 @@
         """Parses received bytes.
 
         Returns:
-            The number of bytes consumed; the caller passes the others again with the next call.
+            The number of bytes consumed; the caller must pass the remaining ones again in the next call.
 
         Raises:
-            MalformedMessageError: The bytes are not a request that may be accepted.
+            MalformedMessageError: The request is malformed, ambiguous or too large.
         """
         used = 0
         if self.incomplete_request is None:
@@ -181,7 +181,7 @@
         content_length, codings = parse_content_length(headers), list_items(headers, b"transfer-encoding")
         if codings and (content_length is not None or codings != [b"chunked"]):
             raise AmbiguousMessageError(
-                "ambiguous request framing: transfer-encoding beside content-length, or other than chunked"
+                "ambiguous request framing: transfer-encoding is not just chunked, or content-length is set"
             )
         self.incomplete_request = Request(
             method, target, headers, self.chain, keep_alive, content_length, is_http11
--- a/cressrail/http1/response.py
+++ b/cressrail/http1/response.py
@@ -1,4 +1,4 @@
-"""HTTP responses: parsing of what an endpoint or discovery sends, and encoding for a client."""
+"""HTTP responses: a parser for those of endpoints and discovery, and an encoder for those to clients."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     Attributes:
         status: Three-digit status code.
         body: Body of the endpoint's response if the request succeeded, otherwise None.
-        content_type: Content type of the body; empty if the endpoint named none.
+        content_type: Value of the Content-Type field; empty if the endpoint did not send the field.
         retry_after_us: Time in microseconds after which the client may retry; zero omits the Retry-After
             field.
         content_length: Length in bytes of a body that is still being received; None if the endpoint did not
@@ -130,7 +130,7 @@
         """Parses received bytes.
 
         Returns:
-            The number of bytes consumed; the caller passes the others again with the next call.
+            The number of bytes consumed; the caller must pass the remaining ones again in the next call.
 
         Raises:
             MalformedMessageError: The bytes are not a valid response, or the body is too large.
@@ -147,7 +147,7 @@
         return used
 
     def on_connection_closed(self) -> None:
-        """Handles the end of the connection, which completes a body without any other framing.
+        """Handles the end of the connection, which completes a body that has no other mark of its end.
 
         Raises:
             IncompleteMessageError: The response is incomplete.
@@ -159,7 +159,11 @@
         self.keep_alive = False
 
     def _start_body(self, status_line: bytes, headers: Headers) -> None:
-        """Interprets a head; for a final response, selects the reader for the framing of the body."""
+        """Skips the head of an interim response; stores a final one and creates the reader for its body.
+
+        Raises:
+            MalformedMessageError: The status line or the framing of the body is invalid.
+        """
         version, status = _parse_status_line(status_line)
         if FIRST_INTERIM_STATUS <= status < FIRST_FINAL_STATUS and status != SWITCHING_PROTOCOLS:
             return
@@ -170,7 +174,7 @@
         content_length, codings = parse_content_length(headers), list_items(headers, b"transfer-encoding")
         if codings and (content_length is not None or codings != [b"chunked"]):
             raise AmbiguousMessageError(
-                "ambiguous response framing: transfer-encoding beside content-length, or other than chunked"
+                "ambiguous response framing: transfer-encoding is not just chunked, or content-length is set"
             )
         if self.answers_head or status in (NO_CONTENT, NOT_MODIFIED):
             self._body = ContentLengthReader(self.sink, self.max_body_bytes, 0)
@@ -193,6 +197,6 @@
     status = rest.partition(b" ")[0]
     if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(status) != STATUS_DIGITS or not status.isdigit():
         raise MalformedMessageError(
-            f"status line is not HTTP/1.1 or HTTP/1.0 and a status of {STATUS_DIGITS} digits"
+            f"status line needs HTTP/1.1 or HTTP/1.0 and a status code of {STATUS_DIGITS} digits"
         )
     return version, int(status)
--- a/cressrail/logs/log_writer.py
+++ b/cressrail/logs/log_writer.py
@@ -45,7 +45,7 @@
         self.poller.register(fd, select.POLLOUT)
 
     def write_event(self, event: str, fields: dict[str, Any]) -> None:
-        """Queues one line; an event that JSON can't represent or that is too long is written as cut text."""
+        """Queues one line; an event that JSON can't represent or that is too long becomes truncated text."""
         if len(self.waiting_lines) >= MAX_WAITING_LINES:
             self.dropped_lines += 1
             return
--- a/cressrail/network/admin_server.py
+++ b/cressrail/network/admin_server.py
@@ -26,7 +26,7 @@
 
 MAX_OPEN_CALLS = 8  # a further connection closes the oldest unfinished call
 DESCRIPTORS = MAX_OPEN_CALLS + 2  # plus the listening socket and a connection that is being accepted
-CALL_TIMEOUT_US = 2_000_000  # from accepting the connection to the end of the head; then for the response
+CALL_TIMEOUT_US = 2_000_000  # for receiving the head after the accept, and again for sending the response
 DRAIN_TIMEOUT_US = 500_000  # how long input after the response is read and discarded
 READ_BYTES = 4096
 CLOSE_CALL = "close call"  # message that closes a call to make room for another one
@@ -122,7 +122,7 @@
         return response
 
     def _receive(self, until_us: int) -> bytes:
-        """Returns received bytes; empty at the end of the connection, at a time-out or after `CLOSE_CALL`."""
+        """Returns received bytes; empty if the caller disconnects, after `until_us` or after `CLOSE_CALL`."""
         while True:
             try:
                 return self.sock.recv(READ_BYTES)
--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -180,7 +180,7 @@
 
         Raises:
             MalformedMessageError: The response is malformed, or the connection ended before its end.
-            BufferPoolExhaustedError: There is no buffer to receive into.
+            BufferPoolExhaustedError: The pool has no buffer to receive into.
             OSError: The connection was reset.
         """
         while not self.reader.is_complete:
@@ -218,7 +218,7 @@
         return self._end_of_response(is_reusable)
 
     def _receive_response(self, stream: SocketStream, until_us: int) -> bool:
-        """Receives once, or waits; returns False if the rest of the response is not needed."""
+        """Receives once, or waits until it can; returns False if the rest of the response is not needed."""
         pipe = self.body.pipe
         if pipe is not None and not pipe.has_room():
             self._wait_for_client(pipe)
@@ -252,7 +252,7 @@
         if self.body.pipe is None and (reader.content_length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != OK:
-            return False  # of a failed attempt only the status is used
+            return False  # a failed attempt is judged by its status alone
         self.body.start_streaming()
         content_type = reader.header(b"content-type")
         response = Response(OK, self.body, content_type, content_length=reader.content_length)
--- a/cressrail/network/client_connection.py
+++ b/cressrail/network/client_connection.py
@@ -18,8 +18,8 @@
 from cressrail.network.stale_messages import discard_stale_messages
 from cressrail.proxy.commands import CloseClient, ReadRequest, SendResponse
 
-LINGER_US = 500_000  # how long input is still read and discarded when a connection is closed
-UPLOAD_LINGER_US = 2_000_000  # the same while the rest of a request that was already answered may arrive
+LINGER_US = 500_000  # how long further input is read and discarded before a connection is closed
+UPLOAD_LINGER_US = 2_000_000  # the same if the rest of a request that was answered early may still arrive
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger for SO_LINGER: enabled, zero seconds
 
 
@@ -44,7 +44,7 @@
         self.upload: RequestUpload | None = None
         self._reception: RequestReception | None = None
         self._awaits_first_request = True
-        self._has_unread_input = False  # input of the client may remain unread at the close
+        self._has_unread_input = False  # whether input of the client may be unread at the close
 
     def run(self) -> None:
         """Executes commands of the state machine until the connection ends."""
--- a/cressrail/network/configuration_reload.py
+++ b/cressrail/network/configuration_reload.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from cressrail.network.membership_transport import MembershipTransport
 
-MAX_NAMED_PATHS = 8  # settings that need a restart, named in one log event
+MAX_NAMED_PATHS = 8  # maximum number of settings needing a restart that a log event names
 
 
 class ConfigurationReload:
--- a/cressrail/network/discovery_watch.py
+++ b/cressrail/network/discovery_watch.py
@@ -83,7 +83,7 @@
             return None
         except StreamTimeoutError:
             return "discovery timed out: no connection or no complete line before the time limit"
-        except BufferPoolExhaustedError:  # waiting for a buffer could leave a drain unnoticed
+        except BufferPoolExhaustedError:  # waiting for a buffer could delay the news of a draining endpoint
             return "buffer pool exhausted while reading from discovery"
         except (OSError, MalformedMessageError, MalformedEndpointListError) as error:
             return str(error) or "connection to discovery failed"
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -20,7 +20,7 @@
 
 
 class EndpointConnectionTask:
-    """Owns a connection to an endpoint, which the first attempt opens. No attempt is sent twice.
+    """Owns a connection to an endpoint, opened by the first attempt. No attempt is sent more than once.
 
     Attributes:
         number: The number by which the state machine identifies the connection.
@@ -111,7 +111,15 @@
         return exchange.run(stream, now_us) if end is None else end
 
     def _open(self, command: SendAttempt) -> SocketStream:
-        """Returns the existing connection, from `not_before_us` on, if it is usable, or else a new one."""
+        """Returns the existing connection if it is usable, or else opens a new one.
+
+        An existing connection is not used before `not_before_us`.
+
+        Raises:
+            StreamInterruptedError: The attempt has been cancelled.
+            StreamTimeoutError: The connection was not established before the time limit.
+            OSError: The connection failed, or the descriptors are exhausted.
+        """
         dispatcher = self.dispatcher
         if (
             self.stream is not None
--- a/cressrail/network/failover_driver.py
+++ b/cressrail/network/failover_driver.py
@@ -1,4 +1,4 @@
-"""Executes the commands of failover by way of membership, and answers operators' requests on zones."""
+"""Executes failover commands, using membership for messages, and answers admin requests on zones."""
 
 from __future__ import annotations
 
--- a/cressrail/network/listener.py
+++ b/cressrail/network/listener.py
@@ -117,7 +117,10 @@
         return True
 
     def _wait_for_descriptors(self) -> None:
-        """Has idle connections closed, then pauses, because a queued client would wake this task at once."""
+        """Reports the lack of descriptors, so that idle connections are closed, and pauses.
+
+        Without the pause, a queued client would wake this task again at once.
+        """
         dispatcher = self.dispatcher
         dispatcher.dispatch(dispatcher.state_machine.on_descriptors_exhausted(dispatcher.now()))
         dispatcher.scheduler.wait(until_us=dispatcher.now() + NO_DESCRIPTORS_PAUSE_US, wakes_on_message=False)
--- a/cressrail/network/request_reception.py
+++ b/cressrail/network/request_reception.py
@@ -14,7 +14,7 @@
 from cressrail.network.socket_stream import SocketStream, StreamInterruptedError, StreamTimeoutError
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-PROGRESS_STEP_BYTES = 16 << 10  # of a kept body; each step restarts the time limit for the request
+PROGRESS_STEP_BYTES = 16 << 10  # growth of a kept body that restarts the request's time limit
 REQUEST_TIMEOUT_STATUS, SERVICE_UNAVAILABLE_STATUS = 408, 503
 NO_BUFFER_REASON = "buffer pool exhausted while receiving a request"
 
@@ -57,7 +57,7 @@
         self._reader: RequestReader | None = None  # None before the first byte
         self._body: StreamingBody | None = None
         self._until_us = NEVER
-        self._progress_steps = 0  # of `PROGRESS_STEP_BYTES` in the body so far; 0 before the head is complete
+        self._progress_steps = 0  # number of steps that the body has begun; 0 before the head is complete
         self._last_progress_us = 0
 
     def run(self) -> ReceptionResult:
--- a/cressrail/network/request_upload.py
+++ b/cressrail/network/request_upload.py
@@ -51,7 +51,7 @@
         self.stream = stream
         self.reader = reader
         self.pipe = pipe
-        self._due_us = dispatcher.now() + MAX_UPLOAD_LAG_US  # by when more bytes must have arrived
+        self._due_us = dispatcher.now() + MAX_UPLOAD_LAG_US  # time by which more bytes must have arrived
 
     def is_complete(self) -> bool:
         """Returns whether the whole request has been received."""
--- a/cressrail/network/server.py
+++ b/cressrail/network/server.py
@@ -119,7 +119,7 @@
     dispatcher = server.dispatcher
     with handle_signals(dispatcher, configuration_reload, server.membership):
         gc.collect()
-        gc.freeze()  # objects that exist now live on; later collections examine only new ones
+        gc.freeze()  # excludes existing objects, which mostly live on, from later collections
         gc.set_threshold(GC_THRESHOLD, 10, 50)
         dispatcher.scheduler.run()
     for callback in dispatcher.at_end:
--- a/cressrail/network/socket_stream.py
+++ b/cressrail/network/socket_stream.py
@@ -48,6 +48,7 @@
         self.descriptor = sock.fileno()
         self.input_buffer = ReceiveBuffer(pool)
         self.arrived_us = scheduler.earliest_arrival_us
+        # Whether the next received bytes may have arrived before this object was created.
         self._may_precede_stream = True
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/cressrail/network/stale_messages.py
+++ b/cressrail/network/stale_messages.py
@@ -1,4 +1,4 @@
-"""Removes messages from a mailbox that no longer apply."""
+"""Removes messages that no longer apply from a mailbox."""
 
 from __future__ import annotations
 
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -85,7 +85,7 @@
 
 
 def test_watch_silence_budget_covers_all_stages() -> None:
-    """An update must be known within 6 s after a watch falls silent and 4 s after the address changes.
+    """An update must arrive within 6 s after a watch falls silent and 4 s after discovery's address changes.
 
     In both cases one more connection to discovery may be silent before the one that succeeds.
     """
--- a/tests/network/test_endpoint_connection.py
+++ b/tests/network/test_endpoint_connection.py
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("request_class", ["read", "write", "note"])
 def test_per_client_sidecar_rejects_request_if_all_connections_are_refused(request_class: str) -> None:
-    # As with an endpoint at its connection limit: a refused connection proves that the attempt never ran.
+    # As with endpoints at their connection limit, refused connections prove that no attempt ran.
     harness = SidecarHarness([answer_each_with(response_bytes())] * 3, configure=mesh_configuration)
     for sock in harness.listening_sockets[:3]:
         sock.close()
