--- a/tests/event_loop/test_scheduler.py
+++ b/tests/event_loop/test_scheduler.py
@@ -12,7 +12,7 @@
 
 
 class IdleTasks:
-    """A scheduler on a simulated clock, with tasks that wait for idle descriptors and one that works."""
+    """A scheduler on a simulated clock, with tasks that wait for idle descriptors."""
 
     def __init__(self, number: int, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(scheduler, "MAX_IDLE_IN_ONE_POLL", 4)
@@ -34,10 +34,15 @@
             assert mask & select.POLLIN
             self.received.append((n, self.loop.earliest_arrival_us))
 
-    def work(self, rounds: int, step_us: int) -> None:
-        """Runs a task that wakes at every step, so that the loop is never idle."""
+    def run_busy_rounds(self, rounds: int, step_us: int) -> None:
+        """Runs the loop with a task that wakes in each round, so that the loop is never idle.
 
-        def works() -> None:
+        Args:
+            rounds: The number of rounds.
+            step_us: Time between two rounds on the simulated clock, in microseconds.
+        """
+
+        def stay_busy() -> None:
             for _ in range(rounds):
                 self.now += step_us
                 self.loop.last_event_us = self.now
@@ -45,7 +50,7 @@
             self.loop.is_stopped = True
 
         self.loop.is_stopped = False
-        self.loop.spawn(works)
+        self.loop.spawn(stay_busy)
         self.loop.run()
 
     def close(self) -> None:
@@ -56,9 +61,9 @@
 
 def test_idle_descriptors_leave_busy_poll(monkeypatch: pytest.MonkeyPatch) -> None:
     tasks = IdleTasks(10, monkeypatch)
-    tasks.work(3, 1000)
+    tasks.run_busy_rounds(3, 1000)
     assert len(tasks.loop.busy_masks) == 10
-    tasks.work(80, 1000)
+    tasks.run_busy_rounds(80, 1000)
     assert (len(tasks.loop.busy_masks), len(tasks.loop.full_masks)) == (0, 10)
     tasks.pairs[0][1].send(b"x")
     assert tasks.loop.busy_poll.poll(0) == []
@@ -70,11 +75,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tasks = IdleTasks(10, monkeypatch)
-    tasks.work(80, 1000)
+    tasks.run_busy_rounds(80, 1000)
     previous_full_poll_us = tasks.loop.last_full_poll_us
     tasks.loop.next_full_poll_us = tasks.now + 3500  # several rounds pass before the next full poll
     tasks.pairs[3][1].send(b"x")
-    tasks.work(8, 1000)
+    tasks.run_busy_rounds(8, 1000)
     assert len(tasks.received) == 1
     assert tasks.received[0][0] == 3
     assert tasks.received[0][1] == previous_full_poll_us  # not later than the byte may have arrived
@@ -85,7 +90,7 @@
 
 def test_idle_scheduler_polls_all_descriptors_together(monkeypatch: pytest.MonkeyPatch) -> None:
     tasks = IdleTasks(10, monkeypatch)
-    tasks.work(80, 1000)
+    tasks.run_busy_rounds(80, 1000)
     tasks.pairs[7][1].send(b"x")
     tasks.now += scheduler.LOOP_IDLE_AFTER_US  # the loop is idle, and no full poll is due otherwise
     tasks.loop.next_full_poll_us = tasks.now + 50_000
@@ -101,22 +106,22 @@
     monkeypatch: pytest.MonkeyPatch, rounds: int
 ) -> None:
     tasks = IdleTasks(10, monkeypatch)
-    tasks.work(rounds, 1000)
+    tasks.run_busy_rounds(rounds, 1000)
     numbers = {local.fileno() for local, _ in tasks.pairs[:6]}
     for _, remote in tasks.pairs[:6]:
         remote.close()
-    tasks.work(10, 1000)  # their tasks read the end of the stream and close
-    tasks.work(10, 1000)
+    tasks.run_busy_rounds(10, 1000)  # the tasks of these descriptors read the end of the stream and close
+    tasks.run_busy_rounds(10, 1000)
     assert not numbers & set(tasks.loop.full_masks)
     assert len(tasks.loop.full_masks) == 4
     assert not tasks.faults
-    more = socket.socketpair()
-    tasks.pairs.append(more)
-    more[0].setblocking(False)
-    tasks.loop.spawn(lambda: tasks._wait_idle(99, more[0]))
-    tasks.work(3, 1000)
-    more[1].send(b"x")
-    tasks.work(6, 1000)
+    new_pair = socket.socketpair()
+    tasks.pairs.append(new_pair)
+    new_pair[0].setblocking(False)
+    tasks.loop.spawn(lambda: tasks._wait_idle(99, new_pair[0]))
+    tasks.run_busy_rounds(3, 1000)
+    new_pair[1].send(b"x")
+    tasks.run_busy_rounds(6, 1000)
     assert [n for n, _ in tasks.received] == [99]
     tasks.close()
 
