--- a/cressrail/network/attempt_exchange.py
+++ b/cressrail/network/attempt_exchange.py
@@ -252,7 +252,7 @@
         if self.body.pipe is None and (reader.content_length or 0) <= KEPT_BODY_BYTES:
             return True
         if reader.status != OK:
-            return False  # a failed attempt is judged by its status alone
+            return False  # the body of a failed attempt is not used
         self.body.start_streaming()
         content_type = reader.header(b"content-type")
         response = Response(OK, self.body, content_type, content_length=reader.content_length)
--- a/cressrail/network/endpoint_connection.py
+++ b/cressrail/network/endpoint_connection.py
@@ -116,7 +116,7 @@
         An existing connection is not used before `not_before_us`.
 
         Raises:
-            StreamInterruptedError: The attempt has been cancelled.
+            StreamInterruptedError: A message, such as the attempt's cancellation, was posted first.
             StreamTimeoutError: The connection was not established before the time limit.
             OSError: The connection failed, or the descriptors are exhausted.
         """
