--- a/cressrail/load/shapes.py
+++ b/cressrail/load/shapes.py
@@ -44,7 +44,7 @@
 
 
 def bursts(times: float = 3.0, trains: int = 4, part: float = 0.1, idle: float = 0.7) -> RateShape:
-    """Returns `trains` periods: each has rate `times` for the fraction `part`, then rate `idle`."""
+    """Returns `trains` equal periods, each with rate `times` for its first fraction `part`, then `idle`."""
     return RateShape(lambda elapsed: np.where((elapsed * trains) % 1.0 < part, times, idle), max(times, idle))
 
 
@@ -61,7 +61,7 @@
         times: The rate during the surge.
         start: When the rise begins, as a fraction of the run.
         rise: The duration of the rise, as a fraction of the run.
-        hold: The duration of the rate `times`, as a fraction of the run.
+        hold: The time for which the rate stays at `times`, as a fraction of the run.
         fall: The duration of the fall, as a fraction of the run.
     """
     points = [0.0, start, start + rise, start + rise + hold, start + rise + hold + fall, 1.0]
@@ -70,14 +70,14 @@
 
 def snowmelt(times: float = DEFAULT_SURGE_MULTIPLE) -> RateShape:
     """Returns a ramp up, a surge with waves and periodic bursts on it, and a ramp down at the end."""
-    morning, waves = surge(times, 0.35, 0.12, 0.28, 0.1), wave(0.12, 9.0)
-    reports = bursts(1.35, 8, 0.06, 1.0)
+    main_surge, waves = surge(times, 0.35, 0.12, 0.28, 0.1), wave(0.12, 9.0)
+    periodic_bursts = bursts(1.35, 8, 0.06, 1.0)
 
     def rate(elapsed: npt.NDArray[np.float64]) -> npt.NDArray[np.float64]:
         ramp_up: npt.NDArray[np.float64] = np.interp(elapsed, [0, 0.2, 0.85, 1], [0.5, 1.0, 1.0, 0.6])
-        return ramp_up * morning.rate(elapsed) * waves.rate(elapsed) * reports.rate(elapsed)
+        return ramp_up * main_surge.rate(elapsed) * waves.rate(elapsed) * periodic_bursts.rate(elapsed)
 
-    return RateShape(rate, times * waves.peak * reports.peak)
+    return RateShape(rate, times * waves.peak * periodic_bursts.peak)
 
 
 # Shapes by their name in plan files; the functions' parameters are the keys of a plan's `with`.
--- a/cressrail/testbed/fault.py
+++ b/cressrail/testbed/fault.py
@@ -120,8 +120,8 @@
 
     @model_validator(mode="before")
     @classmethod
-    def _drop_only_on_request(cls, keys: Any) -> Any:
-        """Sets `share` to 0 in a `wire` fault that names other effects and no share."""
+    def _default_share_of_network_fault(cls, keys: Any) -> Any:
+        """Sets `share` to 0, so that nothing is dropped, in a `wire` fault with other effects only."""
         is_network_fault = isinstance(keys, dict) and keys.get("kind") == FaultKind.NETWORK
         if is_network_fault and "share" not in keys and keys.keys() & NETWORK_EFFECTS:
             return {**keys, "share": 0.0}
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -109,7 +109,7 @@
 
     @property
     def has_failed(self) -> bool:
-        """Returns whether a rule was broken or an endpoint fell over."""
+        """Whether a rule was broken or an endpoint fell over."""
         return bool(self.broken_rules or self.endpoint_failures)
 
     def lines(self) -> Iterator[str]:
@@ -147,7 +147,7 @@
 
     @property
     def has_failed(self) -> bool:
-        """Returns whether a rule was broken or the gate was not passed."""
+        """Whether a rule was broken or the gate was not passed."""
         return bool(self.broken_rules or self.gate_problem)
 
     def lines(self) -> Iterator[str]:
@@ -300,21 +300,21 @@
         last = lines[-1] if lines else "no output"
         broken = [f"rules not reported as kept; exit status {exit_status}, last line: {last}"]
     scores = [score for line in lines if line.startswith(day) for score in WHOLE_DAY_SCORE.findall(line)]
-    fallen = [line for line in lines if "fell over" in line and not line.startswith("RULE BROKEN")]
-    return WholeDayResult(day, seed, scores[-1] if scores else "-", broken, fallen)
+    endpoint_failures = [line for line in lines if "fell over" in line and not line.startswith("RULE BROKEN")]
+    return WholeDayResult(day, seed, scores[-1] if scores else "-", broken, endpoint_failures)
 
 
 def run_whole_days(kit: Path, whole: Table, size: str) -> list[WholeDayResult]:
     """Runs whole days, several in parallel.
 
-    Each list of seeds is used in turn: the journal tells how many runs of that day there have been.
+    The seeds of a day are used in turn, starting after those of the earlier runs that the journal contains.
     """
     chosen: list[tuple[str, int]] = []
     for row in whole["days"]:
         command = f'"--rough","{row["day"]}","--seed"'
-        played = sum(command in head for head in journal_heads())
+        earlier_runs = sum(command in head for head in journal_heads())
         seeds = row["seeds"]
-        chosen += [(row["day"], seeds[(played + turn) % len(seeds)]) for turn in range(row[size])]
+        chosen += [(row["day"], seeds[(earlier_runs + turn) % len(seeds)]) for turn in range(row[size])]
 
     def run(day_and_seed: tuple[str, int]) -> WholeDayResult:
         day, seed = day_and_seed
@@ -331,16 +331,18 @@
 def next_panel_runs(kit: Path, panel: Table, size: str) -> list[tuple[Path, int | None]]:
     """Returns the sites and seeds that a panel uses next.
 
-    All sites are used with one seed before the next seed is used. The number of runs of such a panel in the
-    journal tells where to go on.
+    All sites are used with one seed before the next seed is used. The sequence continues after the runs of
+    this panel that the journal contains.
     """
     sites, seeds = panel_sites(kit, panel), panel.get("seeds") or [None]
     arguments = ",".join(f'"{word}"' for word in panel["arguments"])
     site_words = [f'/{site.name}",' for site in sites]
-    played = sum(arguments in head and any(word in head for word in site_words) for head in journal_heads())
+    earlier_runs = sum(
+        arguments in head and any(word in head for word in site_words) for head in journal_heads()
+    )
     return [
         (sites[turn % len(sites)], seeds[turn // len(sites) % len(seeds)])
-        for turn in range(played, played + panel[size])
+        for turn in range(earlier_runs, earlier_runs + panel[size])
     ]
 
 
