--- a/cressrail/experiment/figures.py
+++ b/cressrail/experiment/figures.py
@@ -76,7 +76,8 @@
         hops_per_tx: The number of attempts at endpoints of the first tier per attempt of a client.
         retry_share: The ratio of retries to calls, over all tiers.
         late_work_share: The share of work in attempts that ended after the caller's deadline.
-        effects_after_end: The number of non-idempotent attempts that ended after the caller's deadline.
+        effects_after_end: The number of attempts that ended after the caller's deadline, of request classes
+            that are not idempotent or are so only with a key.
         breaks: The number of rule violations.
         goodput_harmed, recovery_s: The effect of the first fault that reduces the capacity.
 
--- a/cressrail/experiment/fleet_faults.py
+++ b/cressrail/experiment/fleet_faults.py
@@ -32,13 +32,14 @@
 from cressrail.testbed.scenario import FleetScenario
 from cressrail.testbed.scenario_file import ScenarioError, read_scenario
 
-RETURN_PAUSES = 3  # number of tolerated pauses after which every sidecar knows of a returned instance
+# Every sidecar must know of a returned instance within this multiple of the tolerated pause.
+RETURN_PAUSES = 3
 OUT_OPTION = "--out"
 Row = dict[str, Any]
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses of the command; with several files, the highest one is used."""
+    """Exit statuses of the command: the highest one of all files, unless an error ends the command first."""
 
     OK = 0
     FLEET_FAILED = 1
--- a/cressrail/experiment/plan.py
+++ b/cressrail/experiment/plan.py
@@ -22,8 +22,9 @@
         defect: The deliberate defect of the sidecars, or an empty string for none.
         revision: The commit to check out for the run, or an empty string for the current working tree.
         setting_overrides: Values of settings, by their path in each sidecar's configuration.
-        has_tenant_quotas: Whether tenants have the quotas of the scenario.
-        has_common_failover: Whether the scenario's common failover decisions on zones are enabled.
+        has_tenant_quotas: Whether tenants have the quotas of the scenario; otherwise they have none.
+        has_common_failover: Whether the sidecars use the scenario's section `fleet.failover`, by which they
+            decide jointly on failover between zones.
     """
 
     name: str
--- a/cressrail/experiment/result.py
+++ b/cressrail/experiment/result.py
@@ -19,7 +19,7 @@
         broken: The rule violations.
         load: The report of the load generator.
         series: Counts by second.
-        failed: The faults that could not be injected.
+        failed: Errors of the test bed itself, such as a fault that could not be injected.
     """
 
     seed: int
--- a/cressrail/load/plan.py
+++ b/cressrail/load/plan.py
@@ -74,7 +74,8 @@
         patience_share: The share of the deadline after which a client abandons an attempt.
         max_retries: The largest number of attempts after the first one.
         backoff: The kind of backoff: no delay, a fixed delay, or exponential backoff with jitter.
-        backoff_ms: The fixed delay, or the mean delay before the first retry of an exponential backoff.
+        backoff_ms: The delay of a fixed backoff, or the mean delay before the first retry of an exponential
+            backoff.
         retry_after_share: The share of clients that wait for the time given by Retry-After.
         keeps_connections: Whether a connection is used for more than one request.
     """
--- a/cressrail/load/run.py
+++ b/cressrail/load/run.py
@@ -42,7 +42,8 @@
         attempt_log: The file for one JSON line per attempt, or None for no log.
         records: The file for the request records, or None to delete them after the run.
         histogram_log: The file for latencies in the HdrHistogram format, or None for no log.
-        start_us: The start on the monotonic clock, if other processes share it; None to start at once.
+        start_us: The start of the run in microseconds on the monotonic clock, if other processes share it;
+            None to start as soon as the sender is set up.
         is_quiet: Whether progress output is suppressed.
     """
 
--- a/cressrail/load/stall_detector.py
+++ b/cressrail/load/stall_detector.py
@@ -39,7 +39,7 @@
         self._last_active_us = 0
 
     def record_activity(self, now: int) -> None:
-        """Records that the process runs at `now`, and a pause if its last activity was too long ago."""
+        """Records that the process runs at `now`, and a pause if it last ran more than 30 ms before."""
         if self._last_active_us and now - self._last_active_us > MIN_PAUSE_US + TICK_US:
             self.pauses.append(Pause(self._last_active_us - self.start_us, now - self.start_us))
         self._last_active_us = now
--- a/cressrail/testbed/attempt.py
+++ b/cressrail/testbed/attempt.py
@@ -70,7 +70,7 @@
         job: The processor work of the attempt.
         total_work_us: Work before and after the call to the next tier, in microseconds of one core.
         remaining_work_us: Work after the call to the next tier, in microseconds of one core.
-        must_call: Whether the next tier has yet to be called.
+        must_call: Whether the attempt still has to call the next tier.
         has_run: Whether the attempt has occupied a slot.
         is_repeat: Whether the idempotency key was seen before, within the idempotency window.
         disconnected_us: When the caller disconnected; None if it waited for the response.
--- a/cressrail/testbed/discovery.py
+++ b/cressrail/testbed/discovery.py
@@ -21,7 +21,7 @@
 KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch alive
 LIST_PATH = "/catalog/members"
 FIRST_REVISION = 1
-WHOLE_LIST = -1  # requests the full list where a revision would request the changes since then
+WHOLE_LIST = -1  # passed in place of a revision to get the full list instead of the changes since a revision
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n"
 KEEPALIVE_CHUNK = b"1\r\n\n\r\n"
 
@@ -47,7 +47,7 @@
     up_since_ms: int = 0
 
     def as_entry(self, client_zone: str) -> dict[str, Any]:
-        """Returns the endpoint's entry in discovery's JSON, with its address for clients of that zone."""
+        """Returns the endpoint's entry in discovery's JSON, with its address for clients in `client_zone`."""
         host, port = self.addresses[client_zone]
         return {
             "id": self.name,
@@ -88,8 +88,8 @@
         # Revision of the last change, by the endpoint's name.
         self._changed_revisions = dict.fromkeys(self._entries, FIRST_REVISION)
         self._watches: dict[ServerConnection, int] = {}  # the last revision sent, by connection
-        # Holds all connections: nothing else refers to one that is not being read, so the garbage collector
-        # would close it.
+        # All open connections. Nothing else refers to a connection that is not being read: without this set,
+        # the garbage collector would close it.
         self._connections: set[ServerConnection] = set()
         self._is_silent = False
         self._server: asyncio.Server | None = None
@@ -185,7 +185,7 @@
             connection.write(WATCH_HEAD)
             after = parameters.get("after", "0")
             revision = int(after) if after.isdigit() else 0
-            # The revision dates from before a restart of the revisions: the sidecar gets the full list.
+            # A revision above the current one dates from before a restart: the sidecar gets the full list.
             self._watches[connection] = WHOLE_LIST if revision > self._revision else revision
             self._update_watch(connection)
 
--- a/cressrail/testbed/fault_injection.py
+++ b/cressrail/testbed/fault_injection.py
@@ -18,7 +18,7 @@
 MIN_DRAWN_DURATION_S = 0.2
 CONCURRENT_STARTS = 4  # more would take processor time from the rest of the fleet
 
-# Starts a sidecar again whose process has ended.
+# Callback that starts a new process for a sidecar whose process has ended.
 RestartSidecar = Callable[[SidecarProcess, RestartConfiguration], Awaitable[None]]
 
 
--- a/cressrail/testbed/fault_timeline.py
+++ b/cressrail/testbed/fault_timeline.py
@@ -31,7 +31,7 @@
 
 
 async def run_faults(fleet: Fleet, start_us: int) -> None:
-    """Begins and ends all listed and drawn faults of the fleet's scenario.
+    """Begins and ends the faults that the fleet's scenario lists and those that it draws at random.
 
     Args:
         fleet: A started fleet.
--- a/cressrail/testbed/fleet.py
+++ b/cressrail/testbed/fleet.py
@@ -31,9 +31,9 @@
 
 SERVICE_HOST = "127.0.0.1"  # host of endpoints and discovery, which listen on free ports
 SIDECAR_PORT = 9000
-VIEW_POLLS_PER_S = 100  # limit for all sidecars together
+VIEW_POLLS_PER_S = 100  # limit on polls of membership views, for all sidecars together
 LAST_DEAD_SEED = 760  # loopback host number of the first unreachable seed; further ones count down from it
-USAGE_INTERVAL_S = 20.0  # between two records of processor time and datagram counts
+USAGE_INTERVAL_S = 20.0  # between two rows of processor time and datagram counts in the event record
 CELLS_IN_ZONE = 2
 
 
--- a/cressrail/testbed/flood.py
+++ b/cressrail/testbed/flood.py
@@ -46,7 +46,7 @@
 
 
 def send_flood(address: tuple[str, int], datagrams_per_s: float, datagrams: Sequence[bytes]) -> None:
-    """Sends the datagrams in turn at that average rate, without end."""
+    """Sends the datagrams in turn, on average `datagrams_per_s` of them per second; never returns."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as sock:
         started_s, sent_count = time.monotonic(), 0
--- a/cressrail/testbed/loopback.py
+++ b/cressrail/testbed/loopback.py
@@ -12,7 +12,11 @@
 
 
 def loopback_host(number: int) -> str:
-    """Returns the loopback address with that number, which no concurrent run uses."""
+    """Returns a loopback address from the range of this process.
+
+    Concurrent runs have different ranges, unless their process IDs differ by a multiple of 16384. A range has
+    762 addresses; numbers that differ by a multiple of that have the same address.
+    """
     run = os.getpid() % (NETWORK_BLOCK * OCTET_VALUES)
     block = number // HOSTS_IN_NETWORK % BLOCKS
     second_octet = FIRST_NETWORK + run // OCTET_VALUES + NETWORK_BLOCK * block
--- a/cressrail/testbed/membership_evidence.py
+++ b/cressrail/testbed/membership_evidence.py
@@ -15,7 +15,7 @@
 from cressrail.membership.log_events import INSTANCE_PAUSED, is_event
 from cressrail.testbed.event_record import Event, ProcessState
 
-NEVER_US = 1 << 62
+NEVER_US = 1 << 62  # later than any event; end of a cut or state that lasts until the end of the record
 MAX_LAG_S = 0.05  # a run is invalid if the relay's event loop lagged by more than this
 MAX_PAUSE_US = 1_000_000  # a run is invalid if a sidecar that no fault paused stalled for longer than this
 
--- a/cressrail/testbed/network_emulation.py
+++ b/cressrail/testbed/network_emulation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 DISCOVERY = "list"  # name of discovery in rules and scenario files
-CUT_LOSS = 1.0  # loss from which a rule is a cut
+CUT_LOSS = 1.0  # a rule with at least this loss is a cut
 REORDERING_DELAY_S = 0.05  # extra delay of a reordered datagram
 
 # Keys of the counts, which appear in the event record.
@@ -61,7 +61,7 @@
     def cuts_off(self, sidecar: str) -> bool:
         """Returns whether the rule cuts a sidecar off from other sidecars, in at least one direction.
 
-        Across such a cut no sender is notified that a datagram was refused.
+        A sender is not notified of a refused datagram if the receiver is cut off.
         """
         return (
             self.is_cut
--- a/cressrail/testbed/pauses.py
+++ b/cressrail/testbed/pauses.py
@@ -28,7 +28,7 @@
     spans_us: Sequence[tuple[int, int]]
 
     def completion_us(self, arrived_us: int, work_us: int) -> int:
-        """Returns when a request completes, whose work progresses only outside the pauses.
+        """Returns the completion time of a request, whose work progresses only outside the pauses.
 
         Args:
             arrived_us: When the request arrived.
--- a/cressrail/testbed/processor_sharing.py
+++ b/cressrail/testbed/processor_sharing.py
@@ -44,7 +44,7 @@
 
     Attributes:
         service_us: Reading of the service clock at which the job is complete.
-        number: Sequence number, by which jobs that complete together are ordered as they started.
+        number: Sequence number; of jobs that complete together, the one that started first comes first.
         job: The computing job.
     """
 
--- a/cressrail/testbed/scenario.py
+++ b/cressrail/testbed/scenario.py
@@ -24,8 +24,8 @@
     Attributes:
         distribution: Type of the distribution.
         mean_ms: Mean of the distribution, in milliseconds.
-        variation: Coefficient of variation; for a Pareto distribution its alpha, which must be above 1 and
-            where larger values give a lighter tail.
+        variation: Coefficient of variation; for a Pareto distribution its parameter alpha instead, which must
+            be above 1 (a larger alpha gives a lighter tail).
     """
 
     distribution: Literal["fixed", "lognormal", "pareto"] = Field("lognormal", alias="kind")
@@ -36,7 +36,7 @@
     def _has_mean(self) -> ServiceTime:
         if self.distribution == "pareto" and self.variation <= 1:
             raise ValueError(
-                f"cv: must be above 1, being the alpha of the pareto distribution, not {self.variation:g}"
+                f"cv: must be above 1 for kind pareto, whose alpha it sets, not {self.variation:g}"
             )
         return self
 
@@ -52,7 +52,7 @@
         queue_capacity: Number of requests that may wait for a slot; further ones are rejected.
         service_time: Distribution of the work of one request.
         work_before_call: Share of the work that is done before the call to the next tier.
-        thrashing_threshold: Share of the slots beyond which each further request slows down all of them.
+        thrashing_threshold: Share of used slots above which each further request slows down all requests.
         thrashing_slowdown: Relative slowdown when all slots are in use; with 0.5, work takes 1.5 times as
             long.
         collapse_threshold: Share of used slots at which an endpoint collapses, that is, becomes slow until it
@@ -133,7 +133,8 @@
         ingress_count: Number of ingress sidecars, which call the first tier.
         tiers: The tiers in the order in which they call each other.
         contract: Guarantees on the endpoints of all tiers.
-        setting_overrides: Values that replace settings in every sidecar's configuration, by their path.
+        setting_overrides: Values that replace settings in every sidecar's configuration, by the path of the
+            setting.
         failover: Settings of the sidecars' joint failover between zones, which requires membership; None if
             it is off.
         membership: Settings of membership among the sidecars of a tier; None if it is off.
--- a/cressrail/testbed/sidecars.py
+++ b/cressrail/testbed/sidecars.py
@@ -26,7 +26,7 @@
 END_POLL_INTERVAL_S = 0.005
 TERMINATION_TIMEOUT_S = 0.1  # time from SIGTERM until a process is killed
 MEMBERSHIP_KEY = "5a" * 32  # in hexadecimal
-# Removes the sections that configurations of earlier versions do not have.
+# Turns off the sections that configurations of earlier versions do not have.
 OLDER_CONFIGURATION = {"membership": None, "failover": None}
 # Indices of the fields of /proc/PID/stat that follow the program's name, see proc(5).
 USER_TICKS_FIELD, SYSTEM_TICKS_FIELD = 11, 12
--- a/cressrail/testbed/simulated_service.py
+++ b/cressrail/testbed/simulated_service.py
@@ -26,7 +26,7 @@
 SECOND_US = 1_000_000
 MILLISECOND_US = 1000
 MIN_TIMEOUT_US = 1000  # shortest timeout sent to the next tier
-EXTRA_PATIENCE_US = 250_000  # a call waits this much past its timeout, to record a last-moment response
+EXTRA_PATIENCE_US = 250_000  # a call waits this long past its timeout, so that late responses are recorded
 MAX_CONNECTIONS = 512  # from an endpoint to its own sidecar
 MAX_ECHO_BYTES = 200  # prefix of a response's body that is searched for the request ID
 
--- a/tests/experiment/test_scenario_run.py
+++ b/tests/experiment/test_scenario_run.py
@@ -1,4 +1,4 @@
-"""Tests of the calls that are excused from the one-answer rule."""
+"""Tests of which calls are exempt from the rule that each request gets exactly one response."""
 
 from __future__ import annotations
 
