--- a/cressrail/experiment/cost_measurement.py
+++ b/cressrail/experiment/cost_measurement.py
@@ -30,6 +30,7 @@
 from cressrail.testbed.sidecar_configuration import build_configuration, override_setting
 from cressrail.testbed.sidecar_process import SidecarProcess
 
+# The load is sent in `SLICES` slices of `SLICE_S` seconds each, after one unmeasured slice as a warm-up.
 RATE_PER_S, SLICE_S, SLICES = 1500.0, 1.0, 5
 LOAD_CONNECTIONS = 64
 WARMUP_SEED = 1
--- a/cressrail/experiment/result.py
+++ b/cressrail/experiment/result.py
@@ -18,7 +18,7 @@
         figures: The figures of the run.
         broken: The rule violations.
         load: The report of the load generator.
-        series: Counts by second.
+        series: The time series of the run, for the plots.
         failed: Errors of the test bed itself, such as a fault that could not be injected.
     """
 
--- a/cressrail/load/figures.py
+++ b/cressrail/load/figures.py
@@ -12,6 +12,7 @@
 from typing import NamedTuple
 
 import numpy as np
+import numpy.typing as npt
 
 from cressrail.load.closed_loop import closed_loop_latencies, typical_worker_count
 from cressrail.load.latency_histogram import Microseconds, compute_quantiles, new_histogram
@@ -25,6 +26,7 @@
 AFTER_PAUSE_US = 20_000  # a response read this soon after a pause may have been delayed by the pause
 MAX_STATUS = 599
 WHOLE_RUN = slice(None)
+Indices = npt.NDArray[np.int64]  # positions in an array of request records
 
 
 class RequestOutcome(Enum):
@@ -55,7 +57,7 @@
     request_class: str
     tenant: str
     outcome: RequestOutcome
-    indices: Microseconds
+    indices: Indices
 
 
 class LoadFigures:
@@ -69,7 +71,7 @@
         self.send_delay_us: Microseconds = np.maximum(0, self.records["started_us"] - self.records["due_us"])
         self.histogram = new_histogram()
 
-    def requests_in_pauses(self, pauses: Iterable[Pause]) -> Microseconds:
+    def requests_in_pauses(self, pauses: Iterable[Pause]) -> Indices:
         """Returns the indices of requests that were due during a pause, or ended during or just after one."""
         is_affected = np.zeros(len(self.records), bool)
         due_us, ended_us = self.records["due_us"], self.records["ended_us"]
--- a/cressrail/load/latency_histogram.py
+++ b/cressrail/load/latency_histogram.py
@@ -9,7 +9,7 @@
 LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3
 PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}  # by key in figures files
 
-Microseconds = npt.NDArray[np.int64]
+Microseconds = npt.NDArray[np.int64]  # times or durations
 Quantiles = dict[str, int]  # microseconds, by the keys of `PERCENTILES` and "max"
 
 
--- a/cressrail/testbed/network_emulation.py
+++ b/cressrail/testbed/network_emulation.py
@@ -15,16 +15,16 @@
 REORDERING_DELAY_S = 0.05  # extra delay of a reordered datagram
 
 # Keys of the counts, which appear in the event record.
-DATAGRAMS = "seen"
+DATAGRAMS = "seen"  # datagrams, and reads of TCP data, for which the emulator decided what happens
 BYTES = "bytes"
 DROPPED = "dropped"
 OVER_RATE = "over the rate"
 REORDERED = "reordered"
 DUPLICATED = "duplicated"
 CORRUPTED = "corrupted"
-REFUSED = "refused"
-UNKNOWN_SENDER = "strangers"
-NOT_SENT = "not taken"
+REFUSED = "refused"  # refusals of datagrams by a sidecar whose process was down
+UNKNOWN_SENDER = "strangers"  # datagrams from outside the fleet
+NOT_SENT = "not taken"  # datagrams that the system did not accept for sending
 
 
 @dataclass(frozen=True)
--- a/cressrail/testbed/policy_variants.py
+++ b/cressrail/testbed/policy_variants.py
@@ -1,6 +1,7 @@
 """Starts a sidecar with a baseline policy, or with a deliberate defect that the rule checker must find.
 
-These variants exist only in the test bed; the program itself has no option for them:
+These variants exist only in the test bed; the program itself has no option for them. The rules that
+the defects break are numbered as in `rule_checker.Rule`.
 
 python -m cressrail.testbed.policy_variants --policy NAME --break NAME CONFIGURATION
 """
--- a/cressrail/testbed/run.py
+++ b/cressrail/testbed/run.py
@@ -17,7 +17,7 @@
 from cressrail.testbed.scenario import FleetScenario
 
 START_COMMAND = "go"
-# Garbage collections delay the relay: they run rarely, and only on objects allocated during the run.
+# A garbage collection delays the relay, so collections are rare and cover only objects of the run itself.
 GC_THRESHOLDS = (50_000, 20, 1000)
 
 
--- a/tests/load/support.py
+++ b/tests/load/support.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class EndedRequest:
-    """A request that was sent as soon as the generator started on it; times are in milliseconds."""
+    """A request that was sent as soon as it was started; times are milliseconds from the start of the run."""
 
     due: int
     started: int
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 COMMAND = [sys.executable, "-m", "cressrail"]
-PATIENCE_S = 30
+PATIENCE_S = 30  # timeout of connections to a sidecar and of waits for its exit
 
 
 def unused_address() -> str:
--- a/tests/testbed/fleet_scripts.py
+++ b/tests/testbed/fleet_scripts.py
@@ -19,7 +19,7 @@
 CHECKOUT = Path(__file__).resolve().parents[2]
 TOLERATED_PAUSE_MS = 1500
 QUICK_MEMBERSHIP = {"bear_pause_ms": TOLERATED_PAUSE_MS, "look_s": 0.1}
-MAX_ATTEMPTS = 3  # runs of a script, of which those on a lagging machine are invalid
+MAX_ATTEMPTS = 3  # limit on runs of one script; a run during which the machine lagged is repeated
 POLL_INTERVAL_S = 0.05
 
 
--- a/tools/handover_check.py
+++ b/tools/handover_check.py
@@ -46,6 +46,7 @@
 RESPONSE_BODY = b"hello"
 REQUEST_CLASSES = ("read", "store", "number")
 HANDOVER_EVENTS = ("took_over", "handed_over")
+# Hand-over events that the three processes log, in the order in which they start.
 EXPECTED_EVENTS = [["handed_over"], ["took_over", "handed_over"], ["took_over"]]
 MAX_REPORTED_FAILURES = 50
 MAX_REPORTED_LOSSES = 20
