--- a/tools/handover_check.py
+++ b/tools/handover_check.py
@@ -1,13 +1,16 @@
-"""Hand-over between two versions under load.
+"""Checks the hand-over between two versions of the sidecar under load.
 
     python tools/handover_check.py [OLD] [--seconds S] [--clients N] [--rate R]
 
-A process of the checkout OLD serves and hands over to one of this checkout, which hands over to a process of
-OLD again. The figures are printed as JSON.
+Starts a sidecar from the checkout OLD, upgrades it to one from this checkout, and then goes back to one from
+OLD, while clients send requests all the time. The results are printed as JSON.
 
-Exit status: 1 if a request was lost or failed, if a process did not end as it should, or if no hand-over came
-about. No client sends anything twice, so a request that meets a close on a kept connection counts as lost.
-Nothing of the program is imported: its processes are started, asked and terminated from outside.
+Exit status: 0 if every request succeeded; 1 if a request was lost or failed, if a process was not ready in
+time or did not exit with status 0, or if one of the two hand-overs did not take place.
+
+Clients never retry, so a request that is sent on a kept-alive connection while the sidecar closes it counts
+as lost. The script imports nothing from the package: it starts, queries and terminates the sidecars as
+separate processes.
 """
 
 from __future__ import annotations
@@ -30,7 +33,7 @@
 from typing import Any
 
 CHECKOUT = Path(__file__).resolve().parents[1]
-SLOW_INTERVAL = 20  # one request in so many is answered late, so that some span each hand-over
+SLOW_INTERVAL = 20  # every 20th request is answered slowly, so that some are in flight during each hand-over
 FAST_RESPONSE_S = 0.003
 SLOW_RESPONSE_S = 0.4
 READY_TIMEOUT_S = 20.0
@@ -39,7 +42,7 @@
 RESPONSE_TIMEOUT_S = 10.0
 ADMIN_TIMEOUT_S = 5.0
 ENDPOINT_COUNT = 4
-RAMP_S = 2.0  # clients come one after the other: a fresh sidecar lets only few requests out at once
+RAMP_S = 2.0  # clients start one by one over this time: a new sidecar allows only a few concurrent requests
 RESPONSE_BODY = b"hello"
 REQUEST_CLASSES = ("read", "store", "number")
 HANDOVER_EVENTS = ("took_over", "handed_over")
@@ -50,22 +53,22 @@
 
 
 class NotReadyError(Exception):
-    """A process ended, or was not ready in time."""
+    """A sidecar process exited before it was ready, or was not ready in time."""
 
 
 @dataclass
 class Figures:
-    """What clients and endpoints count.
+    """Counters of the clients and endpoints.
 
     Attributes:
-        sent: Requests sent.
-        succeeded: Requests with a whole answer of status 200.
-        statuses: Answers by status.
-        losses: A reason for each request without an answer.
-        connections: Connections that clients opened.
-        endpoint_requests: Requests that came to an endpoint.
-        longest_s: The longest time from a request to its end.
-        sent_at_failure: For each answer that is none of success, how many requests had been sent.
+        sent: Number of requests sent.
+        succeeded: Number of requests with a complete response of status 200.
+        statuses: Number of responses by HTTP status.
+        losses: One description for each request that got no response.
+        connections: Number of connections that clients opened.
+        endpoint_requests: Number of requests that reached an endpoint.
+        longest_s: Longest duration of a request in seconds, whether it succeeded or not.
+        sent_at_failure: For each unsuccessful response, the number of requests sent by then.
     """
 
     sent: int = 0
@@ -80,14 +83,14 @@
 
 @dataclass
 class Step:
-    """One process of the three.
+    """Observations about one of the three sidecar processes.
 
     Attributes:
-        version: "old" or "this".
-        sent_before: Requests sent when it was ready.
-        exit_status: None if it did not end in time.
-        sent_until_exit: Requests sent when it ended; None for the last.
-        events: Which of `HANDOVER_EVENTS` it logged.
+        version: Checkout of the process: "old" or "this".
+        sent_before: Number of requests sent by the time the process was ready.
+        exit_status: Exit status; None if the process did not exit in time.
+        sent_until_exit: Number of requests sent by the time the process exited; None for the last process.
+        events: Those of `HANDOVER_EVENTS` that the process logged.
     """
 
     version: str
@@ -97,7 +100,7 @@
     events: list[str] = field(default_factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """By the keys of the report."""
+        """Returns the entry of this process in the JSON report."""
         until = {} if self.sent_until_exit is None else {"sent_until_it_ended": self.sent_until_exit}
         return {
             "process": self.version,
@@ -109,7 +112,7 @@
 
 
 def free_port() -> int:
-    """A port that is free now."""
+    """Returns a TCP port that is currently free."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return int(server.getsockname()[1])
 
@@ -117,7 +120,7 @@
 def make_configuration(
     listen_port: int, admin_port: int, discovery_port: int, endpoint_ports: list[int]
 ) -> dict[str, Any]:
-    """The sample configuration of the repository, with these addresses and endpoints."""
+    """Returns the repository's example configuration with these ports on loopback and these endpoints."""
     configuration: dict[str, Any] = json.loads((CHECKOUT / "example" / "config.json").read_text())
     configuration["listen"] = f"127.0.0.1:{listen_port}"
     configuration["ops"] = f"127.0.0.1:{admin_port}"
@@ -140,10 +143,10 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, int]:
-    """Reads a message; returns its head in lower case and the length of its body.
+    """Reads an HTTP message; returns its head in lower case and the length of its body in bytes.
 
     Raises:
-        asyncio.IncompleteReadError: The connection ended before it.
+        asyncio.IncompleteReadError: The connection ended before the message was complete.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
     content_length = re.search(r"\r\ncontent-length: *(\d+)", head)
@@ -155,7 +158,7 @@
 async def serve_endpoint(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, figures: Figures
 ) -> None:
-    """Answers the requests of one connection."""
+    """Answers the requests on one connection until it ends."""
     head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(RESPONSE_BODY)
     with contextlib.suppress(asyncio.IncompleteReadError, OSError):
         while True:
@@ -170,7 +173,7 @@
 
 @contextlib.asynccontextmanager
 async def endpoints(figures: Figures) -> AsyncIterator[list[int]]:
-    """Ports of endpoints that serve until the context ends."""
+    """Yields the ports of endpoints that serve until the context exits."""
     async with contextlib.AsyncExitStack() as stack:
         ports: list[int] = []
         for _ in range(ENDPOINT_COUNT):
@@ -183,7 +186,7 @@
 
 
 class Client:
-    """Sends one request after the other, over a kept connection for as long as answers let it stay."""
+    """Sends requests one at a time and reuses its connection until a response closes it."""
 
     def __init__(self, number: int, port: int, figures: Figures) -> None:
         self.number = number
@@ -194,7 +197,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self, start_delay_s: float, pause_s: float, is_over: asyncio.Event) -> None:
-        """Sends until the event is set, with this pause after each request."""
+        """Sends requests until the event is set, and waits for `pause_s` after each."""
         await asyncio.sleep(start_delay_s)
         while not is_over.is_set():
             await self._send_counted()
@@ -206,21 +209,21 @@
         self.requests += 1
         self.figures.sent += 1
         began_s = time.monotonic()
-        connection = "new" if self.writer is None else "kept"
+        connection = "new" if self.writer is None else "reused"
         may_keep = False
         try:
             may_keep = await self._send()
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             self.figures.losses.append(
                 f"{type(error).__name__}: client {self.number}, {connection} connection, "
-                f"{self.figures.sent} sent"
+                f"{self.figures.sent} requests sent"
             )
         self.figures.longest_s = max(self.figures.longest_s, time.monotonic() - began_s)
         if not may_keep:
             self._close()
 
     async def _send(self) -> bool:
-        """Sends a request and counts its answer; returns whether the connection may be kept."""
+        """Sends a request and counts its response; returns whether the connection may be reused."""
         if self.reader is None or self.writer is None:
             self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
             self.figures.connections += 1
@@ -247,7 +250,7 @@
 
 
 async def is_ready(admin_port: int) -> bool:
-    """Asks a process whether it is ready."""
+    """Returns whether the sidecar with this admin port reports that it is ready."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", admin_port)
     except OSError:
@@ -263,7 +266,7 @@
 
 
 async def kill_running(process: asyncio.subprocess.Process) -> None:
-    """Kills a process unless it has ended."""
+    """Kills a process unless it has exited."""
     if process.returncode is None:
         process.kill()
         await process.wait()
@@ -272,10 +275,10 @@
 async def start_process(
     checkout: Path, folder: Path, name: str, configuration: dict[str, Any], admin_port: int
 ) -> asyncio.subprocess.Process:
-    """Starts a process of a checkout and waits until it is ready.
+    """Starts a sidecar from a checkout and waits until it is ready.
 
     Raises:
-        NotReadyError: It ended, or was not ready in time; it has been killed.
+        NotReadyError: The process exited, or was not ready in time and has been killed.
     """
     path, log_path = folder / f"{name}.json", folder / f"{name}.log"
     path.write_text(json.dumps(configuration))
@@ -294,13 +297,16 @@
             exit_status = process.returncode
             await kill_running(process)
             tail = log_path.read_text()[-LOG_TAIL_CHARACTERS:]
-            raise NotReadyError(f"{name}: not ready, ended {exit_status}: {tail}")
+            raise NotReadyError(
+                f"sidecar {name}: not ready within {READY_TIMEOUT_S} s; "
+                f"exit status {exit_status}; log: {tail}"
+            )
         await asyncio.sleep(READY_POLL_S)
     return process
 
 
 async def terminate(process: asyncio.subprocess.Process) -> int | None:
-    """Sends SIGTERM; returns the exit status, or None if the process did not end in time."""
+    """Sends SIGTERM; returns the exit status, or None if the process did not exit in time."""
     process.send_signal(signal.SIGTERM)
     try:
         return await asyncio.wait_for(process.wait(), EXIT_TIMEOUT_S)
@@ -308,10 +314,10 @@
         return None
 
 
-async def play(
+async def run_upgrades(
     old: Path, folder: Path, options: argparse.Namespace, figures: Figures, endpoint_ports: list[int]
 ) -> list[Step]:
-    """Lets three processes hand over to each other under load."""
+    """Runs three sidecars under load, each of which takes over from the one before; returns their steps."""
     listen_port, discovery_port = free_port(), free_port()
     steps: list[Step] = []
     processes: list[asyncio.subprocess.Process] = []
@@ -351,15 +357,15 @@
 
 
 async def run(options: argparse.Namespace) -> tuple[Figures, list[Step]]:
-    """Plays the hand-overs among endpoints and files of its own."""
+    """Runs the hand-overs with endpoints and a temporary folder of their own."""
     figures = Figures()
     with tempfile.TemporaryDirectory() as folder:
         async with endpoints(figures) as ports:
-            return figures, await play(options.old.resolve(), Path(folder), options, figures, ports)
+            return figures, await run_upgrades(options.old.resolve(), Path(folder), options, figures, ports)
 
 
 def report(figures: Figures, steps: list[Step]) -> dict[str, Any]:
-    """The figures by the keys of the report."""
+    """Returns the JSON report."""
     return {
         "sent": figures.sent,
         "answered_200": figures.succeeded,
@@ -377,10 +383,14 @@
 def main() -> int:
     """Reads the command line, prints the report and returns the exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n\n")[0])
-    parser.add_argument("old", nargs="?", type=Path, default=CHECKOUT, help="checkout of the version before")
-    parser.add_argument("--seconds", type=float, default=3.0, help="of load before, between and after")
-    parser.add_argument("--clients", type=int, default=16)
-    parser.add_argument("--rate", type=float, default=160.0, help="requests a second at the most")
+    parser.add_argument(
+        "old", nargs="?", type=Path, default=CHECKOUT, help="checkout of the old version; default: this one"
+    )
+    parser.add_argument("--seconds", type=float, default=3.0, help="seconds of load with each process")
+    parser.add_argument("--clients", type=int, default=16, help="number of concurrent clients")
+    parser.add_argument(
+        "--rate", type=float, default=160.0, help="maximum requests per second of all clients"
+    )
     try:
         figures, steps = asyncio.run(run(parser.parse_args()))
     except NotReadyError as error:
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -1,14 +1,16 @@
-"""Replays the days of the users' benches and compares their scores with the recorded figures.
+"""Runs the benches of a kit again and compares their scores with the recorded ones.
 
     python tools/regress.py KIT [--standing] [--full]
 
-`make regress KIT=...` plays all days, `make standing KIT=...` only those that have a gate; both play the
-whole days and the panels as well. tools/regress.toml lists days and figures. The benches leave their own
-entries in journal/, from which the scores are read; whether a gate was passed is read from the output line
-that begins with GATE.
+KIT is a folder of benches. A bench simulates days of traffic and prints and records a score for them.
+tools/regress.toml lists what is run: the days with their recorded scores, whole days with one seed each, and
+panels, which are groups of days. `make regress KIT=...` runs everything; `make standing KIT=...` leaves out
+the days without a gate. A gate is a bench's own verdict, read from its output lines that begin with GATE. The
+scores of days are read from the entries that the benches write to journal/.
 
-Exit status: 0; 1 if a rule was broken, a run failed, a gate was not passed or a score fell by more than the
-margin; 2, with one line on stderr, if the kit is missing or the list of figures cannot be read.
+Exit status: 0 if everything passed; 1 if a rule was broken, a run failed, a gate was not passed, an endpoint
+fell over in a whole day, or a score fell by more than the margin; 2, with one line on stderr, if the kit or
+the list is unusable.
 """
 
 from __future__ import annotations
@@ -27,8 +29,8 @@
 
 FIGURES_PATH = Path(__file__).with_name("regress.toml")
 JOURNAL_PATH = Path("journal")
-JOURNAL_HEAD_CHARACTERS = 400  # at the start of a journal entry; its command line is within them
-REPOSITORY_SITES_PREFIX = "deploy/"  # sites below it are the repository's, all others the kit's
+JOURNAL_HEAD_CHARACTERS = 400  # the first characters of a journal entry contain its command line
+REPOSITORY_SITES_PREFIX = "deploy/"  # sites with this prefix are in the repository, all others in the kit
 PANEL_SCORE_PREFIX = "score of the real nodes "
 WHOLE_DAY_SCORE = re.compile(r"score (\d\.\d+)")
 PANEL_KEY_TYPES: dict[str, type] = {
@@ -46,19 +48,19 @@
 
 
 class RegressionSetupError(Exception):
-    """The kit or the list of figures cannot be used: one line that names the path."""
+    """The kit or the list of days is unusable; the message is one line that names the path."""
 
 
 @dataclass(frozen=True)
 class DayResult:
-    """What one day of simulated servers came to.
+    """Result of one simulated day.
 
     Attributes:
-        name: Of the day.
-        recorded_score: To compare with; None if there is none.
-        score: None if the run failed or left no score.
+        name: Name of the day.
+        recorded_score: Score to compare with; None if none is recorded for this size.
+        score: Score of this run; None if the run failed or recorded no score.
         is_rule_broken: Whether the bench reports a broken rule.
-        gate_problem: Why the gate was not passed; empty if it was, or if the day has no gate.
+        gate_problem: Why the gate was not passed; empty if it was passed or the day has none.
     """
 
     name: str
@@ -68,35 +70,35 @@
     gate_problem: str = ""
 
     def has_failed(self, margin: float) -> bool:
-        """Whether a rule, the gate or the score failed; a score may be lower by the margin."""
+        """Returns whether a rule, the gate or the score failed; the score may fall by up to `margin`."""
         if self.score is None or self.is_rule_broken or self.gate_problem:
             return True
         return self.recorded_score is not None and self.score < self.recorded_score - margin
 
     def lines(self, margin: float) -> Iterator[str]:
-        """The row of the report."""
+        """Yields the row of the report."""
         if self.gate_problem:
             remark = self.gate_problem
         elif self.is_rule_broken:
             remark = "rule broken"
         elif self.score is None:
-            remark = "no figure"
+            remark = "no score"
         else:
-            remark = "fell" if self.has_failed(margin) else ""
+            remark = "score fell" if self.has_failed(margin) else ""
         recorded, score = format_score(self.recorded_score), format_score(self.score)
         yield f"{self.name:38} {recorded:>8} {score:>8}  {remark}".rstrip()
 
 
 @dataclass(frozen=True)
 class WholeDayResult:
-    """What one whole day of one seed came to.
+    """Result of one whole day with one seed.
 
     Attributes:
-        day: Its name.
-        seed: Of the bench's random numbers.
-        score: As the bench prints it, or "-".
-        broken_rules: A line for each broken rule.
-        endpoint_failures: A line for each endpoint that fell over.
+        day: Name of the day.
+        seed: Seed of the bench's random numbers.
+        score: Score as the bench prints it, or "-" if it prints none.
+        broken_rules: One line of output for each broken rule.
+        endpoint_failures: One line of output for each endpoint that fell over.
     """
 
     day: str
@@ -107,17 +109,17 @@
 
     @property
     def has_failed(self) -> bool:
-        """Whether a rule was broken or an endpoint fell over."""
+        """Returns whether a rule was broken or an endpoint fell over."""
         return bool(self.broken_rules or self.endpoint_failures)
 
     def lines(self) -> Iterator[str]:
-        """The row of the report, then each fault with day and seed."""
+        """Yields the row of the report, then one line for each fault with its day and seed."""
         label = f"{self.day} of seed {self.seed}"
         remark = ""
         if self.broken_rules:
             remark = "  rule broken"
         elif self.endpoint_failures:
-            remark = f"  {len(self.endpoint_failures)} fell"
+            remark = f"  {len(self.endpoint_failures)} fell over"
         yield f"{label:38} {'-':>8} {self.score:>8}{remark}"
         for fault in (*self.broken_rules, *self.endpoint_failures):
             yield f"  {label}: {fault}"
@@ -125,14 +127,14 @@
 
 @dataclass(frozen=True)
 class PanelResult:
-    """What one panel of days at one site came to.
+    """Result of one panel of days at one site.
 
     Attributes:
-        name: Of the panel.
-        site: Name of the site's file without suffix.
-        seed: Of the bench's random numbers; None for the bench's own.
-        score: As the bench prints it, or "-".
-        broken_rules: A line for each broken rule.
+        name: Name of the panel.
+        site: Name of the site's file without its suffix.
+        seed: Seed of the bench's random numbers; None for the bench's default seeds.
+        score: Score as the bench prints it, or "-" if it prints none.
+        broken_rules: One line of output for each broken rule.
         gate_problem: Why the gate was not passed; empty if it was.
     """
 
@@ -145,11 +147,11 @@
 
     @property
     def has_failed(self) -> bool:
-        """Whether a rule was broken or the gate was not passed."""
+        """Returns whether a rule was broken or the gate was not passed."""
         return bool(self.broken_rules or self.gate_problem)
 
     def lines(self) -> Iterator[str]:
-        """The row of the report, then each broken rule with panel, site and seed."""
+        """Yields the row of the report, then one line for each broken rule with its panel, site and seed."""
         label = f"{self.name}, {self.site}"
         if self.seed is not None:
             label += f" of seed {self.seed}"
@@ -160,30 +162,30 @@
 
 
 def format_score(score: float | None) -> str:
-    """Three digits, or "-" for none."""
+    """Formats a score with three decimals; returns "-" for None."""
     return "-" if score is None else f"{score:.3f}"
 
 
 def gate_problem(lines: Sequence[str], exit_status: int) -> str:
-    """Why the gate of a bench was not passed; empty if it was.
+    """Returns why the gate of a bench was not passed, or "" if it was passed.
 
-    Only an output that says that the gate was passed, and nowhere that it was not, counts as passed, so that
-    a run that was cut off or is worded otherwise does not.
+    The gate counts as passed only if there is at least one GATE line, all of them say that it was passed, and
+    the exit status is 0. A run that was cut off or whose output has another wording therefore fails.
     """
     verdicts = [line.strip() for line in lines if line.startswith("GATE")]
     if not verdicts:
         return "no GATE line"
     for verdict in verdicts:
         if not verdict.startswith("GATE passed"):
-            return verdict if verdict.startswith("GATE failed") else f"unknown: {verdict}"
-    return f"GATE line, but it ended with {exit_status}" if exit_status else ""
+            return verdict if verdict.startswith("GATE failed") else f"unknown verdict: {verdict}"
+    return f"GATE passed, but exit status {exit_status}" if exit_status else ""
 
 
 def read_figures(path: Path) -> Table:
-    """Reads and checks the list of days and figures.
+    """Reads and checks the list of days, whole days and panels.
 
     Raises:
-        RegressionSetupError: The file cannot be read, or a key is missing or of another type.
+        RegressionSetupError: The file cannot be read, or a key is missing or has a wrong type.
     """
     try:
         figures = tomllib.loads(path.read_text())
@@ -194,44 +196,44 @@
     for index, day in enumerate(figures.get("day", [])):
         for key in ("name", "bench", "site"):
             if not isinstance(day.get(key), str):
-                raise RegressionSetupError(f"{path}: day.{index}.{key} is missing")
+                raise RegressionSetupError(f"{path}: day.{index}.{key} is missing or not a string")
     if not isinstance(figures.get("margin"), float) or not figures.get("day"):
-        raise RegressionSetupError(f"{path}: margin or day is missing")
+        raise RegressionSetupError(f"{path}: margin is not a float, or the file has no day")
     for index, row in enumerate(figures.get("whole", {}).get("days", [])):
         seeds = row.get("seeds")
         if not (isinstance(seeds, list) and seeds and all(isinstance(seed, int) for seed in seeds)):
-            raise RegressionSetupError(f"{path}: whole.days.{index}.seeds is no list of whole numbers")
+            raise RegressionSetupError(f"{path}: whole.days.{index}.seeds is not a list of integers")
     for index, row in enumerate(figures.get("panels", [])):
         for key, expected_type in PANEL_KEY_TYPES.items():
             if not isinstance(row.get(key, [] if key == "seeds" else None), expected_type):
                 raise RegressionSetupError(
-                    f"{path}: panels.{index}.{key} is missing, or not what it should be"
+                    f"{path}: panels.{index}.{key} is missing, or not of type {expected_type.__name__}"
                 )
     return figures
 
 
 def panel_sites(kit: Path, panel: Table) -> list[Path]:
-    """Paths of a panel's sites."""
+    """Returns the paths of a panel's site files."""
     return [Path(site) if site.startswith(REPOSITORY_SITES_PREFIX) else kit / site for site in panel["sites"]]
 
 
-def kit_folder(word: str) -> Path:
-    """The kit's folder by its name on the command line.
+def kit_folder(argument: str) -> Path:
+    """Returns the folder of the kit that the command line names.
 
     Raises:
-        RegressionSetupError: There is none.
+        RegressionSetupError: The argument is empty or not a folder.
     """
-    kit = Path(word)
-    if not word or not kit.is_dir():
-        raise RegressionSetupError(f"KIT={word}: no kit there")
+    kit = Path(argument)
+    if not argument or not kit.is_dir():
+        raise RegressionSetupError(f"KIT={argument}: no such folder")
     return kit
 
 
 def check_kit(kit: Path, days: Sequence[Table], panels: Sequence[Table]) -> None:
-    """Checks that each bench and site is there.
+    """Checks that the file of each bench and site exists.
 
     Raises:
-        RegressionSetupError: One is not.
+        RegressionSetupError: A file is missing.
     """
     for day in days:
         for part in (day["bench"], day["site"]):
@@ -243,15 +245,15 @@
                 raise RegressionSetupError(f"{path}: no such file")
 
 
-def run_bench(*words: str) -> subprocess.CompletedProcess[str]:
-    """Runs a bench to its end."""
-    return subprocess.run(words, capture_output=True, text=True, check=False)
+def run_bench(*command: str) -> subprocess.CompletedProcess[str]:
+    """Runs the command of a bench until it exits."""
+    return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def play_day(kit: Path, day: Table, size: str) -> DayResult:
-    """Plays a day, prints what its bench prints and reads its score from the journal."""
+def run_day(kit: Path, day: Table, size: str) -> DayResult:
+    """Runs a day, prints the output of its bench and reads its score from the journal."""
     earlier_entries = set(JOURNAL_PATH.glob("*.json"))
-    ended = run_bench(
+    completed = run_bench(
         str(kit / day["bench"]),
         "score",
         str(kit / day["site"]),
@@ -260,10 +262,10 @@
         "--why",
         f"A regression over all days: {day['name']}, {size}.",
     )
-    print(ended.stdout, ended.stderr, sep="", end="", flush=True)
+    print(completed.stdout, completed.stderr, sep="", end="", flush=True)
     new_entries = sorted(set(JOURNAL_PATH.glob("*.json")) - earlier_entries)
     entries = [json.loads(path.read_text()) for path in new_entries]
-    # The simulator's entries name it score, those of real sidecars real_score, among other figures.
+    # The simulator records its score as `score`, a bench of real sidecars as `real_score` among its figures.
     scores = [
         score
         for entry in entries
@@ -274,34 +276,39 @@
     return DayResult(
         name=day["name"],
         recorded_score=day.get(size),
-        score=float(scores[-1]) if scores and not ended.returncode else None,
-        is_rule_broken="BROKEN" in ended.stdout
+        score=float(scores[-1]) if scores and not completed.returncode else None,
+        is_rule_broken="BROKEN" in completed.stdout
         or any((entry.get("figures") or {}).get("rule_days_broken") for entry in entries),
-        gate_problem=gate_problem(ended.stdout.splitlines(), ended.returncode) if day.get("gate") else "",
+        gate_problem=gate_problem(completed.stdout.splitlines(), completed.returncode)
+        if day.get("gate")
+        else "",
     )
 
 
 def journal_heads() -> Iterator[str]:
-    """The start of each journal entry."""
+    """Yields the first `JOURNAL_HEAD_CHARACTERS` characters of each journal entry."""
     for path in JOURNAL_PATH.glob("*.json"):
         with path.open(encoding="utf-8", errors="replace") as entry:
             yield entry.read(JOURNAL_HEAD_CHARACTERS)
 
 
 def whole_day_result(day: str, seed: int, output: str, exit_status: int) -> WholeDayResult:
-    """Reads a bench's output; a run that does not say that the rules were kept counts as broken."""
+    """Parses the output of a bench; unless it says that the rules were kept, they count as broken."""
     lines = [line.strip() for line in output.splitlines() if line.strip()]
     broken = [line for line in lines if line.startswith("RULE BROKEN")]
     if not broken and (exit_status or "rules kept, no fault" not in lines):
-        last = lines[-1] if lines else "no word"
-        broken = [f"not told that rules were kept; ended with {exit_status}: {last}"]
+        last = lines[-1] if lines else "no output"
+        broken = [f"rules not reported as kept; exit status {exit_status}, last line: {last}"]
     scores = [score for line in lines if line.startswith(day) for score in WHOLE_DAY_SCORE.findall(line)]
     fallen = [line for line in lines if "fell over" in line and not line.startswith("RULE BROKEN")]
     return WholeDayResult(day, seed, scores[-1] if scores else "-", broken, fallen)
 
 
-def play_whole_days(kit: Path, whole: Table, size: str) -> list[WholeDayResult]:
-    """Plays whole days, some side by side, with the seeds that follow those of the plays in the journal."""
+def run_whole_days(kit: Path, whole: Table, size: str) -> list[WholeDayResult]:
+    """Runs whole days, several in parallel.
+
+    Each list of seeds is used in turn: the journal tells how many runs of that day there have been.
+    """
     chosen: list[tuple[str, int]] = []
     for row in whole["days"]:
         command = f'"--rough","{row["day"]}","--seed"'
@@ -309,20 +316,24 @@
         seeds = row["seeds"]
         chosen += [(row["day"], seeds[(played + turn) % len(seeds)]) for turn in range(row[size])]
 
-    def play(day_and_seed: tuple[str, int]) -> WholeDayResult:
+    def run(day_and_seed: tuple[str, int]) -> WholeDayResult:
         day, seed = day_and_seed
-        ended = run_bench(
+        completed = run_bench(
             *(str(kit / whole["bench"]), str(kit / whole["site"]), "--rough", day, "--seed", str(seed)),
             *("--why", f"A regression over whole days: {day} of seed {seed}."),
         )
-        return whole_day_result(day, seed, ended.stdout + ended.stderr, ended.returncode)
+        return whole_day_result(day, seed, completed.stdout + completed.stderr, completed.returncode)
 
     with ThreadPoolExecutor(whole["side_by_side"]) as pool:
-        return list(pool.map(play, chosen))
+        return list(pool.map(run, chosen))
 
 
-def panel_turns(kit: Path, panel: Table, size: str) -> list[tuple[Path, int | None]]:
-    """Sites and seeds that are next: sites in turn, then seeds, by how often the journal has such a panel."""
+def next_panel_runs(kit: Path, panel: Table, size: str) -> list[tuple[Path, int | None]]:
+    """Returns the sites and seeds that a panel uses next.
+
+    All sites are used with one seed before the next seed is used. The number of runs of such a panel in the
+    journal tells where to go on.
+    """
     sites, seeds = panel_sites(kit, panel), panel.get("seeds") or [None]
     arguments = ",".join(f'"{word}"' for word in panel["arguments"])
     site_words = [f'/{site.name}",' for site in sites]
@@ -333,15 +344,15 @@
     ]
 
 
-def play_panel(kit: Path, panel: Table, size: str) -> Iterator[PanelResult]:
-    """Plays a panel, one site and seed after the other."""
-    for site, seed in panel_turns(kit, panel, size):
-        ended = run_bench(
+def run_panel(kit: Path, panel: Table, size: str) -> Iterator[PanelResult]:
+    """Runs a panel with its next sites and seeds, one after the other."""
+    for site, seed in next_panel_runs(kit, panel, size):
+        completed = run_bench(
             *(str(kit / panel["bench"]), "score", str(site), *panel["arguments"]),
             *([] if seed is None else ["--seed", str(seed)]),
             *("--why", f"A regression over panels: {panel['name']}, {site.stem}."),
         )
-        lines = (ended.stdout + ended.stderr).splitlines()
+        lines = (completed.stdout + completed.stderr).splitlines()
         scores = [
             line.removeprefix(PANEL_SCORE_PREFIX).split()[0]
             for line in lines
@@ -353,19 +364,20 @@
             seed=seed,
             score=scores[-1] if scores else "-",
             broken_rules=[" ".join(line.split()) for line in lines if "BROKEN" in line],
-            gate_problem=gate_problem(lines, ended.returncode),
+            gate_problem=gate_problem(lines, completed.returncode),
         )
 
 
-def main(words: Sequence[str]) -> int:
-    """Plays everything, prints the report and returns the exit status."""
+def main(arguments: Sequence[str]) -> int:
+    """Runs everything, prints the report and returns the exit status."""
     parser = argparse.ArgumentParser(
-        description="Replays the days of the users' benches beside the recorded figures.", allow_abbrev=False
+        description="Runs the benches of a kit again and compares their scores with the recorded ones.",
+        allow_abbrev=False,
     )
-    parser.add_argument("kit", nargs="?", default="", help="folder of the benches")
-    parser.add_argument("--standing", action="store_true", help="of the days, only those that have a gate")
-    parser.add_argument("--full", action="store_true", help="full days in place of quick ones")
-    options = parser.parse_args(words)
+    parser.add_argument("kit", nargs="?", default="", help="folder that contains the benches")
+    parser.add_argument("--standing", action="store_true", help="leave out the days without a gate")
+    parser.add_argument("--full", action="store_true", help="run the full days instead of the quick ones")
+    options = parser.parse_args(arguments)
     size = "full" if options.full else "quick"
     try:
         kit = kit_folder(options.kit)
@@ -376,12 +388,12 @@
     except RegressionSetupError as error:
         print(f"regress: {error}", file=sys.stderr)
         return 2
-    day_results = [play_day(kit, day, size) for day in days]
+    day_results = [run_day(kit, day, size) for day in days]
     other_results: list[WholeDayResult | PanelResult] = []
     if whole is not None:
-        other_results += play_whole_days(kit, whole, size)
+        other_results += run_whole_days(kit, whole, size)
     for panel in panels:
-        other_results += play_panel(kit, panel, size)
+        other_results += run_panel(kit, panel, size)
     print(f"\n{size + ', simulated servers':38} {'recorded':>8} {'now':>8}")
     for result in day_results:
         print(*result.lines(figures["margin"]), sep="\n")
